--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -121,10 +121,14 @@
     await asyncio.sleep(4.0 if on or case in "ade" else 8.0)
     told = [row for row in world.load.told if row.asked >= at]
     return Result(
-        full=service_from(told, served_from), unserved=sum(row.how != "served" for row in told),
+        full=service_from(told, served_from),
+        unserved=sum(row.how != "served" for row in told),
         sent_in_vain=sum(row.how not in ("served", "unreachable") for row in told),
-        peak=account.peak(at, time.monotonic()) / usual, calls=lists.calls / max(1, len(gone)), stale=account.stale,
-        twice=world.twice(), cold=world.cold(),
+        peak=account.peak(at, time.monotonic()) / usual,
+        calls=lists.calls / max(1, len(gone)),
+        stale=account.stale,
+        twice=world.twice(),
+        cold=world.cold(),
     )
 
 
@@ -132,8 +136,12 @@
     """What a case is short of."""
     found = []
     for name, value, aim in (
-        ("full", on.full, AIM_FULL[case]), ("peak", on.peak, AIM_PEAK), ("calls", on.calls, AIM_CALLS),
-        ("stale", on.stale, 0), ("twice", on.twice, 0), ("cold", on.cold, AIM_COLD),
+        ("full", on.full, AIM_FULL[case]),
+        ("peak", on.peak, AIM_PEAK),
+        ("calls", on.calls, AIM_CALLS),
+        ("stale", on.stale, 0),
+        ("twice", on.twice, 0),
+        ("cold", on.cold, AIM_COLD),
     ):
         if value > aim:
             found.append(f"{case}: {name} {value:.2f}, aim {aim}")
@@ -156,7 +164,8 @@
     with ProcessPoolExecutor(at_once) as pool:
         runs = {
             (case, on): pool.submit(alone, play, case, on, instances, calm, away)
-            for case in cases for on in (True, False)
+            for case in cases
+            for on in (True, False)
         }
         results = {which: future.result() for which, future in runs.items()}
     short: list[str] = []
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -113,8 +113,16 @@
     """Cost of one request in each round, by server."""
     backend = await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", 0)
     backend_port = int(backend.sockets[0].getsockname()[1])
-    host = {"host": "s-1", "dial": f"127.0.0.1:{backend_port}", "site": "kigali", "class": "m", "block": 0,
-            "health": "in_service", "share": 1.0, "born_ms": 0}
+    host = {
+        "host": "s-1",
+        "dial": f"127.0.0.1:{backend_port}",
+        "site": "kigali",
+        "class": "m",
+        "block": 0,
+        "health": "in_service",
+        "share": 1.0,
+        "born_ms": 0,
+    }
     trees = {"proxy": ROOT} | ({"other": against} if against is not None else {})
     servers: dict[str, Server] = {}
     port = free_ports(1)[0]
@@ -122,10 +130,16 @@
     for name, tree in trees.items():
         port = free_ports(1)[0]
         path = folder / f"{name}.json"
-        path.write_bytes(orjson.dumps({
-            "settings": settings(1, 0), "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9",
-            "known": {"seq": 1, "whole": True, "hosts": [host]},
-        }))
+        path.write_bytes(
+            orjson.dumps(
+                {
+                    "settings": settings(1, 0),
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": "127.0.0.1:9",
+                    "known": {"seq": 1, "whole": True, "hosts": [host]},
+                }
+            )
+        )
         servers[name] = Server([sys.executable, "-m", "cometusher"], tree, {"LB_CONFIG": str(path)}, port)
     costs: dict[str, list[float]] = {name: [] for name in servers}
     try:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -78,9 +78,20 @@
     def write(self, discovery: int) -> None:
         """The fleet's file; `discovery` is what a reload changes."""
         lines = [
-            "[fleet]", 'name = "bench"', 'state = "s"', "[policy]", "budget = 1000", "backoff_from = 0.05",
-            "backoff_to = 0.5", "at_once = 4", "[log]", 'target = "fleet.log"', "[common]", 'config = "proxy.json"',
-            f'discovery = "127.0.0.1:{discovery}"', "sockets = 256",
+            "[fleet]",
+            'name = "bench"',
+            'state = "s"',
+            "[policy]",
+            "budget = 1000",
+            "backoff_from = 0.05",
+            "backoff_to = 0.5",
+            "at_once = 4",
+            "[log]",
+            'target = "fleet.log"',
+            "[common]",
+            'config = "proxy.json"',
+            f'discovery = "127.0.0.1:{discovery}"',
+            "sockets = 256",
         ]
         for i, port in enumerate(self.ports):
             lines += ["[[instance]]", f'name = "p{i}"', f'listen = "127.0.0.1:{port}"']
@@ -154,9 +165,9 @@
                 left -= 1
         await asyncio.sleep(0.1)
         # A status that is older than the kill would name the killed again.
-        await run.until(lambda: all(
-            row["restarts"] >= expected.get(row["name"], 0) for row in run.rows()
-        ), "restarts after kills")
+        await run.until(
+            lambda: all(row["restarts"] >= expected.get(row["name"], 0) for row in run.rows()), "restarts after kills"
+        )
     await run.until(run.all_ready, "all ready after the kills")
     rows = await asyncio.to_thread(run.rows)
     return sum(row["restarts"] for row in rows if row["restarts"] == expected.get(row["name"], 0))
@@ -211,10 +222,19 @@
     rss, pss = (sum(size[i] for size in sizes) / max(1, len(sizes)) for i in range(2))
     left = strays(run.pids, process.pid)
     figures |= {
-        "rss_mb": round(rss, 1), "pss_mb": round(pss, 1), "rss_alone_mb": round(rss_alone, 1),
-        "pss_ratio": round(pss / pss_alone, 2), "sent": requests.sent, "served": requests.served,
-        "refused": requests.refused, "failed": requests.failed, "unreachable": calm.unreachable, "lost": calm.lost,
-        "kills": kills, "restarts_right": killed, "lost_with_the_killed": requests.lost - calm.lost,
+        "rss_mb": round(rss, 1),
+        "pss_mb": round(pss, 1),
+        "rss_alone_mb": round(rss_alone, 1),
+        "pss_ratio": round(pss / pss_alone, 2),
+        "sent": requests.sent,
+        "served": requests.served,
+        "refused": requests.refused,
+        "failed": requests.failed,
+        "unreachable": calm.unreachable,
+        "lost": calm.lost,
+        "kills": kills,
+        "restarts_right": killed,
+        "lost_with_the_killed": requests.lost - calm.lost,
         "strays": len(left),
     }
     if left:
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -50,8 +50,10 @@
 async def call(port: int, number: int) -> tuple[float, bool]:
     """One call: seconds until its answer, and whether that is right."""
     target, body, wanted = (
-        ("GET /api/ready", b"", b"200"), ("POST /api/exclude", b'{"who":"s-2"}', b"200"),
-        ("POST /api/include", b'{"who":"s-2"}', b"200"), ("POST /api/exclude", b'{"who":"s-9"}', b"404"),
+        ("GET /api/ready", b"", b"200"),
+        ("POST /api/exclude", b'{"who":"s-2"}', b"200"),
+        ("POST /api/include", b'{"who":"s-2"}', b"200"),
+        ("POST /api/exclude", b'{"who":"s-9"}', b"404"),
     )[number % 4]
     began = time.monotonic()
     try:
@@ -68,16 +70,31 @@
     """Seconds of each call, wrong answers, and requests served meanwhile."""
     backends = [await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", 0) for _ in range(2)]
     hosts = [
-        {"host": f"s-{i + 1}", "dial": f"127.0.0.1:{backend.sockets[0].getsockname()[1]}", "site": "kigali",
-         "class": "m", "block": 0, "health": "in_service", "share": 1.0, "born_ms": 0}
+        {
+            "host": f"s-{i + 1}",
+            "dial": f"127.0.0.1:{backend.sockets[0].getsockname()[1]}",
+            "site": "kigali",
+            "class": "m",
+            "block": 0,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
+        }
         for i, backend in enumerate(backends)
     ]
     port, door = free_ports(2)
     path = folder / "config.json"
-    path.write_bytes(orjson.dumps({
-        "settings": settings(1, 0), "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9",
-        "management": f"127.0.0.1:{door}", "known": {"seq": 1, "whole": True, "hosts": hosts},
-    }))
+    path.write_bytes(
+        orjson.dumps(
+            {
+                "settings": settings(1, 0),
+                "listen": f"127.0.0.1:{port}",
+                "discovery": "127.0.0.1:9",
+                "management": f"127.0.0.1:{door}",
+                "known": {"seq": 1, "whole": True, "hosts": hosts},
+            }
+        )
+    )
     server = Server([sys.executable, "-m", "cometusher"], ROOT, {"LB_CONFIG": str(path)}, port)
     await server.up()
     loads = [
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -35,92 +35,195 @@
 
 MUTANTS = (
     Mutant("a request's timer is not cancelled", "proxy", "exchange.timer.cancel()", "pass"),
-    Mutant("a late success is passed on as a second answer", "proxy",
-           "if not exchange.answered and how is Outcome.OK and", "if how is Outcome.OK and"),
-    Mutant("a draining backend counts as up", "discovery",
-           '"terminating": State.DRAINING', '"terminating": State.UP'),
-    Mutant("a reset is reported as never ran", "backends",
-           "self._pool.end(attempt, Outcome.BROKEN, None, why)",
-           "self._pool.end(attempt, Outcome.UNREACHABLE, None, why)"),
-    Mutant("a time-out is reported as never ran", "proxy",
-           'self.attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
-           'self.attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by'),
-    Mutant("a 500 is reported as never ran", "backends",
-           'return Outcome.ERROR, f"status', 'return Outcome.FULL, f"status'),
-    Mutant("a caller's descriptor is not given back", "callers",
-           "del self._connections[connection]\n            self._descriptors.give_caller()",
-           "del self._connections[connection]"),
-    Mutant("a backend's descriptor is not given back", "backends",
-           "self.unpark(connection)\n        self._descriptors.give_backend()", "self.unpark(connection)"),
-    Mutant("a failed connect keeps its descriptor", "backends",
-           "if held and not connection.made:", "if held and connection.made:"),
-    Mutant("a failed accept keeps its descriptor", "callers",
-           'log.warning("accept failed: %s", fault)\n                self._descriptors.give_caller()',
-           'log.warning("accept failed: %s", fault)'),
-    Mutant("a body's memory is not given back", "callers",
-           "self._callers.memory.give(request.charged)\n        request.charged = 0", "request.charged = 0"),
+    Mutant(
+        "a late success is passed on as a second answer",
+        "proxy",
+        "if not exchange.answered and how is Outcome.OK and",
+        "if how is Outcome.OK and",
+    ),
+    Mutant(
+        "a draining backend counts as up", "discovery", '"terminating": State.DRAINING', '"terminating": State.UP'
+    ),
+    Mutant(
+        "a reset is reported as never ran",
+        "backends",
+        "self._pool.end(attempt, Outcome.BROKEN, None, why)",
+        "self._pool.end(attempt, Outcome.UNREACHABLE, None, why)",
+    ),
+    Mutant(
+        "a time-out is reported as never ran",
+        "proxy",
+        'self.attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
+        'self.attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
+    ),
+    Mutant(
+        "a 500 is reported as never ran",
+        "backends",
+        'return Outcome.ERROR, f"status',
+        'return Outcome.FULL, f"status',
+    ),
+    Mutant(
+        "a caller's descriptor is not given back",
+        "callers",
+        "del self._connections[connection]\n            self._descriptors.give_caller()",
+        "del self._connections[connection]",
+    ),
+    Mutant(
+        "a backend's descriptor is not given back",
+        "backends",
+        "self.unpark(connection)\n        self._descriptors.give_backend()",
+        "self.unpark(connection)",
+    ),
+    Mutant(
+        "a failed connect keeps its descriptor",
+        "backends",
+        "if held and not connection.made:",
+        "if held and connection.made:",
+    ),
+    Mutant(
+        "a failed accept keeps its descriptor",
+        "callers",
+        'log.warning("accept failed: %s", fault)\n                self._descriptors.give_caller()',
+        'log.warning("accept failed: %s", fault)',
+    ),
+    Mutant(
+        "a body's memory is not given back",
+        "callers",
+        "self._callers.memory.give(request.charged)\n        request.charged = 0",
+        "request.charged = 0",
+    ),
     Mutant("an idle connection is not looked at before use", "backends", "return not self._pending()", "return True"),
-    Mutant("an attempt that is given up keeps its connection", "backends",
-           "attempt.connection.close()\n        return how_far", "pass\n        return how_far"),
-    Mutant("a connection in use is taken again", "backends",
-           "self.unpark(connection)\n            self._busy[connection] = None\n            connection.start",
-           "self._busy[connection] = None\n            connection.start"),
-    Mutant("the module is not told that a caller left", "callers",
-           "if taken is not None:\n            taken.caller_left()", "if taken is not None:\n            pass"),
-    Mutant("a backend's start is not read", "discovery",
-           'started=_number(item.get("born_ms"), 0.0) / 1000.0', "started=0.0"),
-    Mutant("an older change is believed", "discovery",
-           "if not listing.whole and listing.seq < self._seq:", "if False:"),
-    Mutant("a caller's time is not respected", "proxy",
-           "budget = longest if budget is None else min(budget, longest)", "budget = longest"),
-    Mutant("an answer that was cut counts as whole", "http1",
-           "if self.response is not None and self.head_done and self.response.until_eof:",
-           "if self.response is not None and self.head_done:"),
-    Mutant("a drain closes the listener at once", "proxy",
-           "if emptied is None and not self.callers.posture.listens:", "if emptied is None:"),
-    Mutant("a drain does not wait for its answers", "proxy",
-           "while emptied is None or not emptied.done():", "while emptied is None:"),
-    Mutant("a drain never ends its connections", "callers",
-           "or self._callers.posture.closes or self._callers.crowded", "or self._callers.crowded"),
-    Mutant("the wall clock decides deadlines", "proxy",
-           "self._monotonic = network.monotonic\n        self._offset = network.unix_time() - network.monotonic()",
-           "self._monotonic = network.unix_time\n        self._offset = 0.0"),
-    Mutant("a repeat has lost its body", "proxy", "attempt.body = body\n",
-           "attempt.body = body\n        if request.body:\n            request.body = bytearray()"),
-    Mutant("the listener is not watched again after a shortage", "callers",
-           "# Guards against a listener that waits for a descriptor while nobody gives one back by himself.\n"
-           "        self._resume_accepting()", "pass"),
-    Mutant("a head that ends with a body behind it is too large", "http1",
-           "if self._head > MAX_HEAD:", "if self._head + self._overhead > MAX_HEAD:"),
-    Mutant("a request is taken while another is open", "callers",
-           "if self._request is not None or self._whole is not None:", "if False:"),
-    Mutant("the end of a watch ends discovery", "discovery",
-           "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
+    Mutant(
+        "an attempt that is given up keeps its connection",
+        "backends",
+        "attempt.connection.close()\n        return how_far",
+        "pass\n        return how_far",
+    ),
+    Mutant(
+        "a connection in use is taken again",
+        "backends",
+        "self.unpark(connection)\n            self._busy[connection] = None\n            connection.start",
+        "self._busy[connection] = None\n            connection.start",
+    ),
+    Mutant(
+        "the module is not told that a caller left",
+        "callers",
+        "if taken is not None:\n            taken.caller_left()",
+        "if taken is not None:\n            pass",
+    ),
+    Mutant(
+        "a backend's start is not read",
+        "discovery",
+        'started=_number(item.get("born_ms"), 0.0) / 1000.0',
+        "started=0.0",
+    ),
+    Mutant(
+        "an older change is believed", "discovery", "if not listing.whole and listing.seq < self._seq:", "if False:"
+    ),
+    Mutant(
+        "a caller's time is not respected",
+        "proxy",
+        "budget = longest if budget is None else min(budget, longest)",
+        "budget = longest",
+    ),
+    Mutant(
+        "an answer that was cut counts as whole",
+        "http1",
+        "if self.response is not None and self.head_done and self.response.until_eof:",
+        "if self.response is not None and self.head_done:",
+    ),
+    Mutant(
+        "a drain closes the listener at once",
+        "proxy",
+        "if emptied is None and not self.callers.posture.listens:",
+        "if emptied is None:",
+    ),
+    Mutant(
+        "a drain does not wait for its answers",
+        "proxy",
+        "while emptied is None or not emptied.done():",
+        "while emptied is None:",
+    ),
+    Mutant(
+        "a drain never ends its connections",
+        "callers",
+        "or self._callers.posture.closes or self._callers.crowded",
+        "or self._callers.crowded",
+    ),
+    Mutant(
+        "the wall clock decides deadlines",
+        "proxy",
+        "self._monotonic = network.monotonic\n        self._offset = network.unix_time() - network.monotonic()",
+        "self._monotonic = network.unix_time\n        self._offset = 0.0",
+    ),
+    Mutant(
+        "a repeat has lost its body",
+        "proxy",
+        "attempt.body = body\n",
+        "attempt.body = body\n        if request.body:\n            request.body = bytearray()",
+    ),
+    Mutant(
+        "the listener is not watched again after a shortage",
+        "callers",
+        "# Guards against a listener that waits for a descriptor while nobody gives one back by himself.\n"
+        "        self._resume_accepting()",
+        "pass",
+    ),
+    Mutant(
+        "a head that ends with a body behind it is too large",
+        "http1",
+        "if self._head > MAX_HEAD:",
+        "if self._head + self._overhead > MAX_HEAD:",
+    ),
+    Mutant(
+        "a request is taken while another is open",
+        "callers",
+        "if self._request is not None or self._whole is not None:",
+        "if False:",
+    ),
+    Mutant("the end of a watch ends discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
     # Of calls, upgrades and long messages; planted before the oracles that look for them were written.
-    Mutant("a ban does not reach an attempt that connects", "proxy",
-           "return not exchange.answered and attempt.server not in self.balancer.bans",
-           "return not exchange.answered"),
-    Mutant("a ban is not handed over", "succession",
-           "for server in apply_standing(proxy.balancer, proxy.clock.now(), standing):", "for server in ():"),
-    Mutant("an evacuation is not handed over", "succession",
-           "proxy.operations.evacuate(proxy.loop.time())", "pass"),
+    Mutant(
+        "a ban does not reach an attempt that connects",
+        "proxy",
+        "return not exchange.answered and attempt.server not in self.balancer.bans",
+        "return not exchange.answered",
+    ),
+    Mutant(
+        "a ban is not handed over",
+        "succession",
+        "for server in apply_standing(proxy.balancer, proxy.clock.now(), standing):",
+        "for server in ():",
+    ),
+    Mutant("an evacuation is not handed over", "succession", "proxy.operations.evacuate(proxy.loop.time())", "pass"),
     Mutant("an id stays taken for good", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
-    Mutant("the module keeps requests whose attempts end late", "weldroute/decide",
-           "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
-           "if request.done:\n            pass"),
+    Mutant(
+        "the module keeps requests whose attempts end late",
+        "weldroute/decide",
+        "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
+        "if request.done:\n            pass",
+    ),
     Mutant("the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.rid)", "pass"),
-    Mutant("a caller that was held is not read again", "stream",
-           "if self._waiting <= WAITING // 2:", "if False:"),
-    Mutant("the other process's descriptors don't count", "budget",
-           "return self.used + self.others() >= self.limit", "return self.used >= self.limit"),
-    Mutant("an attempt is told of the whole time", "proxy", "format_budget(left))]",
-           "format_budget(exchange.budget))]"),
-    Mutant("a repeat has lost its key", "proxy", 'headers = [*exchange.headers, (b"x-budget"',
-           'headers = [*(h for h in exchange.headers if not attempt.number or h[0] != b"idempotency-key"), '
-           '(b"x-budget"'),
+    Mutant("a caller that was held is not read again", "stream", "if self._waiting <= WAITING // 2:", "if False:"),
+    Mutant(
+        "the other process's descriptors don't count",
+        "budget",
+        "return self.used + self.others() >= self.limit",
+        "return self.used >= self.limit",
+    ),
+    Mutant(
+        "an attempt is told of the whole time", "proxy", "format_budget(left))]", "format_budget(exchange.budget))]"
+    ),
+    Mutant(
+        "a repeat has lost its key",
+        "proxy",
+        'headers = [*exchange.headers, (b"x-budget"',
+        'headers = [*(h for h in exchange.headers if not attempt.number or h[0] != b"idempotency-key"), (b"x-budget"',
+    ),
 )
 QUICK = ("reset is reported", "second answer", "counts as up", "descriptor is not given", "was cut counts")
 
+
 def plant(folder: Path, mutant: Mutant) -> None:
     """A copy of the code with one defect; raises ValueError where the code has moved on."""
     for package in PACKAGES:
@@ -137,8 +240,18 @@
     """The first seed that finds a defect, its world and the rule that is broken."""
     with tempfile.TemporaryDirectory() as name:
         plant(Path(name), mutant)
-        command = [sys.executable, "-m", "cometusher", "simulate", "--seeds", f"0..{limit}", "--jobs", str(jobs),
-                   "--first", "--keep"]
+        command = [
+            sys.executable,
+            "-m",
+            "cometusher",
+            "simulate",
+            "--seeds",
+            f"0..{limit}",
+            "--jobs",
+            str(jobs),
+            "--first",
+            "--keep",
+        ]
         done = subprocess.run(command, cwd=name, capture_output=True, text=True, check=False, timeout=PATIENCE)
         found = FOUND.search(done.stdout)
         if found is None and done.returncode != 0:
@@ -169,8 +282,10 @@
         else:
             print(f"| {mutant.name} | not within {options.limit} | | |", flush=True)
     good = found == len(chosen)
-    print(f"mutants: planted={len(chosen)} found={found} last_seed={worst} limit={options.limit} "
-          f"{'ok' if good else 'short'}")
+    print(
+        f"mutants: planted={len(chosen)} found={found} last_seed={worst} limit={options.limit} "
+        f"{'ok' if good else 'short'}"
+    )
     return 0 if good else 1
 
 
--- a/benchmarks/stall.py
+++ b/benchmarks/stall.py
@@ -42,7 +42,8 @@
 LATE = 0.15  # seconds
 AIM_LATE = 0.5  # of what it is without the watch
 PARTIAL = {
-    "crawl": (Mood("slow", seconds=0.2, spread=0.2), None), "zone": (Mood("reset"), 1),
+    "crawl": (Mood("slow", seconds=0.2, spread=0.2), None),
+    "zone": (Mood("reset"), 1),
 }
 CALM, AFTER = 4.0, 18.0  # seconds before the stop, and after it
 POLICY = {"budget": 100_000}
@@ -185,7 +186,8 @@
         on, off = (each.result() for each in running)
         waiting = {
             (name, watched): pool.submit(alone, partly, watched, mood, zone, after)
-            for name, (mood, zone) in PARTIAL.items() for watched in (True, False)
+            for name, (mood, zone) in PARTIAL.items()
+            for watched in (True, False)
         }
         partial = {key: each.result() for key, each in waiting.items()}
         counts = pool.submit(alone, alarms, 2 * options.instances, 40.0, seconds).result()
@@ -193,11 +195,17 @@
         how = ", ".join(f"{key} {count}" for key, count in sorted(one.how.items()))
         print(f"{name} {one.sent} sent: {how}; full service after {one.full:.2f} s, peak {one.peak:.1f}")
     short = [
-        f"{name} {value:.2f}, aim {aim}" for name, value, aim in (
-            ("unserved", on.unserved, AIM_UNSERVED), ("full_s", on.full, AIM_FULL), ("peak", on.peak, AIM_PEAK),
-            ("notice_p99_s", on.notice(0.99), AIM_NOTICE), ("false", counts.get("replaced", -1), 0),
-            ("twice", on.twice, 0), ("wrong", on.wrong, 0),
-        ) if value > aim or value < 0
+        f"{name} {value:.2f}, aim {aim}"
+        for name, value, aim in (
+            ("unserved", on.unserved, AIM_UNSERVED),
+            ("full_s", on.full, AIM_FULL),
+            ("peak", on.peak, AIM_PEAK),
+            ("notice_p99_s", on.notice(0.99), AIM_NOTICE),
+            ("false", counts.get("replaced", -1), 0),
+            ("twice", on.twice, 0),
+            ("wrong", on.wrong, 0),
+        )
+        if value > aim or value < 0
     ]
     for name in PARTIAL:
         found, without = partial[name, True], partial[name, False]
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -186,10 +186,20 @@
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
         backend = await asyncio.get_running_loop().create_server(cpu.Echo, "127.0.0.1", 0)
         port = int(backend.sockets[0].getsockname()[1])
-        lists = HostList([{
-            "host": "s-1", "dial": f"127.0.0.1:{port}", "site": "kigali", "class": "m", "block": 0,
-            "health": "in_service", "share": 1.0, "born_ms": 0,
-        }])
+        lists = HostList(
+            [
+                {
+                    "host": "s-1",
+                    "dial": f"127.0.0.1:{port}",
+                    "site": "kigali",
+                    "class": "m",
+                    "block": 0,
+                    "health": "in_service",
+                    "share": 1.0,
+                    "born_ms": 0,
+                }
+            ]
+        )
         await lists.start()
         fleets = [Fleet(Path(folder), name, 1, 1, False, name == "on") for name in ("on", "off")]
         try:
@@ -256,8 +266,16 @@
     for _ in range(rng.randint(2, 5)):
         deed = rng.choice(("kill", "kill", "kill", "stop", "slow", "cut", "mute"))
         values: dict[str, Any] = {
-            "at": 3.0 * rng.random(), "about": 0.0, "deed": deed, "fleet": "", "share": rng.choice((0.2, 0.4, 0.7)),
-            "lasts": 0.0, "link": "", "mood": "pass", "way": rng.choice(("up", "down")), "value": 0.0,
+            "at": 3.0 * rng.random(),
+            "about": 0.0,
+            "deed": deed,
+            "fleet": "",
+            "share": rng.choice((0.2, 0.4, 0.7)),
+            "lasts": 0.0,
+            "link": "",
+            "mood": "pass",
+            "way": rng.choice(("up", "down")),
+            "value": 0.0,
         }
         if deed == "stop":
             values |= {"lasts": rng.choice((0.05, 0.3, 1.0))}
@@ -296,8 +314,18 @@
     broken = []
     with ProcessPoolExecutor(jobs) as pool:
         for seed, figures in pool.map(partial(schedule, keep=keep), range(first, first + count)):
-            for key in ("sent", "served", "refused", "failed", "lost", "inherited", "orphaned", "twice", "second",
-                        "wrong"):
+            for key in (
+                "sent",
+                "served",
+                "refused",
+                "failed",
+                "lost",
+                "inherited",
+                "orphaned",
+                "twice",
+                "second",
+                "wrong",
+            ):
                 sums[key] += int(figures[key])
             if any(figures[key] for key in ("twice", "second", "wrong")):
                 broken.append(seed)
@@ -333,8 +361,13 @@
     load, p50 = cost.cpu / plain.cpu, cost.p50 / plain.p50
     short = []
     for name, value, aim in (
-        ("unanswered", on.unanswered, 0), ("twice", on.twice, 0), ("wrong", on.wrong, 0), ("second", on.second, 0),
-        ("act_p99_s", on.quantile(0.99), AIM_SEND), ("cpu", load, AIM_CPU), ("p50", p50, AIM_P50),
+        ("unanswered", on.unanswered, 0),
+        ("twice", on.twice, 0),
+        ("wrong", on.wrong, 0),
+        ("second", on.second, 0),
+        ("act_p99_s", on.quantile(0.99), AIM_SEND),
+        ("cpu", load, AIM_CPU),
+        ("p50", p50, AIM_P50),
     ):
         if value > aim:
             short.append(f"{name} {value:.3f}, aim {aim}")
--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -47,9 +47,11 @@
         fleet = world.add_fleet("a", instances, 0, False, False, True)
         # Nobody is replaced: what is looked for is the moment of the first suspicion.
         fleet.vigil_lines = [f'record = "{path}"', "hung_for = 1000", "stopped_for = 1000", "spinning_for = 1000"]
-        burners = [] if stops else [
-            multiprocessing.Process(target=burn, args=(seconds,)) for _ in range(os.cpu_count() or 1)
-        ]
+        burners = (
+            []
+            if stops
+            else [multiprocessing.Process(target=burn, args=(seconds,)) for _ in range(os.cpu_count() or 1)]
+        )
         rng = random.Random(3)
         try:
             await world.start(2.0 * instances)
@@ -141,7 +143,10 @@
     axes.plot(xs, ys, "o-", color="#33659a", label="median")
     axes.plot([row.notice(0.99) for row in rows], ys, "x--", color="#b03a2e", label="99 of 100")
     axes.plot(
-        [row.notice(0.5) for row in plain], [row.rate for row in plain], "s:", color="#777777",
+        [row.notice(0.5) for row in plain],
+        [row.rate for row in plain],
+        "s:",
+        color="#777777",
         label="median, waiting for a processor not taken off",
     )
     axes.legend(fontsize="small")
@@ -168,7 +173,8 @@
         calm, stops = options.calm or Path(folder) / "calm", options.stops or Path(folder) / "stops"
         running = [
             multiprocessing.Process(target=alone, args=(record, path, instances, seconds, by_turns))
-            for path, given, by_turns in ((calm, options.calm, False), (stops, options.stops, True)) if not given
+            for path, given, by_turns in ((calm, options.calm, False), (stops, options.stops, True))
+            if not given
         ]
         for one in running:
             one.start()
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -164,7 +164,9 @@
         count, learned = asyncio.run(measure(Path(folder), upgrades))
     good = (
         count.lost == count.unreachable == count.failed == count.banned == 0
-        and count.turned_back <= upgrades and learned == upgrades and count.descriptors <= SOCKETS
+        and count.turned_back <= upgrades
+        and learned == upgrades
+        and count.descriptors <= SOCKETS
     )
     print(
         f"upgrade: upgrades={upgrades} served={count.served} refused={count.refused} failed={count.failed} "
--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -57,8 +57,20 @@
     """One sending of one request to one backend."""
 
     __slots__ = (
-        "body", "chunked", "connection", "ended", "expires", "head", "number", "owner", "place", "repeatable", "sent",
-        "server", "stream", "task",
+        "body",
+        "chunked",
+        "connection",
+        "ended",
+        "expires",
+        "head",
+        "number",
+        "owner",
+        "place",
+        "repeatable",
+        "sent",
+        "server",
+        "stream",
+        "task",
     )
 
     def __init__(self, owner: object, number: int, server: ServerId, sent: float, repeatable: bool) -> None:
@@ -646,5 +658,3 @@
     def counts(self) -> tuple[int, int]:
         """Connections in use and idle."""
         return len(self._busy), len(self._idle)
-
-
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -538,7 +538,11 @@
     """The listener and all callers' connections."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, network: Network, handler: RequestHandler, descriptors: Descriptors,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        network: Network,
+        handler: RequestHandler,
+        descriptors: Descriptors,
         memory: BodyMemory,
     ) -> None:
         self.loop = loop
--- a/cometusher/cli.py
+++ b/cometusher/cli.py
@@ -32,7 +32,8 @@
 def build_parser() -> argparse.ArgumentParser:
     """All commands and their options."""
     parser = argparse.ArgumentParser(
-        prog="cometusher", description="A load-balancing proxy. Without arguments: one proxy, from LB_CONFIG.",
+        prog="cometusher",
+        description="A load-balancing proxy. Without arguments: one proxy, from LB_CONFIG.",
         epilog="example: cometusher demo",
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
--- a/cometusher/demo.py
+++ b/cometusher/demo.py
@@ -46,14 +46,32 @@
     return {
         "Services": [
             {"Name": "report-view", "Aim": 1.5, "HardLimit": 4.0, "Repeat": "retryable", "Credit": 1.0},
-            {"Name": "submit", "Aim": 1.0, "HardLimit": 2.5, "Repeat": "dedup", "Group": "zone", "Window": WINDOW,
-             "Credit": 8.0},
+            {
+                "Name": "submit",
+                "Aim": 1.0,
+                "HardLimit": 2.5,
+                "Repeat": "dedup",
+                "Group": "zone",
+                "Window": WINDOW,
+                "Credit": 8.0,
+            },
         ],
         "Orgs": [{"Name": name, "Share": 1.0 / len(TENANTS), "AllowancePerS": 1000.0} for name in TENANTS],
-        "Zones": list(ZONES), "Zone": zone, "Tiers": list(TIERS), "Tier": tier, "Instances": len(ZONES),
+        "Zones": list(ZONES),
+        "Zone": zone,
+        "Tiers": list(TIERS),
+        "Tier": tier,
+        "Instances": len(ZONES),
         "Ordinal": zone,
-        "Bounds": {"Cancel": True, "SecondCopies": True, "MaxAttempts": 3, "DialTimeout": 0.5, "ConnIdle": 5.0,
-                   "RetryAfter": True, "MaxRetryAfter": 2.0},
+        "Bounds": {
+            "Cancel": True,
+            "SecondCopies": True,
+            "MaxAttempts": 3,
+            "DialTimeout": 0.5,
+            "ConnIdle": 5.0,
+            "RetryAfter": True,
+            "MaxRetryAfter": 2.0,
+        },
         "Rules": {"Cold": COLD_FOR, "ColdFrom": COLD_FROM, "AskEvery": 10.0},
     }
 
@@ -81,8 +99,14 @@
                 for speed in SPEEDS:
                     behind = ("127.0.0.1", ports[tier + 1, zone]) if tier + 1 < len(TIERS) else None
                     backend = Node(
-                        f"s-{len(backends) + 1:x}", site, speed, WORK, keys_of_zones[tier, zone],
-                        Random(rng.random()), behind=behind, impatient=True,
+                        f"s-{len(backends) + 1:x}",
+                        site,
+                        speed,
+                        WORK,
+                        keys_of_zones[tier, zone],
+                        Random(rng.random()),
+                        behind=behind,
+                        impatient=True,
                     )
                     await backend.start("127.0.0.1")
                     backends.append(backend)
@@ -101,13 +125,18 @@
 
     def write(self, folder: Path) -> Path:
         """The fleet's file, and those that it names; returns the fleet's."""
-        lines = ['[fleet]', 'name = "demo"', 'state = "state"', '[log]', 'target = "demo.log"']
+        lines = ["[fleet]", 'name = "demo"', 'state = "state"', "[log]", 'target = "demo.log"']
         for (tier, zone), port in self.ports.items():
             name = f"{TIERS[tier]}-{ZONES[zone]}"
             values = {"settings": settings(tier, zone), "discovery": f"127.0.0.1:{self.lists[tier].port}"}
             (folder / f"{name}.json").write_bytes(orjson.dumps(values, option=orjson.OPT_INDENT_2))
-            lines += ["[[instance]]", f'name = "{name}"', f'listen = "127.0.0.1:{port}"', f'config = "{name}.json"',
-                      "sockets = 256"]
+            lines += [
+                "[[instance]]",
+                f'name = "{name}"',
+                f'listen = "127.0.0.1:{port}"',
+                f'config = "{name}.json"',
+                "sockets = 256",
+            ]
         path = folder / "fleet.toml"
         path.write_text("\n".join(lines) + "\n")
         return path
@@ -171,7 +200,14 @@
     path = place.write(folder)
     # In a session of its own: Ctrl-C is for this process, which ends the proxies in order.
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "cometusher", "fleet", "start", "-c", str(path), start_new_session=True,
+        sys.executable,
+        "-m",
+        "cometusher",
+        "fleet",
+        "start",
+        "-c",
+        str(path),
+        start_new_session=True,
         env=os.environ | {"PYTHONPATH": os.pathsep.join([str(ROOT), os.environ.get("PYTHONPATH", "")])},
     )
     served = 0
@@ -190,8 +226,11 @@
         printing.cancel()
         whole = load.figures
         served = whole.served
-        print(f"demo: sent={whole.sent} served={whole.served} refused={whole.refused} failed={whole.failed} "
-              f"lost={whole.lost} {'ok' if served and not whole.lost else 'short'}", flush=True)
+        print(
+            f"demo: sent={whole.sent} served={whole.served} refused={whole.refused} failed={whole.failed} "
+            f"lost={whole.lost} {'ok' if served and not whole.lost else 'short'}",
+            flush=True,
+        )
     finally:
         await _end(process)
         await place.stop()
--- a/cometusher/drill/page.py
+++ b/cometusher/drill/page.py
@@ -13,12 +13,24 @@
 WIDTH, HEIGHT, LEFT, BOTTOM = 900, 150, 50, 18
 BIN = 0.2  # seconds
 COLOURS = {
-    "served": "#2a7f4f", "refused": "#c98a1b", "failed": "#b03a2e", "lost": "#6c1f5d", "unreachable": "#777777",
+    "served": "#2a7f4f",
+    "refused": "#c98a1b",
+    "failed": "#b03a2e",
+    "lost": "#6c1f5d",
+    "unreachable": "#777777",
     "connections": "#33659a",
 }
 PHASES = {
-    "full": "#2a7f4f", "ramping": "#8bc34a", "confirmed": "#c5e1a5", "remembered": "#ffd54f", "nothing": "#ef6c00",
-    "starting": "#90a4ae", "waiting": "#cfd8dc", "busy": "#6c1f5d", "failed": "#b03a2e", "stopped": "#eeeeee",
+    "full": "#2a7f4f",
+    "ramping": "#8bc34a",
+    "confirmed": "#c5e1a5",
+    "remembered": "#ffd54f",
+    "nothing": "#ef6c00",
+    "starting": "#90a4ae",
+    "waiting": "#cfd8dc",
+    "busy": "#6c1f5d",
+    "failed": "#b03a2e",
+    "stopped": "#eeeeee",
 }
 STYLE = "body{font:14px sans-serif;margin:2em}svg{display:block;margin-bottom:1em}td{padding-right:1em}"
 
@@ -70,7 +82,8 @@
     def __str__(self) -> str:
         ticks = "".join(
             f'<text x="{self.x(i * self.end / 10):.0f}" y="{self.height - 4}" font-size="10">{i * self.end / 10:.1f}'
-            "</text>" for i in range(11)
+            "</text>"
+            for i in range(11)
         )
         return (
             f'<svg width="{WIDTH}" height="{self.height}" role="img"><title>{html.escape(self.title)}</title>'
--- a/cometusher/drill/run.py
+++ b/cometusher/drill/run.py
@@ -238,8 +238,10 @@
 
     async def _link(self, event: Event, fleets: list[Fleet]) -> None:
         fault = event.fault
-        mood = Mood() if event.undo else Mood(
-            fault.mood, fault.way, seconds=fault.value, rate=fault.value, after=int(fault.value)
+        mood = (
+            Mood()
+            if event.undo
+            else Mood(fault.mood, fault.way, seconds=fault.value, rate=fault.value, after=int(fault.value))
         )
         if fault.link in OWN:
             for ways in [ways for fleet in fleets for ways in fleet.ways.values()]:
@@ -256,8 +258,10 @@
         world, scenario = self.world, self.scenario
         assert world.load is not None
         told = sorted(
-            (replace(row, asked=row.asked - self._begin, answered=row.answered - self._begin)
-             for row in world.load.told),
+            (
+                replace(row, asked=row.asked - self._begin, answered=row.answered - self._begin)
+                for row in world.load.told
+            ),
             key=lambda row: row.asked,
         )
         connects = [at - self._begin for at in world.account.connects]
@@ -266,7 +270,8 @@
             figures["events"] += len([blow for blow in blows if blow["cause"] != "start"])
         faults = [
             f"{expect.figure} is {figures[expect.figure]:.3g}, wanted from {expect.least:g} to {expect.most:g}"
-            for expect in scenario.expects if not expect.least <= figures[expect.figure] <= expect.most
+            for expect in scenario.expects
+            if not expect.least <= figures[expect.figure] <= expect.most
         ]
         return Outcome(scenario, self.done, self.samples, told, connects, figures, returns, faults)
 
@@ -282,12 +287,21 @@
         account = world.account
         count = sum(fleet.count for fleet in world.fleets)
         return {
-            "full_s": service_from(told, back), "back_s": service_from(told, self._back),
-            "first_s": max(0.0, first - self._fell), "sent": len(since), **counts,
-            "unreachable": unreachable, "unserved": len(since) - counts["served"],
-            "peak": self._peak(connects), "calls": world.lists.calls / count, "stale": account.stale,
+            "full_s": service_from(told, back),
+            "back_s": service_from(told, self._back),
+            "first_s": max(0.0, first - self._fell),
+            "sent": len(since),
+            **counts,
+            "unreachable": unreachable,
+            "unserved": len(since) - counts["served"],
+            "peak": self._peak(connects),
+            "calls": world.lists.calls / count,
+            "stale": account.stale,
             "twice": world.twice(),
-            "wrong": world.load.wrong, "cold": world.cold(), "events": 0.0, "second": world.load.second,
+            "wrong": world.load.wrong,
+            "cold": world.cold(),
+            "events": 0.0,
+            "second": world.load.second,
             "inherited": sum(estate.get("adopted", 0) for estate in self._estates),
             "orphaned": sum(estate.get("lost", 0) for estate in self._estates),
             "replaced": sum(watch.get("replaced", 0) for watch in self._watches),
@@ -304,13 +318,27 @@
 
 Doing = Callable[[Drill, Event, list[Fleet]], Any]
 DOING: dict[str, Doing] = {
-    "kill": Drill._kill, "stop": Drill._pause, "continue": Drill._go_on, "lose": Drill._lose,
-    "kill-supervisor": Drill._kill_supervisor, "start": Drill._start, "lose-store": Drill._store,
-    "damage-store": Drill._store, "clock-back": Drill._store, "clock-forth": Drill._store,
-    "copy-store": Drill._store, "put-back-store": Drill._store,
-    "replace-backends": Drill._backends, "slow-backends": Drill._backends, "ban": Drill._backends,
-    "unban": Drill._backends, "discovery-away": Drill._discovery, "discovery-back": Drill._discovery,
-    "discovery-empty": Drill._discovery, "discovery-older": Drill._discovery, "load": Drill._load,
+    "kill": Drill._kill,
+    "stop": Drill._pause,
+    "continue": Drill._go_on,
+    "lose": Drill._lose,
+    "kill-supervisor": Drill._kill_supervisor,
+    "start": Drill._start,
+    "lose-store": Drill._store,
+    "damage-store": Drill._store,
+    "clock-back": Drill._store,
+    "clock-forth": Drill._store,
+    "copy-store": Drill._store,
+    "put-back-store": Drill._store,
+    "replace-backends": Drill._backends,
+    "slow-backends": Drill._backends,
+    "ban": Drill._backends,
+    "unban": Drill._backends,
+    "discovery-away": Drill._discovery,
+    "discovery-back": Drill._discovery,
+    "discovery-empty": Drill._discovery,
+    "discovery-older": Drill._discovery,
+    "load": Drill._load,
     "link": Drill._link,
 }
 
@@ -318,9 +346,13 @@
 def as_json(outcome: Outcome) -> dict[str, Any]:
     """The outcome as plain values."""
     return {
-        "drill": outcome.scenario.name, "seed": outcome.scenario.seed, "figures": outcome.figures,
+        "drill": outcome.scenario.name,
+        "seed": outcome.scenario.seed,
+        "figures": outcome.figures,
         "timeline": [{"at": round(at, 3), "what": what} for at, what in outcome.done],
-        "returns": outcome.returns, "faults": outcome.faults, "ok": not outcome.faults,
+        "returns": outcome.returns,
+        "faults": outcome.faults,
+        "ok": not outcome.faults,
     }
 
 
--- a/cometusher/drill/scenario.py
+++ b/cometusher/drill/scenario.py
@@ -11,20 +11,56 @@
 
 #: What can be done, and to what.
 DEEDS = {
-    "kill": "instances", "stop": "instances", "continue": "instances", "lose": "fleets", "kill-supervisor": "fleets",
-    "start": "fleets", "lose-store": "fleets", "damage-store": "fleets", "copy-store": "fleets",
-    "put-back-store": "fleets", "clock-back": "fleets", "clock-forth": "fleets", "replace-backends": "backends",
-    "slow-backends": "backends", "ban": "backends", "unban": "backends", "discovery-away": "discovery",
-    "discovery-back": "discovery", "discovery-empty": "discovery", "discovery-older": "discovery", "load": "load",
+    "kill": "instances",
+    "stop": "instances",
+    "continue": "instances",
+    "lose": "fleets",
+    "kill-supervisor": "fleets",
+    "start": "fleets",
+    "lose-store": "fleets",
+    "damage-store": "fleets",
+    "copy-store": "fleets",
+    "put-back-store": "fleets",
+    "clock-back": "fleets",
+    "clock-forth": "fleets",
+    "replace-backends": "backends",
+    "slow-backends": "backends",
+    "ban": "backends",
+    "unban": "backends",
+    "discovery-away": "discovery",
+    "discovery-back": "discovery",
+    "discovery-empty": "discovery",
+    "discovery-older": "discovery",
+    "load": "load",
     "link": "links",
 }
 LINKS = ("caller", "backend", "discovery", "control")
 OWN = ("own", "own-discovery")  # of instances that have links of their own: to backends, to discovery
 MOODS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
 FIGURES = (
-    "full_s", "back_s", "first_s", "sent", "served", "refused", "failed", "lost", "unreachable", "unserved", "peak",
-    "calls", "stale", "twice", "wrong", "cold", "p99_s", "events", "second", "inherited", "orphaned",
-    "replaced", "aside",
+    "full_s",
+    "back_s",
+    "first_s",
+    "sent",
+    "served",
+    "refused",
+    "failed",
+    "lost",
+    "unreachable",
+    "unserved",
+    "peak",
+    "calls",
+    "stale",
+    "twice",
+    "wrong",
+    "cold",
+    "p99_s",
+    "events",
+    "second",
+    "inherited",
+    "orphaned",
+    "replaced",
+    "aside",
 )
 
 
@@ -115,7 +151,9 @@
 
 def _read_fleet(table: Table) -> FleetPart:
     part = FleetPart(
-        table.text("name"), table.whole("tier", 0, 0, 2), table.whole("instances", 8, 1, 200),
+        table.text("name"),
+        table.whole("tier", 0, 0, 2),
+        table.whole("instances", 8, 1, 200),
         table.choice("comeback", "on", ("on", "off")) == "on",
         table.choice("takeover", "off", ("on", "off")) == "on",
         table.choice("vigil", "off", ("on", "off")) == "on",
@@ -134,11 +172,17 @@
     if link in OWN and not any(part.own for part in fleets):
         raise table.fault("link", f"{link!r} wants a fleet with `own`")
     if (deed == "link") is not bool(link):
-        raise table.fault("link", "belongs to `do = \"link\"`, and only there")
+        raise table.fault("link", 'belongs to `do = "link"`, and only there')
     fault = Fault(
-        at=table.number("at", 0.0, 0.0, 3600.0), about=table.number("about", 0.0, 0.0, 3600.0), deed=deed,
-        fleet=fleet, share=table.number("share", 1.0, 0.0, 1.0), lasts=table.number("lasts", 0.0, 0.0, 3600.0),
-        link=link, mood=table.choice("mood", "pass", MOODS), way=table.choice("way", "down", ("up", "down")),
+        at=table.number("at", 0.0, 0.0, 3600.0),
+        about=table.number("about", 0.0, 0.0, 3600.0),
+        deed=deed,
+        fleet=fleet,
+        share=table.number("share", 1.0, 0.0, 1.0),
+        lasts=table.number("lasts", 0.0, 0.0, 3600.0),
+        link=link,
+        mood=table.choice("mood", "pass", MOODS),
+        way=table.choice("way", "down", ("up", "down")),
         value=table.number("value", 0.0),
     )
     table.done()
@@ -180,6 +224,4 @@
     expects = tuple(_read_expect(table) for table in root.tables("expect"))
     root.done()
     links = tuple(link for link in LINKS if any(fault.link == link for fault in faults))
-    return Scenario(
-        name, seed, calm, seconds, fleets, backends, work, longest, rate, strict, links, faults, expects
-    )
+    return Scenario(name, seed, calm, seconds, fleets, backends, work, longest, rate, strict, links, faults, expects)
--- a/cometusher/drill/world.py
+++ b/cometusher/drill/world.py
@@ -38,8 +38,10 @@
 BIN = 0.2  # seconds over which new connections are counted
 KINDS = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
 ONCE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
-MIXED = [*(Kind(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in KINDS),
-         Kind("sign-off", 0.3, 3.0, False, True)]
+MIXED = [
+    *(Kind(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in KINDS),
+    Kind("sign-off", 0.3, 3.0, False, True),
+]
 
 
 def crowds(times: Iterable[float], span: float) -> Iterator[tuple[float, int]]:
@@ -166,7 +168,12 @@
         self.second = 0  # connections on which more came than the answers that were asked for
 
     async def _exchange(
-        self, address: tuple[str, int], reader: asyncio.StreamReader, writer: Writer, message: bytes, budget: float,
+        self,
+        address: tuple[str, int],
+        reader: asyncio.StreamReader,
+        writer: Writer,
+        message: bytes,
+        budget: float,
         kept: bool,
     ) -> str | None:
         if message.startswith(b"POST"):
@@ -217,7 +224,13 @@
     """One supervisor and its instances."""
 
     def __init__(
-        self, folder: Path, name: str, count: int, tier: int, comeback: bool, takeover: bool = False,
+        self,
+        folder: Path,
+        name: str,
+        count: int,
+        tier: int,
+        comeback: bool,
+        takeover: bool = False,
         vigil: bool = False,
     ) -> None:
         self.folder = folder / name
@@ -247,9 +260,16 @@
         raw["Services"].append(ONCE)
         (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw}))
         lines = [
-            "[fleet]", f'name = "{self.name}"', 'state = "s"', "[log]", 'target = "fleet.log"',
-            f'form = "{self.log_form}"', "[common]",
-            'config = "proxy.json"', f'discovery = "127.0.0.1:{discovery}"', "sockets = 256",
+            "[fleet]",
+            f'name = "{self.name}"',
+            'state = "s"',
+            "[log]",
+            'target = "fleet.log"',
+            f'form = "{self.log_form}"',
+            "[common]",
+            'config = "proxy.json"',
+            f'discovery = "127.0.0.1:{discovery}"',
+            "sockets = 256",
         ]
         for i, (port, door) in enumerate(zip(self.ports, self.doors, strict=True)):
             lines += ["[[instance]]", f'name = "p{i}"', f'listen = "127.0.0.1:{port}"']
@@ -268,8 +288,15 @@
         if self.process is not None and self.process.returncode is None:
             return
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cometusher", "fleet", "start", "-c", str(self.file),
-            env=os.environ | {"PYTHONPATH": _path()}, stdout=asyncio.subprocess.DEVNULL,
+            sys.executable,
+            "-m",
+            "cometusher",
+            "fleet",
+            "start",
+            "-c",
+            str(self.file),
+            env=os.environ | {"PYTHONPATH": _path()},
+            stdout=asyncio.subprocess.DEVNULL,
         )
 
     async def status(self) -> dict[str, Any]:
--- a/cometusher/fleet/collector.py
+++ b/cometusher/fleet/collector.py
@@ -140,10 +140,16 @@
         """Say what was lost, as soon as there is room for it."""
         if self.dropped and self._held < STORE // 2:
             count, self.dropped = self.dropped, 0
-            self.write({
-                "ts": time.time(), "level": "warning", "instance": self._who, "subsystem": "log", "event": "dropped",
-                "text": f"{count} records were dropped: the log target took none",
-            })
+            self.write(
+                {
+                    "ts": time.time(),
+                    "level": "warning",
+                    "instance": self._who,
+                    "subsystem": "log",
+                    "event": "dropped",
+                    "text": f"{count} records were dropped: the log target took none",
+                }
+            )
 
     def drop(self, count: int) -> None:
         """Count records that were lost."""
@@ -220,7 +226,11 @@
 
     def _record(self, line: bytes) -> dict[str, Any]:
         plain: dict[str, Any] = {
-            "ts": time.time(), "level": "info", "instance": self._name, "subsystem": "output", "event": "line",
+            "ts": time.time(),
+            "level": "info",
+            "instance": self._name,
+            "subsystem": "output",
+            "event": "line",
         }
         try:
             values = orjson.loads(line)
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -41,9 +41,12 @@
     if options.action == "start":
         return _start(read_spec(path), options)
     actions: dict[str, Callable[[Place, argparse.Namespace], int]] = {
-        "status": partial(_view, show=_show_status), "explain": partial(_view, show=_show_notes),
-        "members": partial(_view, show=_show_members), "leases": partial(_view, show=_show_leases),
-        "bans": partial(_view, show=_show_bans), "stop": _stop,
+        "status": partial(_view, show=_show_status),
+        "explain": partial(_view, show=_show_notes),
+        "members": partial(_view, show=_show_members),
+        "leases": partial(_view, show=_show_leases),
+        "bans": partial(_view, show=_show_bans),
+        "stop": _stop,
     }
     return actions.get(options.action, _operate)(read_place(path), options)
 
@@ -126,8 +129,10 @@
     print(f"{answer['fleet']}: supervisor {answer['pid']}", *answer["operations"], sep="\n  ")
     for event in answer.get("comeback", [])[-1:]:
         reached = ", ".join(f"{name} {event[name]:.2f} s" for name in PHASES if event[name] is not None)
-        print(f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
-              f"{event['cause']}: {reached or 'nothing yet'}")
+        print(
+            f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
+            f"{event['cause']}: {reached or 'nothing yet'}"
+        )
     estate = answer.get("takeover")
     if estate:
         print("  work in hand: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in estate.items()))
@@ -135,16 +140,25 @@
     if watch:
         print("  watch: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in watch.items()))
     columns = "{:<20} {:<9} {:>7} {:>8} {:>8}  {:<24} {:<12} {:>7} {:>5} {:>9}"
-    print(columns.format(
-        "name", "state", "pid", "since", "restarts", "last exit", "version", "MB", "fds", "requests"
-    ))
+    print(
+        columns.format("name", "state", "pid", "since", "restarts", "last exit", "version", "MB", "fds", "requests")
+    )
     for row in answer["instances"]:
         requests = sum(n for name, n in row["requests"].items() if name != "open")
-        print(columns.format(
-            row["name"], row["state"], row["pid"] or "-", f"{row['since']:.0f}s", row["restarts"],
-            row["last_exit"] or "-", row["version"] or "-", f"{row['memory'] / 2**20:.1f}", row["descriptors"],
-            requests,
-        ))
+        print(
+            columns.format(
+                row["name"],
+                row["state"],
+                row["pid"] or "-",
+                f"{row['since']:.0f}s",
+                row["restarts"],
+                row["last_exit"] or "-",
+                row["version"] or "-",
+                f"{row['memory'] / 2**20:.1f}",
+                row["descriptors"],
+                requests,
+            )
+        )
         seen = row.get("vigil", {})
         if seen and seen["judgement"] != "well":
             print(f"  {seen['judgement']}: {seen['cause'] or 'late'}, phi {seen['phi']}")
@@ -169,10 +183,17 @@
         link = links.get(row["address"])
         how = "-" if link is None else "up" if link["up"] else f"down, {link['failed']} dials"
         by = f", suspected by {', '.join(row['suspected_by'])}" if row["suspected_by"] else ""
-        print(columns.format(
-            row["name"], row["address"], row["zone"] or "-", row["state"], f"{row['since']:.0f}s", row["incarnation"],
-            how + by,
-        ))
+        print(
+            columns.format(
+                row["name"],
+                row["address"],
+                row["zone"] or "-",
+                row["state"],
+                f"{row['since']:.0f}s",
+                row["incarnation"],
+                how + by,
+            )
+        )
     odd = ("doubt", "conflicts", "foreign", "bad", "refused")
     print("  " + ", ".join(f"{name} {answer[name]}" for name in odd))
 
@@ -186,8 +207,10 @@
 
 def _show_bans(answer: dict[str, Any]) -> None:
     for row in answer["bans"]:
-        print(f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
-              f"known here for {row['since']:.0f} s")
+        print(
+            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
+            f"known here for {row['since']:.0f} s"
+        )
     print(f"  {answer['pending']} orders that instances here have not carried out yet")
 
 
--- a/cometusher/fleet/control.py
+++ b/cometusher/fleet/control.py
@@ -76,8 +76,10 @@
         crowded = len(self._tasks) >= MOST
         self._tasks.add(task)
         try:
-            answer = {"ok": False, "error": "too many control connections"} if crowded else await self._answer(
-                reader, writer
+            answer = (
+                {"ok": False, "error": "too many control connections"}
+                if crowded
+                else await self._answer(reader, writer)
             )
             if answer is not None:
                 writer.write(orjson.dumps({"version": VERSION} | answer) + b"\n")
--- a/cometusher/fleet/estate.py
+++ b/cometusher/fleet/estate.py
@@ -186,8 +186,11 @@
         holding.asked = {OTHERS, *(name for name, _ in asks)}
         if asks:
             log.info(
-                "%s (process %d) left %d requests in hand and %d connections", holding.name, holding.process,
-                self.counts["left"] - before, len(rows),
+                "%s (process %d) left %d requests in hand and %d connections",
+                holding.name,
+                holding.process,
+                self.counts["left"] - before,
+                len(rows),
                 extra={"event": "left"},
             )
         try:
@@ -308,10 +311,16 @@
 
     def _move(self, holding: Holding, there: list[tuple[Row, int]], but: int = 0, first: int = 0) -> None:
         """Connections without work go to whoever has the least to do."""
-        self._send_on(holding.tier, Offer(
-            holding.process, rows=[[row.name, row.read, row.wrote] for row, _ in there],
-            descriptors=[number for _, number in there],
-        ), but, first)
+        self._send_on(
+            holding.tier,
+            Offer(
+                holding.process,
+                rows=[[row.name, row.read, row.wrote] for row, _ in there],
+                descriptors=[number for _, number in there],
+            ),
+            but,
+            first,
+        )
 
     def accepted(self, holding: Holding, connections: list[socket.socket], itself: bool = False) -> None:
         """Connections that were accepted for a process, of which nothing was read: it has them, or others do."""
@@ -415,7 +424,11 @@
             return
         holding.left.claim(piece[1], term)
         offer = Offer(
-            piece[0], piece[1], term, [part is not None for part in parts[1:]], book=holding.book,
+            piece[0],
+            piece[1],
+            term,
+            [part is not None for part in parts[1:]],
+            book=holding.book,
             descriptors=[part for part in parts if part is not None],
         )
         try:
--- a/cometusher/fleet/memory.py
+++ b/cometusher/fleet/memory.py
@@ -81,18 +81,24 @@
             wanted = body.get("wanted")
             failed = body.get("failed")
             self.past = Past(
-                True, {str(k): bool(v) for k, v in wanted.items()} if isinstance(wanted, dict) else {},
+                True,
+                {str(k): bool(v) for k, v in wanted.items()} if isinstance(wanted, dict) else {},
                 {str(k): str(v) for k, v in failed.items()} if isinstance(failed, dict) else {},
-                _counts(body.get("restarts")), _counts(body.get("generations")),
+                _counts(body.get("restarts")),
+                _counts(body.get("generations")),
             )
 
     def write(self, fleet: Fleet, running: bool = True) -> None:
         """Keep how the fleet stands."""
         rows = fleet.instances.values()
         body = {
-            "running": running, "list_seq": self.list_seq, "orders": self.orders,
-            "wanted": {i.name: i.wanted for i in rows}, "failed": {i.name: i.reason for i in rows if i.failed},
-            "restarts": {i.name: i.restarts for i in rows}, "generations": {i.name: i.generation for i in rows},
+            "running": running,
+            "list_seq": self.list_seq,
+            "orders": self.orders,
+            "wanted": {i.name: i.wanted for i in rows},
+            "failed": {i.name: i.reason for i in rows if i.failed},
+            "restarts": {i.name: i.restarts for i in rows},
+            "generations": {i.name: i.generation for i in rows},
         }
         owner = Owner(self._name, "", self.epoch)
         self._records.write([Record(KIND, self._records.next_serial(KIND), owner, moment(), body)])
--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -77,12 +77,21 @@
     more |= {"FLEET_VIGIL": "1"} if spec.vigil is not None else {}
     environ = {k: v for k, v in os.environ.items() if not k.startswith(OURS)}
     path = [str(ROOT), *filter(None, [environ.get("PYTHONPATH")])]
-    return environ | more | {
-        "PYTHONPATH": os.pathsep.join(path),
-        "LB_CONFIG": str(spec.place.instance_file(one.name)), "LB_NAME": one.name,
-        "FLEET_INSTANCE": one.name, "FLEET_GENERATION": str(generation), "FLEET_STATUS_FD": str(instance.STATUS),
-        "FLEET_LIFELINE_FD": str(instance.LIFELINE), "LISTEN_FDS": "1", "LISTEN_PID": str(os.getpid()),
-    }
+    return (
+        environ
+        | more
+        | {
+            "PYTHONPATH": os.pathsep.join(path),
+            "LB_CONFIG": str(spec.place.instance_file(one.name)),
+            "LB_NAME": one.name,
+            "FLEET_INSTANCE": one.name,
+            "FLEET_GENERATION": str(generation),
+            "FLEET_STATUS_FD": str(instance.STATUS),
+            "FLEET_LIFELINE_FD": str(instance.LIFELINE),
+            "LISTEN_FDS": "1",
+            "LISTEN_PID": str(os.getpid()),
+        }
+    )
 
 
 def _arrange(descriptors: dict[int, int]) -> None:
@@ -141,8 +150,12 @@
 
 
 def spawn(
-    spec: FleetSpec, one: InstanceSpec, generation: int, listener: socket.socket,
-    more: dict[str, Any] | None = None, given: dict[int, int] | None = None,
+    spec: FleetSpec,
+    one: InstanceSpec,
+    generation: int,
+    listener: socket.socket,
+    more: dict[str, Any] | None = None,
+    given: dict[int, int] | None = None,
 ) -> Child:
     """Start a process; `more` goes into its file, and it has the descriptors `given` by number. Raises OSError."""
     place = spec.ring_place(one.name)
@@ -161,9 +174,18 @@
             pid = os.fork()
             if pid == 0:
                 _become(
-                    spec, one, generation,
-                    {0: null, 1: log_w, 2: log_w, instance.LISTENER: listener.fileno(), instance.STATUS: status_w,
-                     instance.LIFELINE: lifeline_r} | (given or {}),
+                    spec,
+                    one,
+                    generation,
+                    {
+                        0: null,
+                        1: log_w,
+                        2: log_w,
+                        instance.LISTENER: listener.fileno(),
+                        instance.STATUS: status_w,
+                        instance.LIFELINE: lifeline_r,
+                    }
+                    | (given or {}),
                     {int(number) for number in mask},
                 )
         finally:
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -71,9 +71,7 @@
 
     def needs_restart(self, fresh: InstanceSpec) -> bool:
         """Whether the change to another configuration is more than a running instance can take over."""
-        fixed, other = (
-            {k: v for k, v in spec.values.items() if k not in RELOADABLE} for spec in (self, fresh)
-        )
+        fixed, other = ({k: v for k, v in spec.values.items() if k not in RELOADABLE} for spec in (self, fresh))
         return (fixed, self.command) != (other, fresh.command) or self.sockets != fresh.sockets
 
 
@@ -248,18 +246,22 @@
     plan, limits, herd = Plan(), Limits(), HerdPolicy()
     try:
         plan = Plan(
-            instances=max(1, instances), returning=max(1, instances),
+            instances=max(1, instances),
+            returning=max(1, instances),
             calm=table.number("connects", plan.calm, 0.01, 1000.0),
             multiple=table.number("multiple", plan.multiple, 1.0, 1000.0),
-            list_for=table.number("list_for", plan.list_for), doubt_for=table.number("doubt_for", plan.doubt_for),
+            list_for=table.number("list_for", plan.list_for),
+            doubt_for=table.number("doubt_for", plan.doubt_for),
             tries=table.number("tries", plan.tries, 0.1, 1e5),
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
         limits = Limits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
         herd = HerdPolicy(
-            share=table.number("herd_share", herd.share, 0.001, 1.0), least=table.whole("herd_least", herd.least, 2),
+            share=table.number("herd_share", herd.share, 0.001, 1.0),
+            least=table.whole("herd_least", herd.least, 2),
             within=table.number("herd_within", herd.within, 0.01, 600.0),
-            pace=table.number("starts", herd.pace, 0.1, 1e4), forgiven=table.whole("forgiven", herd.forgiven),
+            pace=table.number("starts", herd.pace, 0.1, 1e4),
+            forgiven=table.whole("forgiven", herd.forgiven),
         )
         plan.check()
         limits.check()
@@ -281,7 +283,9 @@
     # As many again: for those that take over from a process, and for what the dead leave.
     shelf = Shelf(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", Shelf().keys, 64, 2**22))
     found = TakeoverSpec(
-        shelf, table.number("rests", spec.rests, 0.0, 600.0), table.whole("pace", spec.pace, 1, 10_000),
+        shelf,
+        table.number("rests", spec.rests, 0.0, 600.0),
+        table.whole("pace", spec.pace, 1, 10_000),
         table.number("patience", spec.patience, 0.02, 60.0),
     )
     table.done()
@@ -459,9 +463,7 @@
             except ConfigError as fault:
                 raise table.fault("config", f"{self.base / common.config}: {fault}") from None
         self._addresses[listen] = name
-        self.instances[name] = InstanceSpec(
-            name, listen, values, common.command, common.memory_mb, common.sockets
-        )
+        self.instances[name] = InstanceSpec(name, listen, values, common.command, common.memory_mb, common.sockets)
 
     @staticmethod
     def _place(values: dict[str, Any], common: _Common) -> None:
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -171,9 +171,7 @@
             from cometusher.fleet.evidence import Recorder
             from cometusher.fleet.watch import Watch
 
-            self.watch = Watch(
-                self.spec.vigil, self.spec.comparison, self.loop, self, self.estates is not None
-            )
+            self.watch = Watch(self.spec.vigil, self.spec.comparison, self.loop, self, self.estates is not None)
             if self.spec.recorded is not None:
                 self.watch.recorder = Recorder(self.spec.recorded.path, self.spec.recorded.most)
         if self.spec.mesh is not None:
@@ -470,9 +468,11 @@
         )
         owner = Owner(self.spec.place.name, name, memory.epoch)
         known = memory.known(name)
-        return {"comeback": write_returning(Returning(
-            plan, spec.limits, owner, self.spec.place.records(name), known, memory.orders.get(name)
-        ))}
+        return {
+            "comeback": write_returning(
+                Returning(plan, spec.limits, owner, self.spec.place.records(name), known, memory.orders.get(name))
+            )
+        }
 
     def _keep(self) -> None:
         """Have the fleet's state kept, soon and once for many changes."""
@@ -701,13 +701,17 @@
         """Raise for what can't change while the fleet runs, and take the addresses of what is added."""
         old = self.spec
         for key, before, after in (
-            ("fleet.name", old.place.name, fresh.place.name), ("fleet.state", old.place.state, fresh.place.state),
-            ("fleet.spawn", old.spawn, fresh.spawn), ("log", old.log, fresh.log), ("mesh", old.mesh, fresh.mesh),
+            ("fleet.name", old.place.name, fresh.place.name),
+            ("fleet.state", old.place.state, fresh.place.state),
+            ("fleet.spawn", old.spawn, fresh.spawn),
+            ("log", old.log, fresh.log),
+            ("mesh", old.mesh, fresh.mesh),
         ):
             if before != after:
                 raise ConfigError(f"{fresh.place.path}: {key}: {after} instead of {before} needs a new start")
         for key, was, now in (
-            ("comeback", old.comeback, fresh.comeback), ("takeover", old.takeover, fresh.takeover),
+            ("comeback", old.comeback, fresh.comeback),
+            ("takeover", old.takeover, fresh.takeover),
             ("vigil", old.vigil, fresh.vigil),
         ):
             if (was is None) is not (now is None):
@@ -821,10 +825,18 @@
         blows = {"comeback": [blow.view(now) for blow in herd.blows]} if herd is not None else {}
         estate = {"takeover": self.estates.view()} if self.estates is not None else {}
         vigil = {"vigil": self.watch.view()} if self.watch is not None else {}
-        return blows | estate | vigil | {
-            "fleet": self.spec.place.name, "pid": os.getpid(), "instances": rows, "operations": self.fleet.operations,
-            "log_dropped": self.sink.dropped_total,
-        }
+        return (
+            blows
+            | estate
+            | vigil
+            | {
+                "fleet": self.spec.place.name,
+                "pid": os.getpid(),
+                "instances": rows,
+                "operations": self.fleet.operations,
+                "log_dropped": self.sink.dropped_total,
+            }
+        )
 
 
 class CannotStart(Exception):
--- a/cometusher/fleet/watch.py
+++ b/cometusher/fleet/watch.py
@@ -62,7 +62,11 @@
     """One fleet's."""
 
     def __init__(
-        self, policy: VigilPolicy, comparison: Comparison, loop: asyncio.AbstractEventLoop, hands: Hands,
+        self,
+        policy: VigilPolicy,
+        comparison: Comparison,
+        loop: asyncio.AbstractEventLoop,
+        hands: Hands,
         passes_on: bool,
     ) -> None:
         self.vigil = Vigil(policy, comparison)
@@ -237,5 +241,7 @@
     def view(self) -> dict[str, Any]:
         """What operators want to know."""
         return self.vigil.counts | {
-            "accepted_for_others": self.accepted, "relieved": len(self._relieved), "aside": len(self._aside),
+            "accepted_for_others": self.accepted,
+            "relieved": len(self._relieved),
+            "aside": len(self._aside),
         }
--- a/cometusher/forms.py
+++ b/cometusher/forms.py
@@ -26,11 +26,17 @@
         if known is None or dial is None or known.row.state not in HEALTH:
             continue
         row, zones = known.row, proxy.config.zones
-        hosts.append({
-            "host": host, "dial": "{}:{}".format(*dial), "site": zones[row.zone] if row.zone < len(zones) else "",
-            "block": row.cell, "share": row.size, "health": HEALTH[row.state],
-            "born_ms": round(row.started * 1000.0, 3),
-        })
+        hosts.append(
+            {
+                "host": host,
+                "dial": "{}:{}".format(*dial),
+                "site": zones[row.zone] if row.zone < len(zones) else "",
+                "block": row.cell,
+                "share": row.size,
+                "health": HEALTH[row.state],
+                "born_ms": round(row.started * 1000.0, 3),
+            }
+        )
     return {"seq": proxy.discovery.seq, "whole": True, "hosts": hosts}
 
 
@@ -48,7 +54,8 @@
     names = {server: host for host, server in proxy.names.items()}
     balancer = proxy.balancer
     return Standing(
-        version, proxy.operations.evacuated,
+        version,
+        proxy.operations.evacuated,
         tuple((names[server], server, since) for server, since in balancer.bans.items() if server in names),
         tuple((server, since, back) for server, (since, back) in balancer.returned.items()),
     )
--- a/cometusher/http1.py
+++ b/cometusher/http1.py
@@ -119,7 +119,16 @@
     """A caller's request as it came; header names are in lower case."""
 
     __slots__ = (
-        "body", "charged", "headers", "http10", "keep_alive", "length", "method", "received", "stream", "target",
+        "body",
+        "charged",
+        "headers",
+        "http10",
+        "keep_alive",
+        "length",
+        "method",
+        "received",
+        "stream",
+        "target",
     )
 
     def __init__(self) -> None:
--- a/cometusher/inhand/hand.py
+++ b/cometusher/inhand/hand.py
@@ -148,8 +148,11 @@
     """A number for what a keyed request asks: its key, whose it is, and all of what is asked."""
     names = dict(request.headers)
     return digest_of(
-        names.get(b"idempotency-key", b""), names.get(b"x-caller", b""), names.get(b"x-call-class", b""),
-        request.target, request.body,
+        names.get(b"idempotency-key", b""),
+        names.get(b"x-caller", b""),
+        names.get(b"x-call-class", b""),
+        request.target,
+        request.body,
     )
 
 
@@ -197,8 +200,13 @@
     def figures(self) -> dict[str, int]:
         """What operators want to know."""
         return {
-            "open": self._proxy.open_requests, "covered": self.book.covered, "uncovered": self.book.uncovered,
-            "moved": self.moved, "declined": self.declined, "joined": self.joined, "answered": self.answered,
+            "open": self._proxy.open_requests,
+            "covered": self.book.covered,
+            "uncovered": self.book.uncovered,
+            "moved": self.moved,
+            "declined": self.declined,
+            "joined": self.joined,
+            "answered": self.answered,
             "kept": self.book.kept,
             **{verdict.replace(" ", "_"): count for verdict, count in self.done.items()},
         }
@@ -283,8 +291,16 @@
         before = self._before(caller)
         exchange.slot = caller.slot = self.book.take(
             raw if raw and whole else write_request(exchange, whole),
-            self._proxy.clock.to_machine(exchange.deadline), self._network.monotonic(), caller.descriptor,
-            caller.name, caller.read, whole, not request.keep_alive, None, exchange.key, before,
+            self._proxy.clock.to_machine(exchange.deadline),
+            self._network.monotonic(),
+            caller.descriptor,
+            caller.name,
+            caller.read,
+            whole,
+            not request.keep_alive,
+            None,
+            exchange.key,
+            before,
             exchange.keep_until,
         )
         if exchange.slot == NONE:
@@ -393,10 +409,24 @@
                 if before in self._keyed:
                     before = self._before(caller)
                 slot = self.book.begin(
-                    raw, exchange.deadline - offset, attempt.sent - offset, caller.descriptor,
-                    caller.name, caller.read, not exchange.request.keep_alive, before,
-                    attempt.server, zone, cell, connection.descriptor, connection.name, length, connection.wrote,
-                    connection.read, exchange.key, exchange.keep_until,
+                    raw,
+                    exchange.deadline - offset,
+                    attempt.sent - offset,
+                    caller.descriptor,
+                    caller.name,
+                    caller.read,
+                    not exchange.request.keep_alive,
+                    before,
+                    attempt.server,
+                    zone,
+                    cell,
+                    connection.descriptor,
+                    connection.name,
+                    length,
+                    connection.wrote,
+                    connection.read,
+                    exchange.key,
+                    exchange.keep_until,
                 )
                 if exchange.key and slot != NONE:
                     self._keyed[slot] = exchange.keep_until
@@ -408,8 +438,16 @@
                 return
             self.note(exchange)
         attempt.place = self.book.sends(
-            exchange.slot, attempt.server, zone, cell, attempt.sent - offset,
-            connection.descriptor, connection.name, length, connection.wrote, connection.read,
+            exchange.slot,
+            attempt.server,
+            zone,
+            cell,
+            attempt.sent - offset,
+            connection.descriptor,
+            connection.name,
+            length,
+            connection.wrote,
+            connection.read,
         )
         if self.stage is not None:
             self.stage("sent")
@@ -497,7 +535,9 @@
             return False
         request.charged = len(request.body)
         slot = self.book.renote(
-            entry, Origin(offer.process, offer.slot, offer.term), self._number(offer.caller),
+            entry,
+            Origin(offer.process, offer.slot, offer.term),
+            self._number(offer.caller),
             [self._number(one) for one in offer.tries],
         )
         if self.stage is not None:
@@ -514,7 +554,11 @@
         self.done[verdict.value] = self.done.get(verdict.value, 0) + 1
         call_id = (request.header(b"x-call-id") or b"?").decode("latin-1")
         log.info(
-            "inherited %s of process %d: %s: %s", call_id, offer.process, verdict.value, why,
+            "inherited %s of process %d: %s: %s",
+            call_id,
+            offer.process,
+            verdict.value,
+            why,
             extra={"event": "inherited", "request": call_id},
         )
         task = Inheritance(self, entry, request, work.tries, verdict, why, slot, caller)
--- a/cometusher/inhand/offer.py
+++ b/cometusher/inhand/offer.py
@@ -36,7 +36,11 @@
     def send(self, door: socket.socket) -> None:
         """Offer it; raises OSError (BlockingIOError where there is no room)."""
         values: dict[str, Any] = {
-            "process": self.process, "slot": self.slot, "term": self.term, "tries": self.tries, "book": self.book,
+            "process": self.process,
+            "slot": self.slot,
+            "term": self.term,
+            "tries": self.tries,
+            "book": self.book,
             "rows": self.rows,
         }
         socket.send_fds(door, [orjson.dumps(values)], self.descriptors)
--- a/cometusher/logs.py
+++ b/cometusher/logs.py
@@ -53,8 +53,11 @@
     if record.exc_info and record.exc_info[0] is not None:
         text += "\n" + logging.Formatter().formatException(record.exc_info)
     values: dict[str, Any] = {
-        "ts": round(record.created, 3), "level": record.levelname.lower(), "instance": instance,
-        "subsystem": "proxy" if subsystem == "root" else subsystem, "event": getattr(record, "event", "log"),
+        "ts": round(record.created, 3),
+        "level": record.levelname.lower(),
+        "instance": instance,
+        "subsystem": "proxy" if subsystem == "root" else subsystem,
+        "event": getattr(record, "event", "log"),
     }
     request = getattr(record, "request", None)
     if request is not None:
--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -184,7 +184,8 @@
         """End those that have said nothing whole for longest; their places are free when they have closed."""
         young = self._loop.time() - YOUNG
         silent = [
-            connection for connection in self._connections
+            connection
+            for connection in self._connections
             if connection.since <= young and not connection.transport.is_closing()
         ]
         for connection in silent[:EVICT]:
--- a/cometusher/mesh/duties.py
+++ b/cometusher/mesh/duties.py
@@ -21,8 +21,14 @@
     """One member's part: what it asks for, and, if its address is among the grantors', what it gives."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, policy: LeasePolicy, name: str, address: str, grantors: Sequence[str],
-        send: Callable[[str, Message], None], seed: int,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        policy: LeasePolicy,
+        name: str,
+        address: str,
+        grantors: Sequence[str],
+        send: Callable[[str, Message], None],
+        seed: int,
     ) -> None:
         """`name` is this process's alone: two of one name would be one to grantors."""
         self._loop = loop
@@ -85,10 +91,16 @@
         rows = []
         for duty, asker in sorted(self._askers.items()):
             epoch = asker.may(now)
-            rows.append({
-                "duty": duty, "wishes": asker.wishes, "holds": epoch is not None, "epoch": epoch and epoch[0],
-                "for": round(asker.until(now) - now, 2), "until": asker.until(now) if epoch is not None else None,
-            })
+            rows.append(
+                {
+                    "duty": duty,
+                    "wishes": asker.wishes,
+                    "holds": epoch is not None,
+                    "epoch": epoch and epoch[0],
+                    "for": round(asker.until(now) - now, 2),
+                    "until": asker.until(now) if epoch is not None else None,
+                }
+            )
         return rows
 
     # ---- time and messages ---------------------------------------------------------------
--- a/cometusher/mesh/frames.py
+++ b/cometusher/mesh/frames.py
@@ -36,11 +36,20 @@
 Message = members.Message | leases.Request | leases.Answer | facts.Message
 
 KINDS: dict[int, tuple[type[Any], Kind]] = {
-    2: (members.Ping, Kind.PROBE), 3: (members.Ack, Kind.PROBE), 4: (members.Nack, Kind.PROBE),
-    5: (members.PingFor, Kind.PROBE), 6: (members.Gossip, Kind.NEWS), 7: (members.Sync, Kind.WHOLE),
-    16: (leases.Prepare, Kind.LEASE), 17: (leases.Promise, Kind.LEASE), 18: (leases.Propose, Kind.LEASE),
-    19: (leases.Accepted, Kind.LEASE), 20: (leases.Rejected, Kind.LEASE), 21: (leases.Released, Kind.LEASE),
-    24: (facts.News, Kind.NEWS), 25: (facts.Digest, Kind.WHOLE),
+    2: (members.Ping, Kind.PROBE),
+    3: (members.Ack, Kind.PROBE),
+    4: (members.Nack, Kind.PROBE),
+    5: (members.PingFor, Kind.PROBE),
+    6: (members.Gossip, Kind.NEWS),
+    7: (members.Sync, Kind.WHOLE),
+    16: (leases.Prepare, Kind.LEASE),
+    17: (leases.Promise, Kind.LEASE),
+    18: (leases.Propose, Kind.LEASE),
+    19: (leases.Accepted, Kind.LEASE),
+    20: (leases.Rejected, Kind.LEASE),
+    21: (leases.Released, Kind.LEASE),
+    24: (facts.News, Kind.NEWS),
+    25: (facts.Digest, Kind.WHOLE),
 }
 _NUMBERS = {form: number for number, (form, _) in KINDS.items()}
 _DECODERS = {number: msgspec.msgpack.Decoder(form) for number, (form, _) in KINDS.items()}
@@ -170,8 +179,9 @@
             raise BadFrame("a nonce that is none")
         self.peer = peer
         nonces = (self._me.nonce + peer.nonce) if self._dials else (peer.nonce + self._me.nonce)
-        up, down = (hashlib.blake2b(nonces, digest_size=32, key=self._key, person=way).digest()
-                    for way in (b"up", b"down"))
+        up, down = (
+            hashlib.blake2b(nonces, digest_size=32, key=self._key, person=way).digest() for way in (b"up", b"down")
+        )
         self._out, self._in = (up, down) if self._dials else (down, up)
         if self._dials:
             self.up = True  # its tag covers our nonce
--- a/cometusher/mesh/host.py
+++ b/cometusher/mesh/host.py
@@ -31,9 +31,7 @@
 class Mesh:
     """One member and its links."""
 
-    def __init__(
-        self, spec: MeshSpec, fleet: str, loop: asyncio.AbstractEventLoop, doors: Doors = tuple
-    ) -> None:
+    def __init__(self, spec: MeshSpec, fleet: str, loop: asyncio.AbstractEventLoop, doors: Doors = tuple) -> None:
         """`doors`: processes that are ready, and their operators' addresses.
 
         Raises OSError or ConfigError, for an address that is taken or a secret that can't be used.
@@ -50,9 +48,11 @@
         self.node = Node(loop, view, self.wires)
         # Its life too: a process that is stopped and one that has followed it are two.
         name = f"{spec.name}#{view.me.life:x}"
-        self.duties = Duties(
-            loop, spec.lease, name, spec.address, spec.grantors, self.wires.send, secrets.randbits(62)
-        ) if spec.grantors else None
+        self.duties = (
+            Duties(loop, spec.lease, name, spec.address, spec.grantors, self.wires.send, secrets.randbits(62))
+            if spec.grantors
+            else None
+        )
         self.facts = Facts(FactPolicy(), fleet, spec.name, secrets.randbits(62))
         self.orders = Orders(loop, doors, lambda: self.facts.said(BAN))
         self._timer: asyncio.TimerHandle | None = None
@@ -80,7 +80,8 @@
     def ban(self, hosts: list[str], out: bool) -> list[str]:
         """Say that backends are banned, or no more; those of which it could not be said, for want of room."""
         said = [
-            host for host in hosts
+            host
+            for host in hosts
             if self.facts.write(self._loop.time(), time.time(), BAN + host, "banned" if out else OVER) is not None
         ]
         return [host for host in hosts if host not in said]
@@ -116,20 +117,27 @@
         """What operators want to know."""
         now, members = self._loop.time(), self.node.view
         return {
-            "members": members.view(now), "links": self.wires.links.view(now), "doubt": members.doubt,
-            "conflicts": members.conflicts, "foreign": members.foreign, "bad": self.wires.bad,
-            "refused": self.wires.links.refused, "ended": self.wires.links.ended,
+            "members": members.view(now),
+            "links": self.wires.links.view(now),
+            "doubt": members.doubt,
+            "conflicts": members.conflicts,
+            "foreign": members.foreign,
+            "bad": self.wires.bad,
+            "refused": self.wires.links.refused,
+            "ended": self.wires.links.ended,
         }
 
     def bans(self) -> dict[str, Any]:
         """What the fleet has said of backends, and how many orders instances here have not said yes to."""
         return {
-            "bans": self.facts.view(self._loop.time()), "pending": self.orders.pending(),
+            "bans": self.facts.view(self._loop.time()),
+            "pending": self.orders.pending(),
             "refused": self.facts.refused,
         }
 
     def leases(self) -> dict[str, Any]:
         """Who decides, and what this member has."""
         return {
-            "grantors": list(self._spec.grantors), "duties": self.duties.view() if self.duties is not None else [],
+            "grantors": list(self._spec.grantors),
+            "duties": self.duties.view() if self.duties is not None else [],
         }
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -105,9 +105,26 @@
     """A request that was taken: one final answer is owed, and its attempts end here."""
 
     __slots__ = (
-        "answered", "attempts", "budget", "call_id", "caller", "deadline", "headers", "keep_until", "key", "kind",
-        "open", "passing", "place",
-        "proxy", "repeatable", "request", "rid", "slot", "timer", "why",
+        "answered",
+        "attempts",
+        "budget",
+        "call_id",
+        "caller",
+        "deadline",
+        "headers",
+        "keep_until",
+        "key",
+        "kind",
+        "open",
+        "passing",
+        "place",
+        "proxy",
+        "repeatable",
+        "request",
+        "rid",
+        "slot",
+        "timer",
+        "why",
     )
 
     def __init__(
@@ -171,7 +188,11 @@
         self.memory = BodyMemory(config.memory_mb, IDLE_TWO_MB if config.shared else IDLE_MB)
         self.callers = Callers(loop, self.network, self, self.descriptors, self.memory)
         self.backends = Backends(
-            loop, self.network, self, self.descriptors, settings.limits.connect_timeout,
+            loop,
+            self.network,
+            self,
+            self.descriptors,
+            settings.limits.connect_timeout,
             settings.limits.connection_idle,
         )
         self.balancer = Balancer(settings, config.seed)
@@ -189,8 +210,12 @@
         self._report_at = loop.time() + REPORT
         known = read_listing({"hosts": []} | config.known, config.zones)
         self.discovery = Discovery(
-            config.discovery, config.zones, known.seq, settings.discovery is DiscoveryMode.PUSHED,
-            self._rng, self.listed,
+            config.discovery,
+            config.zones,
+            known.seq,
+            settings.discovery is DiscoveryMode.PUSHED,
+            self._rng,
+            self.listed,
         )
         self.listed(ListKind.STALE, known.entries)
         if config.shared:
@@ -270,9 +295,7 @@
     def reconfigure(self, fresh: Config) -> None:
         """Take over from a new configuration what can change while requests are under way."""
         old = self.config
-        self.config = replace(
-            old, discovery=fresh.discovery, sockets=fresh.sockets, memory_mb=fresh.memory_mb
-        )
+        self.config = replace(old, discovery=fresh.discovery, sockets=fresh.sockets, memory_mb=fresh.memory_mb)
         self.descriptors.resize(fresh.sockets)
         self.memory.resize(fresh.memory_mb)
         self.discovery.move(fresh.discovery)
@@ -338,8 +361,13 @@
             busy, idle = self.backends.counts()
             log.info(
                 "%s; now: %d requests, %d callers, backends %d busy %d idle, descriptors peak %d, bodies peak %d kB",
-                ", ".join(f"{name} {n}" for name, n in sorted(fresh.items()) if n), len(self._exchanges),
-                self.callers.count(), busy, idle, self.descriptors.peak, self.memory.peak // 1024,
+                ", ".join(f"{name} {n}" for name, n in sorted(fresh.items()) if n),
+                len(self._exchanges),
+                self.callers.count(),
+                busy,
+                idle,
+                self.descriptors.peak,
+                self.memory.peak // 1024,
             )
             self._reported = dict(self.tallies)
 
@@ -511,9 +539,7 @@
         self._give_until(exchange, self.clock.now(), deadline)
         return exchange
 
-    def take_over(
-        self, caller: CallerConnection, request: Request, deadline: float, rest_lost: bool
-    ) -> Exchange:
+    def take_over(self, caller: CallerConnection, request: Request, deadline: float, rest_lost: bool) -> Exchange:
         """A request that another process has taken from this connection is in hand here."""
         kind, _ = self.read(request)
         caller.resume(request, rest_lost)
--- a/cometusher/schemas.py
+++ b/cometusher/schemas.py
@@ -55,7 +55,8 @@
 figure = "served"
 """
 READERS: dict[str, tuple[str, Callable[[Path, Table], object]]] = {
-    "fleet": (FLEET, build_spec), "drill": (DRILL, build_scenario),
+    "fleet": (FLEET, build_spec),
+    "drill": (DRILL, build_scenario),
 }
 
 
--- a/cometusher/service.py
+++ b/cometusher/service.py
@@ -60,7 +60,9 @@
 
 
 async def serve(
-    settings: config.Config, listener: socket.socket | None = None, parent: Parent | None = None,
+    settings: config.Config,
+    listener: socket.socket | None = None,
+    parent: Parent | None = None,
     early: EarlyReload | None = None,
 ) -> None:
     """Run until SIGTERM or SIGINT, then end in order; SIGHUP rereads the configuration.
--- a/cometusher/store/records.py
+++ b/cometusher/store/records.py
@@ -168,7 +168,11 @@
         # Without its folder a log can't be had: such a file is read as it lies.
         mode = "rw" if self.writable else "ro&immutable=1"
         db = sqlite3.connect(
-            self._address(mode), uri=True, timeout=BUSY, isolation_level=None, check_same_thread=False,
+            self._address(mode),
+            uri=True,
+            timeout=BUSY,
+            isolation_level=None,
+            check_same_thread=False,
         )
         try:
             self._prepare(db)
--- a/cometusher/stream.py
+++ b/cometusher/stream.py
@@ -42,8 +42,20 @@
 class BodyStream:
     """One body: from one source, to one taker at a time."""
 
-    __slots__ = ("_at", "_dropped", "_held", "_pieces", "_source", "_taken", "_taker", "_waiting", "done", "on_spent",
-                 "size", "spent")
+    __slots__ = (
+        "_at",
+        "_dropped",
+        "_held",
+        "_pieces",
+        "_source",
+        "_taken",
+        "_taker",
+        "_waiting",
+        "done",
+        "on_spent",
+        "size",
+        "spent",
+    )
 
     def __init__(self, source: Source, first: bytes = b"") -> None:
         self._source = source
--- a/cometusher/tables.py
+++ b/cometusher/tables.py
@@ -88,9 +88,7 @@
 class Table:
     """One table of a file."""
 
-    def __init__(
-        self, source: Source, values: dict[str, Any], name: str = "", shape: Shape | None = None
-    ) -> None:
+    def __init__(self, source: Source, values: dict[str, Any], name: str = "", shape: Shape | None = None) -> None:
         self.source = source
         self.values = values
         self.name = name
--- a/cometusher/virtual/estate.py
+++ b/cometusher/virtual/estate.py
@@ -98,16 +98,20 @@
         read = {slot: left.read(slot) for slot in left.slots()}
         entries = {slot: entry for slot, entry in read.items() if entry is not None and entry.caller >= 0}
         # Here a connection is one object, where a kernel gives out copies: whoever used it last has it.
-        last = {one.connection: one.at for one in sorted(
-            (one for entry in entries.values() for one in entry.tries), key=lambda one: one.at)}
+        last = {
+            one.connection: one.at
+            for one in sorted((one for entry in entries.values() for one in entry.tries), key=lambda one: one.at)
+        }
         for slot, entry in entries.items():
             known.add(entry.caller)
             if entry.origin is not None and (entry.origin.process, entry.origin.slot) in unproven:
                 continue
             self.parts[process, slot] = [
                 orphans.pop(entry.caller, None),
-                *(orphans.pop(one.connection, None) if last[one.connection] == one.at else None
-                  for one in entry.tries),
+                *(
+                    orphans.pop(one.connection, None) if last[one.connection] == one.at else None
+                    for one in entry.tries
+                ),
             ]
             self.estate.left(process, [(slot, max(entry.deadline, self.loop.time()) + GRACE)])
         self._move(process, left, orphans, known)
@@ -117,8 +121,11 @@
 
     def _move(self, process: int, left: Left, orphans: dict[int, VirtualTransport], known: set[int]) -> None:
         """Connections between two requests."""
-        rows = [(row, orphans.pop(row.connection)) for row in left.rows([IDLE])
-                if row.connection in orphans and row.connection not in known]
+        rows = [
+            (row, orphans.pop(row.connection))
+            for row in left.rows([IDLE])
+            if row.connection in orphans and row.connection not in known
+        ]
         heirs = sorted(self.heirs(), key=lambda heir: heir[1])
         if heirs and heirs[0][0] in self.listens:
             moved = [(Row(0, row.name, row.read, row.wrote), one) for row, one in rows]
--- a/cometusher/virtual/hunt.py
+++ b/cometusher/virtual/hunt.py
@@ -49,8 +49,13 @@
     """Run one seed."""
     result = play(draw(seed, world))
     return Finding(
-        seed, result.plan.world, result.digest, tuple(result.oracles),
-        tuple(str(violation) for violation in result.violations[:LINES]), result.seconds, sum(result.ended.values()),
+        seed,
+        result.plan.world,
+        result.digest,
+        tuple(result.oracles),
+        tuple(str(violation) for violation in result.violations[:LINES]),
+        result.seconds,
+        sum(result.ended.values()),
     )
 
 
--- a/cometusher/virtual/network.py
+++ b/cometusher/virtual/network.py
@@ -855,7 +855,11 @@
     """What `cometusher.seam.Network` asks for, out of a virtual network; one for each proxy."""
 
     def __init__(
-        self, network: VirtualNetwork, epoch: float = 1.6e9, memory: Memory | None = None, disk: Disk | None = None,
+        self,
+        network: VirtualNetwork,
+        epoch: float = 1.6e9,
+        memory: Memory | None = None,
+        disk: Disk | None = None,
         covers: Callable[[Covered], Door] | None = None,
     ) -> None:
         self._network = network
--- a/cometusher/virtual/oracles.py
+++ b/cometusher/virtual/oracles.py
@@ -170,8 +170,18 @@
     # ---- callers -------------------------------------------------------------------------
 
     def sent(
-        self, now: float, rid: str, kind: str, proxy: str, caller: str, budget: float, body: int = 0, want: int = 0,
-        key: bytes = b"", holder: str = "", alone: bool = False,
+        self,
+        now: float,
+        rid: str,
+        kind: str,
+        proxy: str,
+        caller: str,
+        budget: float,
+        body: int = 0,
+        want: int = 0,
+        key: bytes = b"",
+        holder: str = "",
+        alone: bool = False,
     ) -> None:
         """A request's last byte was written.
 
@@ -224,9 +234,7 @@
 
     def _refused(self, now: float, rid: str, row: Row) -> None:
         """To refuse says that a further try is harmless."""
-        harmless = row.kind.repeat is Repeat.SAFE or (
-            row.kind.repeat is Repeat.KEYED and row.kind.group is Group.ALL
-        )
+        harmless = row.kind.repeat is Repeat.SAFE or (row.kind.repeat is Repeat.KEYED and row.kind.group is Group.ALL)
         maybe = [attempt for attempt in row.attempts if not attempt.rejected and attempt.whole()]
         if maybe and not harmless:
             self.violate(now, "no effect twice", f"{rid} was refused, and may have run at {maybe[0].node}")
@@ -306,8 +314,14 @@
         return row.body if row is not None else 0
 
     def wrote(
-        self, now: float, proxy: str, rid: str, node: str, out: Callable[[], bool] = lambda: False,
-        whole: Callable[[], bool] = lambda: True, said: dict[bytes, bytes] | None = None,
+        self,
+        now: float,
+        proxy: str,
+        rid: str,
+        node: str,
+        out: Callable[[], bool] = lambda: False,
+        whole: Callable[[], bool] = lambda: True,
+        said: dict[bytes, bytes] | None = None,
     ) -> None:
         """A proxy began to write a request to a node.
 
--- a/cometusher/virtual/script.py
+++ b/cometusher/virtual/script.py
@@ -123,7 +123,11 @@
 LONG_SHARE = 0.04  # ...and how many are
 #: What goes wrong with an upgrade, by its number.
 UPGRADES = (
-    "nothing", "what was learned is torn", "the new process dies", "the old process dies", "a second one follows",
+    "nothing",
+    "what was learned is torn",
+    "the new process dies",
+    "the old process dies",
+    "a second one follows",
 )
 
 
@@ -144,7 +148,8 @@
     """How many there are of what can be named in a fault."""
     nodes = plan.zones * plan.backends
     return {
-        "proxy": plan.zones * plan.proxies + (plan.tiers - 1) * nodes, "backend": nodes * plan.tiers,
+        "proxy": plan.zones * plan.proxies + (plan.tiers - 1) * nodes,
+        "backend": nodes * plan.tiers,
         "discovery": plan.tiers,
     }
 
@@ -154,10 +159,17 @@
     rng = Random(f"fenneldeal {world} {seed}")
     name = rng.choice(WORLDS) if world == "any" else world
     plan = Plan(
-        world=name, seed=seed, seconds=round(rng.uniform(4.0, 8.0), 1), latency=round(rng.uniform(0.0002, 0.008), 4),
-        jitter=round(rng.uniform(0.0, 2.0), 2), cut=rng.choice((0.0, 0.3, 0.6)),
-        bandwidth=float(rng.choice((1e6, 1e7, 1e9))), sockets=rng.choice((192, 256)), copies=int(rng.random() < 0.7),
-        cancel=int(rng.random() < 0.8), lazy=rng.choice((0.0, 0.001, 0.004)),
+        world=name,
+        seed=seed,
+        seconds=round(rng.uniform(4.0, 8.0), 1),
+        latency=round(rng.uniform(0.0002, 0.008), 4),
+        jitter=round(rng.uniform(0.0, 2.0), 2),
+        cut=rng.choice((0.0, 0.3, 0.6)),
+        bandwidth=float(rng.choice((1e6, 1e7, 1e9))),
+        sockets=rng.choice((192, 256)),
+        copies=int(rng.random() < 0.7),
+        cancel=int(rng.random() < 0.8),
+        lazy=rng.choice((0.0, 0.001, 0.004)),
         **shape(name, rng),
     )
     plan = replace(plan, shared=int(rng.random() < 0.3))
@@ -257,8 +269,13 @@
 def _ask(rng: Random, number: int, at: float, plan: Plan) -> Ask:
     kind = rng.choices(KINDS, (6, 3, 2))[0]
     ask = Ask(
-        number, round(at, 4), kind, rng.randrange(plan.zones), round(rng.choice((0.3, 1.0, 1.5)), 1),
-        want=rng.choice((0, 0, 200, 4000, 60000)), body=0 if kind == "view" else rng.choice((0, 5, 3000, 60000)),
+        number,
+        round(at, 4),
+        kind,
+        rng.randrange(plan.zones),
+        round(rng.choice((0.3, 1.0, 1.5)), 1),
+        want=rng.choice((0, 0, 200, 4000, 60000)),
+        body=0 if kind == "view" else rng.choice((0, 5, 3000, 60000)),
         leaves=round(rng.uniform(0.0, 0.4), 3) if rng.random() < 0.05 else 0.0,
         slow=round(rng.uniform(0.05, 1.2), 3) if rng.random() < 0.03 else 0.0,
     )
@@ -275,12 +292,21 @@
 # ---- the text ------------------------------------------------------------------------------
 
 _HEADS: dict[str, tuple[str, ...]] = {
-    "world": ("seed", "seconds"), "shape": ("zones", "tiers", "proxies", "backends"),
+    "world": ("seed", "seconds"),
+    "shape": ("zones", "tiers", "proxies", "backends"),
     "link": ("latency", "jitter", "bandwidth", "cut", "lazy"),
     "limits": ("sockets", "copies", "cancel", "shared", "keeps", "covers"),
 }
-_ASK = {"zone": int, "budget": float, "want": int, "body": int, "leaves": float, "slow": float, "dawdle": float,
-        "again": int}
+_ASK = {
+    "zone": int,
+    "budget": float,
+    "want": int,
+    "body": int,
+    "leaves": float,
+    "slow": float,
+    "dawdle": float,
+    "again": int,
+}
 _FAULT = {"for": ("seconds", float), "by": ("by", float)}
 _DEFAULT = Ask(0, 0.0, "view")
 
--- a/cometusher/virtual/walk.py
+++ b/cometusher/virtual/walk.py
@@ -15,18 +15,46 @@
 
 #: What may be there in silence: so many, and so many more for each backend of the list.
 STATED: dict[str, tuple[int, int]] = {
-    "Backends._backends": (0, 1), "Backends._owners": (0, 1), "Backends._crossings": (3, 0),
-    "Balancer.cells": (0, 1), "Balancer.cells[]": (0, 1), "Balancer.links": (0, 1), "Balancer.ready": (0, 1),
-    "Balancer.returned": (0, 1), "Balancer.servers": (0, 1), "Balancer.zones": (0, 1), "Balancer.zones[]": (0, 1),
-    "Breaker._ring": (40, 0), "Breaker._ring[]": (4, 0), "Circle.ready": (0, 1), "Circle.used": (0, 1),
-    "Descriptors.on_free": (1, 0), "Proxy._kinds": (3, 0), "Proxy._tenants": (2, 0), "Proxy._usual": (3, 0),
-    "Balancer.put_back": (0, 1), "Proxy.names": (0, 1), "Proxy.tallies": (16, 0), "Proxy._reported": (16, 0),
-    "Entry.asked": (12, 0), "Entry.chance": (12, 0), "Entry.served": (12, 0), "Entry.quota": (2, 0),
+    "Backends._backends": (0, 1),
+    "Backends._owners": (0, 1),
+    "Backends._crossings": (3, 0),
+    "Balancer.cells": (0, 1),
+    "Balancer.cells[]": (0, 1),
+    "Balancer.links": (0, 1),
+    "Balancer.ready": (0, 1),
+    "Balancer.returned": (0, 1),
+    "Balancer.servers": (0, 1),
+    "Balancer.zones": (0, 1),
+    "Balancer.zones[]": (0, 1),
+    "Breaker._ring": (40, 0),
+    "Breaker._ring[]": (4, 0),
+    "Circle.ready": (0, 1),
+    "Circle.used": (0, 1),
+    "Descriptors.on_free": (1, 0),
+    "Proxy._kinds": (3, 0),
+    "Proxy._tenants": (2, 0),
+    "Proxy._usual": (3, 0),
+    "Balancer.put_back": (0, 1),
+    "Proxy.names": (0, 1),
+    "Proxy.tallies": (16, 0),
+    "Proxy._reported": (16, 0),
+    "Entry.asked": (12, 0),
+    "Entry.chance": (12, 0),
+    "Entry.served": (12, 0),
+    "Entry.quota": (2, 0),
     "Entry.quota_at": (2, 0),
-    "Entry.pending": (64, 0), "Entry.young": (64, 0), "Request.attempts": (3, 0),  # until the next request comes
-    "Returning.standing": (5, 0), "Returning.standing[]": (0, 1), "Returning.standing[][]": (3, 0),  # one form
-    "Ledger._values": (33, 0), "OpenIds._values": (8192, 0), "OpenIds._free": (1023, 0),
-    "Hand.done": (8, 0), "Book._free": (1024, 0), "Book._blocks": (2048, 0),
+    "Entry.pending": (64, 0),
+    "Entry.young": (64, 0),
+    "Request.attempts": (3, 0),  # until the next request comes
+    "Returning.standing": (5, 0),
+    "Returning.standing[]": (0, 1),
+    "Returning.standing[][]": (3, 0),  # one form
+    "Ledger._values": (33, 0),
+    "OpenIds._values": (8192, 0),
+    "OpenIds._free": (1023, 0),
+    "Hand.done": (8, 0),
+    "Book._free": (1024, 0),
+    "Book._blocks": (2048, 0),
 }
 
 
--- a/cometusher/virtual/world.py
+++ b/cometusher/virtual/world.py
@@ -84,18 +84,45 @@
     return {
         "Services": [
             {"Name": "view", "Aim": 0.6, "HardLimit": DEADLINE, "Repeat": "retryable", "Credit": 1.0},
-            {"Name": "submit", "Aim": 0.6, "HardLimit": DEADLINE, "Repeat": "dedup", "Group": "zone",
-             "Window": WINDOW, "Credit": 4.0},
+            {
+                "Name": "submit",
+                "Aim": 0.6,
+                "HardLimit": DEADLINE,
+                "Repeat": "dedup",
+                "Group": "zone",
+                "Window": WINDOW,
+                "Credit": 4.0,
+            },
             {"Name": "pay", "Aim": 0.6, "HardLimit": DEADLINE, "Repeat": "fragile", "Credit": 4.0},
         ],
-        "Orgs": [{"Name": "univ", "Share": 0.7, "AllowancePerS": 1000.0},
-                 {"Name": "poly", "Share": 0.3, "AllowancePerS": 1000.0}],
-        "Zones": [f"z{i}" for i in range(plan.zones)], "Zone": zone, "Tiers": [f"t{i}" for i in range(plan.tiers)],
-        "Tier": tier, "Instances": instances, "Ordinal": ordinal,
-        "Bounds": {"Cancel": bool(plan.cancel), "SecondCopies": bool(plan.copies), "MaxAttempts": 3,
-                   "DialTimeout": 0.3, "ConnIdle": 5.0, "RetryAfter": True, "MaxRetryAfter": 1.0},
-        "Rules": {"Cold": COLD, "ColdFrom": COLD_FROM, "AskEvery": 10.0, "DrainGrace": 0.5, "GraceToAnswer": 0.02,
-                  "FallMultiple": FALL, "TipAfter": SPAN},
+        "Orgs": [
+            {"Name": "univ", "Share": 0.7, "AllowancePerS": 1000.0},
+            {"Name": "poly", "Share": 0.3, "AllowancePerS": 1000.0},
+        ],
+        "Zones": [f"z{i}" for i in range(plan.zones)],
+        "Zone": zone,
+        "Tiers": [f"t{i}" for i in range(plan.tiers)],
+        "Tier": tier,
+        "Instances": instances,
+        "Ordinal": ordinal,
+        "Bounds": {
+            "Cancel": bool(plan.cancel),
+            "SecondCopies": bool(plan.copies),
+            "MaxAttempts": 3,
+            "DialTimeout": 0.3,
+            "ConnIdle": 5.0,
+            "RetryAfter": True,
+            "MaxRetryAfter": 1.0,
+        },
+        "Rules": {
+            "Cold": COLD,
+            "ColdFrom": COLD_FROM,
+            "AskEvery": 10.0,
+            "DrainGrace": 0.5,
+            "GraceToAnswer": 0.02,
+            "FallMultiple": FALL,
+            "TipAfter": SPAN,
+        },
     }
 
 
@@ -235,8 +262,13 @@
         self.rng = Random(f"world {plan.seed}")
         nodes = plan.zones * plan.backends
         self.stands = [
-            Stand(n, n // nodes, n % nodes // plan.backends, f"10.2.{n // nodes}.{n % nodes + 1}",
-                  SPEEDS[n % len(SPEEDS)])
+            Stand(
+                n,
+                n // nodes,
+                n % nodes // plan.backends,
+                f"10.2.{n // nodes}.{n % nodes + 1}",
+                SPEEDS[n % len(SPEEDS)],
+            )
             for n in range(nodes * plan.tiers)
         ]
         self.registries = [Registry(tier) for tier in range(plan.tiers)]
@@ -256,7 +288,9 @@
         self.patience = DEADLINE + 0.7 + 2.0 * dawdles + self._pace(plan) * self.longest
         self.path = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
         self.ledger = Ledger(
-            self.doors[0].config.settings, {stand.host: f"z{stand.zone}" for stand in self.stands}, self.path,
+            self.doors[0].config.settings,
+            {stand.host: f"z{stand.zone}" for stand in self.stands},
+            self.path,
             self._pace(plan),
         )
         self._by_address = {stand.address: stand for stand in self.stands}
@@ -281,9 +315,15 @@
         plan, number = self.plan, len(self.doors)
         raw = settings(plan, tier, zone, number if tier == 0 else 0, plan.zones * plan.proxies if tier == 0 else 1)
         told = config.Config(
-            name=f"proxy/{number}", listen=(address, PORT), discovery=(f"10.4.{tier}.1", PORT),
-            seed=plan.seed * 1000 + number, memory_mb=64, sockets=plan.sockets, known={},
-            settings=read_settings(raw), zones=tuple(raw["Zones"]),
+            name=f"proxy/{number}",
+            listen=(address, PORT),
+            discovery=(f"10.4.{tier}.1", PORT),
+            seed=plan.seed * 1000 + number,
+            memory_mb=64,
+            sockets=plan.sockets,
+            known={},
+            settings=read_settings(raw),
+            zones=tuple(raw["Zones"]),
         )
         door = Door(f"proxy/{number}", (address, PORT), tier, zone, told, owner)
         self.doors.append(door)
@@ -317,8 +357,11 @@
 
         async def begin() -> None:
             told = replace(
-                door.config, seed=door.config.seed + 100 * door.count, management=calls,
-                shared="shared" if self.plan.shared else None, returning=self._returning(door),
+                door.config,
+                seed=door.config.seed + 100 * door.count,
+                management=calls,
+                shared="shared" if self.plan.shared else None,
+                returning=self._returning(door),
                 covered=covered,
             )
             process.proxy = proxy = Proxy(told, process.surroundings)
@@ -335,8 +378,12 @@
     def _heirs(self) -> list[tuple[int, int]]:
         """Processes of the first tier that serve, and what they have in hand."""
         return [
-            (door.process.covered.process, door.process.proxy.open_requests) for door in self.doors
-            if door.believed and door.up and door.process is not None and door.process.covered is not None
+            (door.process.covered.process, door.process.proxy.open_requests)
+            for door in self.doors
+            if door.believed
+            and door.up
+            and door.process is not None
+            and door.process.covered is not None
             and door.process.proxy is not None
         ]
 
@@ -424,9 +471,17 @@
         stand.machine = self.network.machine(stand.address, 4096)
         stand.leaving = False
         node = stand.node = Node(
-            stand.host, f"z{stand.zone}", stand.speed, WORK, self.keys[stand.tier, stand.zone],
-            Random(f"{self.plan.seed} {stand.number} {now}"), self, cold_from=COLD_FROM,
-            cold_for=COLD if cold else 0.0, fall=(FALL, SPAN), born=now,
+            stand.host,
+            f"z{stand.zone}",
+            stand.speed,
+            WORK,
+            self.keys[stand.tier, stand.zone],
+            Random(f"{self.plan.seed} {stand.number} {now}"),
+            self,
+            cold_from=COLD_FROM,
+            cold_for=COLD if cold else 0.0,
+            fall=(FALL, SPAN),
+            born=now,
         )
         if stand.door is not None:
             node.behind = stand.door.address
@@ -510,8 +565,12 @@
             rows = [row.partition(b":") for row in data[: data.find(b"\r\n\r\n")].split(b"\r\n")[1:]]
             last = transport.written + data.find(b"\r\n\r\n") + 4 + self.ledger.body_of(rid)
             self.ledger.wrote(
-                self.loop.time(), door.name, rid, stand.host,
-                lambda: transport.told == told and not transport.over, lambda: transport.written >= last,
+                self.loop.time(),
+                door.name,
+                rid,
+                stand.host,
+                lambda: transport.told == told and not transport.over,
+                lambda: transport.written >= last,
                 {name.strip().lower(): value.strip() for name, _, value in rows},
             )
 
@@ -575,7 +634,16 @@
                 ledger.resent(loop.time(), rid)
             else:
                 ledger.sent(
-                    loop.time(), rid, kind, door.name, caller, budget, body, want, key, self._holder(parcel),
+                    loop.time(),
+                    rid,
+                    kind,
+                    door.name,
+                    caller,
+                    budget,
+                    body,
+                    want,
+                    key,
+                    self._holder(parcel),
                     alone=not any(each.up and each.believed for each in self.doors if each.tier == door.tier),
                 )
 
@@ -602,10 +670,15 @@
         """Which proxy has the connection that a parcel is on; empty for none that is known."""
         there = parcel.line.transport if parcel.line is not None else None
         far = there.peer if isinstance(there, VirtualTransport) else None
-        return next((
-            door.name for door in self.doors for process in (door.process, *door.others)
-            if far is not None and process is not None and process.machine is far.machine
-        ), "")
+        return next(
+            (
+                door.name
+                for door in self.doors
+                for process in (door.process, *door.others)
+                if far is not None and process is not None and process.machine is far.machine
+            ),
+            "",
+        )
 
     # ---- clients -------------------------------------------------------------------------
 
@@ -613,7 +686,8 @@
         """A client sends a request: on a connection that it has, or on one through the front."""
         courier = self.couriers[ask.zone]
         doors = [
-            door for door in self.doors
+            door
+            for door in self.doors
             if door.owner is None and door.zone == ask.zone and (door.believed or courier.has_idle(door.address))
         ]
         if not doors:
@@ -625,8 +699,12 @@
         rid = f"{ask.number:x}-{attempt}"
         method = b"GET" if ask.kind == "view" else b"POST"
         rows = [
-            method + b" /api HTTP/1.1", b"Host: backend.local", b"X-Call-Id: " + rid.encode(),
-            b"X-Call-Class: " + ask.kind.encode(), b"X-Caller: univ", b"X-Budget: %dm" % int(ask.budget * 1000.0),
+            method + b" /api HTTP/1.1",
+            b"Host: backend.local",
+            b"X-Call-Id: " + rid.encode(),
+            b"X-Call-Class: " + ask.kind.encode(),
+            b"X-Caller: univ",
+            b"X-Budget: %dm" % int(ask.budget * 1000.0),
             b"X-Want: %d" % ask.want,
         ]
         if ask.kind == "submit":
@@ -853,7 +931,12 @@
     # ---- operators -----------------------------------------------------------------------
 
     def _operate(
-        self, door: Door, process: Process, call: str, done: Callable[[int], None], body: bytes = b"",
+        self,
+        door: Door,
+        process: Process,
+        call: str,
+        done: Callable[[int], None],
+        body: bytes = b"",
         method: str = "POST",
     ) -> Parcel:
         """A call to one process of a proxy; `done` is told its status, or 0 where no answer came."""
@@ -868,9 +951,7 @@
         self.loop.call_soon(self.couriers[door.zone].send, parcel, context=self.clients[door.zone].context())
         return parcel
 
-    def _order(
-        self, door: Door, call: str, opposite: str, body: bytes, yes: Heal, no: Heal, host: str = ""
-    ) -> Heal:
+    def _order(self, door: Door, call: str, opposite: str, body: bytes, yes: Heal, no: Heal, host: str = "") -> Heal:
         """An order, and at its end the opposite one: after the answer to the first, and until there is a yes."""
         life = door.life
         state = {"answered": False, "over": False}
@@ -920,8 +1001,13 @@
             self.ledger.unbanned(door.name, host)
 
         return self._order(
-            door, "exclude", "include", b'{"who":"%s"}' % host.encode(),
-            lambda: None, no, host,
+            door,
+            "exclude",
+            "include",
+            b'{"who":"%s"}' % host.encode(),
+            lambda: None,
+            no,
+            host,
         )
 
     def _evacuate(self, door: Door) -> Heal:
@@ -1116,7 +1202,8 @@
             return self._with_own(stand, machine.pause, machine.resume)
         if what == "silent":
             return self._with_own(
-                stand, lambda: self.network.silence(stand.address, True),
+                stand,
+                lambda: self.network.silence(stand.address, True),
                 lambda: self.network.silence(stand.address, False),
             )
         if what == "cut":
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -60,7 +60,13 @@
     def entry(self, **changes: Any) -> dict[str, Any]:
         """Discovery's line about it."""
         line = {
-            "host": self.host, "dial": f"127.0.0.1:{self.port}", "site": "a", "class": "m", "block": 0,
-            "health": "in_service", "share": 1.0, "born_ms": 0,
+            "host": self.host,
+            "dial": f"127.0.0.1:{self.port}",
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
         }
         return line | changes
--- a/standins/load.py
+++ b/standins/load.py
@@ -48,7 +48,11 @@
     """Requests at a rate, over kept connections, one at a time on each."""
 
     def __init__(
-        self, addresses: Sequence[tuple[str, int]], kinds: Sequence[Kind], tenants: Sequence[str], rate: float,
+        self,
+        addresses: Sequence[tuple[str, int]],
+        kinds: Sequence[Kind],
+        tenants: Sequence[str],
+        rate: float,
         seed: int,
     ) -> None:
         self._addresses = addresses
@@ -88,9 +92,12 @@
     def _message(self, kind: Kind) -> bytes:
         tenant = self._rng.choice(self._tenants)
         lines = [
-            b"POST /api HTTP/1.1" if kind.keyed or kind.posted else b"GET /api HTTP/1.1", b"Host: backend.local",
-            b"X-Call-Id: %016x" % self._rng.getrandbits(64), b"X-Call-Class: " + kind.name.encode(),
-            b"X-Caller: " + tenant.encode(), b"X-Budget: %dm" % int(kind.budget * 1000),
+            b"POST /api HTTP/1.1" if kind.keyed or kind.posted else b"GET /api HTTP/1.1",
+            b"Host: backend.local",
+            b"X-Call-Id: %016x" % self._rng.getrandbits(64),
+            b"X-Call-Class: " + kind.name.encode(),
+            b"X-Caller: " + tenant.encode(),
+            b"X-Budget: %dm" % int(kind.budget * 1000),
         ]
         if kind.keyed:
             lines.append(b"Idempotency-Key: %032x" % self._rng.getrandbits(128))
--- a/standins/node.py
+++ b/standins/node.py
@@ -193,8 +193,14 @@
     def entry(self, **changes: Any) -> dict[str, Any]:
         """Discovery's line about it."""
         line = {
-            "host": self.host, "dial": f"127.0.0.1:{self.port}", "site": self.zone, "class": "m", "block": 0,
-            "health": "in_service", "share": 1.0, "born_ms": 0,
+            "host": self.host,
+            "dial": f"127.0.0.1:{self.port}",
+            "site": self.zone,
+            "class": "m",
+            "block": 0,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
         }
         return line | changes
 
@@ -264,12 +270,16 @@
             return
         self._calls += 1
         rows = [
-            seen.line, b"Host: backend.local",
+            seen.line,
+            b"Host: backend.local",
             b"X-Call-Id: %s.%s.%d" % (seen.headers[b"x-call-id"], self.host.encode(), self._calls),
             b"X-Budget: %du" % max(1, int(left * 1e6)),
         ]
-        rows += [name + b": " + seen.headers[name] for name in (b"x-call-class", b"x-caller", b"idempotency-key",
-                                                                b"x-want") if name in seen.headers]
+        rows += [
+            name + b": " + seen.headers[name]
+            for name in (b"x-call-class", b"x-caller", b"idempotency-key", b"x-want")
+            if name in seen.headers
+        ]
         if seen.line.startswith(b"POST"):
             rows.append(b"Content-Length: %d" % len(seen.body))
         parcel = Parcel(self.behind, [b"\r\n".join([*rows, b"", b""]) + seen.body])
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -21,7 +21,12 @@
     """What the platform does: it keeps the listener and the folder, and starts processes beside each other."""
 
     def __init__(
-        self, root: Path, folder: Path, settings: dict[str, Any], hosts: list[dict[str, Any]], discovery: int,
+        self,
+        root: Path,
+        folder: Path,
+        settings: dict[str, Any],
+        hosts: list[dict[str, Any]],
+        discovery: int,
         sockets: int,
     ) -> None:
         self.root = root
@@ -40,9 +45,14 @@
         """`run`, with a second address of its own; ready when it returns."""
         door = free_ports(1)[0]
         config = {
-            "name": "t", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{self.discovery}",
-            "seed": "ab", "limits": {"memory_mb": 80, "sockets": self.sockets}, "management": f"127.0.0.1:{door}",
-            "known": {"seq": 1, "whole": True, "hosts": self.hosts}, "settings": self.settings,
+            "name": "t",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{self.discovery}",
+            "seed": "ab",
+            "limits": {"memory_mb": 80, "sockets": self.sockets},
+            "management": f"127.0.0.1:{door}",
+            "known": {"seq": 1, "whole": True, "hosts": self.hosts},
+            "settings": self.settings,
         }
         path = self.folder / f"config{len(self.processes)}.json"
         path.write_bytes(orjson.dumps(config))
@@ -50,7 +60,12 @@
         shared = {"LB_CONFIG": str(path), "LB_ACCEPT_FD": "3", "TMPDIR": str(self.folder)}
         command = f"exec {sys.executable} -m cometusher 3<&{self.listener.fileno()}"
         process = await asyncio.create_subprocess_exec(
-            "/bin/bash", "-c", command, cwd=self.root, env=base | shared | environ, pass_fds=[self.listener.fileno()],
+            "/bin/bash",
+            "-c",
+            command,
+            cwd=self.root,
+            env=base | shared | environ,
+            pass_fds=[self.listener.fileno()],
             stderr=(self.folder / f"log{len(self.processes)}").open("wb"),
         )
         self.processes.append(process)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,6 +1,6 @@
 """A bare relay: copies bytes between a caller and one backend. What a proxy costs is told against it.
 
-    python -m standins.relay LISTEN_PORT BACKEND_PORT
+python -m standins.relay LISTEN_PORT BACKEND_PORT
 """
 
 from __future__ import annotations
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -25,7 +25,11 @@
 FAULTY = [sys.executable, str(ROOT / "standins" / "faulty.py")]
 WAIT = 3.0 * PATIENCE
 QUICK = {
-    "backoff_from": 0.02, "backoff_to": 0.2, "ready_within": 20.0, "stop_within": 20.0, "hang_after": 20.0,
+    "backoff_from": 0.02,
+    "backoff_to": 0.2,
+    "ready_within": 20.0,
+    "stop_within": 20.0,
+    "hang_after": 20.0,
     "budget": 50,
 }
 
@@ -121,14 +125,22 @@
         return [sys.executable, "-m", "cometusher", *arguments]
 
     def launch(
-        self, *more: str, prefix: Sequence[str] = (), env: dict[str, str] | None = None,
-        stderr: int = subprocess.PIPE, pass_fds: Sequence[int] = (),
+        self,
+        *more: str,
+        prefix: Sequence[str] = (),
+        env: dict[str, str] | None = None,
+        stderr: int = subprocess.PIPE,
+        pass_fds: Sequence[int] = (),
     ) -> subprocess.Popen[bytes]:
         """A supervisor in the foreground; returns at once."""
         command = [*prefix, *self.command("fleet", "start", "-c", str(self.file), *more)]
         process = subprocess.Popen(
-            command, cwd=self.folder, env=os.environ | {"PYTHONPATH": str(ROOT)} | (env or {}),
-            stdout=subprocess.PIPE, stderr=stderr, pass_fds=pass_fds,
+            command,
+            cwd=self.folder,
+            env=os.environ | {"PYTHONPATH": str(ROOT)} | (env or {}),
+            stdout=subprocess.PIPE,
+            stderr=stderr,
+            pass_fds=pass_fds,
         )
         self.started.append(process)
         return process
--- a/tests/handrig.py
+++ b/tests/handrig.py
@@ -155,8 +155,13 @@
 
 @contextlib.asynccontextmanager
 async def hand_rig(
-    instances: int = 4, backends: int = 4, extra: str = "", takeover: bool = True,
-    settings: dict[str, Any] | None = None, vigil: bool = False, **policy: float,
+    instances: int = 4,
+    backends: int = 4,
+    extra: str = "",
+    takeover: bool = True,
+    settings: dict[str, Any] | None = None,
+    vigil: bool = False,
+    **policy: float,
 ) -> AsyncIterator[HandRig]:
     """Nothing that a test started is left behind."""
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -89,9 +89,7 @@
         if how is Outcome.OK and not owed.ended:
             owed.finals += 1
             owed.ended = True
-        self.apply(
-            self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended)
-        )
+        self.apply(self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
 
     def leave(self, rid: str) -> None:
         owed = self.owed[rid]
@@ -103,8 +101,9 @@
     def advance(self, span: float) -> None:
         target = self.now + span
         while True:
-            due = [(t.until, 0, rid, n) for rid, o in self.owed.items()
-                   for n, t in enumerate(o.tries) if t.how is None]
+            due = [
+                (t.until, 0, rid, n) for rid, o in self.owed.items() for n, t in enumerate(o.tries) if t.how is None
+            ]
             due += [(at, 1, "", token) for at, token in self.timers]
             due = [d for d in due if d[0] <= target]
             if not due:
--- a/tests/loopback/test_crossings.py
+++ b/tests/loopback/test_crossings.py
@@ -465,4 +465,3 @@
             assert (await r.discovery.watch()).line.endswith(b"from=0 HTTP/1.1")
 
     run(test)
-
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -119,7 +119,9 @@
     before = fleet.pids()
     text = fleet.file.read_text()
     restart = subprocess.Popen(
-        fleet.command("fleet", "restart", "-c", str(fleet.file)), cwd=fleet.folder, stdout=subprocess.DEVNULL,
+        fleet.command("fleet", "restart", "-c", str(fleet.file)),
+        cwd=fleet.folder,
+        stdout=subprocess.DEVNULL,
         env=os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)},
     )
     eventually(lambda: any(row["generation"] == 2 for row in fleet.status().values()))
@@ -167,7 +169,8 @@
 async def both(fleet: FleetRig) -> list[int | None]:
     async def command(action: str) -> int | None:
         process = await asyncio.create_subprocess_exec(
-            *fleet.command("fleet", action, "-c", str(fleet.file)), cwd=fleet.folder,
+            *fleet.command("fleet", action, "-c", str(fleet.file)),
+            cwd=fleet.folder,
             env=os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)},
         )
         return await process.wait()
@@ -475,7 +478,8 @@
     # The printed requests work: sent as curl would.
     port = int(next(line for line in lines if "curl" in line).rpartition(":")[2].partition("/")[0])
     for head in (
-        "GET /api HTTP/1.1\r\nX-Call-Class: report-view\r\n", "GET /up HTTP/1.1\r\n",
+        "GET /api HTTP/1.1\r\nX-Call-Class: report-view\r\n",
+        "GET /up HTTP/1.1\r\n",
         "POST /api HTTP/1.1\r\nX-Call-Class: submit\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n",
     ):
         with socket.create_connection(("127.0.0.1", port)) as sock:
--- a/tests/loopback/test_fleet_identity.py
+++ b/tests/loopback/test_fleet_identity.py
@@ -79,7 +79,7 @@
     assert not identity.alive()
 
 
-@pytest.mark.parametrize("content", [b"", b"{\"pid\": 12", b"\xff\x00", b"[]", b"{\"pid\": 1}", b"{\"pid\": -1}"])
+@pytest.mark.parametrize("content", [b"", b'{"pid": 12', b"\xff\x00", b"[]", b'{"pid": 1}', b'{"pid": -1}'])
 def test_broken_files_are_no_obstacle(fleet: FleetRig, content: bytes) -> None:
     fleet.state.mkdir(mode=0o700)
     for name in ("supervisor.pid", "instances.json"):
--- a/tests/loopback/test_fleet_lives.py
+++ b/tests/loopback/test_fleet_lives.py
@@ -143,7 +143,7 @@
 def test_what_an_instance_left_in_its_group_ends_with_it(fleet: FleetRig) -> None:
     """A command that starts a helper and is killed: the helper would otherwise live on."""
     note = fleet.folder / "helper"
-    script = f"sleep 1000 & echo $! > {note}.new; mv {note}.new {note}; exec \"$0\" \"$@\""
+    script = f'sleep 1000 & echo $! > {note}.new; mv {note}.new {note}; exec "$0" "$@"'
     fleet.add("x", mode="ok")
     fleet.instances["x"]["command"] = ["/bin/sh", "-c", script, *fleet.instances["x"]["command"]]
     fleet.start()
--- a/tests/loopback/test_hand.py
+++ b/tests/loopback/test_hand.py
@@ -82,10 +82,15 @@
     assert status == 200 and seen.body.startswith(rid)
 
 
-@pytest.mark.parametrize(("stage", "kinds"), [
-    # What waits for nothing is noted as it is sent: only a first connection makes it wait.
-    *((stage, CLASSES) for stage in sorted(OWNER) if stage != "taken"), *(("taken", (kind,)) for kind in CLASSES),
-], ids=lambda value: value if isinstance(value, str) else "-".join(value))
+@pytest.mark.parametrize(
+    ("stage", "kinds"),
+    [
+        # What waits for nothing is noted as it is sent: only a first connection makes it wait.
+        *((stage, CLASSES) for stage in sorted(OWNER) if stage != "taken"),
+        *(("taken", (kind,)) for kind in CLASSES),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "-".join(value),
+)
 def test_the_owner_is_killed_at_each_stage_for_each_class(stage: str, kinds: tuple[str, ...]) -> None:
     async def test() -> None:
         async with hand_rig(3) as rig:
@@ -534,9 +539,15 @@
     return bool((await rig.rows())[name]["hand"].get(figure))
 
 
-@pytest.mark.parametrize("change", [
-    (b"draft", b"other"), (b"X-Call-Class", b"X-Caller: acme\r\nX-Call-Class"), (b"/api?x=1", b"/api?x=2"),
-], ids=["body", "tenant", "target"])
+@pytest.mark.parametrize(
+    "change",
+    [
+        (b"draft", b"other"),
+        (b"X-Call-Class", b"X-Caller: acme\r\nX-Call-Class"),
+        (b"/api?x=1", b"/api?x=2"),
+    ],
+    ids=["body", "tenant", "target"],
+)
 def test_the_same_key_of_something_else_is_something_else(change: tuple[bytes, bytes]) -> None:
     async def test() -> None:
         async with hand_rig(2) as rig:
--- a/tests/loopback/test_mesh.py
+++ b/tests/loopback/test_mesh.py
@@ -44,10 +44,18 @@
         rig.head["name"] = fleet
         if not rig.instances:
             rig.add(f"i{i}", mode="ok")
-        rig.mesh = QUICK | {
-            "listen": f"127.0.0.1:{self.ports[i]}", "address": f"127.0.0.1:{self.links[i].port}", "name": f"m{i}",
-            "seeds": [f"127.0.0.1:{self.links[0].port}", "127.0.0.1:9"], "secret": "mesh.key", "zone": "kigali",
-        } | mesh
+        rig.mesh = (
+            QUICK
+            | {
+                "listen": f"127.0.0.1:{self.ports[i]}",
+                "address": f"127.0.0.1:{self.links[i].port}",
+                "name": f"m{i}",
+                "seeds": [f"127.0.0.1:{self.links[0].port}", "127.0.0.1:9"],
+                "secret": "mesh.key",
+                "zone": "kigali",
+            }
+            | mesh
+        )
         rig.write()
         return rig
 
@@ -229,10 +237,16 @@
     run(test)
 
 
-@pytest.mark.parametrize(("change", "why"), [
-    ({"secret": "nowhere"}, b"nowhere: No such file"), ({"listen": "here:1"}, b"mesh.listen"),
-    ({"seeds": ["x"]}, b"mesh.seeds"), ({"period": 0.01}, b"mesh.patience"), ({"periods": 1}, b"did you mean period"),
-])
+@pytest.mark.parametrize(
+    ("change", "why"),
+    [
+        ({"secret": "nowhere"}, b"nowhere: No such file"),
+        ({"listen": "here:1"}, b"mesh.listen"),
+        ({"seeds": ["x"]}, b"mesh.seeds"),
+        ({"period": 0.01}, b"mesh.patience"),
+        ({"periods": 1}, b"did you mean period"),
+    ],
+)
 def test_a_table_that_can_not_be_used_names_the_place(change: dict[str, Any], why: bytes) -> None:
     async def test() -> None:
         async with machines(1, start=False) as m:
@@ -392,6 +406,7 @@
 
     async def carried_out(self, *machines: int) -> None:
         """Wait until all instances of these have carried out all that holds there, which is the same for all."""
+
         def same() -> bool:
             told = [ask(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
             held = [[(row["key"], row["value"], row["by"]) for row in one["bans"]] for one in told]
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -26,20 +26,26 @@
     return got
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200),
-    (b"GET /api/nothing HTTP/1.1\r\n\r\n", 404),
-    (b"GET /api/exclude HTTP/1.1\r\n\r\n", 405),
-    (b"POST /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\n{x}", 400),
-    (b"POST /api/exclude HTTP/1.1\r\n\r\n", 400),
-    (b"POST /api/exclude HTTP/1.1\r\nContent-Length: 14\r\n\r\n{\"who\":\"s-99\"}", 404),
-    (b"POST /api/include HTTP/1.1\r\nContent-Length: 19\r\n\r\n{\"who\":\"zz-s-0001\"}", 404),
-    (b"POST /api/exclude HTTP/1.1\r\nContent-Length: 9999\r\n\r\n" + b"x" * 9999, 413),
-    (b"GET /api/ready HTTP/1.1\r\nX: " + b"x" * 40000, 413),
-    (b"\x00\x01nonsense\r\n\r\n", 400),
-    (b"POST /api/include HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-     b"b\r\n{\"who\":\"s-1\r\n2\r\n\"}\r\n0\r\n\r\n", 200),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"GET /api/nothing HTTP/1.1\r\n\r\n", 404),
+        (b"GET /api/exclude HTTP/1.1\r\n\r\n", 405),
+        (b"POST /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\n{x}", 400),
+        (b"POST /api/exclude HTTP/1.1\r\n\r\n", 400),
+        (b'POST /api/exclude HTTP/1.1\r\nContent-Length: 14\r\n\r\n{"who":"s-99"}', 404),
+        (b'POST /api/include HTTP/1.1\r\nContent-Length: 19\r\n\r\n{"who":"zz-s-0001"}', 404),
+        (b"POST /api/exclude HTTP/1.1\r\nContent-Length: 9999\r\n\r\n" + b"x" * 9999, 413),
+        (b"GET /api/ready HTTP/1.1\r\nX: " + b"x" * 40000, 413),
+        (b"\x00\x01nonsense\r\n\r\n", 400),
+        (
+            b"POST /api/include HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+            b'b\r\n{"who":"s-1\r\n2\r\n"}\r\n0\r\n\r\n',
+            200,
+        ),
+    ],
+)
 def test_each_call_has_one_stated_answer(data: bytes, status: int) -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
--- a/tests/loopback/test_platform.py
+++ b/tests/loopback/test_platform.py
@@ -22,17 +22,49 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 #: Calls that start a program or a process, or that the platform refuses.
 REFUSED = {
-    "fork", "forkpty", "posix_spawn", "posix_spawnp", "system", "popen", "sendfile", "splice", "Popen",
-    "check_output", "create_subprocess_exec", "create_subprocess_shell", "subprocess_exec", "subprocess_shell",
+    "fork",
+    "forkpty",
+    "posix_spawn",
+    "posix_spawnp",
+    "system",
+    "popen",
+    "sendfile",
+    "splice",
+    "Popen",
+    "check_output",
+    "create_subprocess_exec",
+    "create_subprocess_shell",
+    "subprocess_exec",
+    "subprocess_shell",
     "ProcessPoolExecutor",
 }
 #: Parts that `run` has no use for.
 ABSENT = {
-    "cometusher.fleet", "cometusher.virtual", "cometusher.demo", "cometusher.cli", "cometusher.tables",
-    "cometusher.management", "cometusher.succession", "cometusher.handover", "cometusher.inhand", "cometusher.mesh",
-    "weldroute.members", "weldroute.links", "weldroute.leases", "msgspec",
-    "weldroute.vigil", "weldroute.fleet", "weldroute.handover",
-    "weldroute.benchlink", "standins", "sqlite3", "tomllib", "argparse", "multiprocessing", "matplotlib", "numpy",
+    "cometusher.fleet",
+    "cometusher.virtual",
+    "cometusher.demo",
+    "cometusher.cli",
+    "cometusher.tables",
+    "cometusher.management",
+    "cometusher.succession",
+    "cometusher.handover",
+    "cometusher.inhand",
+    "cometusher.mesh",
+    "weldroute.members",
+    "weldroute.links",
+    "weldroute.leases",
+    "msgspec",
+    "weldroute.vigil",
+    "weldroute.fleet",
+    "weldroute.handover",
+    "weldroute.benchlink",
+    "standins",
+    "sqlite3",
+    "tomllib",
+    "argparse",
+    "multiprocessing",
+    "matplotlib",
+    "numpy",
 }
 #: Imports what `run` imports and prints the files of it that are ours, and all names.
 IMPORTED = """
@@ -63,7 +95,8 @@
 """
 #: System calls by machine: execve, execveat, fork, vfork, clone, clone3, sendfile, splice, io_uring_setup, _enter.
 CALLS = {
-    "x86_64": [59, 322, 57, 58, 56, 435, 40, 275, 425, 426], "aarch64": [221, 281, 220, 435, 71, 76, 425, 426],
+    "x86_64": [59, 322, 57, 58, 56, 435, 40, 275, 425, 426],
+    "aarch64": [221, 281, 220, 435, 71, 76, 425, 426],
 }
 
 
@@ -117,13 +150,23 @@
         await backend.start()
         port = free_ports(1)[0]
         path = tmp_path / "config.json"
-        path.write_bytes(orjson.dumps({
-            "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "settings": SETTINGS,
-            "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]},
-        }))
+        path.write_bytes(
+            orjson.dumps(
+                {
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": "127.0.0.1:9",
+                    "settings": SETTINGS,
+                    "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]},
+                }
+            )
+        )
         code = FILTERED.replace("{calls}", repr(CALLS[platform.machine()]))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-c",
+            code,
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
             env=os.environ | {"LB_CONFIG": str(path)},
         )
         try:
--- a/tests/loopback/test_streaming.py
+++ b/tests/loopback/test_streaming.py
@@ -250,7 +250,7 @@
                 backend._server = await asyncio.start_server(first_breaks, "127.0.0.1", backend.port, limit=2**20)
             caller = await r.caller()
             data = request(kind="submit", body=small)
-            caller.writer.write(data[: -20_000])
+            caller.writer.write(data[:-20_000])
             await until(lambda: bool(told))
             caller.writer.write(data[-20_000:])
             status, seen = await caller.answer()
@@ -263,6 +263,7 @@
 def test_a_body_that_is_let_go_is_refused_when_its_backend_breaks() -> None:
     async def test() -> None:
         async with rig(digest) as r:
+
             async def breaks(reader: Reader, writer: Writer) -> None:
                 await reader.readexactly(LARGE // 2)
                 writer.transport.abort()
@@ -331,6 +332,7 @@
 def test_many_large_answers_at_once_come_whole() -> None:
     async def test() -> None:
         async with rig(large, large_in_chunks) as r:
+
             async def one(rid: int) -> bool:
                 caller = await r.caller()
                 caller.writer.write(request(rid=str(rid)))
--- a/tests/loopback/test_upgrade.py
+++ b/tests/loopback/test_upgrade.py
@@ -157,7 +157,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("spoilt", [b"", b"00000000\n{}", b"garbage", b"12345678\n{\"form\":1", b"\xff" * 3000])
+@pytest.mark.parametrize("spoilt", [b"", b"00000000\n{}", b"garbage", b'12345678\n{"form":1', b"\xff" * 3000])
 def test_a_torn_state_is_left_aside_with_a_line(tmp_path: Path, spoilt: bytes) -> None:
     async def test() -> None:
         async with platform(tmp_path) as p:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,8 +17,24 @@
 from weldroute.settings import read_settings
 
 __all__ = [
-    "PATIENCE", "SETTINGS", "Backend", "Caller", "Discovery", "Reader", "Rig", "Script", "Seen", "Watch", "Writer",
-    "merged", "read_message", "reply", "request", "rig", "serve_ok", "until",
+    "PATIENCE",
+    "SETTINGS",
+    "Backend",
+    "Caller",
+    "Discovery",
+    "Reader",
+    "Rig",
+    "Script",
+    "Seen",
+    "Watch",
+    "Writer",
+    "merged",
+    "read_message",
+    "reply",
+    "request",
+    "rig",
+    "serve_ok",
+    "until",
 ]
 
 SETTINGS: dict[str, Any] = {
@@ -32,7 +48,11 @@
     "Tiers": ["front", "back"],
     "Tier": 1,  # no ratio over the whole tier: every request reaches the pick
     "Bounds": {
-        "Cancel": True, "SecondCopies": True, "MaxAttempts": 3, "DialTimeout": 0.5, "ConnIdle": 5.0,
+        "Cancel": True,
+        "SecondCopies": True,
+        "MaxAttempts": 3,
+        "DialTimeout": 0.5,
+        "ConnIdle": 5.0,
     },
     "Rules": {"Cold": 20.0, "ColdFrom": 0.14, "AskEvery": 1.0},
 }
@@ -91,7 +111,10 @@
 
 @contextlib.asynccontextmanager
 async def rig(
-    *scripts: Script, settings: dict[str, Any] | None = None, sockets: int = 256, memory_mb: int = 192,
+    *scripts: Script,
+    settings: dict[str, Any] | None = None,
+    sockets: int = 256,
+    memory_mb: int = 192,
     managed: bool = False,
 ) -> AsyncIterator[Rig]:
     """Start a proxy with one backend for each script."""
@@ -103,10 +126,15 @@
     raw = merged(SETTINGS, settings or {})
     proxy = Proxy(
         config.Config(
-            name="t", listen=("127.0.0.1", 0), discovery=("127.0.0.1", discovery.port), seed=1,
-            memory_mb=memory_mb, sockets=sockets,
+            name="t",
+            listen=("127.0.0.1", 0),
+            discovery=("127.0.0.1", discovery.port),
+            seed=1,
+            memory_mb=memory_mb,
+            sockets=sockets,
             known={"seq": 41, "whole": True, "hosts": [b.entry() for b in backends]},
-            settings=read_settings(raw), zones=tuple(raw["Zones"]),
+            settings=read_settings(raw),
+            zones=tuple(raw["Zones"]),
             management=("127.0.0.1", 0) if managed else None,
         )
     )
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -135,7 +135,9 @@
 
 def test_over_share_tenant_goes_first() -> None:
     config = Settings(
-        classes=(SAFE,), tenants=(Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)), over_share_worth=0.1,
+        classes=(SAFE,),
+        tenants=(Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)),
+        over_share_worth=0.1,
         goal=Goal(whole=0.7, worst_tenant=0.3),
     )
     b = made(config)
@@ -413,8 +415,11 @@
 
 def ban_rig() -> Balancer:
     settings = Settings(
-        classes=(RequestClass("view", aim=1.0, deadline=9.0, repeat=Repeat.SAFE),), tier=1, tiers=2,
-        limits=Limits(cancel=True, second_copies=True, max_attempts=4), rules=Rules(cold_for=20.0, cold_from=0.2),
+        classes=(RequestClass("view", aim=1.0, deadline=9.0, repeat=Repeat.SAFE),),
+        tier=1,
+        tiers=2,
+        limits=Limits(cancel=True, second_copies=True, max_attempts=4),
+        rules=Rules(cold_for=20.0, cold_from=0.2),
     )
     b = Balancer(settings, 1)
     b.members(0.0, ListKind.WHOLE, [ServerRow(n) for n in (1, 2, 3)])
@@ -580,12 +585,20 @@
     return balancer
 
 
-@pytest.mark.parametrize(("kind", "past", "wanted"), [
-    (0, [], "any"), (0, [Past(2, 9.5)], "other"), (1, [Past(2, 9.5, zone=0, cell=2)], "zone"),
-    (1, [Past(2, 9.5, maybe_ran=False, zone=0)], "other"), (1, [Past(99, 9.5, zone=0)], "zone"),
-    (1, [Past(2, 5.0, zone=0)], "fail"), (2, [Past(2, 9.5)], "fail"), (2, [Past(2, 9.5, maybe_ran=False)], "other"),
-    (0, [Past(1, 9.5), Past(2, 9.6), Past(3, 9.7)], "refuse"),
-])
+@pytest.mark.parametrize(
+    ("kind", "past", "wanted"),
+    [
+        (0, [], "any"),
+        (0, [Past(2, 9.5)], "other"),
+        (1, [Past(2, 9.5, zone=0, cell=2)], "zone"),
+        (1, [Past(2, 9.5, maybe_ran=False, zone=0)], "other"),
+        (1, [Past(99, 9.5, zone=0)], "zone"),
+        (1, [Past(2, 5.0, zone=0)], "fail"),
+        (2, [Past(2, 9.5)], "fail"),
+        (2, [Past(2, 9.5, maybe_ran=False)], "other"),
+        (0, [Past(1, 9.5), Past(2, 9.6), Past(3, 9.7)], "refuse"),
+    ],
+)
 def test_a_request_of_a_lost_process_goes_on_by_the_rules(kind: int, past: list[Past], wanted: str) -> None:
     (action,) = heir().inherit(10.0, "r", kind, 0, 12.0, past)
     if wanted in ("fail", "refuse"):
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -13,9 +13,12 @@
 from weldroute.settings import read_settings
 
 OPEN = {
-    "m": "OpenInstance", "ProxyId": 3, "Entropy": 5,
+    "m": "OpenInstance",
+    "ProxyId": 3,
+    "Entropy": 5,
     "Settings": {
-        "Services": [{"Name": "a", "Aim": 1.0, "HardLimit": 4.0, "Repeat": "retryable"}], "Unheard": 1,
+        "Services": [{"Name": "a", "Aim": 1.0, "HardLimit": 4.0, "Repeat": "retryable"}],
+        "Unheard": 1,
     },
 }
 REGISTER = {"m": "Register", "List": 0, "Rows": [{"Backend": 51530247, "Readiness": "U"}, {"Backend": 7}]}
@@ -28,8 +31,15 @@
 
 def back(ref: str, how: str, number: int = 0, last: bool = False) -> dict[str, Any]:
     return {
-        "m": "Returned", "ProxyId": 3, "Ref": ref, "RoundNo": number, "Backend": 7, "How": how,
-        "CostTime": 0.1, "Last": last, "Telemetry": [1.0],
+        "m": "Returned",
+        "ProxyId": 3,
+        "Ref": ref,
+        "RoundNo": number,
+        "Backend": 7,
+        "How": how,
+        "CostTime": 0.1,
+        "Last": last,
+        "Telemetry": [1.0],
     }
 
 
@@ -79,7 +89,8 @@
 
 def test_teardown_and_open_in_one_batch_forgets_everything() -> None:
     code, replies, _ = run(
-        [OPEN, REGISTER, MEMBERS], [call("rq_a")],
+        [OPEN, REGISTER, MEMBERS],
+        [call("rq_a")],
         [{"m": "Teardown", "ProxyId": 3}, OPEN, MEMBERS, back("rq_a", "failure"), call("rq_b")],
     )
     assert code == 0
@@ -95,7 +106,8 @@
 
 def test_aborted_after_the_answer_and_stale_wakes() -> None:
     code, replies, _ = run(
-        [OPEN, REGISTER, MEMBERS], [call("rq_a", 1.0)],
+        [OPEN, REGISTER, MEMBERS],
+        [call("rq_a", 1.0)],
         [{"m": "Aborted", "ProxyId": 3, "Ref": "rq_a"}, {"m": "Wake", "ProxyId": 3, "Tag": 77}],
         [{"m": "Started", "ProxyId": 3, "Ref": "rq_a"}, {"m": "PingResult", "ProxyId": 3, "Backend": 7}],
     )
@@ -105,11 +117,19 @@
 
 
 def test_settings_are_read_and_defaulted() -> None:
-    settings = read_settings({
-        "RegistryMode": "on_request", "Instances": 4, "Ordinal": 2, "Tier": 1, "Tiers": ["a", "b"],
-        "Services": [{"Name": "k", "Repeat": "dedup", "Group": "zone", "Window": 4.0, "Aim": 1, "HardLimit": 2}],
-        "Bounds": {"SecondCopies": True, "New": 1}, "Rules": {"Cold": 9.0}, "Orgs": [{"Name": "x", "Share": 1.0}],
-    })
+    settings = read_settings(
+        {
+            "RegistryMode": "on_request",
+            "Instances": 4,
+            "Ordinal": 2,
+            "Tier": 1,
+            "Tiers": ["a", "b"],
+            "Services": [{"Name": "k", "Repeat": "dedup", "Group": "zone", "Window": 4.0, "Aim": 1, "HardLimit": 2}],
+            "Bounds": {"SecondCopies": True, "New": 1},
+            "Rules": {"Cold": 9.0},
+            "Orgs": [{"Name": "x", "Share": 1.0}],
+        }
+    )
     settings.check()
     assert settings.discovery is Discovery.ON_REQUEST
     assert (settings.balancers, settings.me, settings.tier, settings.tiers) == (4, 2, 1, 2)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -38,9 +38,14 @@
     port = free_ports(1)[0]
     discovery = f"127.0.0.1:{discovery_port or free_ports(1)[0]}"
     config = {
-        "name": "t", "listen": f"127.0.0.1:{port}", "discovery": discovery, "seed": "ab",
-        "limits": {"memory_mb": 192, "sockets": 128}, "extra": 1,
-        "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]}, "settings": SETTINGS,
+        "name": "t",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": discovery,
+        "seed": "ab",
+        "limits": {"memory_mb": 192, "sockets": 128},
+        "extra": 1,
+        "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]},
+        "settings": SETTINGS,
     }
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(config))
@@ -214,14 +219,22 @@
         await after.start()
         path = tmp_path / "config.json"
         told = {
-            "name": "t", "listen": f"127.0.0.1:{free_ports(1)[0]}", "seed": "ab",
-            "limits": {"memory_mb": 192, "sockets": 128}, "known": {}, "settings": SETTINGS,
+            "name": "t",
+            "listen": f"127.0.0.1:{free_ports(1)[0]}",
+            "seed": "ab",
+            "limits": {"memory_mb": 192, "sockets": 128},
+            "known": {},
+            "settings": SETTINGS,
         }
         path.write_bytes(orjson.dumps(told | {"discovery": f"127.0.0.1:{before.port}"}))
         (tmp_path / "config.json.new").write_bytes(orjson.dumps(told | {"discovery": f"127.0.0.1:{after.port}"}))
         base = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", RELOADED_EARLY, cwd=ROOT, env=base | {"LB_CONFIG": str(path)},
+            sys.executable,
+            "-c",
+            RELOADED_EARLY,
+            cwd=ROOT,
+            env=base | {"LB_CONFIG": str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
         try:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -248,8 +248,14 @@
 @pytest.mark.parametrize(
     "script",
     [
-        announces_3_gb, head_without_end, interims_without_end, in_drops, two_lengths,
-        length_and_chunks, garbage, half,
+        announces_3_gb,
+        head_without_end,
+        interims_without_end,
+        in_drops,
+        two_lengths,
+        length_and_chunks,
+        garbage,
+        half,
     ],
 )
 def test_a_spoilt_answer_is_a_failed_attempt(script: Any, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -83,8 +83,15 @@
 ) -> None:
     second, cancel, asks = flags
     config = Settings(
-        classes=KINDS, tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)), zones=2, rules=RULES,
-        balancers=3, me=seed % 3, tier=seed % 2, tiers=2, over_share_worth=0.1,
+        classes=KINDS,
+        tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
+        zones=2,
+        rules=RULES,
+        balancers=3,
+        me=seed % 3,
+        tier=seed % 2,
+        tiers=2,
+        over_share_worth=0.1,
         discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
         limits=Limits(cancel=cancel, second_copies=second, max_attempts=attempts),
     )
--- a/tests/unit/test_comeback.py
+++ b/tests/unit/test_comeback.py
@@ -136,13 +136,16 @@
     assert not c.believes(100.0, 0)
 
 
-@pytest.mark.parametrize(("mine", "theirs", "kept"), [
-    (ServerRow(1, started=9.0), ServerRow(1, started=5.0), True),
-    (ServerRow(1, started=5.0), ServerRow(1, started=9.0), False),
-    (ServerRow(1, State.DRAINING, started=5.0), ServerRow(1, State.UP, started=5.0), True),
-    (ServerRow(1, State.DRAINING, started=5.0), ServerRow(1, State.UP, started=9.0), False),
-    (ServerRow(1, State.UP, started=5.0), ServerRow(1, State.DRAINING, started=5.0), False),
-])
+@pytest.mark.parametrize(
+    ("mine", "theirs", "kept"),
+    [
+        (ServerRow(1, started=9.0), ServerRow(1, started=5.0), True),
+        (ServerRow(1, started=5.0), ServerRow(1, started=9.0), False),
+        (ServerRow(1, State.DRAINING, started=5.0), ServerRow(1, State.UP, started=5.0), True),
+        (ServerRow(1, State.DRAINING, started=5.0), ServerRow(1, State.UP, started=9.0), False),
+        (ServerRow(1, State.UP, started=5.0), ServerRow(1, State.DRAINING, started=5.0), False),
+    ],
+)
 def test_of_two_rows_the_later_start_and_the_drain_count(mine: ServerRow, theirs: ServerRow, kept: bool) -> None:
     assert Comeback.outlives(mine, theirs) is kept
 
@@ -331,9 +334,17 @@
     assert len(set(due.values())) > 15
 
 
-@pytest.mark.parametrize("values", [
-    {"instances": 0}, {"returning": 0}, {"multiple": 0.5}, {"calm": 0.0}, {"tries": 0.0}, {"list_for": math.inf},
-])
+@pytest.mark.parametrize(
+    "values",
+    [
+        {"instances": 0},
+        {"returning": 0},
+        {"multiple": 0.5},
+        {"calm": 0.0},
+        {"tries": 0.0},
+        {"list_for": math.inf},
+    ],
+)
 def test_plans_that_make_no_sense(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=next(iter(values))):
         Plan(**values).check()
--- a/tests/unit/test_drill.py
+++ b/tests/unit/test_drill.py
@@ -43,18 +43,21 @@
     assert schedule(other) != first
 
 
-@pytest.mark.parametrize(("text", "place"), [
-    ("", "fleet: there is none"),
-    (HEAD + '[[fault]]\ndo = "explode"\n', r"t.toml:9: fault\[0\].do"),
-    (HEAD + '[[fault]]\nat = 1.0\n', r"fault\[0\].do: missing"),
-    (HEAD + '[[fault]]\ndo = "kill"\nfleet = "c"\n', r"t.toml:10: fault\[0\].fleet"),
-    (HEAD + '[[fault]]\ndo = "link"\n', r"fault\[0\].link"),
-    (HEAD + '[[fault]]\ndo = "kill"\nlink = "caller"\n', r"fault\[0\].link"),
-    (HEAD + '[[fault]]\ndo = "kill"\nshare = 2.0\n', r"share"),
-    (HEAD + '[[expect]]\nfigure = "luck"\n', r"t.toml:9: expect\[0\].figure"),
-    (HEAD + '[[fleet]]\nname = "a"\n', "twice"),
-    (HEAD + "[load]\nrates = 3\n", "did you mean rate"),
-])
+@pytest.mark.parametrize(
+    ("text", "place"),
+    [
+        ("", "fleet: there is none"),
+        (HEAD + '[[fault]]\ndo = "explode"\n', r"t.toml:9: fault\[0\].do"),
+        (HEAD + "[[fault]]\nat = 1.0\n", r"fault\[0\].do: missing"),
+        (HEAD + '[[fault]]\ndo = "kill"\nfleet = "c"\n', r"t.toml:10: fault\[0\].fleet"),
+        (HEAD + '[[fault]]\ndo = "link"\n', r"fault\[0\].link"),
+        (HEAD + '[[fault]]\ndo = "kill"\nlink = "caller"\n', r"fault\[0\].link"),
+        (HEAD + '[[fault]]\ndo = "kill"\nshare = 2.0\n', r"share"),
+        (HEAD + '[[expect]]\nfigure = "luck"\n', r"t.toml:9: expect\[0\].figure"),
+        (HEAD + '[[fleet]]\nname = "a"\n', "twice"),
+        (HEAD + "[load]\nrates = 3\n", "did you mean rate"),
+    ],
+)
 def test_a_file_that_makes_no_sense_is_refused_with_its_place(tmp_path: Path, text: str, place: str) -> None:
     with pytest.raises(ConfigError, match=place):
         read_scenario(written(tmp_path, text))
--- a/tests/unit/test_fleet_states.py
+++ b/tests/unit/test_fleet_states.py
@@ -424,16 +424,25 @@
     world = World()
     world.all_ready()
     world.exit("i0", 1)
-    for actions in (world.fleet.ready(world.now, "i0", 1), world.fleet.up(world.now, "i0", 1),
-                    world.fleet.exited(world.now, "i0", 1, Exit(code=0)), world.fleet.ready(world.now, "nobody", 1)):
+    for actions in (
+        world.fleet.ready(world.now, "i0", 1),
+        world.fleet.up(world.now, "i0", 1),
+        world.fleet.exited(world.now, "i0", 1, Exit(code=0)),
+        world.fleet.ready(world.now, "nobody", 1),
+    ):
         assert actions == []
     assert world.state() is State.WAITING
 
 
 @pytest.mark.parametrize(
     ("values", "named"),
-    [({"jitter": 1.5}, "jitter"), ({"at_once": 0}, "at_once"), ({"backoff_to": 0.1}, "backoff_to"),
-     ({"hang_after": float("nan")}, "hang_after"), ({"budget": -1}, "budget")],
+    [
+        ({"jitter": 1.5}, "jitter"),
+        ({"at_once": 0}, "at_once"),
+        ({"backoff_to": 0.1}, "backoff_to"),
+        ({"hang_after": float("nan")}, "hang_after"),
+        ({"budget": -1}, "budget"),
+    ],
 )
 def test_a_policy_without_sense_is_named(values: dict[str, float], named: str) -> None:
     with pytest.raises(ValueError, match=named):
--- a/tests/unit/test_frames.py
+++ b/tests/unit/test_frames.py
@@ -17,11 +17,20 @@
 ROW = Row(3, State.SUSPECT, 2**61, "10.0.0.1:7", "kigali", "m1", by="m2")
 LEASE = leases.Lease("a", (4, "a"))
 MESSAGES: list[Message] = [
-    Ping("f", "a", 1, "b", (ROW,)), Ack("f", "a", 1, (ROW, ROW)), Nack("f", "a", 1),
-    PingFor("f", "a", 1, "b", "b:1", 0.25, (ROW,)), Gossip("f", "a", (ROW,)), Sync("f", "a", (ROW,) * 9, True),
-    leases.Prepare("d", (1, "a")), leases.Promise("d", (1, "a"), LEASE), leases.Promise("d", (1, "a"), None),
-    leases.Propose("d", (1, "a"), LEASE), leases.Accepted("d", (1, "a")), leases.Rejected("d", (1, "a"), (2, "b")),
-    leases.Released("d", LEASE), facts.News("f", "a", (facts.Fact("k", "v", (1, 2, "a")),)),
+    Ping("f", "a", 1, "b", (ROW,)),
+    Ack("f", "a", 1, (ROW, ROW)),
+    Nack("f", "a", 1),
+    PingFor("f", "a", 1, "b", "b:1", 0.25, (ROW,)),
+    Gossip("f", "a", (ROW,)),
+    Sync("f", "a", (ROW,) * 9, True),
+    leases.Prepare("d", (1, "a")),
+    leases.Promise("d", (1, "a"), LEASE),
+    leases.Promise("d", (1, "a"), None),
+    leases.Propose("d", (1, "a"), LEASE),
+    leases.Accepted("d", (1, "a")),
+    leases.Rejected("d", (1, "a"), (2, "b")),
+    leases.Released("d", LEASE),
+    facts.News("f", "a", (facts.Fact("k", "v", (1, 2, "a")),)),
     facts.Digest("f", "a", 7, True),
 ]
 
--- a/tests/unit/test_handover.py
+++ b/tests/unit/test_handover.py
@@ -79,12 +79,29 @@
     return dict(spoilt)
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("form", 2), ("form", None), ("at", "now"), ("at", 20.0 - MAX_AGE - 1), ("at", 99.0), ("pooled", None),
-    ("rate", "1"), ("servers", {}), ("servers/0", [1, 2]), ("servers/0/0", 1.5), ("servers/0/2", 7),
-    ("servers/0/2/latency", "x"), ("servers/0/3/ring", [[1, 2]]), ("servers/0/3/ring", [[2, 0, 0, 0], [1, 0, 0, 0]]),
-    ("entry/pace", True), ("entry/asked", [1.0]), ("entry/breaker", None), ("pooled", float("nan")),
-])
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("form", 2),
+        ("form", None),
+        ("at", "now"),
+        ("at", 20.0 - MAX_AGE - 1),
+        ("at", 99.0),
+        ("pooled", None),
+        ("rate", "1"),
+        ("servers", {}),
+        ("servers/0", [1, 2]),
+        ("servers/0/0", 1.5),
+        ("servers/0/2", 7),
+        ("servers/0/2/latency", "x"),
+        ("servers/0/3/ring", [[1, 2]]),
+        ("servers/0/3/ring", [[2, 0, 0, 0], [1, 0, 0, 0]]),
+        ("entry/pace", True),
+        ("entry/asked", [1.0]),
+        ("entry/breaker", None),
+        ("pooled", float("nan")),
+    ],
+)
 def test_a_form_that_makes_no_sense_changes_nothing(path: str, value: Any) -> None:
     form = _spoil(orjson.loads(orjson.dumps(write_learned(worked(), 20.0))), path, value)
     new = balancer(2)
@@ -113,10 +130,20 @@
     assert not new.bans and new.servers[1].started == 9.0, "it comes back cold"
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("form", 0), ("version", "4"), ("evacuated", 1), ("bans", None), ("bans/0", ["s-1", 1]), ("bans/0/0", 5),
-    ("bans/0/1", "1"), ("bans/0/2", None), ("returned/0/1", []),
-])
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("form", 0),
+        ("version", "4"),
+        ("evacuated", 1),
+        ("bans", None),
+        ("bans/0", ["s-1", 1]),
+        ("bans/0/0", 5),
+        ("bans/0/1", "1"),
+        ("bans/0/2", None),
+        ("returned/0/1", []),
+    ],
+)
 def test_standing_orders_that_make_no_sense_are_unusable(path: str, value: Any) -> None:
     form = Standing(4, True, (("s-1", 1, 5.0),), ((2, 3.0, 6.0),)).write()
     with pytest.raises(Unusable):
--- a/tests/unit/test_inhand.py
+++ b/tests/unit/test_inhand.py
@@ -49,7 +49,16 @@
 
 def sends(book: Book, handle: int, one: Try) -> int:
     return book.sends(
-        handle, one.server, one.zone, one.cell, one.at, one.connection, one.name, one.length, one.wrote, one.read,
+        handle,
+        one.server,
+        one.zone,
+        one.cell,
+        one.at,
+        one.connection,
+        one.name,
+        one.length,
+        one.wrote,
+        one.read,
         one.end,
     )
 
@@ -93,8 +102,13 @@
     book, left, _ = made()
     slots = [take(book) for _ in range(5)]
     assert slots[4] == NONE and book.uncovered == 1 and len(list(left.slots())) == 4
-    for call in (lambda: sends(book, NONE, one_try()), lambda: book.passes(NONE), lambda: book.done(NONE),
-                 lambda: book.answers(NONE, 0, b""), lambda: book.ends(NONE, 0, End.MAYBE)):
+    for call in (
+        lambda: sends(book, NONE, one_try()),
+        lambda: book.passes(NONE),
+        lambda: book.done(NONE),
+        lambda: book.answers(NONE, 0, b""),
+        lambda: book.ends(NONE, 0, End.MAYBE),
+    ):
         call()
     book.done(slots[1])
     assert Book.slot(take(book)) == Book.slot(slots[1]) and read(left, slots[1])
@@ -153,7 +167,11 @@
     assert after.origin == Origin(7, slot, 2) and after.caller == 15
     assert [one.connection for one in after.tries] == [NONE, 16]
     assert (after.request, after.stage, after.answer, after.wrote) == (
-        entry.request, entry.stage, entry.answer, entry.wrote)
+        entry.request,
+        entry.stage,
+        entry.answer,
+        entry.wrote,
+    )
     assert [one.end for one in after.tries] == [End.MAYBE, End.OPEN]
 
 
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -54,10 +54,14 @@
     assert not known_red.KnownRed("t.py::test_a", "x", "1").covers("t.py::test_ab")
 
 
-@pytest.mark.parametrize(("lines", "why"), [
-    ("a | b\n", "KNOWN-RED.txt:1: not of the form"), ("a | b | c\na | | c\n", "KNOWN-RED.txt:2: not of the form"),
-    ("a | b | c\n" * 4, "4 lines, 3 at most"),
-])
+@pytest.mark.parametrize(
+    ("lines", "why"),
+    [
+        ("a | b\n", "KNOWN-RED.txt:1: not of the form"),
+        ("a | b | c\na | | c\n", "KNOWN-RED.txt:2: not of the form"),
+        ("a | b | c\n" * 4, "4 lines, 3 at most"),
+    ],
+)
 def test_a_list_that_makes_no_sense_is_refused(tmp_path: Path, lines: str, why: str) -> None:
     (tmp_path / known_red.FILE).write_text(lines)
     with pytest.raises(known_red.BadList, match=why):
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -141,9 +141,16 @@
     assert other.may(1.0) == (2, "b")
 
 
-@pytest.mark.parametrize(("name", "value"), [
-    ("length", 0.0), ("drift", 0.5), ("margin", 5.0), ("renew", 1.0), ("patience", float("nan")),
-])
+@pytest.mark.parametrize(
+    ("name", "value"),
+    [
+        ("length", 0.0),
+        ("drift", 0.5),
+        ("margin", 5.0),
+        ("renew", 1.0),
+        ("patience", float("nan")),
+    ],
+)
 def test_a_policy_that_makes_no_sense_is_refused(name: str, value: float) -> None:
     with pytest.raises(ValueError, match=name if name != "margin" else "length"):
         Grantor(replace(POLICY, **{name: value}), 0.0)
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -407,8 +407,14 @@
 
 
 ROWS = st.builds(
-    Row, st.integers(1, 3), st.sampled_from([ALIVE, SUSPECT, LEFT]), st.integers(1, 2),
-    st.sampled_from(["p:1", "q:1"]), st.just("z"), st.just("b"), by=st.sampled_from(["", "x", "y"]),
+    Row,
+    st.integers(1, 3),
+    st.sampled_from([ALIVE, SUSPECT, LEFT]),
+    st.integers(1, 2),
+    st.sampled_from(["p:1", "q:1"]),
+    st.just("z"),
+    st.just("b"),
+    by=st.sampled_from(["", "x", "y"]),
 )
 
 
@@ -433,9 +439,20 @@
         assert one.state("b") is state
 
 
-@given(st.lists(st.builds(
-    Row, st.integers(1, 50), st.sampled_from(State), st.integers(1, 3), st.just("a:1"), st.just(""), st.just("a"),
-), max_size=8))
+@given(
+    st.lists(
+        st.builds(
+            Row,
+            st.integers(1, 50),
+            st.sampled_from(State),
+            st.integers(1, 3),
+            st.just("a:1"),
+            st.just(""),
+            st.just("a"),
+        ),
+        max_size=8,
+    )
+)
 def test_whatever_is_said_of_it_its_own_word_is_above(rows: list[Row]) -> None:
     one = Members(POLICY, "f", "a", "a:1", [], 0.0, 1)
     for row in rows:
@@ -443,9 +460,16 @@
         assert one.me > row and one.me.state is ALIVE
 
 
-@pytest.mark.parametrize(("name", "value"), [
-    ("period", 0.0), ("patience", 0.6), ("alone", 0.5), ("spread", float("nan")), ("most", 0),
-])
+@pytest.mark.parametrize(
+    ("name", "value"),
+    [
+        ("period", 0.0),
+        ("patience", 0.6),
+        ("alone", 0.5),
+        ("spread", float("nan")),
+        ("most", 0),
+    ],
+)
 def test_a_policy_that_makes_no_sense_is_refused(name: str, value: float) -> None:
     with pytest.raises(ValueError, match=name):
         replace(POLICY, **{name: value}).check()  # type: ignore[arg-type]
--- a/tests/unit/test_operation_states.py
+++ b/tests/unit/test_operation_states.py
@@ -80,13 +80,23 @@
     assert o.ready().yes, "an emptied proxy can serve"
 
 
-@pytest.mark.parametrize(("method", "target", "want"), [
-    (b"GET", b"/api/ready", Call.READY), (b"GET", b"/api/ready?x=1", Call.READY),
-    (b"POST", b"/api/exclude", Call.EXCLUDE), (b"POST", b"/api/include", Call.INCLUDE),
-    (b"POST", b"/api/evacuate", Call.EVACUATE), (b"POST", b"/api/rejoin", Call.REJOIN),
-    (b"POST", b"/api/ready", 405), (b"GET", b"/api/exclude", 405), (b"DELETE", b"/api/rejoin", 405),
-    (b"GET", b"/api", 404), (b"POST", b"/api/ready/", 404), (b"GET", b"/", 404),
-])
+@pytest.mark.parametrize(
+    ("method", "target", "want"),
+    [
+        (b"GET", b"/api/ready", Call.READY),
+        (b"GET", b"/api/ready?x=1", Call.READY),
+        (b"POST", b"/api/exclude", Call.EXCLUDE),
+        (b"POST", b"/api/include", Call.INCLUDE),
+        (b"POST", b"/api/evacuate", Call.EVACUATE),
+        (b"POST", b"/api/rejoin", Call.REJOIN),
+        (b"POST", b"/api/ready", 405),
+        (b"GET", b"/api/exclude", 405),
+        (b"DELETE", b"/api/rejoin", 405),
+        (b"GET", b"/api", 404),
+        (b"POST", b"/api/ready/", 404),
+        (b"GET", b"/", 404),
+    ],
+)
 def test_routes(method: bytes, target: bytes, want: Call | int) -> None:
     got = route(method, target)
     assert (got.status if isinstance(got, Verdict) else got) == want
--- a/tests/unit/test_remember.py
+++ b/tests/unit/test_remember.py
@@ -90,13 +90,21 @@
     assert after <= before
 
 
-@given(st.recursive(
-    st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
-    lambda inner: st.lists(inner) | st.dictionaries(
-        st.sampled_from(["form", "kind", "serial", "fleet", "instance", "epoch", "unix", "boot", "since_boot"])
-        | st.text(), inner
-    ),
-))
+@given(
+    st.recursive(
+        st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
+        lambda inner: (
+            st.lists(inner)
+            | st.dictionaries(
+                st.sampled_from(
+                    ["form", "kind", "serial", "fleet", "instance", "epoch", "unix", "boot", "since_boot"]
+                )
+                | st.text(),
+                inner,
+            )
+        ),
+    )
+)
 def test_nothing_that_is_read_raises_anything_but_damaged(value: Any) -> None:
     try:
         record = read_record(value)
--- a/tests/unit/test_schemas.py
+++ b/tests/unit/test_schemas.py
@@ -36,10 +36,15 @@
         assert not faults(name, values | {"comeback": {"list_for": 60.0, "herd_share": 0.5}})
 
 
-@pytest.mark.parametrize(("table", "key", "value"), [
-    ("comeback", "multiple", 0.5), ("comeback", "lists_for", 1.0), ("fleet", "spawn", "thread"),
-    ("policy", "jitter", "a"),
-])
+@pytest.mark.parametrize(
+    ("table", "key", "value"),
+    [
+        ("comeback", "multiple", 0.5),
+        ("comeback", "lists_for", 1.0),
+        ("fleet", "spawn", "thread"),
+        ("policy", "jitter", "a"),
+    ],
+)
 def test_what_the_reader_refuses_breaks_the_schema(table: str, key: str, value: Any) -> None:
     values = tomllib.loads((ROOT / "deploy" / "fleet.toml").read_text())
     values.setdefault(table, {})[key] = value
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -67,7 +67,11 @@
     """Balancers that share nothing, machines, and a queue of events."""
 
     def __init__(
-        self, seed: int, balancers: int, machines: list[Machine], rate: Callable[[float, int], float],
+        self,
+        seed: int,
+        balancers: int,
+        machines: list[Machine],
+        rate: Callable[[float, int], float],
         rules: Rules = RULES,
     ) -> None:
         self.rules = rules
@@ -84,7 +88,10 @@
 
     def make(self, index: int, balancers: int) -> Balancer:
         settings = Settings(
-            classes=(CLASS,), balancers=balancers, me=index, rules=self.rules,
+            classes=(CLASS,),
+            balancers=balancers,
+            me=index,
+            rules=self.rules,
             limits=Limits(max_attempts=6, cancel=True, second_copies=True),
         )
         balancer = Balancer(settings, seed=self.random.getrandbits(32))
@@ -153,7 +160,6 @@
 
         self.at(when, end)
 
-
     def share_used(self, server: int, since: float) -> float:
         """The part of what a cold server can do that it was given."""
         machine = self.machines[server]
@@ -186,7 +192,6 @@
     assert not over
 
 
-
 def joins(seed: int, balancers: int) -> tuple[float, float]:
     """A server joins four warm ones on a calm day: its worst window, and what part of its capacity it was given."""
     world = World(seed, balancers, fleet(4), lambda now, index: 100.0 / balancers)
--- a/tests/unit/test_takeover.py
+++ b/tests/unit/test_takeover.py
@@ -39,42 +39,58 @@
 JOINED = (Past(1, 10.0, joined=True),)
 
 
-@pytest.mark.parametrize(("work", "now", "verdict"), [
-    (Work(SAFE, Stage.SENT, 20.0, caller=False), 11.0, Verdict.NOTHING),
-    (Work(UNSAFE, Stage.ANSWERED, 20.0), 11.0, Verdict.NOTHING),
-    (Work(UNSAFE, Stage.ANSWERED, 20.0, left=3), 11.0, Verdict.GIVE),
-    (Work(UNSAFE, Stage.ANSWERED, 20.0, more=True), 11.0, Verdict.REFUSE),
-    (Work(UNSAFE, Stage.ANSWERED, 20.0, left=3, more=True), 11.0, Verdict.GIVE),
-    (Work(SAFE, Stage.PASSING, 20.0), 11.0, Verdict.CUT),
-    (Work(UNSAFE, Stage.TAKEN, 20.0), 11.0, Verdict.SEND),
-    (Work(UNSAFE, Stage.SENT, 20.0, tries=NEVER), 11.0, Verdict.SEND),
-    (Work(UNSAFE, Stage.SENT, 20.0, body=False, tries=NEVER), 11.0, Verdict.REFUSE),
-    (Work(KEYED, Stage.TAKEN, 11.0), 11.0, Verdict.REFUSE),
-    (Work(UNSAFE, Stage.SENT, 20.0, tries=JOINED), 11.0, Verdict.JOIN),
-    (Work(UNSAFE, Stage.SENT, 20.0, body=False, tries=JOINED), 11.0, Verdict.JOIN),
-    (Work(UNSAFE, Stage.SENT, 11.0, tries=JOINED), 11.0, Verdict.FAIL),
-    (Work(SAFE, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.SEND),
-    (Work(SAFE, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.REFUSE),
-    (Work(KEYED, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.SEND_TO_GROUP),
-    (Work(KEYED, Stage.SENT, 20.0, tries=SENT), 13.7, Verdict.FAIL),
-    (Work(KEYED, Stage.SENT, 20.0, tries=SENT, body=False), 11.0, Verdict.FAIL),
-    (Work(KEYED, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.FAIL),
-    (Work(KEYED_ALL, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.REFUSE),
-    (Work(KEYED_ALL, Stage.SENT, 20.0, tries=SENT), 14.0, Verdict.FAIL),
-    (Work(UNSAFE, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.FAIL),
-])
+@pytest.mark.parametrize(
+    ("work", "now", "verdict"),
+    [
+        (Work(SAFE, Stage.SENT, 20.0, caller=False), 11.0, Verdict.NOTHING),
+        (Work(UNSAFE, Stage.ANSWERED, 20.0), 11.0, Verdict.NOTHING),
+        (Work(UNSAFE, Stage.ANSWERED, 20.0, left=3), 11.0, Verdict.GIVE),
+        (Work(UNSAFE, Stage.ANSWERED, 20.0, more=True), 11.0, Verdict.REFUSE),
+        (Work(UNSAFE, Stage.ANSWERED, 20.0, left=3, more=True), 11.0, Verdict.GIVE),
+        (Work(SAFE, Stage.PASSING, 20.0), 11.0, Verdict.CUT),
+        (Work(UNSAFE, Stage.TAKEN, 20.0), 11.0, Verdict.SEND),
+        (Work(UNSAFE, Stage.SENT, 20.0, tries=NEVER), 11.0, Verdict.SEND),
+        (Work(UNSAFE, Stage.SENT, 20.0, body=False, tries=NEVER), 11.0, Verdict.REFUSE),
+        (Work(KEYED, Stage.TAKEN, 11.0), 11.0, Verdict.REFUSE),
+        (Work(UNSAFE, Stage.SENT, 20.0, tries=JOINED), 11.0, Verdict.JOIN),
+        (Work(UNSAFE, Stage.SENT, 20.0, body=False, tries=JOINED), 11.0, Verdict.JOIN),
+        (Work(UNSAFE, Stage.SENT, 11.0, tries=JOINED), 11.0, Verdict.FAIL),
+        (Work(SAFE, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.SEND),
+        (Work(SAFE, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.REFUSE),
+        (Work(KEYED, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.SEND_TO_GROUP),
+        (Work(KEYED, Stage.SENT, 20.0, tries=SENT), 13.7, Verdict.FAIL),
+        (Work(KEYED, Stage.SENT, 20.0, tries=SENT, body=False), 11.0, Verdict.FAIL),
+        (Work(KEYED, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.FAIL),
+        (Work(KEYED_ALL, Stage.SENT, 11.0, tries=SENT), 11.0, Verdict.REFUSE),
+        (Work(KEYED_ALL, Stage.SENT, 20.0, tries=SENT), 14.0, Verdict.FAIL),
+        (Work(UNSAFE, Stage.SENT, 20.0, tries=SENT), 11.0, Verdict.FAIL),
+    ],
+)
 def test_the_table(work: Work, now: float, verdict: Verdict) -> None:
     found, why = inherit(work, now)
     assert found is verdict and why
 
 
 @given(
-    st.sampled_from([SAFE, KEYED, KEYED_ALL, UNSAFE]), st.sampled_from(list(Stage)), st.floats(0.0, 30.0),
-    st.floats(0.0, 30.0), st.booleans(), st.booleans(), st.integers(0, 2), st.booleans(),
+    st.sampled_from([SAFE, KEYED, KEYED_ALL, UNSAFE]),
+    st.sampled_from(list(Stage)),
+    st.floats(0.0, 30.0),
+    st.floats(0.0, 30.0),
+    st.booleans(),
+    st.booleans(),
+    st.integers(0, 2),
+    st.booleans(),
     st.lists(st.tuples(st.floats(0.0, 30.0), st.booleans(), st.booleans()), max_size=3),
 )
 def test_the_rules_hold_for_everything_that_can_be_inherited(
-    kind: RequestClass, stage: Stage, deadline: float, now: float, body: bool, caller: bool, left: int, more: bool,
+    kind: RequestClass,
+    stage: Stage,
+    deadline: float,
+    now: float,
+    body: bool,
+    caller: bool,
+    left: int,
+    more: bool,
     sent: list[tuple[float, bool, bool]],
 ) -> None:
     tries = tuple(Past(1, at, maybe, maybe and joined) for at, maybe, joined in sent)
@@ -103,18 +119,21 @@
     return Try(1, 0, 0, 10.0, end, 5, 77, length, wrote=1000, read=500)
 
 
-@pytest.mark.parametrize(("one", "seen", "maybe", "joins"), [
-    (noted(), None, True, False),  # its connection is gone
-    (noted(), Seen(1000, 500), False, False),  # nothing has gone out
-    (noted(), Seen(1099, 500), False, False),  # all but the last byte
-    (noted(), Seen(1100, 500), True, True),
-    (noted(), Seen(1100, 501), True, False),  # a byte of the answer was read, and is lost
-    (noted(), Seen(1100, 500, ended=True), True, True),  # what it has answered is there to be read
-    (noted(0), Seen(1000, 500), False, False),  # a body that goes on while it comes
-    (noted(0), Seen(1001, 500), True, False),
-    (noted(end=End.NEVER), Seen(1100, 500), False, False),
-    (noted(end=End.MAYBE), Seen(1100, 500), True, False),
-])
+@pytest.mark.parametrize(
+    ("one", "seen", "maybe", "joins"),
+    [
+        (noted(), None, True, False),  # its connection is gone
+        (noted(), Seen(1000, 500), False, False),  # nothing has gone out
+        (noted(), Seen(1099, 500), False, False),  # all but the last byte
+        (noted(), Seen(1100, 500), True, True),
+        (noted(), Seen(1100, 501), True, False),  # a byte of the answer was read, and is lost
+        (noted(), Seen(1100, 500, ended=True), True, True),  # what it has answered is there to be read
+        (noted(0), Seen(1000, 500), False, False),  # a body that goes on while it comes
+        (noted(0), Seen(1001, 500), True, False),
+        (noted(end=End.NEVER), Seen(1100, 500), False, False),
+        (noted(end=End.MAYBE), Seen(1100, 500), True, False),
+    ],
+)
 def test_an_attempt_by_the_account_of_its_connection(one: Try, seen: Seen | None, maybe: bool, joins: bool) -> None:
     past = weigh_try(one, seen)
     assert (past.maybe_ran, past.joined) == (maybe, joins)
@@ -131,17 +150,29 @@
     return Entry(0, stage, 9, 77, 20.0, 9.0, request, True, True, closes, 300, 200, length, answer, (), None)
 
 
-@pytest.mark.parametrize(("seen", "left", "more"), [
-    (Seen(200, 300), 10, False), (Seen(203, 300), 7, False), (Seen(210, 300), 0, False), (Seen(210, 301), 0, True),
-])
+@pytest.mark.parametrize(
+    ("seen", "left", "more"),
+    [
+        (Seen(200, 300), 10, False),
+        (Seen(203, 300), 7, False),
+        (Seen(210, 300), 0, False),
+        (Seen(210, 301), 0, True),
+    ],
+)
 def test_of_an_answer_that_was_noted_the_rest_is_left(seen: Seen, left: int, more: bool) -> None:
     work = weigh(entry(Stage.ANSWERED, b"0123456789"), SAFE, seen, ())
     assert (work.left, work.more, work.caller) == (left, more, True)
 
 
-@pytest.mark.parametrize(("written", "verdict"), [
-    (200, Verdict.SEND), (203, Verdict.CUT), (210, Verdict.NOTHING), (211, Verdict.NOTHING),
-])
+@pytest.mark.parametrize(
+    ("written", "verdict"),
+    [
+        (200, Verdict.SEND),
+        (203, Verdict.CUT),
+        (210, Verdict.NOTHING),
+        (211, Verdict.NOTHING),
+    ],
+)
 def test_an_answer_of_which_only_the_length_was_noted(written: int, verdict: Verdict) -> None:
     work = weigh(entry(Stage.ANSWERED), SAFE, Seen(written, 300), ())
     assert inherit(work, 11.0)[0] is verdict
@@ -153,10 +184,16 @@
     assert not weigh(entry(Stage.ANSWERED, b"0123456789"), SAFE, Seen(211, 400), ()).caller
 
 
-@pytest.mark.parametrize(("seen", "how"), [
-    (None, Move.DROP), (Seen(5, 7, ended=True), Move.DROP), (Seen(5, 7), Move.KEEP), (Seen(5, 8), Move.REFUSE),
-    (Seen(6, 8), Move.DROP),  # what was read was answered at once
-])
+@pytest.mark.parametrize(
+    ("seen", "how"),
+    [
+        (None, Move.DROP),
+        (Seen(5, 7, ended=True), Move.DROP),
+        (Seen(5, 7), Move.KEEP),
+        (Seen(5, 8), Move.REFUSE),
+        (Seen(6, 8), Move.DROP),  # what was read was answered at once
+    ],
+)
 def test_a_connection_without_work(seen: Seen | None, how: Move) -> None:
     assert move(7, 5, seen)[0] is how
 
@@ -348,15 +385,24 @@
                 good.add(world)
                 waiting.append(world)
     stuck = [
-        world for world in ways if world not in good and any(life.state == "runs" for life in world.lives[1:])
+        world
+        for world in ways
+        if world not in good
+        and any(life.state == "runs" for life in world.lives[1:])
         and all(term < MOST_TERMS for _, _, term in world.claims)  # else only the bound of this model ends it
     ]
     assert not stuck, stuck[:1]
 
 
-@pytest.mark.parametrize("plant", [
-    Plant(no_fence=True), Plant(takes_received=True), Plant(believes_notes=True),
-], ids=["no fence", "takes what was received", "believes notes"])
+@pytest.mark.parametrize(
+    "plant",
+    [
+        Plant(no_fence=True),
+        Plant(takes_received=True),
+        Plant(believes_notes=True),
+    ],
+    ids=["no fence", "takes what was received", "believes notes"],
+)
 def test_a_double_claim_that_is_planted_is_found(plant: Plant) -> None:
     _, twice = explore(plant)
     assert twice
--- a/tests/unit/test_vigil.py
+++ b/tests/unit/test_vigil.py
@@ -79,9 +79,14 @@
     assert fleet.run(60.0) == [] and fleet.vigil.counts["suspected"] == 0
 
 
-@pytest.mark.parametrize(("kind", "within"), [
-    ({"stopped": True}, 0.5), ({}, 0.7), ({"ran": 0.99}, 3.3),
-])
+@pytest.mark.parametrize(
+    ("kind", "within"),
+    [
+        ({"stopped": True}, 0.5),
+        ({}, 0.7),
+        ({"ran": 0.99}, 3.3),
+    ],
+)
 def test_each_cause_has_its_own_patience(kind: dict[str, object], within: float) -> None:
     fleet = Fleet(8)
     fleet.run(5.0)
@@ -112,7 +117,11 @@
     assert fleet.done(key) == [Do.RELIEVE, Do.RETURN]
     assert fleet.acts[-1][0] - back >= POLICY.steady
     assert [text.split(": ")[1].split(",")[0] for _, text in fleet.vigil.explain(fleet.now, key[0])] == [
-        "suspect", "others accept for it", "well", "it accepts alone again"]
+        "suspect",
+        "others accept for it",
+        "well",
+        "it accepts alone again",
+    ]
 
 
 def test_one_that_flaps_is_relieved_once() -> None:
--- a/tests/virtual/test_hunt.py
+++ b/tests/virtual/test_hunt.py
@@ -17,7 +17,8 @@
 ROOT = Path(__file__).parent.parent.parent
 WINDOW = "1375..1385"  # around one of the few of the first 1,760 seeds that meet the defect below
 RARE = Mutant(
-    "a reset is reported as never ran, now and then", "backends",
+    "a reset is reported as never ran, now and then",
+    "backends",
     "self._pool.end(attempt, Outcome.BROKEN, None, why)",
     "rare = self.uses == 4 and len(attempt.body) == 3000 and attempt.server == 1\n"
     "            self._pool.end(attempt, Outcome.UNREACHABLE if rare else Outcome.BROKEN, None, why)",
@@ -47,9 +48,9 @@
 
 def test_shrinking_keeps_what_a_failure_needs_and_nothing_else() -> None:
     """A stand-in for the run: it fails with one fault and two requests, whatever else there is."""
-    plan = replace(script.draw(0, "fleet"), faults=tuple(
-        script.Fault(0.5 + i, "kill", f"proxy/{i % 4}") for i in range(5)
-    ))
+    plan = replace(
+        script.draw(0, "fleet"), faults=tuple(script.Fault(0.5 + i, "kill", f"proxy/{i % 4}") for i in range(5))
+    )
 
     def run(tried: script.Plan) -> Result:
         fails = plan.faults[3] in tried.faults and {plan.requests[7], plan.requests[50]} <= set(tried.requests)
@@ -78,12 +79,16 @@
     assert replayed.stdout.splitlines()[-1] == shown.stdout.splitlines()[-1]
 
 
-@pytest.mark.parametrize(("arguments", "what"), [
-    ((), "one of --seeds, --seed and --replay is needed"), (("--seeds", "9..3"), "'9..3' is not A..B"),
-    (("--seed", "1", "--world", "moon"), "'moon' is not one of any, one"),
-    (("--replay", "nowhere.world"), "nowhere.world"),
-    (("--seeds", "0..2", "--jobs", "-1"), "--jobs: -1 is below 0"),
-])
+@pytest.mark.parametrize(
+    ("arguments", "what"),
+    [
+        ((), "one of --seeds, --seed and --replay is needed"),
+        (("--seeds", "9..3"), "'9..3' is not A..B"),
+        (("--seed", "1", "--world", "moon"), "'moon' is not one of any, one"),
+        (("--replay", "nowhere.world"), "nowhere.world"),
+        (("--seeds", "0..2", "--jobs", "-1"), "--jobs: -1 is below 0"),
+    ],
+)
 def test_bad_usage_is_named(arguments: tuple[str, ...], what: str) -> None:
     done = simulate(ROOT, *arguments)
     assert done.returncode == 2 and what in done.stderr and "Traceback" not in done.stderr
--- a/tests/virtual/test_inheritance.py
+++ b/tests/virtual/test_inheritance.py
@@ -22,7 +22,8 @@
     """Three proxies; some are killed, or paused and killed, while requests of all classes are in hand."""
     rng = Random(seed)
     lines = [
-        f"world one seed {seed} seconds 6", "shape zones 1 tiers 1 proxies 3 backends 4",
+        f"world one seed {seed} seconds 6",
+        "shape zones 1 tiers 1 proxies 3 backends 4",
         f"link latency {rng.choice((0.0005, 0.004))} jitter 1 bandwidth 10000000 cut {rng.choice((0.0, 0.5))} "
         f"lazy {rng.choice((0.0, 0.002))}",
         f"limits sockets 192 copies {rng.randrange(2)} cancel 1 shared 0 keeps 0 covers {covers}",
@@ -95,11 +96,20 @@
 
 def idle_world(*lines: str) -> Result:
     """Two proxies on one address each; what goes to the first that is killed goes on at the other."""
-    return play(script.read("\n".join([
-        "world one seed 3 seconds 6", "shape zones 1 tiers 1 proxies 2 backends 3",
-        "link latency 0.002 jitter 0 bandwidth 10000000 cut 0 lazy 0",
-        "limits sockets 192 copies 0 cancel 1 shared 0 keeps 0 covers 1", *lines,
-    ]) + "\n"))
+    return play(
+        script.read(
+            "\n".join(
+                [
+                    "world one seed 3 seconds 6",
+                    "shape zones 1 tiers 1 proxies 2 backends 3",
+                    "link latency 0.002 jitter 0 bandwidth 10000000 cut 0 lazy 0",
+                    "limits sockets 192 copies 0 cancel 1 shared 0 keeps 0 covers 1",
+                    *lines,
+                ]
+            )
+            + "\n"
+        )
+    )
 
 
 def test_a_long_body_is_not_taken_for_what_came_behind_it() -> None:
--- a/tests/virtual/test_loop.py
+++ b/tests/virtual/test_loop.py
@@ -274,8 +274,18 @@
 
 
 PROGRAMS = [
-    half_close, close_sends_what_is_left, back_pressure, abort, close_with_bytes_unread, close_when_data_comes,
-    write_to_one_that_has_gone, write_after_the_end, refused, paused_and_resumed_in_order, streams, order,
+    half_close,
+    close_sends_what_is_left,
+    back_pressure,
+    abort,
+    close_with_bytes_unread,
+    close_when_data_comes,
+    write_to_one_that_has_gone,
+    write_after_the_end,
+    refused,
+    paused_and_resumed_in_order,
+    streams,
+    order,
 ]
 
 
--- a/tests/virtual/test_oracles.py
+++ b/tests/virtual/test_oracles.py
@@ -68,10 +68,16 @@
     assert broken(account) == ["no request lost"]
 
 
-@pytest.mark.parametrize(("kind", "rejected", "breaks"), [
-    ("view", False, []), ("submit", False, ["no effect twice"]), ("pay", False, ["no effect twice"]),
-    ("submit", True, []), ("pay", True, []),
-])
+@pytest.mark.parametrize(
+    ("kind", "rejected", "breaks"),
+    [
+        ("view", False, []),
+        ("submit", False, ["no effect twice"]),
+        ("pay", False, ["no effect twice"]),
+        ("submit", True, []),
+        ("pay", True, []),
+    ],
+)
 def test_a_refusal_says_that_nothing_ran(kind: str, rejected: bool, breaks: list[str]) -> None:
     account = ledger()
     account.sent(1.0, "a", kind, "p", "c", 1.0)
@@ -82,10 +88,16 @@
     assert broken(account) == breaks
 
 
-@pytest.mark.parametrize(("kind", "node", "after", "breaks"), [
-    ("view", "s-3", 0.5, []), ("pay", "s-1", 0.5, ["no effect twice"]), ("submit", "s-2", 0.5, []),
-    ("submit", "s-3", 0.5, ["no effect twice"]), ("submit", "s-2", 3.2, ["no effect twice"]),
-])
+@pytest.mark.parametrize(
+    ("kind", "node", "after", "breaks"),
+    [
+        ("view", "s-3", 0.5, []),
+        ("pay", "s-1", 0.5, ["no effect twice"]),
+        ("submit", "s-2", 0.5, []),
+        ("submit", "s-3", 0.5, ["no effect twice"]),
+        ("submit", "s-2", 3.2, ["no effect twice"]),
+    ],
+)
 def test_a_further_attempt(kind: str, node: str, after: float, breaks: list[str]) -> None:
     account = ledger()
     account.sent(1.0, "a", kind, "p", "c", 5.0)
@@ -135,8 +147,14 @@
     account.came(1.6, "e", "s-2", 7)
     account.surplus(1.7, "p", b"HTTP/1.1 200")
     assert broken(account) == [
-        "right answer", "one answer", "right answer", "turned away",
-        "right request", "right request", "right request", "one answer",
+        "right answer",
+        "one answer",
+        "right answer",
+        "turned away",
+        "right request",
+        "right request",
+        "right request",
+        "one answer",
     ]
 
 
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -76,8 +76,15 @@
         await self._on(self.network.machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
         raw = settings(1, 0)
         told = config.Config(
-            name="p", listen=FRONT, discovery=("10.4.0.1", hosts.port), seed=self.seed, memory_mb=64, sockets=256,
-            known={}, settings=read_settings(raw), zones=tuple(raw["Zones"]),
+            name="p",
+            listen=FRONT,
+            discovery=("10.4.0.1", hosts.port),
+            seed=self.seed,
+            memory_mb=64,
+            sockets=256,
+            known={},
+            settings=read_settings(raw),
+            zones=tuple(raw["Zones"]),
         )
 
         def start() -> None:
@@ -107,8 +114,11 @@
         return self.load.figures
 
 
-def play(seed: int, seconds: float = 30.0, faults: Callable[[World], dict[float, Callable[[], None]]] | None = None,
-         ) -> tuple[Figures, World]:
+def play(
+    seed: int,
+    seconds: float = 30.0,
+    faults: Callable[[World], dict[float, Callable[[], None]]] | None = None,
+) -> tuple[Figures, World]:
     world = World(seed)
     figures = run(world.loop, world.play(seconds, faults(world) if faults is not None else {}))
     return figures, world
@@ -116,11 +126,18 @@
 
 def digest(seed: int) -> str:
     """Of all that can be seen of a run with faults and a crowd."""
-    figures, world = play(seed, 15.0, lambda w: {
-        2.0: lambda: w.crowd(30),
-        3.0: w.machines[0].pause, 6.0: w.machines[0].resume, 8.0: lambda: setattr(w.machines[1], "silent", True),
-        10.0: w.front.pause, 10.5: w.front.resume,
-    })
+    figures, world = play(
+        seed,
+        15.0,
+        lambda w: {
+            2.0: lambda: w.crowd(30),
+            3.0: w.machines[0].pause,
+            6.0: w.machines[0].resume,
+            8.0: lambda: setattr(w.machines[1], "silent", True),
+            10.0: w.front.pause,
+            10.5: w.front.resume,
+        },
+    )
     assert world.proxy is not None
     text = repr((vars(figures), world.ends, sorted(world.proxy.tallies.items()), world.loop.steps, world.loop.time()))
     return hashlib.sha256(text.encode()).hexdigest()
@@ -143,9 +160,15 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_paused_backends_and_a_paused_proxy_lose_nothing(seed: int) -> None:
-    figures, _ = play(seed, faults=lambda w: {
-        5.0: w.machines[1].pause, 7.0: w.machines[1].resume, 12.0: w.front.pause, 12.4: w.front.resume,
-    })
+    figures, _ = play(
+        seed,
+        faults=lambda w: {
+            5.0: w.machines[1].pause,
+            7.0: w.machines[1].resume,
+            12.0: w.front.pause,
+            12.4: w.front.resume,
+        },
+    )
     assert figures.lost == 0 and figures.served > 0.9 * figures.sent, figures
 
 
--- a/tests/virtual/test_script.py
+++ b/tests/virtual/test_script.py
@@ -40,25 +40,28 @@
     assert plan.seed == 3 and plan.seconds == 2.0 and plan.requests == (script.Ask(1, 0.5, "view"),)
 
 
-@pytest.mark.parametrize(("line", "what"), [
-    ("wrold one", "'wrold' is not one of world"),
-    ("world", "no name"),
-    ("world one seed", "'seed' has no value"),
-    ("world one seed x", "seed: 'x' is not a number"),
-    ("world one speed 3", "'speed' is not one of seed, seconds"),
-    ("link latency nan", "latency"),
-    ("request 1 at 0.5 buy", "request: not of the form"),
-    ("request 1 at 0.5 view size 3", "'size' is not one of zone"),
-    ("request 1 at 0.5 view zone 7", "zone is not there"),
-    ("fault at 1 explode proxy/0", "fault: not of the form"),
-    ("fault at 1 kill node/0", "'node/0' is not proxy/NUMBER or backend/NUMBER or discovery/NUMBER"),
-    ("fault at 1 slow proxy/0", "'proxy/0' is not backend/NUMBER"),
-    ("fault at 1 kill proxy/9", "proxy/9: there are 1"),
-    ("fault at 1 kill proxy/0 for", "'for' has no value"),
-    ("shape backends 0", "backends: must be above 0"),
-    ("shape backends 100000", "at most"),
-    ("link cut 1", "cut is under 0.95"),
-])
+@pytest.mark.parametrize(
+    ("line", "what"),
+    [
+        ("wrold one", "'wrold' is not one of world"),
+        ("world", "no name"),
+        ("world one seed", "'seed' has no value"),
+        ("world one seed x", "seed: 'x' is not a number"),
+        ("world one speed 3", "'speed' is not one of seed, seconds"),
+        ("link latency nan", "latency"),
+        ("request 1 at 0.5 buy", "request: not of the form"),
+        ("request 1 at 0.5 view size 3", "'size' is not one of zone"),
+        ("request 1 at 0.5 view zone 7", "zone is not there"),
+        ("fault at 1 explode proxy/0", "fault: not of the form"),
+        ("fault at 1 kill node/0", "'node/0' is not proxy/NUMBER or backend/NUMBER or discovery/NUMBER"),
+        ("fault at 1 slow proxy/0", "'proxy/0' is not backend/NUMBER"),
+        ("fault at 1 kill proxy/9", "proxy/9: there are 1"),
+        ("fault at 1 kill proxy/0 for", "'for' has no value"),
+        ("shape backends 0", "backends: must be above 0"),
+        ("shape backends 100000", "at most"),
+        ("link cut 1", "cut is under 0.95"),
+    ],
+)
 def test_what_cant_be_read_is_named_with_its_line(line: str, what: str) -> None:
     with pytest.raises(ConfigError) as fault:
         script.read(f"# first\n{line}\n", "x.world")
--- a/tests/virtual/test_staleness.py
+++ b/tests/virtual/test_staleness.py
@@ -112,8 +112,15 @@
     service = Service(network, machine)
     raw = settings(1, 0) | {"RegistryMode": mode}
     told = config.Config(
-        name="p", listen=("10.1.0.1", 9000), discovery=ADDRESS, seed=round(at * 1000), memory_mb=64, sockets=256,
-        known={}, settings=read_settings(raw), zones=tuple(raw["Zones"]),
+        name="p",
+        listen=("10.1.0.1", 9000),
+        discovery=ADDRESS,
+        seed=round(at * 1000),
+        memory_mb=64,
+        sockets=256,
+        known={},
+        settings=read_settings(raw),
+        zones=tuple(raw["Zones"]),
     )
     await loop.create_task(service.start(), context=machine.context())
 
--- a/tests/virtual/test_worlds.py
+++ b/tests/virtual/test_worlds.py
@@ -36,9 +36,15 @@
         many = script.counts(plan)
         whose, amount = script.FAULTS[what]
         faults = tuple(
-            script.Fault(1.0 + i, what, f"{whom}/{seed % many[whom]}", 0.0 if what in script.INSTANT else 0.8,
-                         15.0 if amount else 0.0)
-            for i, whom in enumerate(whose) if whom in many
+            script.Fault(
+                1.0 + i,
+                what,
+                f"{whom}/{seed % many[whom]}",
+                0.0 if what in script.INSTANT else 0.8,
+                15.0 if amount else 0.0,
+            )
+            for i, whom in enumerate(whose)
+            if whom in many
         )
         if what in ("lag", "coarse", "hasty"):
             faults = tuple(replace(fault, by=0.04) for fault in faults)
@@ -68,11 +74,17 @@
 """
 
 
-@pytest.mark.parametrize(("one", "other"), [
-    ("kill backend/0 for 0.5", "drain proxy/0 for 0.5"), ("leave backend/1 for 1", "reload proxy/0"),
-    ("silent backend/0 for 1", "kill backend/0 for 1"), ("pause proxy/0 for 0.3", "kill backend/1 for 0.5"),
-    ("kill proxy/0 for 0.5", "drain proxy/0 for 0.5"), ("reorder discovery/0 for 1", "leave backend/0 for 0.5"),
-])
+@pytest.mark.parametrize(
+    ("one", "other"),
+    [
+        ("kill backend/0 for 0.5", "drain proxy/0 for 0.5"),
+        ("leave backend/1 for 1", "reload proxy/0"),
+        ("silent backend/0 for 1", "kill backend/0 for 1"),
+        ("pause proxy/0 for 0.3", "kill backend/1 for 0.5"),
+        ("kill proxy/0 for 0.5", "drain proxy/0 for 0.5"),
+        ("reorder discovery/0 for 1", "leave backend/0 for 0.5"),
+    ],
+)
 def test_two_faults_on_one_tick_in_both_orders(one: str, other: str) -> None:
     requests = "\n".join(
         f"request {i} at {0.2 + 0.04 * i:.2f} {script.KINDS[i % 3]} zone {i % 2} want 200" for i in range(1, 100)
--- a/weldroute/benchlink.py
+++ b/weldroute/benchlink.py
@@ -114,9 +114,7 @@
     @staticmethod
     def _returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         how = OUTCOMES[e["How"]]
-        return b.outcome(
-            now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False)
-        )
+        return b.outcome(now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False))
 
     def event(self, now: float, e: dict[str, Any]) -> list[Action]:
         """Hand one event to its instance; returns the instance's actions."""
