--- a/weldroute/comeback.py
+++ b/weldroute/comeback.py
@@ -426,12 +426,21 @@
         times = {
             name: None if math.isnan(at) else round(at - marks.began, 4)
             for name, at in (
-                ("known", marks.known), ("first", marks.first), ("full", marks.full), ("settled", marks.settled)
+                ("known", marks.known),
+                ("first", marks.first),
+                ("full", marks.full),
+                ("settled", marks.settled),
             )
         }
         return {
-            "phase": self.phase.value, "told": self.told, **times, "connects": marks.connects, "held": marks.held,
-            "refused": marks.refused, "dropped": marks.dropped, "waiting": len(self._held),
+            "phase": self.phase.value,
+            "told": self.told,
+            **times,
+            "connects": marks.connects,
+            "held": marks.held,
+            "refused": marks.refused,
+            "dropped": marks.dropped,
+            "waiting": len(self._held),
         }
 
 
--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -106,7 +106,15 @@
     """The design's chance of refusing a call locally, for one server."""
 
     __slots__ = (
-        "_accepts", "_failing", "_requests", "_ring", "_width", "baseline", "current", "k", "last_pass",
+        "_accepts",
+        "_failing",
+        "_requests",
+        "_ring",
+        "_width",
+        "baseline",
+        "current",
+        "k",
+        "last_pass",
     )
 
     def __init__(self, window: float = WINDOW, k: float = K) -> None:
@@ -435,9 +443,7 @@
         self.sort_at = now + SORT_EVERY
         kinds, tenants = settings.classes, self.tenants
         slots = range(len(self.asked))
-        worths = [
-            kinds[s // (2 * tenants)].worth * (settings.over_share_worth if s % 2 else 1.0) for s in slots
-        ]
+        worths = [kinds[s // (2 * tenants)].worth * (settings.over_share_worth if s % 2 else 1.0) for s in slots]
         total = sum(self.asked)
         offered = sum(w * a for w, a in zip(worths, self.asked, strict=True))
         if total <= 0.0 or offered <= 0.0:
@@ -489,8 +495,22 @@
     """A request that a final answer is owed for, or that still has attempts out."""
 
     __slots__ = (
-        "arrived", "attempts", "bound", "coming", "copy_at", "counted", "deadline", "done", "horizon", "id", "kind",
-        "open", "slot", "spent", "tenant", "young",
+        "arrived",
+        "attempts",
+        "bound",
+        "coming",
+        "copy_at",
+        "counted",
+        "deadline",
+        "done",
+        "horizon",
+        "id",
+        "kind",
+        "open",
+        "slot",
+        "spent",
+        "tenant",
+        "young",
     )
 
     def __init__(self, rid: RequestId, kind: int, tenant: int, now: float, deadline: float) -> None:
@@ -738,7 +758,12 @@
     # ---- requests ------------------------------------------------------------------------
 
     def request(
-        self, now: float, rid: RequestId, kind: int = 0, tenant: int = 0, deadline: float | None = None,
+        self,
+        now: float,
+        rid: RequestId,
+        kind: int = 0,
+        tenant: int = 0,
+        deadline: float | None = None,
         coming: bool = False,
     ) -> list[Action]:
         """A new request; exactly one final answer is owed from here on.
@@ -789,7 +814,13 @@
         return out
 
     def inherit(
-        self, now: float, rid: RequestId, kind: int, tenant: int, deadline: float, past: Sequence[Past],
+        self,
+        now: float,
+        rid: RequestId,
+        kind: int,
+        tenant: int,
+        deadline: float,
+        past: Sequence[Past],
         spent: bool = False,
     ) -> list[Action]:
         """A request that another process took and did not finish: it was let in there, and its attempts count.
@@ -873,9 +904,7 @@
             out.append(Timer(unsure[0].copy_at, COPY))
         return out
 
-    def _send(
-        self, now: float, request: Request, among: list[Server] | None, first: bool, out: list[Action]
-    ) -> bool:
+    def _send(self, now: float, request: Request, among: list[Server] | None, first: bool, out: list[Action]) -> bool:
         server = self._pick(now, request, among, first)
         if server is None:
             return False
@@ -920,9 +949,7 @@
         self._launch(now, request, server, out)
         return True
 
-    def _pick(
-        self, now: float, request: Request, among: list[Server] | None, first: bool
-    ) -> Server | None:
+    def _pick(self, now: float, request: Request, among: list[Server] | None, first: bool) -> Server | None:
         """Two random ready servers, the better unless its breaker refuses, then the other or one drawn anew.
 
         Where crossings of zones have a price, both are of the own zone and a third is of the others: it is
@@ -965,8 +992,14 @@
         return None
 
     def _draw(
-        self, now: float, circle: Circle, first: bool, timeout: float, tried: list[Server],
-        chosen: list[tuple[float, int, Server]], skipped: list[Server],
+        self,
+        now: float,
+        circle: Circle,
+        first: bool,
+        timeout: float,
+        tried: list[Server],
+        chosen: list[tuple[float, int, Server]],
+        skipped: list[Server],
     ) -> None:
         """Add one more random ready server of a circle to the candidates, if there is one left."""
         rng, rules = self.rng, self.settings.rules
@@ -1109,9 +1142,7 @@
                 self._answer(now, request, out)
         return out
 
-    def _learn(
-        self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float
-    ) -> None:
+    def _learn(self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float) -> None:
         server = attempt.server
         server.out.pop(attempt, None)
         breaker = server.breaker
--- a/weldroute/facts.py
+++ b/weldroute/facts.py
@@ -135,8 +135,11 @@
         """All for operators, what is over too: who wrote it, and how long ago it came here."""
         return [
             {
-                "key": key, "value": held.fact.value or None, "by": held.fact.stamp[2],
-                "at": held.fact.stamp[0] / 1000.0, "since": round(now - held.since, 2),
+                "key": key,
+                "value": held.fact.value or None,
+                "by": held.fact.stamp[2],
+                "at": held.fact.stamp[0] / 1000.0,
+                "since": round(now - held.since, 2),
             }
             for key, held in sorted(self._held.items())
         ]
--- a/weldroute/fleet.py
+++ b/weldroute/fleet.py
@@ -175,8 +175,21 @@
     """One try at an instance."""
 
     __slots__ = (
-        "beat_at", "busy", "cpu", "cpu_at", "deadline", "ending", "finished", "finished_at", "generation", "phase",
-        "piped", "ready_at", "since", "up_at", "waits",
+        "beat_at",
+        "busy",
+        "cpu",
+        "cpu_at",
+        "deadline",
+        "ending",
+        "finished",
+        "finished_at",
+        "generation",
+        "phase",
+        "piped",
+        "ready_at",
+        "since",
+        "up_at",
+        "waits",
     )
 
     def __init__(self, generation: int, now: float, deadline: float) -> None:
@@ -426,7 +439,8 @@
         return [
             (i.name, i.current.generation)
             for i in self.instances.values()
-            if i.current is not None and i.current.phase is Phase.READY
+            if i.current is not None
+            and i.current.phase is Phase.READY
             and now - min(i.current.beat_at, i.current.up_at) > self.policy.hang_after / 3.0
         ]
 
@@ -617,8 +631,9 @@
         """Start in waves what a blow has ended and nobody has started again yet."""
         assert self.herd is not None
         down = [
-            instance for name in blow.names if (instance := self.instances.get(name)) is not None
-            and instance.current is None and instance.wanted
+            instance
+            for name in blow.names
+            if (instance := self.instances.get(name)) is not None and instance.current is None and instance.wanted
         ]
         due = self.herd.spread(blow, [(instance.name, instance.tier) for instance in down])
         for instance in down:
@@ -823,9 +838,13 @@
         instance = self.instances[name]
         current = instance.current
         return {
-            "name": name, "state": instance.state.value, "since": round(now - instance.since, 3),
-            "generation": current.generation if current else instance.generation, "restarts": instance.restarts,
+            "name": name,
+            "state": instance.state.value,
+            "since": round(now - instance.since, 3),
+            "generation": current.generation if current else instance.generation,
+            "restarts": instance.restarts,
             "last_exit": str(instance.last_exit) if instance.last_exit else None,
-            "reason": instance.reason or None, "next_start": round(instance.due - now, 3) if instance.due else None,
+            "reason": instance.reason or None,
+            "next_start": round(instance.due - now, 3) if instance.due else None,
             "processes": len(instance.processes),
         }
--- a/weldroute/handover.py
+++ b/weldroute/handover.py
@@ -186,8 +186,11 @@
     def write(self) -> dict[str, Any]:
         """The form."""
         return {
-            "form": FORM, "version": self.version, "evacuated": self.evacuated,
-            "bans": [list(ban) for ban in self.bans], "returned": [list(span) for span in self.returned],
+            "form": FORM,
+            "version": self.version,
+            "evacuated": self.evacuated,
+            "bans": [list(ban) for ban in self.bans],
+            "returned": [list(span) for span in self.returned],
         }
 
 
@@ -262,9 +265,14 @@
 def write_learned(balancer: Balancer, now: float) -> dict[str, Any]:
     """What a balancer has learned."""
     servers = [
-        [server.row.server, server.row.started, {name: getattr(server, name) for name in SERVER},
-         _write_breaker(server.breaker) if server.breaker is not None else None]
-        for server in balancer.servers.values() if server.latency > 0.0 or server.breaker is not None or server.back
+        [
+            server.row.server,
+            server.row.started,
+            {name: getattr(server, name) for name in SERVER},
+            _write_breaker(server.breaker) if server.breaker is not None else None,
+        ]
+        for server in balancer.servers.values()
+        if server.latency > 0.0 or server.breaker is not None or server.back
     ]
     form: dict[str, Any] = {"form": FORM, "at": now, "servers": servers}
     form |= {name: getattr(balancer, name) for name in BALANCER}
--- a/weldroute/herd.py
+++ b/weldroute/herd.py
@@ -85,8 +85,11 @@
         counts = {phase: sum(phase in self.parts.get(name, ()) for name in self.names) for phase in PHASES}
         many = len(self.names)
         wanted = {
-            "up": counts["up"] == many, "known": counts["known"] == many, "first": counts["first"] >= 1,
-            "half": 2 * counts["full"] >= many, "full": counts["full"] == many,
+            "up": counts["up"] == many,
+            "known": counts["known"] == many,
+            "first": counts["first"] >= 1,
+            "half": 2 * counts["full"] >= many,
+            "full": counts["full"] == many,
         }
         fresh = [phase for phase in PHASES if wanted[phase] and phase not in self.reached]
         for phase in fresh:
@@ -105,9 +108,14 @@
             for key in ("connects", "held", "refused", "dropped")
         }
         return {
-            "event": self.ident, "ago": round(now - self.at, 3), "ended": len(self.names), "of": self.of,
-            "cause": self.cause, "over": self.over,
-            **{phase: round(self.reached[phase], 3) if phase in self.reached else None for phase in PHASES}, **costs,
+            "event": self.ident,
+            "ago": round(now - self.at, 3),
+            "ended": len(self.names),
+            "of": self.of,
+            "cause": self.cause,
+            "over": self.over,
+            **{phase: round(self.reached[phase], 3) if phase in self.reached else None for phase in PHASES},
+            **costs,
         }
 
 
--- a/weldroute/inhand.py
+++ b/weldroute/inhand.py
@@ -385,8 +385,19 @@
     # ---- requests ------------------------------------------------------------------------
 
     def take(
-        self, request: bytes, deadline: float, taken: float, caller: int, peer: int, read: int, whole: bool,
-        closes: bool, origin: Origin | None = None, key: int = 0, before: int = NONE, until: float = 0.0,
+        self,
+        request: bytes,
+        deadline: float,
+        taken: float,
+        caller: int,
+        peer: int,
+        read: int,
+        whole: bool,
+        closes: bool,
+        origin: Origin | None = None,
+        key: int = 0,
+        before: int = NONE,
+        until: float = 0.0,
     ) -> int:
         """Note a request; returns its handle, or NONE where it is not covered. `key`: a digest, or 0.
 
@@ -407,17 +418,54 @@
         if key:
             self._cells[at + UNTIL] = int(until * TO_NS)
         _ENTRY.pack_into(
-            self._memory, 8 * (at + CALLER), caller, peer, int(deadline * TO_NS), int(taken * TO_NS), len(request),
-            first, zlib.adler32(request), (WHOLE | CAME) * whole + CLOSES * closes, process, theirs, term, read, key,
-            0, 0, 0, 0, 0, NONE, 0, _TAKEN, serial,
+            self._memory,
+            8 * (at + CALLER),
+            caller,
+            peer,
+            int(deadline * TO_NS),
+            int(taken * TO_NS),
+            len(request),
+            first,
+            zlib.adler32(request),
+            (WHOLE | CAME) * whole + CLOSES * closes,
+            process,
+            theirs,
+            term,
+            read,
+            key,
+            0,
+            0,
+            0,
+            0,
+            0,
+            NONE,
+            0,
+            _TAKEN,
+            serial,
         )
         self.covered += 1
         return serial << 16 | slot
 
     def begin(
-        self, request: bytes, deadline: float, taken: float, caller: int, peer: int, read: int, closes: bool,
-        before: int, server: ServerId, zone: int, cell: int, connection: int, name: int, length: int, wrote: int,
-        got: int, key: int = 0, until: float = 0.0,
+        self,
+        request: bytes,
+        deadline: float,
+        taken: float,
+        caller: int,
+        peer: int,
+        read: int,
+        closes: bool,
+        before: int,
+        server: ServerId,
+        zone: int,
+        cell: int,
+        connection: int,
+        name: int,
+        length: int,
+        wrote: int,
+        got: int,
+        key: int = 0,
+        until: float = 0.0,
     ) -> int:
         """`take` and `sends` in one write, for most requests: small, here whole, sent at once."""
         slot = self._take_slot(before)
@@ -431,9 +479,40 @@
         if key:
             self._cells[(at >> 3) + UNTIL] = int(until * TO_NS)
         _FIRST.pack_into(
-            self._memory, at + 8 * TRY_AT, server, zone, cell, now, 0, connection, name, length, wrote, got,
-            caller, peer, int(deadline * TO_NS), now, len(request), HERE, zlib.adler32(request),
-            _WHOLE_CLOSES if closes else _WHOLE, 0, 0, 0, read, key, 0, 0, 1, 0, 0, NONE, 0, _SENT, serial,
+            self._memory,
+            at + 8 * TRY_AT,
+            server,
+            zone,
+            cell,
+            now,
+            0,
+            connection,
+            name,
+            length,
+            wrote,
+            got,
+            caller,
+            peer,
+            int(deadline * TO_NS),
+            now,
+            len(request),
+            HERE,
+            zlib.adler32(request),
+            _WHOLE_CLOSES if closes else _WHOLE,
+            0,
+            0,
+            0,
+            read,
+            key,
+            0,
+            0,
+            1,
+            0,
+            0,
+            NONE,
+            0,
+            _SENT,
+            serial,
         )
         self.covered += 1
         return serial << 16 | slot
@@ -450,8 +529,18 @@
             self._cells[at + FLAGS] |= CAME
 
     def sends(
-        self, handle: int, server: ServerId, zone: int, cell: int, sent: float, connection: int, name: int,
-        length: int, wrote: int, read: int, end: End = End.OPEN,
+        self,
+        handle: int,
+        server: ServerId,
+        zone: int,
+        cell: int,
+        sent: float,
+        connection: int,
+        name: int,
+        length: int,
+        wrote: int,
+        read: int,
+        end: End = End.OPEN,
     ) -> int:
         """An attempt is about to be written (see `Try`); returns its place, or NONE."""
         at = self._find(handle)
@@ -462,8 +551,18 @@
         if place >= TRIES:
             return NONE
         _TRY.pack_into(
-            self._memory, 8 * (at + TRY_AT - place * TRY_CELLS), server, zone, cell, int(sent * TO_NS), end,
-            connection, name, length, wrote, read,
+            self._memory,
+            8 * (at + TRY_AT - place * TRY_CELLS),
+            server,
+            zone,
+            cell,
+            int(sent * TO_NS),
+            end,
+            connection,
+            name,
+            length,
+            wrote,
+            read,
         )
         cells[at + COUNT] = place + 1
         if cells[at + STAGE] == _TAKEN:
@@ -504,14 +603,33 @@
     def renote(self, entry: Entry, origin: Origin, caller: int, tries: list[int]) -> int:
         """Note work of another's book with all that is known of it; `tries` are the attempts' descriptors here."""
         handle = self.take(
-            entry.request, entry.deadline, entry.taken, caller, entry.peer, entry.read, entry.whole, entry.closes,
-            origin, entry.key, NONE, entry.until,
+            entry.request,
+            entry.deadline,
+            entry.taken,
+            caller,
+            entry.peer,
+            entry.read,
+            entry.whole,
+            entry.closes,
+            origin,
+            entry.key,
+            NONE,
+            entry.until,
         )
         if entry.came and not entry.whole:
             self.came(handle, entry.deadline, entry.read)
         for one, connection in zip(entry.tries, tries, strict=True):
             self.sends(
-                handle, one.server, one.zone, one.cell, one.at, connection, one.name, one.length, one.wrote, one.read,
+                handle,
+                one.server,
+                one.zone,
+                one.cell,
+                one.at,
+                connection,
+                one.name,
+                one.length,
+                one.wrote,
+                one.read,
                 one.end,
             )
         if entry.stage is Stage.PASSING:
@@ -599,9 +717,23 @@
         origin = Origin(*cells[at + ORIGIN : at + ORIGIN_TERM + 1]) if cells[at + ORIGIN] else None
         flags = cells[at + FLAGS]
         return Entry(
-            slot, stage, cells[at + CALLER], cells[at + PEER], cells[at + DEADLINE] / TO_NS,
-            cells[at + TAKEN] / TO_NS, request, bool(flags & WHOLE), bool(flags & CAME), bool(flags & CLOSES),
-            cells[at + READ], cells[at + WROTE], cells[at + ANSWER_LENGTH], answer, tries, origin, cells[at + KEY],
+            slot,
+            stage,
+            cells[at + CALLER],
+            cells[at + PEER],
+            cells[at + DEADLINE] / TO_NS,
+            cells[at + TAKEN] / TO_NS,
+            request,
+            bool(flags & WHOLE),
+            bool(flags & CAME),
+            bool(flags & CLOSES),
+            cells[at + READ],
+            cells[at + WROTE],
+            cells[at + ANSWER_LENGTH],
+            answer,
+            tries,
+            origin,
+            cells[at + KEY],
             cells[at + UNTIL] / TO_NS if cells[at + KEY] else 0.0,
         )
 
@@ -627,9 +759,7 @@
 
     def _answer(self, at: int) -> bytes | None:
         cells = self._pages.cells
-        answer = self._pages.gather(
-            8 * (at + CELLS) + INLINE, cells[at + ANSWER_FIRST], cells[at + ANSWER_LENGTH]
-        )
+        answer = self._pages.gather(8 * (at + CELLS) + INLINE, cells[at + ANSWER_FIRST], cells[at + ANSWER_LENGTH])
         return answer if answer is not None and zlib.adler32(answer) == cells[at + ANSWER_CHECK] else None
 
     # ---- the claim -----------------------------------------------------------------------
--- a/weldroute/leases.py
+++ b/weldroute/leases.py
@@ -318,8 +318,15 @@
     def key(self, now: float) -> tuple[object, ...]:
         """All that its acts depend on, with times from now: for tests that explore."""
         one = self._round
-        tried = None if one is None else (
-            one.ballot, now - one.since, None if math.isnan(one.proposed) else now - one.proposed,
-            tuple(sorted(one.promises)), tuple(sorted(one.accepted)),
+        tried = (
+            None
+            if one is None
+            else (
+                one.ballot,
+                now - one.since,
+                None if math.isnan(one.proposed) else now - one.proposed,
+                tuple(sorted(one.promises)),
+                tuple(sorted(one.accepted)),
+            )
         )
         return (self._seen, tried, max(0.0, self._next - now), self._lease, max(0.0, self._until - now), self.wishes)
--- a/weldroute/links.py
+++ b/weldroute/links.py
@@ -189,7 +189,8 @@
             self._tokens = min(policy.burst, self._tokens + policy.dials * max(0.0, now - self._filled))
         self._filled = now
         due = [
-            (one.dial_at, address) for address, one in self.neighbours.items()
+            (one.dial_at, address)
+            for address, one in self.neighbours.items()
             if not one.up and math.isnan(one.dialling) and one.outbox.count and now >= one.dial_at
         ]
         chosen = [address for _, address in sorted(due)[: int(self._tokens)]]
@@ -258,8 +259,12 @@
         """All neighbours for operators, by address."""
         return [
             {
-                "address": address, "up": one.up, "failed": one.failed, "waiting": one.outbox.count,
-                "waiting_bytes": one.outbox.bytes, "late": one.outbox.late,
+                "address": address,
+                "up": one.up,
+                "failed": one.failed,
+                "waiting": one.outbox.count,
+                "waiting_bytes": one.outbox.bytes,
+                "late": one.outbox.late,
                 "dropped": {kind.name.lower(): one.outbox.dropped[kind] for kind in Kind if one.outbox.dropped[kind]},
                 "silent_for": round(now - one.spoke, 2) if one.up else None,
             }
--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -233,7 +233,14 @@
     """One member's view of all."""
 
     def __init__(
-        self, policy: MemberPolicy, fleet: str, name: str, address: str, seeds: Iterable[str], now: float, seed: int,
+        self,
+        policy: MemberPolicy,
+        fleet: str,
+        name: str,
+        address: str,
+        seeds: Iterable[str],
+        now: float,
+        seed: int,
         zone: str = "",
     ) -> None:
         policy.check()
@@ -378,17 +385,27 @@
         if target is None:
             return
         others = [
-            one.row for one in self.members.values()
-            if one.row.state is State.ALIVE and one.row.name != probe.target
+            one.row for one in self.members.values() if one.row.state is State.ALIVE and one.row.name != probe.target
         ]
         helpers = self._rng.sample(others, min(self.policy.helpers, len(others)))
         probe.helpers = len(helpers)
         self._ping(probe.target, probe.number)  # once more: where messages get lost, two are better than one
         left = 0.8 * max(0.0, probe.until - now)
         for row in helpers:
-            self._out.append(Send(row.address, PingFor(
-                self.fleet, self.me.name, probe.number, probe.target, target.row.address, left, self._riding(),
-            )))
+            self._out.append(
+                Send(
+                    row.address,
+                    PingFor(
+                        self.fleet,
+                        self.me.name,
+                        probe.number,
+                        probe.target,
+                        target.row.address,
+                        left,
+                        self._riding(),
+                    ),
+                )
+            )
 
     def _look_relays(self, now: float) -> None:
         for number, relay in list(self._relays.items()):
@@ -613,9 +630,13 @@
         ones = [Member(self.me, now), *(self.members[name] for name in sorted(self.members))]
         return [
             {
-                "name": one.row.name, "address": one.row.address, "zone": one.row.zone,
-                "state": one.row.state.name.lower(), "incarnation": one.row.incarnation,
-                "since": round(now - one.since, 2), "suspected_by": sorted(one.confirmed),
+                "name": one.row.name,
+                "address": one.row.address,
+                "zone": one.row.zone,
+                "state": one.row.state.name.lower(),
+                "incarnation": one.row.incarnation,
+                "since": round(now - one.since, 2),
+                "suspected_by": sorted(one.confirmed),
             }
             for one in ones
         ]
--- a/weldroute/operations.py
+++ b/weldroute/operations.py
@@ -97,15 +97,20 @@
         drained = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE
         if self._stopped_at is None:
             return Posture(
-                up=not self.evacuated, listens=not (self._yielding or self.aside),
-                closes=self.evacuated or self._yielding or self.aside, keeps_idle=not drained,
+                up=not self.evacuated,
+                listens=not (self._yielding or self.aside),
+                closes=self.evacuated or self._yielding or self.aside,
+                keeps_idle=not drained,
             )
         since = now - self._stopped_at
         listens = since < STOP_ACCEPT and not self._yielding
         over = since >= self._keep
         return Posture(
-            up=listens and not self.evacuated, listens=listens, closes=over or self._yielding or self.evacuated,
-            keeps_idle=not over and not drained, keeps_partial=since < self._keep + STOP_READ,
+            up=listens and not self.evacuated,
+            listens=listens,
+            closes=over or self._yielding or self.evacuated,
+            keeps_idle=not over and not drained,
+            keeps_partial=since < self._keep + STOP_READ,
         )
 
     # ---- events --------------------------------------------------------------------------
--- a/weldroute/remember.py
+++ b/weldroute/remember.py
@@ -53,10 +53,15 @@
 
 #: What each verdict lets a process take: orders of operators, the list, what was learned.
 TAKES: Mapping[Trust, frozenset[str]] = {
-    Trust.NOTHING: frozenset(), Trust.NEWER: frozenset(), Trust.FOREIGN: frozenset(),
-    Trust.AHEAD: frozenset({"standing"}), Trust.UNDATED: frozenset({"standing", "list"}),
-    Trust.OLD: frozenset({"standing"}), Trust.OVERTAKEN: frozenset({"standing"}),
-    Trust.AGED: frozenset({"standing", "list"}), Trust.FRESH: frozenset({"standing", "list", "learned"}),
+    Trust.NOTHING: frozenset(),
+    Trust.NEWER: frozenset(),
+    Trust.FOREIGN: frozenset(),
+    Trust.AHEAD: frozenset({"standing"}),
+    Trust.UNDATED: frozenset({"standing", "list"}),
+    Trust.OLD: frozenset({"standing"}),
+    Trust.OVERTAKEN: frozenset({"standing"}),
+    Trust.AGED: frozenset({"standing", "list"}),
+    Trust.FRESH: frozenset({"standing", "list", "learned"}),
 }
 
 
@@ -92,9 +97,16 @@
     def write(self) -> dict[str, Any]:
         """As plain values."""
         return {
-            "form": self.form, "kind": self.kind, "serial": self.serial, "fleet": self.owner.fleet,
-            "instance": self.owner.instance, "epoch": self.owner.epoch, "unix": self.at.unix, "boot": self.at.boot,
-            "since_boot": self.at.since_boot, "body": self.body,
+            "form": self.form,
+            "kind": self.kind,
+            "serial": self.serial,
+            "fleet": self.owner.fleet,
+            "instance": self.owner.instance,
+            "epoch": self.owner.epoch,
+            "unix": self.at.unix,
+            "boot": self.at.boot,
+            "since_boot": self.at.since_boot,
+            "body": self.body,
         }
 
 
@@ -124,16 +136,20 @@
     if form > FORM:
         return Record("", 0, Owner("", "", 0), Moment(0.0, "", 0.0), None, form)
     return Record(
-        _text(value.get("kind"), "kind"), _count(value.get("serial"), "serial"),
+        _text(value.get("kind"), "kind"),
+        _count(value.get("serial"), "serial"),
         Owner(
-            _text(value.get("fleet"), "fleet"), _text(value.get("instance"), "instance"),
+            _text(value.get("fleet"), "fleet"),
+            _text(value.get("instance"), "instance"),
             _count(value.get("epoch"), "epoch"),
         ),
         Moment(
-            _real(value.get("unix"), "unix"), _text(value.get("boot"), "boot"),
+            _real(value.get("unix"), "unix"),
+            _text(value.get("boot"), "boot"),
             _real(value.get("since_boot"), "since_boot"),
         ),
-        value.get("body"), form,
+        value.get("body"),
+        form,
     )
 
 
--- a/weldroute/siblings.py
+++ b/weldroute/siblings.py
@@ -167,8 +167,13 @@
 def read_account(cells: Sequence[int], tier: int) -> Account:
     """A process's account out of its cells; a count that is being written is off by one at most."""
     return Account(
-        tier, tuple(cells[REACHED : REACHED + ZONES]), tuple(cells[MISSED : MISSED + ZONES]), cells[LOGS] / MICRO,
-        cells[SQUARES] / MICRO, cells[VERSION], bool(cells[FULL]),
+        tier,
+        tuple(cells[REACHED : REACHED + ZONES]),
+        tuple(cells[MISSED : MISSED + ZONES]),
+        cells[LOGS] / MICRO,
+        cells[SQUARES] / MICRO,
+        cells[VERSION],
+        bool(cells[FULL]),
     )
 
 
@@ -287,8 +292,11 @@
             one.paths = [kept**PATHS_FADE * each for each in one.paths]
             one.judged = one.attempts
             one.attempts = [
-                (max(0, account.missed[zone] - one.account.missed[zone]),
-                 max(0, account.reached[zone] - one.account.reached[zone])) for zone in range(ZONES)
+                (
+                    max(0, account.missed[zone] - one.account.missed[zone]),
+                    max(0, account.reached[zone] - one.account.reached[zone]),
+                )
+                for zone in range(ZONES)
             ]
             one.lately = [
                 (old[0] * soon + new[0], old[1] * soon + new[1])
--- a/weldroute/vigil.py
+++ b/weldroute/vigil.py
@@ -227,7 +227,12 @@
         self.processes: dict[Key, Watched] = {}
         self.notes: dict[str, deque[tuple[float, str]]] = {}
         self.counts = {
-            "suspected": 0, "replaced": 0, "recovered": 0, "distrusted": 0, "held_back": 0, "unlike": 0,
+            "suspected": 0,
+            "replaced": 0,
+            "recovered": 0,
+            "distrusted": 0,
+            "held_back": 0,
+            "unlike": 0,
         }
         self._acted: dict[str, tuple[int, float]] = {}  # replaced: the generation that has to be followed, and when
         self._looked = -math.inf
@@ -244,7 +249,11 @@
             del self._acted[key[0]]
 
     def look(
-        self, now: float, seen: Mapping[Key, Evidence], fleet: int, every: float,
+        self,
+        now: float,
+        seen: Mapping[Key, Evidence],
+        fleet: int,
+        every: float,
         accounts: Mapping[Key, Account] | None = None,
     ) -> list[Act]:
         """Judge all that are ready, of a fleet in which so many are wanted; what is to be done.
@@ -264,7 +273,8 @@
         # One that ends may be silent in its last moment: that says nothing of the rest.
         by_silence = sum(
             one.judgement is not Judgement.WELL and one.cause in (Cause.HUNG, Cause.SPINNING)
-            for one in self.processes.values() if one.life is not Life.LEAVING
+            for one in self.processes.values()
+            if one.life is not Life.LEAVING
         )
         self._acted = {name: act for name, act in self._acted.items() if act[1] > now - ACTED_FOR}
         distrusted = by_silence > max(1.0, self.policy.distrust * fleet)
@@ -363,7 +373,9 @@
         # Its time counts from the last beat: what led to certainty is a part of it.
         one.certain_since = min(one.certain_since, one.since + one.excused)
         patience = {
-            Cause.STOPPED: policy.stopped_for, Cause.HUNG: policy.hung_for, Cause.SPINNING: policy.spinning_for,
+            Cause.STOPPED: policy.stopped_for,
+            Cause.HUNG: policy.hung_for,
+            Cause.SPINNING: policy.spinning_for,
         }[one.cause]
         return Judgement.STALLED if now - one.certain_since >= patience else Judgement.SUSPECT
 
@@ -410,9 +422,7 @@
 
     def _serving(self) -> int:
         """How many others could go to."""
-        return sum(
-            one.life is Life.SERVING and one.judgement is Judgement.WELL for one in self.processes.values()
-        )
+        return sum(one.life is Life.SERVING and one.judgement is Judgement.WELL for one in self.processes.values())
 
     @staticmethod
     def _why(one: Watched) -> str:
@@ -444,10 +454,15 @@
         if one is None:
             return {}
         return {
-            "judgement": one.judgement.value, "cause": one.cause.value, "phi": round(min(one.phi, 999.0), 1),
-            "gap": round(one.mean, 4), "deviation": round(one.deviation, 4), "relieved": one.relieved,
+            "judgement": one.judgement.value,
+            "cause": one.cause.value,
+            "phi": round(min(one.phi, 999.0), 1),
+            "gap": round(one.mean, 4),
+            "deviation": round(one.deviation, 4),
+            "relieved": one.relieved,
             "unlike": one.aside.why.value if one.aside is not None else "",
-            "because": one.aside.text if one.aside is not None else "", "portion": self.siblings.portion(key),
+            "because": one.aside.text if one.aside is not None else "",
+            "portion": self.siblings.portion(key),
         }
 
     def explain(self, now: float, name: str) -> list[tuple[float, str]]:
