--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -28,8 +28,8 @@
 
 from apart import alone  # noqa: E402
 
-from cometusher.drill.run import service_from  # noqa: E402
-from cometusher.drill.world import World, signal_all, until  # noqa: E402
+from cometusher.fault_injection.environment import World, signal_all, until  # noqa: E402
+from cometusher.fault_injection.runner import service_from  # noqa: E402
 
 WORK = 0.03  # seconds of a backend's work
 RATE = 20.0  # requests a second of each instance
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -29,8 +29,8 @@
 
 import cpu  # noqa: E402
 
+from cometusher.cluster.host import Mesh  # noqa: E402
 from cometusher.fleet.spec import MeshSpec  # noqa: E402
-from cometusher.mesh.host import Mesh  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 from weldroute.members import Changed, State  # noqa: E402
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -191,11 +191,11 @@
     ),
     Mutant(
         "a ban is not handed over",
-        "succession",
+        "hot_restart",
         "for server in apply_standing(proxy.balancer, proxy.clock.now(), standing):",
         "for server in ():",
     ),
-    Mutant("an evacuation is not handed over", "succession", "proxy.operations.evacuate(proxy.loop.time())", "pass"),
+    Mutant("an evacuation is not handed over", "hot_restart", "proxy.operations.evacuate(proxy.loop.time())", "pass"),
     Mutant("an id stays taken for good", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
     Mutant(
         "the module keeps requests whose attempts end late",
--- a/benchmarks/stall.py
+++ b/benchmarks/stall.py
@@ -32,9 +32,9 @@
 
 from apart import alone, burn  # noqa: E402
 
-from cometusher.drill.run import service_from  # noqa: E402
-from cometusher.drill.world import MIXED, World, signal_all  # noqa: E402
-from standins.link import Mood  # noqa: E402
+from cometusher.fault_injection.environment import MIXED, World, signal_all  # noqa: E402
+from cometusher.fault_injection.runner import service_from  # noqa: E402
+from standins.faulty_link import Mood  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
 WORK = 0.03  # seconds
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -37,9 +37,9 @@
 import cpu  # noqa: E402
 from apart import alone  # noqa: E402
 
-from cometusher.drill.run import play  # noqa: E402
-from cometusher.drill.scenario import Fault, FleetPart, Scenario  # noqa: E402
-from cometusher.drill.world import MIXED, Fleet, World, signal_all, until  # noqa: E402
+from cometusher.fault_injection.environment import MIXED, Fleet, World, signal_all, until  # noqa: E402
+from cometusher.fault_injection.runner import play  # noqa: E402
+from cometusher.fault_injection.scenario import Fault, FleetPart, Scenario  # noqa: E402
 from standins.discovery import HostList  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -30,10 +30,10 @@
 
 from apart import alone, burn  # noqa: E402
 
-from cometusher.drill.world import World, signal_all  # noqa: E402
-from cometusher.fleet.evidence import Look, judge_again, read_evidence  # noqa: E402
+from cometusher.fault_injection.environment import World, signal_all  # noqa: E402
+from cometusher.fleet.observations import Look, judge_again, read_evidence  # noqa: E402
 from standins.load import quantile  # noqa: E402
-from weldroute.vigil import Do, VigilPolicy  # noqa: E402
+from weldroute.failure_detector import Do, VigilPolicy  # noqa: E402
 
 THRESHOLDS = (1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0, 12.0, 16.0, 20.0)
 PAUSE, REST = 1.0, 1.5  # seconds for which one is stopped, and between two of them
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -19,11 +19,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cometusher.virtual import hunt, script  # noqa: E402
-from cometusher.virtual.world import play  # noqa: E402
+from cometusher.simulation import script, seed_search  # noqa: E402
+from cometusher.simulation.world import play  # noqa: E402
 
 RATE = 300.0  # requests a second
-ONE = "from cometusher.virtual.hunt import look; print(look('any', 7).digest)"
+ONE = "from cometusher.simulation.seed_search import look; print(look('any', 7).digest)"
 
 
 def large(seconds: float) -> script.Plan:
@@ -49,12 +49,12 @@
     result = play(plan)
     spent = time.process_time() - began
     ratio = seconds / spent  # the silence at the end is not counted
-    watch = hunt.Stopwatch()
+    watch = seed_search.Stopwatch()
     seeds = range(200 if options.quick else 2000)
-    found = list(hunt.hunt(seeds))
+    found = list(seed_search.hunt(seeds))
     minute = 60.0 * len(found) / watch.seconds()
     failed = sum(bool(finding.oracles) for finding in found)
-    same = hunt.in_fresh_processes(ONE, ROOT, range(0, 20 * 7919, 7919))
+    same = seed_search.in_fresh_processes(ONE, ROOT, range(0, 20 * 7919, 7919))
     good = len(same) == 1 and not failed and not result.violations and ratio >= options.floor
     print(
         f"virtual: proxies=4 backends=12 rate={RATE:.0f} requests={sum(result.ended.values())} "
--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -15,7 +15,7 @@
 from cometusher.budget import Descriptors
 from cometusher.config import Address
 from cometusher.http1 import LAST_CHUNK, MAX_BODY, Malformed, Response, ResponseParser, chunk
-from cometusher.seam import Network
+from cometusher.runtime import Network
 from cometusher.stream import BodyStream
 from weldroute import Outcome
 from weldroute.model import ServerId
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -20,12 +20,12 @@
     chunk,
     response_head,
 )
-from cometusher.seam import Listener, Network
+from cometusher.runtime import Listener, Network
 from cometusher.stream import KEPT, BodyStream
 from weldroute.operations import Posture
 
 if TYPE_CHECKING:
-    from cometusher.inhand.hand import Hand
+    from cometusher.inflight.tracker import Hand
 
 log = logging.getLogger(__name__)
 
@@ -95,7 +95,7 @@
         self._rest_lost = False  # of the request that is handed on a rest comes that nobody wants
         self.carried = False  # a whole request has come on it
         self.since = 0.0  # of the present state, for time limits
-        # What covers it, if anything does: see `cometusher.inhand`.
+        # What covers it, if anything does: see `cometusher.inflight`.
         self.read = self.wrote = 0  # bytes
         self.descriptor = self.slot = -1
         self.name = 0
--- a/cometusher/cli.py
+++ b/cometusher/cli.py
@@ -77,9 +77,9 @@
 
 
 def _check(files: list[str]) -> int:
-    from cometusher.drill.scenario import read_scenario, schedule
+    from cometusher.fault_injection.scenario import read_scenario, schedule
     from cometusher.fleet.spec import read_spec
-    from cometusher.tables import read_file
+    from cometusher.toml_reader import read_file
 
     for name in files:
         if read_file(Path(name)).has("drill"):
@@ -93,10 +93,10 @@
 
 def _drill(options: argparse.Namespace) -> int:
     try:
-        from cometusher.drill import run
+        from cometusher.fault_injection import runner
     except ModuleNotFoundError as fault:
         raise ConfigError(f"drill: {fault}; it needs the whole checkout") from fault
-    return run.main(Path(options.file), Path(options.out) if options.out else None, options.json)
+    return runner.main(Path(options.file), Path(options.out) if options.out else None, options.json)
 
 
 def _demo(seconds: float) -> int:
@@ -107,7 +107,7 @@
 
 def _simulate(options: argparse.Namespace) -> int:
     try:
-        from cometusher.virtual import simulate
+        from cometusher.simulation import simulate
     except ModuleNotFoundError as fault:
         raise ConfigError(f"simulate: {fault}; it needs the whole checkout") from fault
     return simulate.main(options)
--- a/cometusher/mesh/orders.py
+++ b/cometusher/cluster/ban_propagation.py
@@ -13,9 +13,9 @@
 import orjson
 
 from cometusher.config import Address
-from weldroute.siblings import Key
+from weldroute.outlier_detection import Key
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.mesh.orders")  # the `subsystem` of its log records
 
 EVERY = 0.1  # seconds between looks at who has to be told
 AGAIN = 1.0  # seconds until a process that did not say yes is told again
--- a/cometusher/mesh/duties.py
+++ b/cometusher/cluster/duties.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Any
 
-from cometusher.mesh.frames import Message
+from cometusher.cluster.frames import Message
 from weldroute import leases
 from weldroute.leases import Asker, Ballot, Grantor, LeasePolicy
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.mesh.duties")  # the `subsystem` of its log records
 
 TICK = 0.05  # seconds between looks, while anything is wished for
 
--- a/cometusher/mesh/frames.py
+++ b/cometusher/cluster/frames.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from weldroute import facts, leases, members
+from weldroute import leases, members, replicated_map
 from weldroute.links import Kind
 
 FORM = 1
@@ -33,7 +33,7 @@
 LEAST_KEY = 16  # bytes
 HELLO, HERE, ASK = 0, 1, 8  # kinds of frames that carry no message: the last asks for the one before
 
-Message = members.Message | leases.Request | leases.Answer | facts.Message
+Message = members.Message | leases.Request | leases.Answer | replicated_map.Message
 
 KINDS: dict[int, tuple[type[Any], Kind]] = {
     2: (members.Ping, Kind.PROBE),
@@ -48,8 +48,8 @@
     19: (leases.Accepted, Kind.LEASE),
     20: (leases.Rejected, Kind.LEASE),
     21: (leases.Released, Kind.LEASE),
-    24: (facts.News, Kind.NEWS),
-    25: (facts.Digest, Kind.WHOLE),
+    24: (replicated_map.News, Kind.NEWS),
+    25: (replicated_map.Digest, Kind.WHOLE),
 }
 _NUMBERS = {form: number for number, (form, _) in KINDS.items()}
 _DECODERS = {number: msgspec.msgpack.Decoder(form) for number, (form, _) in KINDS.items()}
--- a/cometusher/mesh/host.py
+++ b/cometusher/cluster/host.py
@@ -8,19 +8,19 @@
 import time
 from typing import Any
 
+from cometusher.cluster.ban_propagation import Doors, Orders
+from cometusher.cluster.duties import Duties
+from cometusher.cluster.frames import Message
+from cometusher.cluster.node import Node
+from cometusher.cluster.transport import Me, Wires
 from cometusher.fleet.spec import MeshSpec, read_secret
-from cometusher.mesh.duties import Duties
-from cometusher.mesh.frames import Message
-from cometusher.mesh.node import Node
-from cometusher.mesh.orders import Doors, Orders
-from cometusher.mesh.wires import Me, Wires
-from cometusher.seam import open_listener
-from weldroute import facts, leases
-from weldroute.facts import OVER, FactPolicy, Facts
+from cometusher.runtime import open_listener
+from weldroute import leases, replicated_map
 from weldroute.links import LinkPolicy
 from weldroute.members import Members
+from weldroute.replicated_map import OVER, FactPolicy, Facts
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.mesh.host")  # the `subsystem` of its log records
 
 BAN = "ban:"  # before a backend's name, the key of the fact that it is banned
 SPREAD = 0.1  # seconds between looks at facts
@@ -58,7 +58,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def _hear(self, address: str, message: Message) -> None:
-        if isinstance(message, facts.News | facts.Digest):
+        if isinstance(message, replicated_map.News | replicated_map.Digest):
             new, answers = self.facts.hear(self._loop.time(), time.time(), message)
             for fact in new:
                 how = "over" if fact.value == OVER else fact.value
--- a/cometusher/mesh/node.py
+++ b/cometusher/cluster/node.py
@@ -6,11 +6,11 @@
 import logging
 from collections.abc import Callable
 
-from cometusher.mesh.wires import Wires
+from cometusher.cluster.transport import Wires
 from weldroute import members
 from weldroute.members import Action, Changed, Members, Send
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.mesh.node")  # the `subsystem` of its log records
 
 LEAST = 0.005  # seconds between two looks
 MOST = 0.2  # ...and at most: a stop of the whole process shows as a look that came late
--- a/cometusher/mesh/wires.py
+++ b/cometusher/cluster/transport.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass
 from typing import cast
 
+from cometusher.cluster.frames import BadFrame, Message, Session, decode, encode
 from cometusher.config import ConfigError, read_address
-from cometusher.mesh.frames import BadFrame, Message, Session, decode, encode
 from weldroute.links import End, LinkPolicy, Links, stays
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.mesh.wires")  # the `subsystem` of its log records
 
 TICK = 0.05  # seconds between looks at dials and at links that are silent
 BUFFER = 32 * 1024  # bytes that a connection may hold beside its outbox
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -14,8 +14,8 @@
 from weldroute.settings import read_settings
 
 if TYPE_CHECKING:
-    from cometusher.comeback import Returning
-    from cometusher.inhand.door import Covered
+    from cometusher.inflight.endpoint import Covered
+    from cometusher.recovery import Returning
 
 Address = tuple[str, int]
 
--- a/cometusher/demo.py
+++ b/cometusher/demo.py
@@ -23,8 +23,8 @@
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from standins.discovery import HostList
 from standins.load import Figures, Kind, Load
-from standins.node import Keys, Node
 from standins.ports import free_ports
+from standins.service_backend import Keys, Node
 
 ZONES = ("kigali", "huye")
 TIERS = ("intake", "matching", "archive")
--- a/cometusher/drill/world.py
+++ b/cometusher/fault_injection/environment.py
@@ -18,19 +18,19 @@
 
 import orjson
 
-from cometusher.comeback import KINDS as KEPT_KINDS
 from cometusher.demo import COLD_FOR, COLD_FROM, TENANTS, WINDOW, ZONES, settings
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from cometusher.fleet.identity import Identity
-from cometusher.fleet.memory import KIND as FLEET_KIND
+from cometusher.fleet.supervisor_state import KIND as FLEET_KIND
+from cometusher.recovery import KINDS as KEPT_KINDS
 from cometusher.store.records import Records
 from standins.backend import Backend
 from standins.discovery import HostList
-from standins.link import Link, Mood
+from standins.faulty_link import Link, Mood
 from standins.load import Kind, Load
 from standins.messages import Seen, Writer, read_message, reply
-from standins.node import Keys
 from standins.ports import free_ports
+from standins.service_backend import Keys
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 PATIENCE = 60.0  # seconds for any one step
--- a/cometusher/drill/page.py
+++ b/cometusher/fault_injection/report.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cometusher.drill.run import Outcome
+    from cometusher.fault_injection.runner import Outcome
 
 WIDTH, HEIGHT, LEFT, BOTTOM = 900, 150, 50, 18
 BIN = 0.2  # seconds
--- a/cometusher/drill/run.py
+++ b/cometusher/fault_injection/runner.py
@@ -15,10 +15,10 @@
 
 import orjson
 
-from cometusher.drill.page import write_page
-from cometusher.drill.scenario import OWN, Event, Scenario, pick, read_scenario, schedule
-from cometusher.drill.world import MIXED, Fleet, Told, World, until
-from standins.link import Mood
+from cometusher.fault_injection.environment import MIXED, Fleet, Told, World, until
+from cometusher.fault_injection.report import write_page
+from cometusher.fault_injection.scenario import OWN, Event, Scenario, pick, read_scenario, schedule
+from standins.faulty_link import Mood
 
 SAMPLE = 0.1  # seconds
 AT_ONCE = 0.3  # seconds within which a request is served at once
--- a/cometusher/drill/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from random import Random
 
-from cometusher.tables import Table, read_file
+from cometusher.toml_reader import Table, read_file
 
 #: What can be done, and to what.
 DEEDS = {
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -16,8 +16,8 @@
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from cometusher.fleet.identity import Identity
 from cometusher.fleet.spec import FleetSpec, Place, read_place, read_spec
+from weldroute.correlated_failures import PHASES
 from weldroute.fleet import Done
-from weldroute.herd import PHASES
 
 ANSWER = 10.0  # seconds for an answer that needs no work
 LONGEST = 3600.0  # seconds for an operation on the whole fleet
--- a/cometusher/fleet/pulse.py
+++ b/cometusher/fleet/heartbeat.py
@@ -4,7 +4,7 @@
 disturbed.
 A row is CELLS cells of 64 bits. The first is when the loop turned last, in nanoseconds of the machine's clock, and 0
 before; the second is the supervisor's: whether the process is to leave new connections to others. The rest are its
-account (`weldroute.siblings.Counting`).
+account (`weldroute.outlier_detection.Counting`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from weldroute.siblings import CELLS, Account, Counting, read_account
+from weldroute.outlier_detection import CELLS, Account, Counting, read_account
 
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -28,7 +28,7 @@
 from cometusher.proxy import Proxy
 
 if TYPE_CHECKING:
-    from cometusher.inhand.hand import Received
+    from cometusher.inflight.tracker import Received
 
 LISTENER, STATUS, LIFELINE = 3, 4, 5
 BEAT = 1.0  # seconds between signs of life
@@ -80,7 +80,7 @@
     @staticmethod
     def _turn(proxy: Proxy) -> None:
         """Beat on the supervisor's board, as its file for this process says."""
-        from cometusher.fleet.pulse import turn
+        from cometusher.fleet.heartbeat import turn
 
         told = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
         turn(proxy, int(told["row"]), float(told["beat"]))
@@ -112,11 +112,11 @@
     """What the supervisor has told of this instance's return and of its book, if switched on; raises ConfigError."""
     path = Path(os.environ["LB_CONFIG"])
     if os.environ.get("FLEET_COMEBACK") == "1":
-        from cometusher.comeback import read_returning
+        from cometusher.recovery import read_returning
 
         settings = replace(settings, returning=read_returning(path))
     if os.environ.get("FLEET_TAKEOVER") == "1":
-        from cometusher.inhand.door import read_covered
+        from cometusher.inflight.endpoint import read_covered
 
         settings = replace(settings, covered=read_covered(path))
     return settings
@@ -124,11 +124,11 @@
 
 def _be_kept() -> None:
     """Have a keeper, before there is a second thread. Without one, what is in hand dies with this process."""
-    from cometusher.inhand import keeper
-    from cometusher.inhand.door import KEEPER
+    from cometusher.inflight import descriptor_holder
+    from cometusher.inflight.endpoint import KEEPER
 
     try:
-        keeper.start(KEEPER)
+        descriptor_holder.start(KEEPER)
     except OSError as fault:
         logging.warning("no keeper, and nothing in hand is covered: %s", fault)
 
--- a/cometusher/fleet/listeners.py
+++ b/cometusher/fleet/listeners.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from cometusher.config import Address
-from cometusher.seam import open_listener
+from cometusher.runtime import open_listener
 
 log = logging.getLogger(__name__)
 
--- a/cometusher/fleet/evidence.py
+++ b/cometusher/fleet/observations.py
@@ -15,10 +15,10 @@
 
 import orjson
 
-from weldroute.siblings import Key
-from weldroute.vigil import Act, Evidence, Life, Vigil, VigilPolicy
+from weldroute.failure_detector import Act, Evidence, Life, Vigil, VigilPolicy
+from weldroute.outlier_detection import Key
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.fleet.evidence")  # the `subsystem` of its log records
 
 LINES = 64  # that are written at once
 
--- a/cometusher/fleet/estate.py
+++ b/cometusher/fleet/orphans.py
@@ -21,14 +21,14 @@
 import orjson
 
 from cometusher.fleet.spec import TakeoverSpec
-from cometusher.inhand.accounts import look_at, name_of
-from cometusher.inhand.door import DOOR, KEEPER, SHELF, Covered, write_covered
-from cometusher.inhand.keeper import BATCH
-from cometusher.inhand.offer import MAX_MESSAGE, MOST, Offer, close_all, receive, waits
-from weldroute.inhand import BUSY, IDLE, Left, Row, Stage
+from cometusher.inflight.descriptor_holder import BATCH
+from cometusher.inflight.endpoint import DOOR, KEEPER, SHELF, Covered, write_covered
+from cometusher.inflight.offer import MAX_MESSAGE, MOST, Offer, close_all, receive, waits
+from cometusher.inflight.tcp_info import look_at, name_of
+from weldroute.request_journal import BUSY, IDLE, Left, Row, Stage
 from weldroute.takeover import Estate, Piece
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.fleet.estate")  # the `subsystem` of its log records
 
 TICK = 0.02  # seconds between looks, while anything is on its way
 GRACE = 1.0  # seconds after its deadline, or its owner's end, in which an heir may still say what became of it
--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -25,7 +25,7 @@
 from cometusher.fleet.spec import FleetSpec, InstanceSpec, as_file, write_private
 
 if TYPE_CHECKING:
-    from cometusher.fleet.estate import Holding
+    from cometusher.fleet.orphans import Holding
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 HIGH = 64  # descriptors are moved above this before they get their numbers
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -16,16 +16,16 @@
 
 from cometusher import config
 from cometusher.config import Address, ConfigError, read_address
-from cometusher.tables import Table, read_file
-from weldroute.comeback import Plan
+from cometusher.toml_reader import Table, read_file
+from weldroute.correlated_failures import HerdPolicy
+from weldroute.failure_detector import VigilPolicy
 from weldroute.fleet import Policy
-from weldroute.herd import HerdPolicy
-from weldroute.inhand import BLOCK, Shelf, Size
 from weldroute.leases import LeasePolicy
 from weldroute.members import MemberPolicy
-from weldroute.remember import Limits
-from weldroute.siblings import Comparison
-from weldroute.vigil import VigilPolicy
+from weldroute.outlier_detection import Comparison
+from weldroute.recovery import Plan
+from weldroute.request_journal import BLOCK, Shelf, Size
+from weldroute.snapshots import Limits
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 MOST = 1024  # instances
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -25,22 +25,22 @@
 
 from cometusher.config import Address, ConfigError, read_address
 from cometusher.fleet import process
-from cometusher.fleet.collector import Sink, SinkHandler, Stream, Target
 from cometusher.fleet.control import ControlError, ControlServer
 from cometusher.fleet.identity import RUNNABLE, Held, Identity, StateLock, read_stat
 from cometusher.fleet.listeners import Listeners, Taken, passed_sockets
+from cometusher.fleet.log_collector import Sink, SinkHandler, Stream, Target
 from cometusher.fleet.notify import ServiceManager
 from cometusher.fleet.process import Child
 from cometusher.fleet.spec import FleetSpec, InstanceSpec, as_file, prepare_state, read_spec, write_private
 from weldroute.fleet import Action, Done, Exit, Fleet, How, Notice, Phase, Release, Spawn, Step, Tell
-from weldroute.remember import Owner
-from weldroute.siblings import Key
+from weldroute.outlier_detection import Key
+from weldroute.snapshots import Owner
 
 if TYPE_CHECKING:
-    from cometusher.fleet.estate import Estates
-    from cometusher.fleet.memory import Memory
-    from cometusher.fleet.watch import Watch
-    from cometusher.mesh.host import Mesh
+    from cometusher.cluster.host import Mesh
+    from cometusher.fleet.orphans import Estates
+    from cometusher.fleet.supervisor_state import Memory
+    from cometusher.fleet.watchdog import Watch
 
 log = logging.getLogger(__name__)
 
@@ -160,22 +160,22 @@
         Raises Taken, OSError or ConfigError.
         """
         if self.spec.comeback is not None:
-            from cometusher.fleet.memory import Memory
+            from cometusher.fleet.supervisor_state import Memory
 
             self.memory = Memory(self.spec)
         if self.spec.takeover is not None:
-            from cometusher.fleet.estate import Estates
+            from cometusher.fleet.orphans import Estates
 
             self.estates = Estates(self.spec.takeover, self.loop, self._heirs)
         if self.spec.vigil is not None:
-            from cometusher.fleet.evidence import Recorder
-            from cometusher.fleet.watch import Watch
+            from cometusher.fleet.observations import Recorder
+            from cometusher.fleet.watchdog import Watch
 
             self.watch = Watch(self.spec.vigil, self.spec.comparison, self.loop, self, self.estates is not None)
             if self.spec.recorded is not None:
                 self.watch.recorder = Recorder(self.spec.recorded.path, self.spec.recorded.most)
         if self.spec.mesh is not None:
-            from cometusher.mesh.host import Mesh
+            from cometusher.cluster.host import Mesh
 
             self.mesh = Mesh(self.spec.mesh, self.spec.place.name, self.loop, self._doors)
             self.fleet.turn = self.mesh.turn
@@ -397,7 +397,7 @@
         self.estates.started(holding)
         return child
 
-    # ---- what the watch asks for: `cometusher.fleet.watch.Hands` --------------------------
+    # ---- what the watch asks for: `cometusher.fleet.watchdog.Hands` --------------------------
 
     def watched(self) -> list[tuple[Child, Phase]]:
         """Processes that beat or are about to, and how far they are.
@@ -461,7 +461,7 @@
         spec, memory, herd = self.spec.comeback, self.memory, self.fleet.herd
         if spec is None or memory is None or herd is None:
             return {}
-        from cometusher.comeback import Returning, write_returning
+        from cometusher.recovery import Returning, write_returning
 
         plan = replace(
             spec.plan, instances=len(self.fleet.instances), returning=herd.returning(self.loop.time(), name)
--- a/cometusher/fleet/memory.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -1,7 +1,7 @@
 """What the supervisor remembers of its fleet beyond its own life: the epoch, who was wanted, who failed, the orders.
 
 Written whole at each change, at a bounded rate. By the supervisor's one thread: a second would not survive its forks,
-and no request waits for it. Reading and writing never fail a start; `weldroute.remember` says what is believed.
+and no request waits for it. Reading and writing never fail a start; `weldroute.snapshots` says what is believed.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from typing import Any
 
 from cometusher.fleet.spec import FleetSpec
-from cometusher.seam import moment
+from cometusher.runtime import moment
 from cometusher.store.records import Records
 from weldroute.fleet import Fleet
 from weldroute.handover import Unusable, read_standing
-from weldroute.remember import Known, Limits, Owner, Record, Trust, judge
+from weldroute.snapshots import Known, Limits, Owner, Record, Trust, judge
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.fleet.memory")  # the `subsystem` of its log records
 
 KIND = "fleet"
 
--- a/cometusher/fleet/watch.py
+++ b/cometusher/fleet/watchdog.py
@@ -1,4 +1,4 @@
-"""The supervisor's watch over its processes: evidence in, what `weldroute.vigil` says out.
+"""The supervisor's watch over its processes: evidence in, what `weldroute.failure_detector` says out.
 
 Imported only where the fleet's file has the table `[vigil]`. Nothing here asks a process anything, or waits for one.
 """
@@ -12,14 +12,14 @@
 from collections.abc import Collection, Iterable
 from typing import Any, Protocol
 
-from cometusher.fleet.evidence import Look, Recorder
+from cometusher.fleet.heartbeat import BOARD, Board
 from cometusher.fleet.identity import RUNNABLE, read_schedule, read_stat
-from cometusher.fleet.pulse import BOARD, Board
+from cometusher.fleet.observations import Look, Recorder
+from weldroute.failure_detector import Act, Do, Evidence, Life, Vigil, VigilPolicy
 from weldroute.fleet import Phase
-from weldroute.siblings import Account, Comparison, Key
-from weldroute.vigil import Act, Do, Evidence, Life, Vigil, VigilPolicy
+from weldroute.outlier_detection import Account, Comparison, Key
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.fleet.watch")  # the `subsystem` of its log records
 
 EVERY = 0.05  # seconds between looks
 ACCEPTS = 64  # connections that are accepted for another at one wake-up
--- a/cometusher/succession.py
+++ b/cometusher/hot_restart.py
@@ -10,14 +10,14 @@
 from typing import TYPE_CHECKING, Any
 
 from cometusher.discovery import Unreadable
-from cometusher.forms import standing, take_list, take_standing, write_list
+from cometusher.serialization import standing, take_list, take_standing, write_list
 from weldroute.handover import Stage, Unusable, adopt_learned, read_standing, write_learned
 
 if TYPE_CHECKING:
     from cometusher.handover import Handover
     from cometusher.proxy import Proxy
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.succession")  # the `subsystem` of its log records
 
 SAVE_EVERY = 1.0  # seconds between writings of what was learned
 MOST_EVICTED = 16  # at one look
--- a/cometusher/inhand/keeper.py
+++ b/cometusher/inflight/descriptor_holder.py
@@ -26,8 +26,8 @@
 
 import orjson
 
-from cometusher.inhand.accounts import name_of
-from cometusher.inhand.offer import MAX_MESSAGE
+from cometusher.inflight.offer import MAX_MESSAGE
+from cometusher.inflight.tcp_info import name_of
 
 CLONE_FILES, CLONE_PARENT = 0x400, 0x8000  # linux/sched.h
 NUMBERS = {"x86_64": 56, "aarch64": 220}  # of clone(2)
--- a/cometusher/inhand/door.py
+++ b/cometusher/inflight/endpoint.py
@@ -16,11 +16,11 @@
 import orjson
 
 from cometusher.config import ConfigError
-from cometusher.inhand.hand import Received
-from cometusher.inhand.offer import Offer, close_all, receive
-from weldroute.inhand import Keys, Left, Row, Shelf, Size
+from cometusher.inflight.offer import Offer, close_all, receive
+from cometusher.inflight.tracker import Received
+from weldroute.request_journal import Keys, Left, Row, Shelf, Size
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.inhand.door")  # the `subsystem` of its log records
 
 SHELF, KEEPER, DOOR = 6, 7, 8  # descriptors that a process under a supervisor has them at
 AT_ONCE = 16  # offers at one wake-up
--- a/cometusher/inhand/hand.py
+++ b/cometusher/inflight/tracker.py
@@ -1,7 +1,7 @@
 """One process's side of work in hand: what it notes, and what it does as an heir.
 
-Decisions are `weldroute.takeover`'s, notes are `weldroute.inhand`'s; why: `docs/design/takeover.md`. Imported only by
-an instance whose fleet has it switched on. Where the book lies and how offers come is handed in.
+Decisions are `weldroute.takeover`'s, notes are `weldroute.request_journal`'s; why: `docs/design/takeover.md`.
+Imported only by an instance whose fleet has it switched on. Where the book lies and how offers come is handed in.
 """
 
 from __future__ import annotations
@@ -14,7 +14,9 @@
 
 from cometusher.http1 import Headers, Malformed, Request, RequestParser, request_head
 from weldroute import Fail, Refuse
-from weldroute.inhand import (
+from weldroute.model import Past, RequestClass
+from weldroute.operations import Stance
+from weldroute.request_journal import (
     BUSY,
     IDLE,
     INLINE,
@@ -32,8 +34,6 @@
     Stage,
     digest_of,
 )
-from weldroute.model import Past, RequestClass
-from weldroute.operations import Stance
 from weldroute.takeover import SERVED, Move, Seen, Step, Verdict, follow, inherit, move, weigh
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     from cometusher.callers import CallerConnection
     from cometusher.proxy import Exchange, Joined, Proxy
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.inhand.hand")  # the `subsystem` of its log records
 
 COVERED_BODY = 64 * 1024  # bytes of a body that is noted; of a longer one only that it was there
 UNCOVERED = -2  # in place of a handle: there was no room for a note
--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -19,7 +19,7 @@
 import orjson
 
 from cometusher.http1 import MAX_HEAD, response_head
-from cometusher.seam import Listener
+from cometusher.runtime import Listener
 from weldroute.operations import MAX_CALL_BODY, Call, Verdict, route, who
 
 log = logging.getLogger(__name__)
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -37,7 +37,7 @@
     parse_budget,
     request_head,
 )
-from cometusher.seam import Network, SocketNetwork
+from cometusher.runtime import Network, SocketNetwork
 from weldroute import (
     Action,
     Balancer,
@@ -58,11 +58,11 @@
 from weldroute.operations import ALREADY, DONE, NOT_YET, UNKNOWN, Call, Operations, Stance, Verdict
 
 if TYPE_CHECKING:
-    from cometusher.comeback import Return
-    from cometusher.inhand.hand import Hand
+    from cometusher.hot_restart import Succession
+    from cometusher.inflight.tracker import Hand
     from cometusher.management import Management
-    from cometusher.succession import Succession
-    from weldroute.siblings import Counting
+    from cometusher.recovery import Return
+    from weldroute.outlier_detection import Counting
 
 log = logging.getLogger(__name__)
 
@@ -221,16 +221,16 @@
         if config.shared:
             self._succeed(config.shared)
         if config.returning is not None:
-            from cometusher.comeback import Return
+            from cometusher.recovery import Return
 
             self.comeback = Return(self, config.returning)
         if config.covered is not None:
-            from cometusher.inhand.hand import Hand
+            from cometusher.inflight.tracker import Hand
 
             self.hand = Hand(self, self.network.cover(config.covered))
 
     def _succeed(self, folder: str) -> None:
-        from cometusher.succession import Succession
+        from cometusher.hot_restart import Succession
 
         try:
             self._succession = Succession(self, self.network.share(folder))
--- a/cometusher/comeback.py
+++ b/cometusher/recovery.py
@@ -1,6 +1,6 @@
 """One proxy's return to service: what it kept goes in, what it learns is kept, and its door and paces obey.
 
-Decisions are `weldroute.comeback`'s and `weldroute.remember`'s; files are `cometusher.store`'s; why:
+Decisions are `weldroute.recovery`'s and `weldroute.snapshots`'s; files are `cometusher.store`'s; why:
 `docs/design/comeback.md`. Imported only by an instance whose fleet has it switched on.
 """
 
@@ -17,21 +17,21 @@
 
 from cometusher.config import ConfigError
 from cometusher.discovery import Entry, Unreadable, read_listing, server_id
-from cometusher.forms import standing, take_list, take_standing, write_list
-from cometusher.seam import moment
-from cometusher.store.keeper import Keeper
+from cometusher.runtime import moment
+from cometusher.serialization import standing, take_list, take_standing, write_list
 from cometusher.store.records import Records
+from cometusher.store.writer import Keeper
 from weldroute import ListKind, Outcome, Refuse, ServerRow, State
-from weldroute.comeback import FIRST_RETRIES, Comeback, Hearing, Plan, Verdict
 from weldroute.handover import Standing, Unusable, adopt_learned, read_standing, write_learned
-from weldroute.remember import TAKES, Known, Limits, Owner, Record, Trust, age, judge
+from weldroute.recovery import FIRST_RETRIES, Comeback, Hearing, Plan, Verdict
+from weldroute.snapshots import TAKES, Known, Limits, Owner, Record, Trust, age, judge
 
 if TYPE_CHECKING:
     from cometusher.backends import Attempt
     from cometusher.http1 import Response
     from cometusher.proxy import Exchange, Proxy
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.comeback")  # the `subsystem` of its log records
 
 KINDS = ("standing", "list", "learned")
 SAVE_EVERY = 1.0  # seconds between writings of what was learned
--- a/cometusher/seam.py
+++ b/cometusher/runtime.py
@@ -17,14 +17,14 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from cometusher.config import Address
-from weldroute.remember import Moment
+from weldroute.snapshots import Moment
 
 if TYPE_CHECKING:
-    from cometusher.comeback import Kept, Returning
     from cometusher.handover import Handover
-    from cometusher.inhand.door import Covered
-    from cometusher.inhand.hand import Door
-    from weldroute.remember import Record
+    from cometusher.inflight.endpoint import Covered
+    from cometusher.inflight.tracker import Door
+    from cometusher.recovery import Kept, Returning
+    from weldroute.snapshots import Record
     from weldroute.takeover import Seen
 
 BACKLOG = 4096
@@ -179,7 +179,7 @@
 
     def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
         """What is kept of an instance on disk, and where to keep more."""
-        from cometusher.comeback import open_store
+        from cometusher.recovery import open_store
 
         return open_store(returning)
 
@@ -189,20 +189,20 @@
 
     def cover(self, covered: Covered) -> Door:
         """The book and the door that the supervisor has given this process."""
-        from cometusher.inhand.door import SocketDoor
+        from cometusher.inflight.endpoint import SocketDoor
 
         return SocketDoor(self._loop, covered)
 
     def named(self, transport: asyncio.Transport) -> tuple[int, int]:
         """By its two addresses."""
-        from cometusher.inhand.accounts import name_by
+        from cometusher.inflight.tcp_info import name_by
 
         sock = transport.get_extra_info("socket")
         return sock.fileno(), name_by(transport.get_extra_info("sockname"), transport.get_extra_info("peername"))
 
     def look(self, connection: socket.socket, name: int, opened_here: bool) -> Seen | None:
         """The kernel's account of a socket."""
-        from cometusher.inhand.accounts import look
+        from cometusher.inflight.tcp_info import look
 
         return look(connection, name, opened_here)
 
--- a/cometusher/schemas.py
+++ b/cometusher/schemas.py
@@ -16,9 +16,9 @@
 
 import orjson
 
-from cometusher.drill.scenario import build_scenario
+from cometusher.fault_injection.scenario import build_scenario
 from cometusher.fleet.spec import build_spec
-from cometusher.tables import Source, Table
+from cometusher.toml_reader import Source, Table
 
 FLEET = """
 [fleet]
--- a/cometusher/forms.py
+++ b/cometusher/serialization.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.forms")  # the `subsystem` of its log records
 
 HEALTH = {State.UP: "in_service", State.DRAINING: "terminating"}
 
--- a/cometusher/service.py
+++ b/cometusher/service.py
@@ -15,7 +15,7 @@
 
 from cometusher import config, logs
 from cometusher.proxy import Proxy
-from cometusher.seam import inherited_listener
+from cometusher.runtime import inherited_listener
 
 
 class EarlyReload:
--- a/cometusher/virtual/walk.py
+++ b/cometusher/simulation/container_audit.py
@@ -11,7 +11,7 @@
 
 CONTAINERS = (dict, list, set, deque, bytearray)
 OURS = ("cometusher.", "weldroute.")
-NOT_OURS = ("cometusher.virtual.",)
+NOT_OURS = ("cometusher.simulation.",)
 
 #: What may be there in silence: so many, and so many more for each backend of the list.
 STATED: dict[str, tuple[int, int]] = {
--- a/cometusher/virtual/loop.py
+++ b/cometusher/simulation/loop.py
@@ -21,7 +21,7 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 if TYPE_CHECKING:
-    from cometusher.virtual.network import Machine, VirtualNetwork
+    from cometusher.simulation.network import Machine, VirtualNetwork
 
 T = TypeVar("T")
 
--- a/cometusher/virtual/network.py
+++ b/cometusher/simulation/network.py
@@ -21,16 +21,16 @@
 
 from cometusher.config import Address
 from cometusher.handover import ORDERS, ROWS, Handover, Ledger
-from cometusher.seam import Listener
-from cometusher.virtual.loop import MACHINE, VirtualLoop
+from cometusher.runtime import Listener
+from cometusher.simulation.loop import MACHINE, VirtualLoop
 from weldroute.handover import OpenIds
-from weldroute.remember import Moment, Owner, Record, read_record
+from weldroute.snapshots import Moment, Owner, Record, read_record
 from weldroute.takeover import Seen
 
 if TYPE_CHECKING:
-    from cometusher.comeback import Kept, Returning
-    from cometusher.inhand.door import Covered
-    from cometusher.inhand.hand import Door
+    from cometusher.inflight.endpoint import Covered
+    from cometusher.inflight.tracker import Door
+    from cometusher.recovery import Kept, Returning
 
 WINDOW = 64 * 1024  # bytes under way and unread in one direction
 HIGH, LOW = 64 * 1024, 16 * 1024  # asyncio's own marks for its write buffer
@@ -852,7 +852,7 @@
 
 
 class VirtualSurroundings:
-    """What `cometusher.seam.Network` asks for, out of a virtual network; one for each proxy."""
+    """What `cometusher.runtime.Network` asks for, out of a virtual network; one for each proxy."""
 
     def __init__(
         self,
--- a/cometusher/virtual/oracles.py
+++ b/cometusher/simulation/oracles.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cometusher.virtual.script import LONG_FROM
+from cometusher.simulation.script import LONG_FROM
 from weldroute.model import Group, Repeat, RequestClass, Settings
 
 KEPT_WITHIN = 1.0  # seconds after which what a proxy was told is kept
--- a/cometusher/virtual/estate.py
+++ b/cometusher/simulation/orphans.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cometusher.inhand.door import Covered
-from cometusher.inhand.hand import Received
-from cometusher.virtual.loop import MACHINE, VirtualLoop
-from cometusher.virtual.network import Machine, VirtualTransport
-from weldroute.inhand import BUSY, IDLE, Keys, Left, Row, Shelf, Size
+from cometusher.inflight.endpoint import Covered
+from cometusher.inflight.tracker import Received
+from cometusher.simulation.loop import MACHINE, VirtualLoop
+from cometusher.simulation.network import Machine, VirtualTransport
+from weldroute.request_journal import BUSY, IDLE, Keys, Left, Row, Shelf, Size
 from weldroute.takeover import Estate, Piece
 
 SHELF = Shelf(Size(128, 256, 8192), books=32, keys=256)
--- a/cometusher/virtual/hunt.py
+++ b/cometusher/simulation/seed_search.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import TypeVar
 
-from cometusher.virtual.script import Ask, Fault, Plan, draw
-from cometusher.virtual.world import Result, play
+from cometusher.simulation.script import Ask, Fault, Plan, draw
+from cometusher.simulation.world import Result, play
 
 T = TypeVar("T", Ask, Fault)
 TRIES = 400  # runs that shrinking one plan may take, unless told otherwise
--- a/cometusher/virtual/simulate.py
+++ b/cometusher/simulation/simulate.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from cometusher.config import ConfigError
-from cometusher.virtual import hunt, script
-from cometusher.virtual.world import Result, play
+from cometusher.simulation import script, seed_search
+from cometusher.simulation.world import Result, play
 
 EVERY = 500  # seeds between lines of progress
 
@@ -34,7 +34,7 @@
 def _show(result: Result, trace: bool) -> int:
     if trace:
         print("\n".join(result.lines))
-    for violation in result.violations[: None if trace else hunt.LINES]:
+    for violation in result.violations[: None if trace else seed_search.LINES]:
         print(f"broken: {violation}")
     ended = ", ".join(f"{n} {how}" for how, n in result.ended.items())
     size = f"{result.seconds:.1f} virtual seconds, {result.steps} steps"
@@ -43,7 +43,7 @@
 
 
 def _shrink(plan: script.Plan, folder: Path, tries: int) -> Path:
-    small, oracle = hunt.shrink(plan, tries)
+    small, oracle = seed_search.shrink(plan, tries)
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{plan.world}-{plan.seed}.world"
     path.write_text(f"# breaks: {oracle}\n{script.write(small)}")
@@ -52,11 +52,11 @@
 
 def _hunt(options: argparse.Namespace) -> int:
     wanted = seeds(options.seeds)
-    failed: list[hunt.Finding] = []
+    failed: list[seed_search.Finding] = []
     virtual = 0.0
     requests = done = 0
-    clock = hunt.Stopwatch()
-    for found in hunt.hunt(wanted, options.world, options.jobs):
+    clock = seed_search.Stopwatch()
+    for found in seed_search.hunt(wanted, options.world, options.jobs):
         done += 1
         virtual += found.seconds
         requests += found.requests
--- a/cometusher/virtual/world.py
+++ b/cometusher/simulation/world.py
@@ -24,12 +24,12 @@
 from cometusher import config
 from cometusher.backends import BackendConnection
 from cometusher.callers import CallerConnection
-from cometusher.comeback import Returning
-from cometusher.inhand.door import Covered
+from cometusher.inflight.endpoint import Covered
 from cometusher.proxy import Exchange, Proxy
-from cometusher.virtual.estate import VirtualDoor, VirtualEstates
-from cometusher.virtual.loop import Deadlock, Stuck, VirtualLoop, run
-from cometusher.virtual.network import (
+from cometusher.recovery import Returning
+from cometusher.simulation.container_audit import excess
+from cometusher.simulation.loop import Deadlock, Stuck, VirtualLoop, run
+from cometusher.simulation.network import (
     Disk,
     Link,
     Machine,
@@ -38,16 +38,16 @@
     VirtualSurroundings,
     VirtualTransport,
 )
-from cometusher.virtual.oracles import LONG, Ledger, Violation
-from cometusher.virtual.script import UPGRADES, Ask, Fault, Plan
-from cometusher.virtual.walk import excess
-from standins.courier import Address, Courier, End, Parcel
+from cometusher.simulation.oracles import LONG, Ledger, Violation
+from cometusher.simulation.orphans import VirtualDoor, VirtualEstates
+from cometusher.simulation.script import UPGRADES, Ask, Fault, Plan
+from standins.client_connections import Address, Courier, End, Parcel
 from standins.discovery import HostList, Watch
 from standins.messages import Seen
-from standins.node import Keys, Node
-from weldroute.comeback import Plan as ReturnPlan
-from weldroute.remember import Known, Limits, Owner
+from standins.service_backend import Keys, Node
+from weldroute.recovery import Plan as ReturnPlan
 from weldroute.settings import read_settings
+from weldroute.snapshots import Known, Limits, Owner
 
 EPOCH = 1.6e9  # Unix time at a world's beginning
 PORT = 9000
--- a/cometusher/store/records.py
+++ b/cometusher/store/records.py
@@ -1,6 +1,6 @@
 """A file of records (SQLite, write-ahead log): two copies of each kind, written in turn, read back with doubt.
 
-What is believed of a record is `weldroute.remember`'s; here is what becomes of a file that is not as it was left:
+What is believed of a record is `weldroute.snapshots`'s; here is what becomes of a file that is not as it was left:
 
 | the file                                   | result                                                               |
 | ------------------------------------------ | -------------------------------------------------------------------- |
@@ -28,7 +28,7 @@
 
 import orjson
 
-from weldroute.remember import Damaged, Record, newest, read_record
+from weldroute.snapshots import Damaged, Record, newest, read_record
 
 VERSION = 1  # of the tables
 APPLICATION = 0x66646C72  # names our files to SQLite's own tools (application_id)
--- a/cometusher/store/keeper.py
+++ b/cometusher/store/writer.py
@@ -8,9 +8,9 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from cometusher.store.records import Records
-from weldroute.remember import Moment, Owner, Record
+from weldroute.snapshots import Moment, Owner, Record
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("cometusher.store.keeper")  # the `subsystem` of its log records
 
 EVERY = 0.5  # seconds between writings, at least...
 RETRY = 5.0  # ...and after one that failed
--- a/standins/node.py
+++ b/standins/service_backend.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, Protocol, cast
 
-from standins.courier import Address, Courier, End, Parcel
+from standins.client_connections import Address, Courier, End, Parcel
 from standins.messages import Seen, reply, take_message
 
 QUEUE = 32  # requests that wait for a core
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -16,13 +16,13 @@
 import orjson
 from rig import PATIENCE, SETTINGS
 
-from cometusher.drill.world import Told, World, until
+from cometusher.fault_injection.environment import Told, World, until
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from cometusher.fleet.identity import read_stat
 from standins.ports import free_ports
 
 ROOT = Path(__file__).parent.parent
-FAULTY = [sys.executable, str(ROOT / "standins" / "faulty.py")]
+FAULTY = [sys.executable, str(ROOT / "standins" / "faulty_instance.py")]
 WAIT = 3.0 * PATIENCE
 QUICK = {
     "backoff_from": 0.02,
--- a/tests/handrig.py
+++ b/tests/handrig.py
@@ -14,12 +14,12 @@
 import orjson
 from rig import PATIENCE, SETTINGS, merged
 
-from cometusher.drill.world import Fleet, until
+from cometusher.fault_injection.environment import Fleet, until
 from standins.backend import Backend
 from standins.caller import Caller, request
 from standins.discovery import HostList
 from standins.messages import Seen, Writer, reply
-from standins.node import Keys
+from standins.service_backend import Keys
 
 HOOKS = Path(__file__).parent / "hooks"
 POLICY = {"backoff_from": 0.02, "backoff_to": 0.1, "budget": 10000, "hang_after": 1.6}
--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -27,7 +27,7 @@
 
 if FOLDER:
     from cometusher.callers import CallerConnection
-    from cometusher.inhand.hand import Hand
+    from cometusher.inflight.tracker import Hand
     from cometusher.proxy import Proxy
 
     make = Proxy.__init__
@@ -69,9 +69,9 @@
     import time
     from typing import NoReturn
 
-    from cometusher.fleet import pulse
+    from cometusher.fleet import heartbeat
 
-    turn = pulse.turn
+    turn = heartbeat.turn
 
     class Mute:
         """A clock that stands."""
@@ -90,11 +90,11 @@
     def mute(number: int, frame: Any) -> None:
         now = time.monotonic_ns()
         Mute.monotonic_ns = staticmethod(lambda: now)  # type: ignore
-        pulse.time = Mute  # type: ignore
+        heartbeat.time = Mute  # type: ignore
 
     def stalls(*arguments: Any) -> None:
         for number, deed in ((signal.SIGUSR1, spin), (signal.SIGUSR2, hang), (signal.SIGURG, mute)):
             signal.signal(number, deed)
         turn(*arguments)
 
-    pulse.turn = stalls  # type: ignore
+    heartbeat.turn = stalls  # type: ignore
--- a/tests/loopback/test_mesh.py
+++ b/tests/loopback/test_cluster.py
@@ -17,11 +17,11 @@
 from fleetrig import FleetRig, fleet_rig, run
 from rig import PATIENCE, Backend, serve_ok
 
-from cometusher.drill.world import until
+from cometusher.fault_injection.environment import until
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from standins.caller import Caller, request
 from standins.discovery import HostList
-from standins.link import Link, Mood
+from standins.faulty_link import Link, Mood
 from standins.ports import free_ports
 
 QUICK = {"period": 0.25, "patience": 0.1, "suspicion": 5.0, "alone": 2.0, "knock": 0.5, "gossip": 0.05, "sync": 2.0}
--- a/tests/loopback/test_link.py
+++ b/tests/loopback/test_faulty_link.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from standins.link import Link, Mood
+from standins.faulty_link import Link, Mood
 
 SOON = 0.2  # seconds in which nothing may come; what must come is waited for
 PATIENCE = 10.0
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -13,7 +13,7 @@
 from cometusher import management
 from cometusher.backends import Attempt
 from cometusher.proxy import Proxy
-from cometusher.seam import inherited_listener, open_listener
+from cometusher.runtime import inherited_listener, open_listener
 
 
 async def answer_of(r: Rig, data: bytes) -> bytes:
--- a/tests/loopback/test_unlike.py
+++ b/tests/loopback/test_outlier_instances.py
@@ -11,10 +11,10 @@
 from fleetrig import asked, come, nothing_wrong, run, running
 from rig import PATIENCE
 
-from cometusher.drill.world import MIXED, Fleet, Told, World
+from cometusher.fault_injection.environment import MIXED, Fleet, Told, World
 from cometusher.fleet.control import ask
 from standins.caller import Caller, request
-from standins.link import Mood
+from standins.faulty_link import Mood
 
 RATE = 150.0
 STEADY = ["steady = 0.4", "retry = 2.0"]  # of the watch and of the comparison
--- a/tests/loopback/test_returns.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -14,11 +14,11 @@
 import pytest
 from fleetrig import come, run, running
 
-from cometusher.drill.world import Fleet, World
+from cometusher.fault_injection.environment import Fleet, World
 from cometusher.fleet.identity import read_stat
 from cometusher.store.records import Records
 from standins.caller import Caller, request
-from standins.link import Mood
+from standins.faulty_link import Mood
 
 COUNT = 4
 RATE = 60.0
--- a/tests/loopback/test_stalled.py
+++ b/tests/loopback/test_stalled_instances.py
@@ -17,7 +17,7 @@
 from handrig import HOOKS, environ, hand_rig
 from rig import PATIENCE
 
-from cometusher.drill.world import MIXED, Fleet, World
+from cometusher.fault_injection.environment import MIXED, Fleet, World
 from cometusher.fleet.control import ask
 from cometusher.fleet.identity import read_schedule, read_stat
 from standins.caller import Caller, request
--- a/tests/loopback/test_store.py
+++ b/tests/loopback/test_store.py
@@ -19,9 +19,9 @@
 from fleetrig import eventually
 
 from cometusher.fleet.identity import read_stat
-from cometusher.store.keeper import Keeper
 from cometusher.store.records import Records
-from weldroute.remember import FORM, Moment, Owner, Record
+from cometusher.store.writer import Keeper
+from weldroute.snapshots import FORM, Moment, Owner, Record
 
 ME = Owner("f", "a", 1)
 NOW = Moment(1e9, "b", 100.0)
@@ -258,7 +258,7 @@
 def test_the_keeper_writes_the_newest_off_the_loop_and_tries_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("cometusher.store.keeper.RETRY", 0.05)
+    monkeypatch.setattr("cometusher.store.writer.RETRY", 0.05)
 
     async def test() -> None:
         folder = tmp_path / "later"
--- a/tests/unit/test_herd.py
+++ b/tests/unit/test_correlated_failures.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from weldroute.correlated_failures import Herd, HerdPolicy
 from weldroute.fleet import Exit, Fleet, Notice, Policy, Spawn, State
-from weldroute.herd import Herd, HerdPolicy
 
 KILLED = Exit(signal=9)
 POLICY = Policy(backoff_from=0.2, budget=2, budget_window=120.0, start_at_once=100)
--- a/tests/unit/test_drill.py
+++ b/tests/unit/test_drill.py
@@ -7,11 +7,11 @@
 import pytest
 
 from cometusher.config import ConfigError
-from cometusher.drill.page import counts
-from cometusher.drill.run import DOING, service_from
-from cometusher.drill.scenario import DEEDS, MOODS, pick, read_scenario, schedule
-from cometusher.drill.world import Account, Told
-from standins import link
+from cometusher.fault_injection.environment import Account, Told
+from cometusher.fault_injection.report import counts
+from cometusher.fault_injection.runner import DOING, service_from
+from cometusher.fault_injection.scenario import DEEDS, MOODS, pick, read_scenario, schedule
+from standins import faulty_link
 
 ROOT = Path(__file__).parent.parent.parent
 HEAD = '[drill]\nname = "t"\nseed = 7\n[[fleet]]\nname = "a"\n[[fleet]]\nname = "b"\n'
@@ -64,7 +64,7 @@
 
 
 def test_every_deed_and_mood_is_carried_out_by_something() -> None:
-    assert set(DEEDS) == set(DOING) and set(MOODS) == set(link.MOODS)
+    assert set(DEEDS) == set(DOING) and set(MOODS) == set(faulty_link.MOODS)
 
 
 def test_service_is_full_from_the_last_request_that_was_not_served_at_once() -> None:
--- a/tests/unit/test_vigil.py
+++ b/tests/unit/test_failure_detector.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from weldroute.siblings import Account, Key
-from weldroute.vigil import ACTED_FOR, Act, Do, Evidence, Judgement, Life, Vigil, VigilPolicy, phi
+from weldroute.failure_detector import ACTED_FOR, Act, Do, Evidence, Judgement, Life, Vigil, VigilPolicy, phi
+from weldroute.outlier_detection import Account, Key
 
 EVERY = 0.05
 POLICY = VigilPolicy()
--- a/tests/unit/test_frames.py
+++ b/tests/unit/test_frames.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cometusher.mesh.frames import HEAD, MOST, MOST_HELLO, TAG, BadFrame, Message, Session, decode, encode
-from weldroute import facts, leases
+from cometusher.cluster.frames import HEAD, MOST, MOST_HELLO, TAG, BadFrame, Message, Session, decode, encode
+from weldroute import leases, replicated_map
 from weldroute.links import Kind
 from weldroute.members import Ack, Gossip, Nack, Ping, PingFor, Row, State, Sync
 
@@ -30,8 +30,8 @@
     leases.Accepted("d", (1, "a")),
     leases.Rejected("d", (1, "a"), (2, "b")),
     leases.Released("d", LEASE),
-    facts.News("f", "a", (facts.Fact("k", "v", (1, 2, "a")),)),
-    facts.Digest("f", "a", 7, True),
+    replicated_map.News("f", "a", (replicated_map.Fact("k", "v", (1, 2, "a")),)),
+    replicated_map.Digest("f", "a", 7, True),
 ]
 
 
--- a/tests/unit/test_evidence.py
+++ b/tests/unit/test_observations.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cometusher.fleet.evidence import LINES, Look, Recorder, judge_again, read_evidence
-from weldroute.siblings import Key
-from weldroute.vigil import Act, Do, Evidence, Vigil, VigilPolicy
+from cometusher.fleet.observations import LINES, Look, Recorder, judge_again, read_evidence
+from weldroute.failure_detector import Act, Do, Evidence, Vigil, VigilPolicy
+from weldroute.outlier_detection import Key
 
 EVERY = 0.05
 
--- a/tests/unit/test_offer.py
+++ b/tests/unit/test_offer.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from cometusher.inhand.door import _sockets
-from cometusher.inhand.keeper import _open
-from cometusher.inhand.offer import Offer, close_all, receive, waits
+from cometusher.inflight.descriptor_holder import _open
+from cometusher.inflight.endpoint import _sockets
+from cometusher.inflight.offer import Offer, close_all, receive, waits
 
 Ends = tuple[socket.socket, socket.socket]
 
--- a/tests/unit/test_siblings.py
+++ b/tests/unit/test_outlier_detection.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from weldroute.model import Outcome
-from weldroute.siblings import (
+from weldroute.outlier_detection import (
     CELLS,
     LONG,
     MOST,
--- a/tests/unit/test_comeback.py
+++ b/tests/unit/test_recovery.py
@@ -1,4 +1,4 @@
-"""One instance's return: the tables of `weldroute.comeback` row by row, its paces, and random orders of events."""
+"""One instance's return: the tables of `weldroute.recovery` row by row, its paces, and random orders of events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from weldroute import ServerRow, State
-from weldroute.comeback import (
+from weldroute.recovery import (
     CALM,
     GRACE,
     MOST_HELD,
--- a/tests/unit/test_facts.py
+++ b/tests/unit/test_replicated_map.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldroute import facts
-from weldroute.facts import OVER, Digest, Fact, FactPolicy, Facts, Message, News
+from weldroute import replicated_map
+from weldroute.replicated_map import OVER, Digest, Fact, FactPolicy, Facts, Message, News
 
 POLICY = FactPolicy()
 
@@ -211,7 +211,7 @@
         self._seen = (0, 0)
         return write(self, now, wall, key, value)
 
-    monkeypatch.setattr(facts.Facts, "write", plain)
+    monkeypatch.setattr(replicated_map.Facts, "write", plain)
     with pytest.raises(AssertionError):
         test_one_whose_clock_was_set_back_by_an_hour_writes_above_what_it_has_seen()
 
@@ -222,7 +222,7 @@
     def deaf(self: Facts, now: float, wall: float, message: Message) -> tuple[list[Fact], list[Message]]:
         return ([], []) if isinstance(message, Digest) else hear(self, now, wall, message)
 
-    monkeypatch.setattr(facts.Facts, "hear", deaf)
+    monkeypatch.setattr(replicated_map.Facts, "hear", deaf)
     with pytest.raises(AssertionError):
         test_on_and_off_on_two_sides_of_a_cut_end_as_the_later_one_everywhere()
 
--- a/tests/unit/test_inhand.py
+++ b/tests/unit/test_request_journal.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldroute.inhand import (
+from weldroute.request_journal import (
     BLOCK,
     BUSY,
     IDLE,
--- a/tests/unit/test_remember.py
+++ b/tests/unit/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What is believed of a record: the table of `weldroute.remember`, row by row, and over random ages and clocks."""
+"""What is believed of a record: the table of `weldroute.snapshots`, row by row, and over random ages and clocks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldroute.remember import (
+from weldroute.snapshots import (
     FORM,
     TAKES,
     Damaged,
--- a/tests/unit/test_takeover.py
+++ b/tests/unit/test_takeover.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldroute.inhand import End, Entry, Progress, Stage, Try
 from weldroute.model import Group, Past, Repeat, RequestClass
+from weldroute.request_journal import End, Entry, Progress, Stage, Try
 from weldroute.takeover import (
     LEAST_LEFT,
     SERVED,
--- a/tests/unit/test_accounts.py
+++ b/tests/unit/test_tcp_info.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from cometusher.inhand import accounts
-from cometusher.inhand.accounts import ACKED, ACKED_AT, ESTABLISHED, HEARD, HEARD_AT, look, name_by
+from cometusher.inflight import tcp_info
+from cometusher.inflight.tcp_info import ACKED, ACKED_AT, ESTABLISHED, HEARD, HEARD_AT, look, name_by
 
 
 class Kernel:
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("arrivals", [0, 1, 3])
 def test_what_arrives_between_two_calls_is_counted_once(arrivals: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(accounts, "_queue", queue)
+    monkeypatch.setattr(tcp_info, "_queue", queue)
     kernel: Any = Kernel(arrivals)
     seen = look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False)
     assert seen is not None and (seen.written, seen.read) == (150, 70)
@@ -54,7 +54,7 @@
 
 
 def test_a_connection_that_never_rests_tells_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(accounts, "_queue", queue)
+    monkeypatch.setattr(tcp_info, "_queue", queue)
     kernel: Any = Kernel(10**6)
     assert look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False) is None
 
@@ -66,5 +66,5 @@
             far.sendall(b"x" * 30)
             near.sendall(b"y" * 20)
             assert far.recv(5) == b"yyyyy"
-            seen = look(far, accounts.name_of(far), False)
+            seen = look(far, tcp_info.name_of(far), False)
             assert seen is not None and (seen.written, seen.read, seen.unread) == (30, 5, 15) and not seen.ended
--- a/tests/unit/test_tables.py
+++ b/tests/unit/test_toml_reader.py
@@ -15,7 +15,7 @@
 from cometusher import logs
 from cometusher.config import ConfigError
 from cometusher.fleet.spec import read_place, read_spec, write_private
-from cometusher.tables import read_file
+from cometusher.toml_reader import read_file
 
 HEAD = '[fleet]\nstate = "s"\n[common]\nconfig = "proxy.json"\ndiscovery = "127.0.0.1:9"\n'
 ONE = '[[instance]]\nname = "a"\nlisten = "127.0.0.1:9000"\n'
--- a/tests/virtual/test_blows.py
+++ b/tests/virtual/test_correlated_failure_worlds.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from cometusher import comeback
-from cometusher.virtual import script
-from cometusher.virtual.world import play
-from weldroute.remember import Record
+from cometusher import recovery
+from cometusher.simulation import script
+from cometusher.simulation.world import play
+from weldroute.snapshots import Record
 
 REQUESTS = "\n".join(f"request {i + 1} at {0.2 + 0.04 * i:.2f} view budget 1" for i in range(110))
 HEAD = f"""world one seed 5 seconds 5
@@ -28,10 +28,10 @@
 
 @pytest.mark.parametrize("text", [BANNED, FORGOTTEN])
 def test_a_ban_that_is_forgotten_is_found(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def forget(self: comeback.Return, record: Record | None) -> None:
+    def forget(self: recovery.Return, record: Record | None) -> None:
         """Planted: orders are left aside."""
 
-    monkeypatch.setattr(comeback.Return, "_take_orders", forget)
+    monkeypatch.setattr(recovery.Return, "_take_orders", forget)
     assert [v for v in play(script.read(text)).violations if "ban" in f"{v}"]
 
 
--- a/tests/virtual/test_loop.py
+++ b/tests/virtual/test_loop.py
@@ -9,8 +9,8 @@
 import pytest
 import uvloop
 
-from cometusher.virtual.loop import MACHINE, Deadlock, Stuck, VirtualLoop, run
-from cometusher.virtual.network import Link, Machine, VirtualNetwork
+from cometusher.simulation.loop import MACHINE, Deadlock, Stuck, VirtualLoop, run
+from cometusher.simulation.network import Link, Machine, VirtualNetwork
 
 Main = Callable[[], Coroutine[Any, Any, Any]]
 PATIENCE = 20.0
@@ -319,7 +319,7 @@
 
 
 def test_a_callback_that_never_yields_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cometusher.virtual.loop.STUCK", 0.2)
+    monkeypatch.setattr("cometusher.simulation.loop.STUCK", 0.2)
 
     async def forever() -> None:
         while True:
@@ -331,7 +331,7 @@
 
 def test_a_plain_callback_that_never_yields_is_reported_too(monkeypatch: pytest.MonkeyPatch) -> None:
     """asyncio's handles catch whatever a callback raises; the loop tells it all the same."""
-    monkeypatch.setattr("cometusher.virtual.loop.STUCK", 0.2)
+    monkeypatch.setattr("cometusher.simulation.loop.STUCK", 0.2)
 
     def forever() -> None:
         while True:
--- a/tests/virtual/test_oracles.py
+++ b/tests/virtual/test_oracles.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cometusher.virtual.oracles import Ledger
-from cometusher.virtual.script import Plan
-from cometusher.virtual.world import settings
+from cometusher.simulation.oracles import Ledger
+from cometusher.simulation.script import Plan
+from cometusher.simulation.world import settings
 from weldroute.settings import read_settings
 
 PATH = 0.01
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -14,12 +14,12 @@
 from cometusher import config
 from cometusher.demo import WINDOW, settings
 from cometusher.proxy import Proxy
-from cometusher.virtual.hunt import in_fresh_processes
-from cometusher.virtual.loop import VirtualLoop, run
-from cometusher.virtual.network import Link, Machine, VirtualNetwork, VirtualSurroundings
+from cometusher.simulation.loop import VirtualLoop, run
+from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualSurroundings
+from cometusher.simulation.seed_search import in_fresh_processes
 from standins.discovery import HostList
 from standins.load import Figures, Kind, Load
-from standins.node import Keys, Node
+from standins.service_backend import Keys, Node
 from weldroute.settings import read_settings
 
 FRONT = ("10.1.0.1", 9000)
--- a/tests/virtual/test_script.py
+++ b/tests/virtual/test_script.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cometusher.config import ConfigError
-from cometusher.virtual import script
+from cometusher.simulation import script
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/virtual/test_hunt.py
+++ b/tests/virtual/test_seed_search.py
@@ -10,9 +10,9 @@
 import pytest
 from mutants import Mutant, plant
 
-from cometusher.virtual import hunt, script
-from cometusher.virtual.oracles import Violation
-from cometusher.virtual.world import Result, play
+from cometusher.simulation import script, seed_search
+from cometusher.simulation.oracles import Violation
+from cometusher.simulation.world import Result, play
 
 ROOT = Path(__file__).parent.parent.parent
 WINDOW = "1375..1385"  # around one of the few of the first 1,760 seeds that meet the defect below
@@ -57,7 +57,7 @@
         violations = [Violation("planted", 1.0, "as it was meant")] if fails else []
         return Result(tried, violations, "", [], {}, 0.0, 0)
 
-    shrinker = hunt.Shrinker("planted", run)
+    shrinker = seed_search.Shrinker("planted", run)
     small = shrinker.shrink(plan)
     assert small.faults == (plan.faults[3],) and small.requests == (plan.requests[7], plan.requests[50])
     assert shrinker.tries < 100
@@ -65,7 +65,7 @@
 
 def test_a_plan_that_breaks_nothing_is_not_shrunk() -> None:
     with pytest.raises(ValueError, match="breaks no rule"):
-        hunt.shrink(replace(script.draw(1, "one"), faults=(), requests=script.draw(1, "one").requests[:5]))
+        seed_search.shrink(replace(script.draw(1, "one"), faults=(), requests=script.draw(1, "one").requests[:5]))
 
 
 def test_one_seed_is_shown_and_its_script_replays_to_the_same_digest(tmp_path: Path) -> None:
--- a/tests/virtual/test_staleness.py
+++ b/tests/virtual/test_staleness.py
@@ -15,8 +15,8 @@
 from cometusher import config
 from cometusher.demo import settings
 from cometusher.proxy import Proxy
-from cometusher.virtual.loop import VirtualLoop, run
-from cometusher.virtual.network import Link, Machine, VirtualNetwork, VirtualSurroundings
+from cometusher.simulation.loop import VirtualLoop, run
+from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualSurroundings
 from weldroute import State
 from weldroute.settings import read_settings
 
--- a/tests/virtual/test_worlds.py
+++ b/tests/virtual/test_worlds.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from cometusher.virtual import hunt, script
-from cometusher.virtual.world import play
+from cometusher.simulation import script, seed_search
+from cometusher.simulation.world import play
 
 ROOT = Path(__file__).parent.parent.parent
 SCRIPTS = sorted((Path(__file__).parent / "scripts").glob("*.world"))
@@ -18,7 +18,7 @@
 
 
 def test_the_corpus_breaks_no_rule() -> None:
-    failed = [(found.seed, found.world, found.text[0]) for found in hunt.hunt(SEEDS) if found.oracles]
+    failed = [(found.seed, found.world, found.text[0]) for found in seed_search.hunt(SEEDS) if found.oracles]
     assert failed == []
 
 
@@ -100,11 +100,14 @@
 
 
 def test_a_seed_does_the_same_in_every_process_with_every_hash_seed_and_number_of_workers() -> None:
-    code = "from cometusher.virtual.hunt import look; print(*(look('any', seed).digest for seed in (3, 11, 19)))"
-    outputs = hunt.in_fresh_processes(code, ROOT, (0, 1, 4242))
+    code = (
+        "from cometusher.simulation.seed_search import look; "
+        "print(*(look('any', seed).digest for seed in (3, 11, 19)))"
+    )
+    outputs = seed_search.in_fresh_processes(code, ROOT, (0, 1, 4242))
     assert len(outputs) == 1
-    apart = {found.seed: found.digest for found in hunt.hunt(range(20), jobs=3)}
-    alone = {found.seed: found.digest for found in hunt.hunt(range(19, -1, -1), jobs=1)}
+    apart = {found.seed: found.digest for found in seed_search.hunt(range(20), jobs=3)}
+    alone = {found.seed: found.digest for found in seed_search.hunt(range(19, -1, -1), jobs=1)}
     assert apart == alone and len(set(alone.values())) == 20
     assert outputs == {f"{alone[3]} {alone[11]} {alone[19]}"}
 
--- a/weldroute/herd.py
+++ b/weldroute/correlated_failures.py
@@ -24,7 +24,7 @@
 from random import Random
 from typing import Any
 
-from weldroute.comeback import Waves
+from weldroute.recovery import Waves
 
 OUTSIDE = frozenset({9, 15})  # SIGKILL, SIGTERM
 TOGETHER = 0.25  # seconds by which the ends of one blow may be noticed in another order
--- a/weldroute/vigil.py
+++ b/weldroute/failure_detector.py
@@ -31,8 +31,8 @@
 Two bounds hold whatever the evidence says. No more than `share` of the fleet is acted upon at once: who was killed
 counts until another is ready in its place. And when more than `distrust` of all look ill by their silence alone, the
 evidence is distrusted and not the fleet: nobody is killed for it. A state that the kernel tells is no such evidence.
-One that lives and fares worse than its siblings (`weldroute.siblings`) is never killed for it: most of its new
-connections go to others, and it gets them back by steps.
+One that lives and fares worse than its siblings (`weldroute.outlier_detection`) is never killed for it: most of its
+new connections go to others, and it gets them back by steps.
 
 A process is watched from its start to its end (`Life`). Until it turns for the first time its silence says nothing,
 for what a start takes is bounded elsewhere; only a stop that the kernel tells counts. One that was told to end has
@@ -51,7 +51,7 @@
 from typing import Any
 
 from weldroute.checks import check_numbers
-from weldroute.siblings import Account, Comparison, Finding, Key, Siblings
+from weldroute.outlier_detection import Account, Comparison, Finding, Key, Siblings
 
 LEARNS = 0.05  # the part of a new sample in means and deviations...
 LEARNS_ILL = 0.005  # ...and while it is suspect: one that flaps must not teach that flapping is well
--- a/weldroute/fleet.py
+++ b/weldroute/fleet.py
@@ -35,7 +35,7 @@
 from random import Random
 from typing import Any
 
-from weldroute.herd import Blow, Herd, HerdPolicy
+from weldroute.correlated_failures import Blow, Herd, HerdPolicy
 
 LEAST = {"hang_after": 0.5, "ready_within": 0.1}  # below that the supervisor's own pace would decide
 PAUSE = 2.0  # seconds between two ticks from which on the supervisor itself was stopped
--- a/weldroute/siblings.py
+++ b/weldroute/outlier_detection.py
@@ -5,8 +5,8 @@
 `Account` of growing counts in shared memory; an observer reads them several times a second and compares each with
 all others together.
 
-How unlikely a difference is, `rarity`, is in the unit of `phi` (`weldroute.vigil`), decades: minus the decimal
-logarithm of a bound on the chance that one who fares like its siblings shows it. It is Page's cumulative sum
+How unlikely a difference is, `rarity`, is in the unit of `phi` (`weldroute.failure_detector`), decades: minus the
+decimal logarithm of a bound on the chance that one who fares like its siblings shows it. It is Page's cumulative sum
 (Biometrika 1954) of a log-likelihood ratio, which begins anew at 0 whenever it would fall under it and fades with the
 time constant `window`: what went well before a change speaks for nothing after it. For paths it is that of each
 attempt to a zone, as lost by chance LOSES against by that of siblings; for slowness that of each answer's time, as
--- a/weldroute/takeover.py
+++ b/weldroute/takeover.py
@@ -1,8 +1,8 @@
 """Work in hand that outlives its proxy: what an heir does with it, and who the one heir is. Sans I/O, without clocks.
 
-What was noted of a piece of work (`weldroute.inhand`) is weighed against the kernel's own account of its connections
-(`Seen`): how many bytes went out and how many were read. Notes are written before the act that they tell of, and the
-account is exact, so that together they leave no moment in which it is open what has happened:
+What was noted of a piece of work (`weldroute.request_journal`) is weighed against the kernel's own account of its
+connections (`Seen`): how many bytes went out and how many were read. Notes are written before the act that they tell
+of, and the account is exact, so that together they leave no moment in which it is open what has happened:
 
 - an attempt of which less than the whole request went out has never run: a backend begins with the last byte; nor has
   one whose last byte has not come from the caller;
@@ -45,8 +45,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from weldroute.inhand import End, Entry, Progress, Stage, Try
 from weldroute.model import Group, Past, Repeat, RequestClass
+from weldroute.request_journal import End, Entry, Progress, Stage, Try
 
 SHUNNED_FOR = 0.5  # seconds in which one that has not received what it was offered is offered nothing more
 LEAST_LEFT = 0.05  # seconds: with less an heir's attempt can't be answered in time
