--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -33,7 +33,7 @@
 from cometusher.fault_injection.environment import World, signal_all  # noqa: E402
 from cometusher.fleet.observations import Look, judge_again, read_evidence  # noqa: E402
 from standins.load import quantile  # noqa: E402
-from weldroute.failure_detector import Do, VigilPolicy  # noqa: E402
+from weldroute.failure_detector import FailureDetectorPolicy, Response  # noqa: E402
 
 THRESHOLDS = (1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 8.0, 10.0, 12.0, 16.0, 20.0)
 PAUSE, REST = 1.0, 1.5  # seconds for which one is stopped, and between two of them
@@ -77,7 +77,7 @@
     for look in looks:
         seen = {key: replace(one, stopped=False) for key, one in look.seen.items()}
         if not excused:
-            seen = {key: replace(one, starved=0.0) for key, one in seen.items()}
+            seen = {key: replace(one, cpu_wait=0.0) for key, one in seen.items()}
         yield replace(look, seen=seen)
 
 
@@ -108,7 +108,7 @@
     for look in looks:
         for key, one in look.seen.items():
             if one.stopped:
-                found[key] = (one.turned, look.at)
+                found[key] = (one.last_heartbeat, look.at)
             elif key in found:
                 done.append((key, *found.pop(key)))
     return done
@@ -116,13 +116,15 @@
 
 def judge(threshold: float, calm: Path, stops: Path, excused: bool = True) -> Judged:
     """Both recordings, by one threshold."""
-    policy = VigilPolicy(suspect=threshold, certain=max(threshold, 12.0), hung_for=1e3, spinning_for=1e3)
+    policy = FailureDetectorPolicy(suspect=threshold, certain=max(threshold, 12.0), hung_for=1e3, spinning_for=1e3)
     quiet = list(read_evidence(calm))
-    alarms = sum(act.do is Do.RELIEVE for _, act in judge_again(by_silence(iter(quiet), excused), policy))
+    alarms = sum(
+        act.response is Response.DIVERT_ACCEPTS for _, act in judge_again(by_silence(iter(quiet), excused), policy)
+    )
     hours = sum(len(look.seen) * look.every for look in quiet) / 3600.0
     looks = list(read_evidence(stops))
     judged = judge_again(by_silence(iter(looks), excused), policy)
-    acts = [(at, act.key) for at, act in judged if act.do is Do.RELIEVE]
+    acts = [(at, act.key) for at, act in judged if act.response is Response.DIVERT_ACCEPTS]
     times, missed = [], 0
     for key, turned, until in stopped(looks):
         first = next((at for at, whom in acts if whom == key and turned < at <= until), None)
@@ -184,7 +186,7 @@
             one.join()
         rows = [judge(threshold, calm, stops) for threshold in THRESHOLDS]
         plain = [judge(threshold, calm, stops, False) for threshold in THRESHOLDS]
-        usual = judge(VigilPolicy().suspect, calm, stops)
+        usual = judge(FailureDetectorPolicy().suspect, calm, stops)
     for row, other in zip(rows, plain, strict=True):
         print(
             f"phi {row.threshold:4g}: {row.rate:8.2f} false alarms for each instance and hour, noticed after "
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from cometusher.inflight.endpoint import Covered
-    from cometusher.recovery import Returning
+    from cometusher.recovery import RecoveryConfig
 
 Address = tuple[str, int]
 
@@ -40,7 +40,7 @@
     management: Address | None = None  # where operators call
     accept_fd: int | None = None  # the listener that this process was started with
     shared: str | None = None  # a folder that processes of this proxy share, where one takes over from another
-    returning: Returning | None = None  # how to come back, where a supervisor has it switched on
+    returning: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
     covered: Covered | None = None  # where work in hand is noted, likewise
 
 
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -22,8 +22,8 @@
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from cometusher.fleet.identity import Identity
 from cometusher.fleet.supervisor_state import KIND as FLEET_KIND
-from cometusher.recovery import KINDS as KEPT_KINDS
-from cometusher.store.records import Records
+from cometusher.recovery import RECORD_KINDS as KEPT_KINDS
+from cometusher.store.records import RecordFile
 from standins.backend import Backend
 from standins.discovery import HostList
 from standins.faulty_link import Link, Mood
@@ -396,10 +396,10 @@
         """
         own = [".fleet"] if len(names) == self.count else []
         for name in [*names, *own]:
-            records = Records(self.state / "store" / f"{name}.records")
+            records = RecordFile(self.state / "store" / f"{name}.records")
             for kind, record in records.read([*KEPT_KINDS, FLEET_KIND]).items():
-                at = replace(record.at, unix=record.at.unix - seconds, boot="before", since_boot=0.0)
-                records.write([replace(record, at=at, serial=records.next_serial(kind))])
+                at = replace(record.written_at, unix=record.written_at.unix - seconds, boot="before", since_boot=0.0)
+                records.write([replace(record, written_at=at, serial=records.next_serial(kind))])
             records.close()
 
     def copy_store(self) -> None:
--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -14,25 +14,25 @@
 import time
 from typing import TYPE_CHECKING
 
-from weldroute.outlier_detection import CELLS, Account, Counting, read_account
+from weldroute.outlier_detection import CELL_COUNT, TrafficCounters, TrafficRecorder, read_counters
 
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
 
 BOARD = 9  # the descriptor that a process under a supervisor has it at
 TURNED, ASIDE = 0, 1  # cells
-ROW = 8 * CELLS  # bytes
+ROW = 8 * CELL_COUNT  # bytes
 ROWS = 4096  # processes that can be alive at once
 
 
 def turn(proxy: Proxy, row: int, every: float) -> None:
     """Beat from here on, `every` so many seconds; keep an account, and heed the supervisor's word."""
     cells = memoryview(mmap.mmap(BOARD, ROWS * ROW))[row * ROW : (row + 1) * ROW].cast("q")
-    counting = proxy.counting = Counting(cells)
+    counting = proxy.counting = TrafficRecorder(cells)
 
     def beat() -> None:
         cells[TURNED] = time.monotonic_ns()
-        counting.stands(proxy.discovery.seq, proxy.callers.crowded)
+        counting.publish_state(proxy.discovery.seq, proxy.callers.crowded)
         proxy.set_aside(bool(cells[ASIDE]))
         proxy.loop.call_later(every, beat)
 
@@ -57,7 +57,7 @@
         return row
 
     def _row(self, row: int) -> memoryview:
-        return self._cells[row * CELLS : (row + 1) * CELLS]
+        return self._cells[row * CELL_COUNT : (row + 1) * CELL_COUNT]
 
     def give(self, row: int) -> None:
         """Its process has been reaped: nobody writes to it any more."""
@@ -65,15 +65,15 @@
 
     def turned(self, row: int) -> float:
         """Seconds of the machine's clock; 0 if its process has not begun to beat."""
-        return self._cells[row * CELLS + TURNED] / 1e9
+        return self._cells[row * CELL_COUNT + TURNED] / 1e9
 
-    def account(self, row: int, tier: int) -> Account:
+    def account(self, row: int, tier: int) -> TrafficCounters:
         """What its process has counted."""
-        return read_account(self._row(row).tolist(), tier)
+        return read_counters(self._row(row).tolist(), tier)
 
     def set_aside(self, row: int, aside: bool) -> None:
         """Tell its process whether to leave new connections to others."""
-        self._cells[row * CELLS + ASIDE] = aside
+        self._cells[row * CELL_COUNT + ASIDE] = aside
 
     def close(self) -> None:
         """The supervisor ends."""
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -70,7 +70,7 @@
         self._say(event="ready")
         if proxy.comeback is not None:
             proxy.comeback.report = self._tell_comeback
-            self._tell_comeback(proxy.comeback.figures())
+            self._tell_comeback(proxy.comeback.status())
         if proxy.hand is not None:
             proxy.hand.tell = self._tell_declined
         if os.environ.get("FLEET_VIGIL") == "1":
@@ -112,9 +112,9 @@
     """What the supervisor has told of this instance's return and of its book, if switched on; raises ConfigError."""
     path = Path(os.environ["LB_CONFIG"])
     if os.environ.get("FLEET_COMEBACK") == "1":
-        from cometusher.recovery import read_returning
+        from cometusher.recovery import read_recovery_config
 
-        settings = replace(settings, returning=read_returning(path))
+        settings = replace(settings, returning=read_recovery_config(path))
     if os.environ.get("FLEET_TAKEOVER") == "1":
         from cometusher.inflight.endpoint import read_covered
 
--- a/cometusher/fleet/observations.py
+++ b/cometusher/fleet/observations.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from weldroute.failure_detector import Act, Evidence, Life, Vigil, VigilPolicy
+from weldroute.failure_detector import Decision, FailureDetector, FailureDetectorPolicy, Lifecycle, Observation
 from weldroute.outlier_detection import Key
 
 log = logging.getLogger("cometusher.fleet.evidence")  # the `subsystem` of its log records
@@ -30,7 +30,7 @@
     at: float  # seconds of the machine's clock
     every: float
     wanted: int
-    seen: Mapping[Key, Evidence]
+    seen: Mapping[Key, Observation]
 
 
 class Recorder:
@@ -78,7 +78,7 @@
         try:
             at, every, wanted, rows = orjson.loads(line)
             seen = {
-                (str(name), int(generation)): replace(Evidence(*rest), life=Life(life))
+                (str(name), int(generation)): replace(Observation(*rest), lifecycle=Lifecycle(life))
                 for name, generation, *rest, life in rows
             }
             yield Look(float(at), float(every), int(wanted), seen)
@@ -86,9 +86,9 @@
             raise ValueError(f"{path}:{number}: {fault}") from None
 
 
-def judge_again(looks: Iterator[Look], policy: VigilPolicy) -> Iterator[tuple[float, Act]]:
+def judge_again(looks: Iterator[Look], policy: FailureDetectorPolicy) -> Iterator[tuple[float, Decision]]:
     """What would be done, and when, with these thresholds."""
-    vigil = Vigil(policy)
+    vigil = FailureDetector(policy)
     for look in looks:
-        for act in vigil.look(look.at, look.seen, look.wanted, look.every):
+        for act in vigil.tick(look.at, look.seen, look.wanted, look.every):
             yield look.at, act
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -18,14 +18,14 @@
 from cometusher.config import Address, ConfigError, read_address
 from cometusher.toml_reader import Table, read_file
 from weldroute.correlated_failures import HerdPolicy
-from weldroute.failure_detector import VigilPolicy
+from weldroute.failure_detector import FailureDetectorPolicy
 from weldroute.fleet import Policy
 from weldroute.leases import LeasePolicy
 from weldroute.members import MemberPolicy
-from weldroute.outlier_detection import Comparison
-from weldroute.recovery import Plan
+from weldroute.outlier_detection import OutlierPolicy
+from weldroute.recovery import RecoveryPlan
 from weldroute.request_journal import BLOCK, Shelf, Size
-from weldroute.snapshots import Limits
+from weldroute.snapshots import AgeLimits
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 MOST = 1024  # instances
@@ -144,8 +144,8 @@
 class ComebackSpec:
     """How instances come back: what each may do, what it may believe, and what is a blow."""
 
-    plan: Plan
-    limits: Limits
+    plan: RecoveryPlan
+    limits: AgeLimits
     herd: HerdPolicy
 
 
@@ -185,8 +185,8 @@
     instances: dict[str, InstanceSpec]
     comeback: ComebackSpec | None = None  # switched on by its table
     takeover: TakeoverSpec | None = None  # likewise
-    vigil: VigilPolicy | None = None  # likewise...
-    comparison: Comparison = field(default_factory=Comparison)  # ...with its comparison of siblings...
+    vigil: FailureDetectorPolicy | None = None  # likewise...
+    comparison: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
     recorded: Recorded | None = None  # ...and where to keep what the watch saw
     mesh: MeshSpec | None = None  # likewise
 
@@ -243,9 +243,9 @@
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
-    plan, limits, herd = Plan(), Limits(), HerdPolicy()
+    plan, limits, herd = RecoveryPlan(), AgeLimits(), HerdPolicy()
     try:
-        plan = Plan(
+        plan = RecoveryPlan(
             instances=max(1, instances),
             returning=max(1, instances),
             calm=table.number("connects", plan.calm, 0.01, 1000.0),
@@ -255,7 +255,7 @@
             tries=table.number("tries", plan.tries, 0.1, 1e5),
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
-        limits = Limits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
+        limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
         herd = HerdPolicy(
             share=table.number("herd_share", herd.share, 0.001, 1.0),
             least=table.whole("herd_least", herd.least, 2),
@@ -292,19 +292,19 @@
     return found
 
 
-def _read_vigil(root: Table, base: Path) -> tuple[VigilPolicy | None, Comparison, Recorded | None]:
+def _read_vigil(root: Table, base: Path) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, Recorded | None]:
     """The table `[vigil]`, whose keys are those of all three; None where the file has none."""
     if not root.has("vigil"):
-        return None, Comparison(), None
+        return None, OutlierPolicy(), None
     table = root.table("vigil")
     record, most = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
     values, others = (
         {item.name: table.number(item.name, getattr(usual, item.name), 0.001, 1e6) for item in fields(usual)}
-        for usual in (VigilPolicy(), Comparison())
+        for usual in (FailureDetectorPolicy(), OutlierPolicy())
     )
     table.done()
     recorded = Recorded(base / record, most) if record else None
-    return _checked(table, VigilPolicy(**values)), _checked(table, Comparison(**others)), recorded
+    return _checked(table, FailureDetectorPolicy(**values)), _checked(table, OutlierPolicy(**others)), recorded
 
 
 def _read_mesh(root: Table, base: Path) -> MeshSpec | None:
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -461,7 +461,7 @@
         spec, memory, herd = self.spec.comeback, self.memory, self.fleet.herd
         if spec is None or memory is None or herd is None:
             return {}
-        from cometusher.recovery import Returning, write_returning
+        from cometusher.recovery import RecoveryConfig, write_recovery_config
 
         plan = replace(
             spec.plan, instances=len(self.fleet.instances), returning=herd.returning(self.loop.time(), name)
@@ -469,8 +469,10 @@
         owner = Owner(self.spec.place.name, name, memory.epoch)
         known = memory.known(name)
         return {
-            "comeback": write_returning(
-                Returning(plan, spec.limits, owner, self.spec.place.records(name), known, memory.orders.get(name))
+            "comeback": write_recovery_config(
+                RecoveryConfig(
+                    plan, spec.limits, owner, self.spec.place.records(name), known, memory.orders.get(name)
+                )
             )
         }
 
@@ -664,7 +666,7 @@
         self.fleet.policy = fresh.policy
         if self.watch is not None and fresh.vigil is not None:
             self.watch.vigil.policy = fresh.vigil
-            self.watch.vigil.siblings.policy = fresh.comparison
+            self.watch.vigil.outlier_detector.policy = fresh.comparison
         if self.fleet.herd is not None and fresh.comeback is not None:
             self.fleet.herd.policy = fresh.comeback.herd
         steps = [(name, Step.REMOVE) for name in old.instances if name not in fresh.instances]
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -12,10 +12,10 @@
 
 from cometusher.fleet.spec import FleetSpec
 from cometusher.runtime import moment
-from cometusher.store.records import Records
+from cometusher.store.records import RecordFile
 from weldroute.fleet import Fleet
 from weldroute.handover import Unusable, read_standing
-from weldroute.snapshots import Known, Limits, Owner, Record, Trust, judge
+from weldroute.snapshots import AgeLimits, KnownVersions, Owner, Record, Trust, assess
 
 log = logging.getLogger("cometusher.fleet.memory")  # the `subsystem` of its log records
 
@@ -43,7 +43,7 @@
 
     def __init__(self, spec: FleetSpec) -> None:
         self._name = spec.place.name
-        self._records = Records(spec.place.fleet_records)
+        self._records = RecordFile(spec.place.fleet_records)
         self.epoch = 1
         self.list_seq = 0
         self.orders: dict[str, dict[str, Any]] = {}  # standing forms by instance
@@ -62,7 +62,7 @@
             return
         # Of any age: who is wanted and what is banned is not less true for being old.
         owner = Owner(self._name, "", record.owner.epoch)
-        verdict, why = judge(record, owner, moment(), Limits(), Known())
+        verdict, why = assess(record, owner, moment(), AgeLimits(), KnownVersions())
         if verdict in (Trust.NEWER, Trust.FOREIGN) or not isinstance(record.body, dict):
             log.warning("what the fleet had kept is left aside: %s", why)
             return
@@ -122,10 +122,10 @@
             news = True
         return news
 
-    def known(self, name: str) -> Known:
+    def known(self, name: str) -> KnownVersions:
         """What the fleet knows of an instance's records."""
         version = self.orders.get(name, {}).get("version", 0)
-        return Known(self.list_seq, version if isinstance(version, int) else 0)
+        return KnownVersions(self.list_seq, version if isinstance(version, int) else 0)
 
     def forget(self, name: str) -> None:
         """An instance is no longer in the file."""
--- a/cometusher/fleet/watchdog.py
+++ b/cometusher/fleet/watchdog.py
@@ -15,16 +15,23 @@
 from cometusher.fleet.heartbeat import BOARD, Board
 from cometusher.fleet.identity import RUNNABLE, read_schedule, read_stat
 from cometusher.fleet.observations import Look, Recorder
-from weldroute.failure_detector import Act, Do, Evidence, Life, Vigil, VigilPolicy
+from weldroute.failure_detector import (
+    Decision,
+    FailureDetector,
+    FailureDetectorPolicy,
+    Lifecycle,
+    Observation,
+    Response,
+)
 from weldroute.fleet import Phase
-from weldroute.outlier_detection import Account, Comparison, Key
+from weldroute.outlier_detection import Key, OutlierPolicy, TrafficCounters
 
 log = logging.getLogger("cometusher.fleet.watch")  # the `subsystem` of its log records
 
 EVERY = 0.05  # seconds between looks
 ACCEPTS = 64  # connections that are accepted for another at one wake-up
 STOPPED = "Tt"  # states of proc(5)
-LIVES = {Phase.STARTING: Life.STARTING, Phase.READY: Life.SERVING, Phase.LEAVING: Life.LEAVING}
+LIVES = {Phase.STARTING: Lifecycle.STARTING, Phase.READY: Lifecycle.SERVING, Phase.LEAVING: Lifecycle.LEAVING}
 
 
 class One(Protocol):
@@ -63,13 +70,13 @@
 
     def __init__(
         self,
-        policy: VigilPolicy,
-        comparison: Comparison,
+        policy: FailureDetectorPolicy,
+        comparison: OutlierPolicy,
         loop: asyncio.AbstractEventLoop,
         hands: Hands,
         passes_on: bool,
     ) -> None:
-        self.vigil = Vigil(policy, comparison)
+        self.vigil = FailureDetector(policy, comparison)
         self.board = Board()
         self._loop = loop
         self._hands = hands
@@ -99,7 +106,7 @@
         self._silent.discard(key)
         self._aside.pop(key, None)
         self._return(key)
-        self.vigil.gone(key)
+        self.vigil.on_exit(key)
         self.board.give(row)
 
     def close(self) -> None:
@@ -123,24 +130,24 @@
             key = one.name, one.generation
             rows[key] = one.row
             account = self.board.account(one.row, self._hands.tier(one.name))
-            if life is Life.SERVING:
+            if life is Lifecycle.SERVING:
                 accounts[key] = account
             seen[key] = self._evidence(one, life, waits.get(one.name, 0.0), account)
         if self.recorder is not None:
             self.recorder.keep(Look(now, EVERY, self._hands.wanted(), seen))
-        for act in self.vigil.look(now, seen, self._hands.wanted(), EVERY, accounts):
+        for act in self.vigil.tick(now, seen, self._hands.wanted(), EVERY, accounts):
             self._do(act, rows[act.key])
         self._loop.call_later(EVERY, self._look)
 
-    def _evidence(self, one: One, life: Life, waits: float, account: Account) -> Evidence:
+    def _evidence(self, one: One, life: Lifecycle, waits: float, account: TrafficCounters) -> Observation:
         stat = read_stat(one.pid)
         ran, starved = read_schedule(one.pid)
         stopped = stat is not None and stat.state in STOPPED
-        progress = account.answered + sum(account.missed)
+        progress = account.total_answered + sum(account.unanswered)
         # Who was told to end has left what waits there to others.
-        waits = 0.0 if life is Life.LEAVING else waits
+        waits = 0.0 if life is Lifecycle.LEAVING else waits
         runnable = stat is not None and stat.state == RUNNABLE
-        return Evidence(self.board.turned(one.row), stopped, ran, starved, waits, progress, runnable, life)
+        return Observation(self.board.turned(one.row), stopped, ran, starved, waits, progress, runnable, life)
 
     def _waiting(self, now: float, names: Collection[str]) -> dict[str, float]:
         """For how long connections wait at listeners: as long as there is one at each look."""
@@ -156,26 +163,28 @@
 
     # ---- acting --------------------------------------------------------------------------
 
-    def _do(self, act: Act, row: int) -> None:
+    def _do(self, act: Decision, row: int) -> None:
         name = f"{act.key[0]} (generation {act.key[1]})"
-        log.warning("%s: %s: %s", name, act.do.value, act.why, extra={"event": "vigil", "instance": act.key[0]})
-        if act.do is Do.RELIEVE:
+        log.warning(
+            "%s: %s: %s", name, act.response.value, act.reason, extra={"event": "vigil", "instance": act.key[0]}
+        )
+        if act.response is Response.DIVERT_ACCEPTS:
             self._silent.add(act.key)
             self._relieve(act.key)
-        elif act.do is Do.RETURN:
+        elif act.response is Response.RESUME_ACCEPTS:
             self._silent.discard(act.key)
             self._return(act.key)
-        elif act.do is Do.ASIDE:
+        elif act.response is Response.EJECT:
             if self._passes_on:
                 self._aside[act.key] = row, 0.0
                 self.board.set_aside(row, True)
                 self._relieve(act.key)
-        elif act.do is Do.RESTORE:
+        elif act.response is Response.READMIT:
             if self._aside.pop(act.key, None) is not None:
                 self.board.set_aside(row, False)
                 self._return(act.key)
         else:
-            self._hands.replace(act.key, act.why)
+            self._hands.replace(act.key, act.reason)
 
     def _relieve(self, key: Key) -> None:
         """Accept what waits at its listener, as long as it does not; it may wake up and accept beside that."""
@@ -207,7 +216,7 @@
             return own
         row, due = self._aside[key]
         for _ in range(len(connections)):
-            due += self.vigil.siblings.portion(key)
+            due += self.vigil.outlier_detector.traffic_share(key)
             if due >= 1.0:
                 due -= 1.0
                 own.append(connections.pop())
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -74,7 +74,7 @@
 
     # ---- what this one tells -------------------------------------------------------------
 
-    def ordered(self) -> None:
+    def on_operator_orders(self) -> None:
         """Operators have ordered something: it is to outlive this process, and to reach the others."""
         self._version += 1
         self._write("standing", standing(self._proxy, self._version).write())
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -61,8 +61,8 @@
     from cometusher.hot_restart import Succession
     from cometusher.inflight.tracker import Hand
     from cometusher.management import Management
-    from cometusher.recovery import Return
-    from weldroute.outlier_detection import Counting
+    from cometusher.recovery import RecoveryController
+    from weldroute.outlier_detection import TrafficRecorder
 
 log = logging.getLogger(__name__)
 
@@ -177,9 +177,9 @@
         self.config = config
         self.operations = Operations()
         self._succession: Succession | None = None
-        self.comeback: Return | None = None
+        self.comeback: RecoveryController | None = None
         self.hand: Hand | None = None
-        self.counting: Counting | None = None  # what its supervisor compares with others'
+        self.counting: TrafficRecorder | None = None  # what its supervisor compares with others'
         self.management: Management | None = None
         self.names: dict[str, ServerId] = {}  # backends as discovery names them
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
@@ -221,9 +221,9 @@
         if config.shared:
             self._succeed(config.shared)
         if config.returning is not None:
-            from cometusher.recovery import Return
+            from cometusher.recovery import RecoveryController
 
-            self.comeback = Return(self, config.returning)
+            self.comeback = RecoveryController(self, config.returning)
         if config.covered is not None:
             from cometusher.inflight.tracker import Hand
 
@@ -316,7 +316,7 @@
         if self._succession is not None:
             self._succession.stops()
         if self.comeback is not None:
-            self.comeback.stops()
+            self.comeback.stop()
         self.operations.stop(self.loop.time(), DRAIN_FIRST + longest - DRAIN_SERVE)
         emptied: asyncio.Task[None] | None = None
         while emptied is None or not emptied.done():
@@ -348,7 +348,7 @@
         self.loop.call_later(SWEEP, self._sweep)
         self.backends.sweep()
         if self.comeback is not None:
-            self.comeback.look()
+            self.comeback.tick()
         if self._succession is not None:
             self._succession.look()
         self.take_posture()
@@ -395,7 +395,7 @@
             verdict = self._ban(host, call is Call.EXCLUDE)
         for keeper in (self._succession, self.comeback):
             if keeper is not None and verdict.yes:
-                keeper.ordered()
+                keeper.on_operator_orders()
         self.take_posture()
         return verdict
 
@@ -517,7 +517,7 @@
         if self.comeback is None or coming:
             self._ask(exchange, kind, tenant, coming)
         else:
-            self.comeback.admits(exchange, kind, lambda: self._ask(exchange, kind, tenant, False))
+            self.comeback.admit(exchange, kind, lambda: self._ask(exchange, kind, tenant, False))
 
     def _tenant(self, request: Request) -> int:
         return self._tenants.get(request.header(b"x-caller") or b"", len(self._tenants))
@@ -583,13 +583,13 @@
         headers, up = list(self.mark), self.callers.posture.up
         if self.comeback is not None:
             up = up and self.comeback.ready
-            headers.append((b"x-comeback", self.comeback.state.phase.value.encode()))
+            headers.append((b"x-comeback", self.comeback.recovery.phase.value.encode()))
         caller.answer(200 if up else 503, headers, b"")
 
     def _ask(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
         """Bring a request before the module."""
         if self.comeback is not None:
-            self.balancer.kept = self.comeback.kept()
+            self.balancer.kept = self.comeback.preferred_servers()
         deadline = exchange.deadline
         self._dispatch(exchange, lambda now: self.balancer.request(now, exchange.rid, kind, tenant, deadline, coming))
         self.balancer.kept = None
@@ -658,7 +658,7 @@
             return
         self._tally("left")
         if self.comeback is not None:
-            self.comeback.left(exchange)
+            self.comeback.on_caller_gone(exchange)
         if self.hand is not None:
             self.hand.gone(exchange)
         exchange.answered = True
@@ -682,7 +682,7 @@
             exchange.timer = self.loop.call_later(early + 0.001, self._deadline, exchange)
             return
         exchange.timer = None
-        if self.comeback is not None and self.comeback.late(exchange):
+        if self.comeback is not None and self.comeback.on_deadline(exchange):
             return
         if self.hand is not None and self.hand.gone(exchange):
             # What it followed may have run, here or elsewhere.
@@ -853,11 +853,11 @@
         if self.counting is not None:
             known = self.balancer.servers.get(attempt.server)
             if known is not None:
-                self.counting.ended(known.row.zone, how, latency)
+                self.counting.on_attempt_ended(known.row.zone, how, latency)
         if self.hand is not None and how in NEVER_RAN:
             self.hand.never(attempt, exchange)
         if self.comeback is not None:
-            how = self.comeback.ended(attempt, how, response)
+            how = self.comeback.on_attempt_ended(attempt, how, response)
         if how is not Outcome.OK and how is not Outcome.CANCELLED:
             exchange.why = f"backend {attempt.server:x}: {why}"
             self._tally(how.value)
@@ -885,7 +885,7 @@
     def listed(self, kind: ListKind, entries: Sequence[Entry]) -> None:
         """The list, a change to it, or the news that a call failed."""
         if self.comeback is not None:
-            heard = self.comeback.hears(kind, entries)
+            heard = self.comeback.on_list(kind, entries)
             if heard is None:
                 return
             entries = heard
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -19,12 +19,12 @@
 from cometusher.discovery import Entry, Unreadable, read_listing, server_id
 from cometusher.runtime import moment
 from cometusher.serialization import standing, take_list, take_standing, write_list
-from cometusher.store.records import Records
-from cometusher.store.writer import Keeper
+from cometusher.store.records import RecordFile
+from cometusher.store.writer import RecordWriter
 from weldroute import ListKind, Outcome, Refuse, ServerRow, State
 from weldroute.handover import Standing, Unusable, adopt_learned, read_standing, write_learned
-from weldroute.recovery import FIRST_RETRIES, Comeback, Hearing, Plan, Verdict
-from weldroute.snapshots import TAKES, Known, Limits, Owner, Record, Trust, age, judge
+from weldroute.recovery import INITIAL_RETRY_TOKENS, AdmissionVerdict, ListDecision, Recovery, RecoveryPlan
+from weldroute.snapshots import USABLE_PARTS, AgeLimits, KnownVersions, Owner, Record, Trust, age, assess
 
 if TYPE_CHECKING:
     from cometusher.backends import Attempt
@@ -33,7 +33,7 @@
 
 log = logging.getLogger("cometusher.comeback")  # the `subsystem` of its log records
 
-KINDS = ("standing", "list", "learned")
+RECORD_KINDS = ("standing", "list", "learned")
 SAVE_EVERY = 1.0  # seconds between writings of what was learned
 LIST_EVERY = 5.0  # seconds between writings of a list that has not changed, for its age to be that of its truth...
 LIST_ROWS = 200.0  # ...and so many rows a second of it
@@ -42,7 +42,7 @@
 Report = Callable[[dict[str, Any]], None]
 
 
-class Kept(Protocol):
+class RecordSink(Protocol):
     """Where records are kept while the process runs."""
 
     def put(self, kind: str, body: object) -> None:
@@ -53,50 +53,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Returning:
+class RecoveryConfig:
     """All that one instance is told of its return."""
 
-    plan: Plan
-    limits: Limits
+    plan: RecoveryPlan
+    limits: AgeLimits
     owner: Owner
     store: Path
-    known: Known = field(default_factory=Known)
+    known: KnownVersions = field(default_factory=KnownVersions)
     standing: dict[str, Any] | None = None  # the orders that the fleet knows of, where they are newer
 
 
-def read_returning(path: Path) -> Returning | None:
+def read_recovery_config(path: Path) -> RecoveryConfig | None:
     """The part of an instance's file that its supervisor wrote for it, if any; raises ConfigError."""
     try:
         values = orjson.loads(path.read_bytes()).get("comeback")
         if values is None:
             return None
-        plan, limits = Plan(**values["plan"]), Limits(**values["limits"])
+        plan, limits = RecoveryPlan(**values["plan"]), AgeLimits(**values["limits"])
         plan.check()
         limits.check()
-        owner, known = Owner(**values["owner"]), Known(**values["known"])
-        return Returning(plan, limits, owner, Path(values["store"]), known, values["standing"])
+        owner, known = Owner(**values["owner"]), KnownVersions(**values["known"])
+        return RecoveryConfig(plan, limits, owner, Path(values["store"]), known, values["standing"])
     except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as fault:
         raise ConfigError(f"{path}: comeback: {fault}") from None
 
 
-def write_returning(returning: Returning) -> dict[str, Any]:
+def write_recovery_config(returning: RecoveryConfig) -> dict[str, Any]:
     """That part, for `read_returning`."""
     return asdict(returning) | {"store": str(returning.store)}
 
 
-def open_store(returning: Returning) -> tuple[dict[str, Record], Kept]:
+def open_store(returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
     """What is kept on disk, and where to keep more."""
-    records = Records(returning.store)
-    found = records.read(KINDS)
+    records = RecordFile(returning.store)
+    found = records.read(RECORD_KINDS)
     if records.problem:
         log.warning("the store %s: %s", returning.store.name, records.problem)
-    return found, Keeper(records, returning.owner, moment)
+    return found, RecordWriter(records, returning.owner, moment)
 
 
-class Return:
+class RecoveryController:
     """The return of one proxy, from its start to its end."""
 
-    def __init__(self, proxy: Proxy, returning: Returning) -> None:
+    def __init__(self, proxy: Proxy, returning: RecoveryConfig) -> None:
         self._proxy = proxy
         self._returning = returning
         self._moment = proxy.network.moment
@@ -104,7 +104,7 @@
         learned = found.get("learned")
         calm = learned.body.get("calm") if learned is not None and isinstance(learned.body, dict) else None
         calm = float(calm) if isinstance(calm, (int, float)) and not isinstance(calm, bool) else None
-        self.state = Comeback(proxy.loop.time(), returning.plan, proxy.config.seed, calm)
+        self.recovery = Recovery(proxy.loop.time(), returning.plan, proxy.config.seed, calm)
         self.report: Report = lambda values: None
         self._version = 0  # of the orders
         self._save_at = self._list_at = 0.0
@@ -114,34 +114,34 @@
         self._pending: dict[str, Entry] | None = None  # a list of discovery's that is doubted; it may be empty
         self._over = False
         # Guards a tier that is coming back itself against what many saved up at once.
-        proxy.balancer.retry_tokens = FIRST_RETRIES
+        proxy.balancer.retry_tokens = INITIAL_RETRY_TOKENS
         proxy.balancer.copy_tokens = 0.0
-        proxy.discovery.patience = returning.plan.patience
+        proxy.discovery.patience = returning.plan.discovery_interval
         self._take_over(found)
 
     # ---- what was kept -------------------------------------------------------------------
 
     def _trust(self, kind: str, record: Record | None) -> Trust:
         returning = self._returning
-        verdict, why = judge(record, returning.owner, self._moment(), returning.limits, returning.known)
+        verdict, why = assess(record, returning.owner, self._moment(), returning.limits, returning.known)
         level = logging.INFO if verdict in (Trust.FRESH, Trust.AGED, Trust.NOTHING) else logging.WARNING
         log.log(level, "kept %s: %s: %s", kind, verdict.value, why, extra={"event": "remembered"})
         return verdict
 
     def _take_over(self, found: dict[str, Record]) -> None:
         proxy = self._proxy
-        trust = {kind: self._trust(kind, found.get(kind)) for kind in KINDS}
-        if "list" in TAKES[trust["list"]]:
+        trust = {kind: self._trust(kind, found.get(kind)) for kind in RECORD_KINDS}
+        if "list" in USABLE_PARTS[trust["list"]]:
             self._take_list(found["list"])
-        if not self.state.ready and proxy.backends.known():
-            self.state.found(proxy.loop.time(), len(proxy.backends.known()), None, proxy.discovery.seq)
-        if "learned" in TAKES[trust["learned"]]:
+        if not self.recovery.ready and proxy.backends.known():
+            self.recovery.on_stored_list(proxy.loop.time(), len(proxy.backends.known()), None, proxy.discovery.seq)
+        if "learned" in USABLE_PARTS[trust["learned"]]:
             try:
                 known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
                 log.info("took over what was learned of %d backends", known)
             except Unusable as fault:
                 log.warning("what was learned is left aside: %s", fault)
-        self._take_orders(found.get("standing") if "standing" in TAKES[trust["standing"]] else None)
+        self._restore_orders(found.get("standing") if "standing" in USABLE_PARTS[trust["standing"]] else None)
 
     def _take_list(self, record: Record) -> None:
         proxy = self._proxy
@@ -151,9 +151,9 @@
             log.warning("the kept list is left aside: %s", fault)
             return
         passed = age(record, self._moment())
-        self.state.found(proxy.loop.time(), len(listing.entries), passed, listing.seq)
+        self.recovery.on_stored_list(proxy.loop.time(), len(listing.entries), passed, listing.seq)
 
-    def _take_orders(self, record: Record | None) -> None:
+    def _restore_orders(self, record: Record | None) -> None:
         """Of the instance's own and the fleet's copy, the higher version: an order is never forgotten silently."""
         orders: Standing | None = None
         mine = record.body if record is not None else None
@@ -173,22 +173,22 @@
 
     # ---- what discovery tells ------------------------------------------------------------
 
-    def hears(self, kind: ListKind, entries: Sequence[Entry]) -> Sequence[Entry] | None:
+    def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> Sequence[Entry] | None:
         """What to apply of what discovery tells; None for nothing of it now."""
         if kind in (ListKind.BROKEN, ListKind.STALE):
             return entries
         proxy, now = self._proxy, self._proxy.loop.time()
         whole = kind is ListKind.WHOLE
-        hearing = self.state.hears(now, whole, len(entries), proxy.discovery.seq)
+        hearing = self.recovery.on_list(now, whole, len(entries), proxy.discovery.seq)
         self._list_changed = True
         if whole:
-            self._pending = None if hearing is Hearing.TAKE else {entry.host: entry for entry in entries}
+            self._pending = None if hearing is ListDecision.ACCEPT else {entry.host: entry for entry in entries}
         elif self._pending is not None:
             self._pending.update((entry.host, entry) for entry in entries)
-        if hearing is Hearing.TAKE:
-            proxy.loop.call_soon(self.release)
+        if hearing is ListDecision.ACCEPT:
+            proxy.loop.call_soon(self.release_queued)
             return entries
-        return None if hearing is Hearing.WAIT else self._merge(entries)
+        return None if hearing is ListDecision.WAIT else self._merge(entries)
 
     def _merge(self, entries: Sequence[Entry]) -> list[Entry]:
         """The remembered list with what is newer in a list of a lower version."""
@@ -199,37 +199,37 @@
         for item in read_listing(write_list(proxy), proxy.config.zones).entries:
             other = told.get(item.row.server)
             known = servers[item.row.server].row
-            merged.append(item if other is None or self.state.outlives(known, other.row) else other)
+            merged.append(item if other is None or self.recovery.prefers_stored(known, other.row) else other)
         return merged
 
     # ---- the door ------------------------------------------------------------------------
 
-    def admits(self, exchange: Exchange, kind: int, ask: Callable[[], None]) -> None:
+    def admit(self, exchange: Exchange, kind: int, ask: Callable[[], None]) -> None:
         """Let a request go on now (`ask`), later, or not at all."""
-        proxy, state = self._proxy, self.state
+        proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.opened)
+        state.on_connections_opened(now, proxy.backends.opened)
         left = exchange.deadline - proxy.clock.now()
         aim = proxy.config.settings.classes[kind].aim
         verdict = state.admit(now, exchange.rid, now + left, aim, self._free())
-        if verdict is Verdict.PASS or self._over:
-            state.leave(exchange.rid)
+        if verdict is AdmissionVerdict.PASS or self._over:
+            state.withdraw(exchange.rid)
             ask()
-        elif verdict is Verdict.REFUSE:
+        elif verdict is AdmissionVerdict.REFUSE:
             self._refuse(exchange)
         else:
             self._waiting[exchange.rid] = ask
             self._plan()
 
-    def kept(self) -> list[int] | None:
+    def preferred_servers(self) -> list[int] | None:
         """The servers that first tries keep to now: those with an idle connection, while no new one may be opened."""
-        state = self.state
-        if not state.paced or state.pace.look(self._proxy.loop.time()) >= 1.0:
+        state = self.recovery
+        if not state.rate_limited or state.rate_limiter.look(self._proxy.loop.time()) >= 1.0:
             return None
         return list(self._proxy.backends.idle_servers())
 
     def _free(self) -> int:
-        if not self.state.paced:
+        if not self.recovery.rate_limited:
             return 0
         balancer, count = self._proxy.balancer, 0
         for server, idle in self._proxy.backends.idle_servers().items():
@@ -240,22 +240,22 @@
 
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
-        after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
+        after = min(self.recovery.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
         exchange.why = "coming back"
         self._proxy.turn_away(Refuse(exchange.rid, after))
 
-    def release(self) -> None:
+    def release_queued(self) -> None:
         """Let those go on whose turn has come."""
-        proxy, state = self._proxy, self.state
+        proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        for request in state.overdue(now):
+        for request in state.pop_overdue(now):
             self._waiting.pop(str(request), None)
             exchange = proxy.exchange(str(request))
             if exchange is not None:
                 self._refuse(exchange)
-        while state.held:
-            state.opened(now, proxy.backends.opened)
-            turn = state.release(now, self._free())
+        while state.queue_length:
+            state.on_connections_opened(now, proxy.backends.opened)
+            turn = state.release_next(now, self._free())
             if turn is None:
                 break
             ask = self._waiting.pop(str(turn), None)
@@ -268,37 +268,37 @@
             self._timer.cancel()
             self._timer = None
         now = self._proxy.loop.time()
-        due = self.state.due(now)
+        due = self.recovery.next_wakeup(now)
         if due < float("inf"):
-            self._timer = self._proxy.loop.call_later(max(0.001, due - now), self.release)
+            self._timer = self._proxy.loop.call_later(max(0.001, due - now), self.release_queued)
 
-    def left(self, exchange: Exchange) -> None:
+    def on_caller_gone(self, exchange: Exchange) -> None:
         """A caller has gone away."""
         if self._waiting.pop(exchange.rid, None) is not None:
-            self.state.leave(exchange.rid)
+            self.recovery.withdraw(exchange.rid)
 
-    def late(self, exchange: Exchange) -> bool:
+    def on_deadline(self, exchange: Exchange) -> bool:
         """A request's time is up; whether it has waited here, and is refused now.
 
         Guards against timers that come late or in another order: what a caller gives may be a millisecond.
         """
         if self._waiting.pop(exchange.rid, None) is None:
             return False
-        self.state.leave(exchange.rid)
-        self.state.refused(self._proxy.loop.time())
+        self.recovery.withdraw(exchange.rid)
+        self.recovery.on_refused(self._proxy.loop.time())
         self._refuse(exchange)
         return True
 
     # ---- attempts ------------------------------------------------------------------------
 
-    def ended(self, attempt: Attempt, how: Outcome, response: Response | None) -> Outcome:
+    def on_attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None) -> Outcome:
         """An attempt has ended; as what it counts.
 
         Guards against answers of another than was meant: a remembered address may be somebody else's by now.
         """
-        proxy, state = self._proxy, self.state
-        state.opened(proxy.loop.time(), proxy.backends.opened)
-        if not state.told:
+        proxy, state = self._proxy, self.recovery
+        state.on_connections_opened(proxy.loop.time(), proxy.backends.opened)
+        if not state.discovery_reported:
             if how is Outcome.OK and response is not None and self._other(attempt.server, response):
                 self._drop(attempt.server, "answers as another")
                 how = Outcome.BROKEN
@@ -307,9 +307,9 @@
             elif how is Outcome.REJECTED:
                 self._drop(attempt.server, "knows no such requests")
         if how is Outcome.OK:
-            state.served(proxy.loop.time())
-        if state.held:
-            proxy.loop.call_soon(self.release)
+            state.on_answer(proxy.loop.time())
+        if state.queue_length:
+            proxy.loop.call_soon(self.release_queued)
         return how
 
     @staticmethod
@@ -319,7 +319,7 @@
 
     def _drop(self, server: int, how: str) -> None:
         known = self._proxy.balancer.servers.get(server)
-        if known is None or known.row.state is State.GONE or not self.state.doubts(server, how):
+        if known is None or known.row.state is State.GONE or not self.recovery.on_contradiction(server, how):
             return
         host = next((host for host, number in self._proxy.names.items() if number == server), "")
         row = ServerRow(server, State.GONE, known.row.zone, known.row.cell, started=known.row.started)
@@ -330,36 +330,36 @@
 
     # ---- time ----------------------------------------------------------------------------
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Called often: phases, and what is to be kept."""
-        proxy, state = self._proxy, self.state
+        proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.opened)
+        state.on_connections_opened(now, proxy.backends.opened)
         if state.tick(now):
             log.warning("the remembered list is over, and discovery is silent")
             proxy.listed_as(ListKind.STALE, [])
-        if self._pending is not None and state.believes(now, len(self._pending)):
+        if self._pending is not None and state.confirm_distrusted(now, len(self._pending)):
             pending, self._pending = list(self._pending.values()), None
             proxy.listed_as(ListKind.WHOLE, pending)
         self._say()
-        if state.held:
-            self.release()
-        if state.told and not self._over:
+        if state.queue_length:
+            self.release_queued()
+        if state.discovery_reported and not self._over:
             self._save(now)
 
     def _say(self) -> None:
-        steps = self.state.take_steps()
+        steps = self.recovery.take_events()
         for step in steps:
-            log.info("coming back: %s: %s", step.event, step.text, extra={"event": "comeback"})
+            log.info("coming back: %s: %s", step.name, step.description, extra={"event": "comeback"})
         if steps:
-            self.report(self.figures())
+            self.report(self.status())
 
     def _save(self, now: float) -> None:
         proxy = self._proxy
         if now >= self._save_at:
             self._save_at = now + SAVE_EVERY
             learned = write_learned(proxy.balancer, proxy.clock.now())
-            self._kept.put("learned", learned | {"calm": self.state.calm})
+            self._kept.put("learned", learned | {"calm": self.recovery.normal_rate})
         # Guards against a list that seems younger than its truth: it is written again only while discovery speaks.
         if self._list_changed or (now >= self._list_at and proxy.discovery.live):
             self._list_changed = False
@@ -367,28 +367,28 @@
             self._list_at = now + max(LIST_EVERY, len(form["hosts"]) / LIST_ROWS)
             self._kept.put("list", form)
 
-    def ordered(self) -> None:
+    def on_operator_orders(self) -> None:
         """Operators have ordered something: it is to outlive this process, here and with the fleet."""
         self._version += 1
         orders = standing(self._proxy, self._version).write()
         self._kept.put("standing", orders)
-        self.report(self.figures() | {"standing": orders})
+        self.report(self.status() | {"standing": orders})
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """The return, for the supervisor."""
-        return {**self.state.figures(), "seq": self._proxy.discovery.seq if self.state.told else 0}
+        return {**self.recovery.status(), "seq": self._proxy.discovery.seq if self.recovery.discovery_reported else 0}
 
     @property
     def ready(self) -> bool:
         """Whether anything can be served."""
-        return self.state.ready
+        return self.recovery.ready
 
-    def stops(self) -> None:
+    def stop(self) -> None:
         """Nothing waits any longer: the process is about to end."""
         self._over = True
         waiting, self._waiting = list(self._waiting.items()), {}
         for rid, ask in waiting:
-            self.state.leave(rid)
+            self.recovery.withdraw(rid)
             ask()
 
     async def close(self) -> None:
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -17,13 +17,13 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from cometusher.config import Address
-from weldroute.snapshots import Moment
+from weldroute.snapshots import ClockReading
 
 if TYPE_CHECKING:
     from cometusher.handover import Handover
     from cometusher.inflight.endpoint import Covered
     from cometusher.inflight.tracker import Door
-    from cometusher.recovery import Kept, Returning
+    from cometusher.recovery import RecordSink, RecoveryConfig
     from weldroute.snapshots import Record
     from weldroute.takeover import Seen
 
@@ -31,10 +31,10 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER of socket(7): closing drops what is unsent, and resets
 
 
-def moment() -> Moment:
+def moment() -> ClockReading:
     """Now, by the clock that may be set and by the one that counts from the machine's boot."""
     boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    return Moment(time.time(), boot, time.clock_gettime(time.CLOCK_BOOTTIME))
+    return ClockReading(time.time(), boot, time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class Listener(Protocol):
@@ -87,10 +87,10 @@
     def share(self, folder: str) -> Handover:
         """What processes of one proxy share; raises OSError."""
 
-    def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
+    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
 
-    def moment(self) -> Moment:
+    def moment(self) -> ClockReading:
         """Now, by the clocks that a record is dated with."""
 
     def cover(self, covered: Covered) -> Door:
@@ -177,13 +177,13 @@
 
         return in_folder(folder)
 
-    def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
+    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance on disk, and where to keep more."""
         from cometusher.recovery import open_store
 
         return open_store(returning)
 
-    def moment(self) -> Moment:
+    def moment(self) -> ClockReading:
         """Now."""
         return moment()
 
--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -46,9 +46,9 @@
     "Entry.pending": (64, 0),
     "Entry.young": (64, 0),
     "Request.attempts": (3, 0),  # until the next request comes
-    "Returning.standing": (5, 0),
-    "Returning.standing[]": (0, 1),
-    "Returning.standing[][]": (3, 0),  # one form
+    "RecoveryConfig.standing": (5, 0),
+    "RecoveryConfig.standing[]": (0, 1),
+    "RecoveryConfig.standing[][]": (3, 0),  # one form
     "Ledger._values": (33, 0),
     "OpenIds._values": (8192, 0),
     "OpenIds._free": (1023, 0),
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -24,13 +24,13 @@
 from cometusher.runtime import Listener
 from cometusher.simulation.loop import MACHINE, VirtualLoop
 from weldroute.handover import OpenIds
-from weldroute.snapshots import Moment, Owner, Record, read_record
+from weldroute.snapshots import ClockReading, Owner, Record, read_record
 from weldroute.takeover import Seen
 
 if TYPE_CHECKING:
     from cometusher.inflight.endpoint import Covered
     from cometusher.inflight.tracker import Door
-    from cometusher.recovery import Kept, Returning
+    from cometusher.recovery import RecordSink, RecoveryConfig
 
 WINDOW = 64 * 1024  # bytes under way and unread in one direction
 HIGH, LOW = 64 * 1024, 16 * 1024  # asyncio's own marks for its write buffer
@@ -840,7 +840,7 @@
 
     def put(self, kind: str, body: object) -> None:
         """Have a form written soon."""
-        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).write()
+        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
         self._surroundings.loop.call_later(WRITTEN, self._write, kind, orjson.loads(orjson.dumps(form)))
 
     def _write(self, kind: str, form: dict[str, Any]) -> None:
@@ -911,13 +911,13 @@
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
-    def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
+    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
         return self._disk.read(), DiskKeeper(self._disk, returning.owner, self, MACHINE.get())
 
-    def moment(self) -> Moment:
+    def moment(self) -> ClockReading:
         """Now, by the clock that may step and by the one that does not."""
-        return Moment(self.unix_time(), "virtual", self._network.loop.time())
+        return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
     def cover(self, covered: Covered) -> Door:
         """Where a process notes what it has in hand; raises OSError in a world without."""
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -26,7 +26,7 @@
 from cometusher.callers import CallerConnection
 from cometusher.inflight.endpoint import Covered
 from cometusher.proxy import Exchange, Proxy
-from cometusher.recovery import Returning
+from cometusher.recovery import RecoveryConfig
 from cometusher.simulation.container_audit import excess
 from cometusher.simulation.loop import Deadlock, Stuck, VirtualLoop, run
 from cometusher.simulation.network import (
@@ -45,9 +45,9 @@
 from standins.discovery import HostList, Watch
 from standins.messages import Seen
 from standins.service_backend import Keys, Node
-from weldroute.recovery import Plan as ReturnPlan
+from weldroute.recovery import RecoveryPlan as ReturnPlan
 from weldroute.settings import read_settings
-from weldroute.snapshots import Known, Limits, Owner
+from weldroute.snapshots import AgeLimits, KnownVersions, Owner
 
 EPOCH = 1.6e9  # Unix time at a world's beginning
 PORT = 9000
@@ -387,16 +387,16 @@
             and door.process.proxy is not None
         ]
 
-    def _returning(self, door: Door) -> Returning | None:
+    def _returning(self, door: Door) -> RecoveryConfig | None:
         """What a supervisor would tell of its return."""
         if not self.plan.keeps:
             return None
         many = sum(each.tier == door.tier for each in self.doors)
-        limits = Limits()
+        limits = AgeLimits()
         owner = Owner("world", door.name, 1)
         plan = ReturnPlan(instances=many, returning=many, list_for=limits.list_for)
         version = door.standing["version"] if door.standing is not None else 0
-        return Returning(plan, limits, owner, Path("-"), Known(standing=version), door.standing)
+        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), door.standing)
 
     def start_door(self, door: Door) -> None:
         """A proxy begins, with one process."""
--- a/cometusher/store/records.py
+++ b/cometusher/store/records.py
@@ -28,7 +28,7 @@
 
 import orjson
 
-from weldroute.snapshots import Damaged, Record, newest, read_record
+from weldroute.snapshots import InvalidRecord, Record, newest_copy, read_record
 
 VERSION = 1  # of the tables
 APPLICATION = 0x66646C72  # names our files to SQLite's own tools (application_id)
@@ -46,7 +46,7 @@
     return hashlib.blake2b(data, digest_size=16).digest()
 
 
-class Records:
+class RecordFile:
     """One file; used by one thread at a time."""
 
     def __init__(self, path: Path) -> None:
@@ -98,7 +98,7 @@
             for digest, data in db.execute("SELECT digest, data FROM record WHERE kind = ? ORDER BY copy", (kind,)):
                 copies.append(_read_copy(kind, digest, data))
             broken += copies.count(None)
-            record = newest(copies)
+            record = newest_copy(copies)
             if record is None:
                 continue
             found[kind] = record
@@ -118,7 +118,7 @@
         self.problem = ""
         rows = []
         for record in records:
-            data = orjson.dumps(record.write())
+            data = orjson.dumps(record.to_dict())
             if len(data) > MAX_BODY:
                 self.problem = f"{record.kind}: {len(data)} bytes are too many"
                 return False
@@ -240,6 +240,6 @@
         return None
     try:
         record = read_record(orjson.loads(data))
-    except (Damaged, orjson.JSONDecodeError):
+    except (InvalidRecord, orjson.JSONDecodeError):
         return None
-    return record if record.form > 1 or record.kind == kind else None
+    return record if record.format_version > 1 or record.kind == kind else None
--- a/cometusher/store/writer.py
+++ b/cometusher/store/writer.py
@@ -7,20 +7,20 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from cometusher.store.records import Records
-from weldroute.snapshots import Moment, Owner, Record
+from cometusher.store.records import RecordFile
+from weldroute.snapshots import ClockReading, Owner, Record
 
 log = logging.getLogger("cometusher.store.keeper")  # the `subsystem` of its log records
 
 EVERY = 0.5  # seconds between writings, at least...
-RETRY = 5.0  # ...and after one that failed
+RETRY_INTERVAL = 5.0  # ...and after one that failed
 LAST = 1.0  # seconds that the end waits for the last writing
 
 
-class Keeper:
+class RecordWriter:
     """The writer of one file."""
 
-    def __init__(self, records: Records, owner: Owner, moment: Callable[[], Moment]) -> None:
+    def __init__(self, records: RecordFile, owner: Owner, moment: Callable[[], ClockReading]) -> None:
         self._records = records
         self._owner = owner
         self._moment = moment
@@ -62,7 +62,7 @@
         if not good:
             self._due = due | self._due  # newer ones first
         if self._due or good:
-            self._timer = self._loop.call_later(EVERY if good else RETRY, self._begin)
+            self._timer = self._loop.call_later(EVERY if good else RETRY_INTERVAL, self._begin)
 
     async def close(self) -> None:
         """Write what is due once more, as far as that is quick, and let go."""
--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -16,7 +16,7 @@
 
 from cometusher.fault_injection.environment import Fleet, World
 from cometusher.fleet.identity import read_stat
-from cometusher.store.records import Records
+from cometusher.store.records import RecordFile
 from standins.caller import Caller, request
 from standins.faulty_link import Mood
 
@@ -153,7 +153,7 @@
 
 
 async def _orders_kept(fleet: Fleet) -> bool:
-    records = Records(fleet.state / "store" / ".fleet.records")
+    records = RecordFile(fleet.state / "store" / ".fleet.records")
     found = records.read(["fleet"]).get("fleet")
     records.close()
     return found is not None and len(found.body["orders"]) == fleet.count
@@ -282,7 +282,7 @@
 
 async def _kept_drain(fleet: Fleet, host: str) -> bool:
     for i in range(fleet.count):
-        records = Records(fleet.state / "store" / f"p{i}.records")
+        records = RecordFile(fleet.state / "store" / f"p{i}.records")
         found = records.read(["list"]).get("list")
         records.close()
         rows = found.body["hosts"] if found is not None else []
--- a/tests/loopback/test_store.py
+++ b/tests/loopback/test_store.py
@@ -19,12 +19,12 @@
 from fleetrig import eventually
 
 from cometusher.fleet.identity import read_stat
-from cometusher.store.records import Records
-from cometusher.store.writer import Keeper
-from weldroute.snapshots import FORM, Moment, Owner, Record
+from cometusher.store.records import RecordFile
+from cometusher.store.writer import RecordWriter
+from weldroute.snapshots import FORMAT_VERSION, ClockReading, Owner, Record
 
 ME = Owner("f", "a", 1)
-NOW = Moment(1e9, "b", 100.0)
+NOW = ClockReading(1e9, "b", 100.0)
 KILLS = int(os.environ.get("STORE_KILLS", "40"))  # 300 for the figure in the docs
 
 
@@ -32,16 +32,16 @@
     return Record(kind, serial, ME, NOW, {"seq": serial, "pad": "x" * 3000} | body)
 
 
-def filled(path: Path, last: int = 6) -> Records:
+def filled(path: Path, last: int = 6) -> RecordFile:
     """A file with records 1 to `last` written one after the other, and closed."""
-    records = Records(path)
+    records = RecordFile(path)
     for serial in range(1, last + 1):
         assert records.write([record(serial), record(serial, "standing")]), records.problem
     records.close()
-    return Records(path)
+    return RecordFile(path)
 
 
-def serial(records: Records, kind: str = "list") -> int:
+def serial(records: RecordFile, kind: str = "list") -> int:
     found = records.read(["list", "standing"]).get(kind)
     return found.serial if found is not None else 0
 
@@ -79,7 +79,7 @@
         reader, writer = os.pipe()
 
         def write(writer: int = writer) -> None:
-            records = Records(path)
+            records = RecordFile(path)
             records.read(["list"])
             while True:
                 number = records.next_serial("list")
@@ -98,7 +98,7 @@
         os.close(reader)
         done = [int(line.split()[0]) for line in told.splitlines() if line.endswith(b"done")]
         begun = [int(line.split()[0]) for line in told.splitlines() if line.endswith(b"begun")]
-        records = Records(path)
+        records = RecordFile(path)
         found = serial(records)
         records.close()
         assert max([last, *done]) <= found <= max(begun), (found, told[-60:], records.problem)
@@ -128,12 +128,12 @@
         for old in tmp_path.glob("harmed*"):
             old.unlink()
         path.write_bytes(harmed)
-        records = Records(path)
+        records = RecordFile(path)
         found = serial(records)
         assert found in (0, 5, 6)
         results.add(found)
         records.write([record(7)])  # the first may be what tells of the damage
-        assert records.write([record(7)]) and serial(Records(path)) == 7, records.problem
+        assert records.write([record(7)]) and serial(RecordFile(path)) == 7, records.problem
         records.close()
     assert results == {0, 5, 6}
 
@@ -143,14 +143,14 @@
     with sqlite3.connect(tmp_path / "s") as db:
         db.execute("UPDATE record SET data = ? WHERE kind = 'list' AND copy = 0", (b"{}",))
     db.close()
-    records = Records(tmp_path / "s")
+    records = RecordFile(tmp_path / "s")
     assert serial(records) == 5 and "1 copies" in records.problem
     assert records.next_serial("list") == 6, "the damaged one is written over"
 
 
 def test_a_file_that_is_no_store_is_put_aside(tmp_path: Path) -> None:
     (tmp_path / "s").write_bytes(b"notes of somebody\n" * 100)
-    records = Records(tmp_path / "s")
+    records = RecordFile(tmp_path / "s")
     assert serial(records) == 0 and "begun anew" in records.problem
     assert (tmp_path / "s.bad").read_bytes().startswith(b"notes")
     assert records.write([record(1)]) and serial(records) == 1
@@ -162,7 +162,7 @@
         db.execute("PRAGMA user_version = 9")
     db.close()
     before = (tmp_path / "s").read_bytes()
-    records = Records(tmp_path / "s")
+    records = RecordFile(tmp_path / "s")
     assert serial(records) == 0 and "newer" in records.problem
     assert not records.write([record(7)]) and "newer" in records.problem
     assert (tmp_path / "s").read_bytes() == before
@@ -170,9 +170,9 @@
 
 def test_a_record_of_a_newer_form_is_told_as_that(tmp_path: Path) -> None:
     records = filled(tmp_path / "s")
-    later = Record("list", 7, ME, NOW, {}, form=FORM + 1)
+    later = Record("list", 7, ME, NOW, {}, format_version=FORMAT_VERSION + 1)
     assert records.write([later])
-    assert records.read(["list"])["list"].form == FORM + 1
+    assert records.read(["list"])["list"].format_version == FORMAT_VERSION + 1
 
 
 def test_an_older_copy_put_back_is_read_as_what_it_is(tmp_path: Path) -> None:
@@ -184,7 +184,7 @@
     for suffix in ("-wal", "-shm"):
         Path(f"{path}{suffix}").unlink(missing_ok=True)
     shutil.copy(tmp_path / "old", path)
-    assert serial(Records(path)) == 3
+    assert serial(RecordFile(path)) == 3
 
 
 def test_deleted_or_replaced_while_in_use(tmp_path: Path) -> None:
@@ -193,11 +193,11 @@
     assert serial(records) == 6
     path.unlink()
     assert records.write([record(7)]) and path.exists()
-    assert serial(Records(path)) == 7
+    assert serial(RecordFile(path)) == 7
     shutil.rmtree(tmp_path)
     assert not records.write([record(8)]) and records.problem
     tmp_path.mkdir()
-    assert records.write([record(9)]) and serial(Records(path)) == 9
+    assert records.write([record(9)]) and serial(RecordFile(path)) == 9
 
 
 def test_a_disk_that_takes_no_more_and_takes_it_again(tmp_path: Path) -> None:
@@ -206,7 +206,7 @@
     def work() -> None:
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         resource.setrlimit(resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
-        records = Records(tmp_path / "s")
+        records = RecordFile(tmp_path / "s")
         assert serial(records) == 6
         assert not records.write([record(7)]) and "not written" in records.problem
         assert serial(records) == 6
@@ -226,10 +226,10 @@
 
         def work() -> None:
             os.setuid(65534)
-            records = Records(folder / "s")
+            records = RecordFile(folder / "s")
             assert serial(records) == 6, records.problem
             assert not records.write([record(7)]) and "can only be read" in records.problem
-            fresh = Records(folder / "other")
+            fresh = RecordFile(folder / "other")
             assert serial(fresh) == 0 and "nothing can be written" in fresh.problem
 
         ended_well(forked(work))
@@ -247,22 +247,22 @@
 
     pid = forked(hold)
     eventually(lambda: (stat := read_stat(pid)) is not None and stat.state == "T")
-    records = Records(path)
+    records = RecordFile(path)
     assert serial(records) == 6
     assert not records.write([record(7)]) and "locked" in records.problem
     os.kill(pid, signal.SIGKILL)
     os.waitpid(pid, 0)
-    assert records.write([record(7)]) and serial(Records(path)) == 7
+    assert records.write([record(7)]) and serial(RecordFile(path)) == 7
 
 
 def test_the_keeper_writes_the_newest_off_the_loop_and_tries_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("cometusher.store.writer.RETRY", 0.05)
+    monkeypatch.setattr("cometusher.store.writer.RETRY_INTERVAL", 0.05)
 
     async def test() -> None:
         folder = tmp_path / "later"
-        keeper = Keeper(Records(folder / "s"), ME, lambda: NOW)
+        keeper = RecordWriter(RecordFile(folder / "s"), ME, lambda: NOW)
         keeper.put("list", {"seq": 1})
         async with asyncio.timeout(10.0):
             while not keeper.failed:
@@ -274,7 +274,7 @@
             keeper.put("list", {"seq": i})
         keeper.put("standing", {"version": 1})
         await keeper.close()
-        found = Records(folder / "s").read(["list", "standing"])
+        found = RecordFile(folder / "s").read(["list", "standing"])
         assert found["list"].body == {"seq": 99} and found["standing"].body == {"version": 1}
         assert found["list"].serial <= 4, "a hundred changes are few writings"
 
--- a/tests/unit/test_observations.py
+++ b/tests/unit/test_observations.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cometusher.fleet.observations import LINES, Look, Recorder, judge_again, read_evidence
-from weldroute.failure_detector import Act, Do, Evidence, Vigil, VigilPolicy
+from weldroute.failure_detector import Decision, FailureDetector, FailureDetectorPolicy, Observation, Response
 from weldroute.outlier_detection import Key
 
 EVERY = 0.05
@@ -18,25 +18,27 @@
     found = []
     for i in range(count):
         now = 10.0 + EVERY * i
-        seen: dict[Key, Evidence] = {(f"p{n}", 1): Evidence(now, ran=0.001 * i, progress=i) for n in range(4)}
+        seen: dict[Key, Observation] = {
+            (f"p{n}", 1): Observation(now, cpu_time=0.001 * i, progress=i) for n in range(4)
+        }
         if i > 100:
-            seen["p3", 1] = Evidence(10.0 + EVERY * 100, ran=0.1, progress=100)
+            seen["p3", 1] = Observation(10.0 + EVERY * 100, cpu_time=0.1, progress=100)
         found.append(Look(now, EVERY, 4, seen))
     return found
 
 
 def test_what_was_kept_is_judged_as_it_was_and_otherwise_by_other_thresholds(tmp_path: Path) -> None:
     path, seen = tmp_path / "evidence", looks(200)
-    recorder, vigil = Recorder(path, 2**20), Vigil(VigilPolicy())
-    first: list[tuple[float, Act]] = []
+    recorder, vigil = Recorder(path, 2**20), FailureDetector(FailureDetectorPolicy())
+    first: list[tuple[float, Decision]] = []
     for look in seen:
         recorder.keep(look)
-        first += [(look.at, act) for act in vigil.look(look.at, look.seen, look.wanted, look.every)]
+        first += [(look.at, act) for act in vigil.tick(look.at, look.seen, look.wanted, look.every)]
     recorder.flush()
     assert list(read_evidence(path)) == seen
-    assert [act.do for _, act in first] == [Do.RELIEVE, Do.REPLACE]
-    assert list(judge_again(read_evidence(path), VigilPolicy())) == first
-    later = list(judge_again(read_evidence(path), VigilPolicy(suspect=60.0, certain=80.0)))
+    assert [act.response for _, act in first] == [Response.DIVERT_ACCEPTS, Response.REPLACE]
+    assert list(judge_again(read_evidence(path), FailureDetectorPolicy())) == first
+    later = list(judge_again(read_evidence(path), FailureDetectorPolicy(suspect=60.0, certain=80.0)))
     assert later[0][0] > first[0][0]
 
 
--- a/tests/unit/test_outlier_detection.py
+++ b/tests/unit/test_outlier_detection.py
@@ -11,37 +11,37 @@
 
 from weldroute.model import Outcome
 from weldroute.outlier_detection import (
-    CELLS,
+    CELL_COUNT,
     LONG,
     MOST,
-    PORTIONS,
+    TRAFFIC_SHARES,
     ZONES,
-    Comparison,
-    Counting,
     Finding,
     Key,
-    Siblings,
-    Why,
-    lost_path,
-    read_account,
+    OutlierCause,
+    OutlierDetector,
+    OutlierPolicy,
+    TrafficRecorder,
+    path_loss_log_ratio,
+    read_counters,
 )
 
 EVERY = 0.05
-POLICY = Comparison()
+POLICY = OutlierPolicy()
 
 
 class World:
     """Processes that serve, and one observer."""
 
     def __init__(self, count: int, rate: float = 20.0, seed: int = 1, tiers: int = 1) -> None:
-        self.siblings = Siblings(POLICY)
+        self.siblings = OutlierDetector(POLICY)
         self.rng = Random(seed)
         self.rate = rate
         self.now = 50.0
         self.keys: list[Key] = [(f"p{i}", 1) for i in range(count)]
         self.tiers = {key: i % tiers for i, key in enumerate(self.keys)}
-        self.cells = {key: [0] * CELLS for key in self.keys}
-        self.counting = {key: Counting(self.cells[key]) for key in self.keys}
+        self.cells = {key: [0] * CELL_COUNT for key in self.keys}
+        self.counting = {key: TrafficRecorder(self.cells[key]) for key in self.keys}
         self.times = dict.fromkeys(self.keys, 0.03)
         self.cut: set[tuple[Key, int]] = set()
         self.version = dict.fromkeys(self.keys, 7)
@@ -52,9 +52,11 @@
     def serve(self, key: Key) -> None:
         zone = self.rng.randrange(2)
         if (key, zone) in self.cut or self.rng.random() < self.fails:
-            self.counting[key].ended(zone, Outcome.UNREACHABLE, 0.25)
+            self.counting[key].on_attempt_ended(zone, Outcome.UNREACHABLE, 0.25)
         else:
-            self.counting[key].ended(zone, Outcome.OK, self.times[key] * math.exp(self.rng.gauss(0.0, 0.5)))
+            self.counting[key].on_attempt_ended(
+                zone, Outcome.OK, self.times[key] * math.exp(self.rng.gauss(0.0, 0.5))
+            )
 
     def run(self, seconds: float) -> dict[Key, Finding]:
         """Serve and look for so long; who is found at the end."""
@@ -62,11 +64,11 @@
         for _ in range(round(seconds / EVERY)):
             self.now += EVERY
             for key in self.keys:
-                if self.rng.random() < self.rate * self.siblings.portion(key) * EVERY:
+                if self.rng.random() < self.rate * self.siblings.traffic_share(key) * EVERY:
                     self.serve(key)
-                self.counting[key].stands(self.version[key], key in self.full)
-            found = self.siblings.look(
-                self.now, {key: read_account(self.cells[key], self.tiers[key]) for key in self.keys}
+                self.counting[key].publish_state(self.version[key], key in self.full)
+            found = self.siblings.tick(
+                self.now, {key: read_counters(self.cells[key], self.tiers[key]) for key in self.keys}
             )
             self.found += [(self.now, key, one) for key, one in found.items()]
         return found
@@ -87,9 +89,11 @@
     key, begin = world.keys[3], world.now
     world.cut.add((key, 1))
     found = world.run(1.0)
-    assert {one: finding.why for one, finding in found.items()} == {key: Why.PATH}
-    assert found[key].text.startswith("zone 1: ") and world.found[0][0] - begin < 0.9
-    assert world.siblings.portion(key) == PORTIONS[0] and world.siblings.portion(world.keys[0]) == 1.0
+    assert {one: finding.cause for one, finding in found.items()} == {key: OutlierCause.PATH}
+    assert found[key].description.startswith("zone 1: ") and world.found[0][0] - begin < 0.9
+    assert (
+        world.siblings.traffic_share(key) == TRAFFIC_SHARES[0] and world.siblings.traffic_share(world.keys[0]) == 1.0
+    )
 
 
 def test_a_zone_that_nobody_reaches_is_nobodys_fault() -> None:
@@ -109,7 +113,7 @@
     for key in (first, *(one for one in world.keys if one != first)):
         world.cut.add((key, 1))
         for _ in range(5):
-            world.counting[key].ended(1, Outcome.BROKEN, 0.01)
+            world.counting[key].on_attempt_ended(1, Outcome.BROKEN, 0.01)
         if key == first:
             world.run(EVERY)
     world.run(8.0)
@@ -129,7 +133,7 @@
         assert world.found == []
     world.times[world.keys[5]] *= 5.0
     found = world.run(0.7)
-    assert {key: finding.why for key, finding in found.items()} == {world.keys[5]: Why.SLOW}
+    assert {key: finding.cause for key, finding in found.items()} == {world.keys[5]: OutlierCause.SLOW}
 
 
 def test_one_that_is_a_little_slower_is_not() -> None:
@@ -148,7 +152,9 @@
     world.run(POLICY.behind - 0.2)
     assert world.found == []
     found = world.run(0.4)
-    assert {finding.why for finding in found.values()} == {Why.BEHIND} and set(found) == set(world.keys[heard:])
+    assert {finding.cause for finding in found.values()} == {OutlierCause.BEHIND} and set(found) == set(
+        world.keys[heard:]
+    )
     world = World(8)
     world.version[world.keys[0]] = 9  # the first to hear, or one that heard something odd
     world.run(10.0)
@@ -158,7 +164,7 @@
 def test_one_without_descriptors_counts_at_once_but_not_where_most_have_none() -> None:
     world = World(8)
     world.full = {world.keys[1]}
-    assert world.run(0.1)[world.keys[1]].why is Why.FULL
+    assert world.run(0.1)[world.keys[1]].cause is OutlierCause.FULL
     world = World(8)
     world.full = set(world.keys[:4])
     world.run(5.0)
@@ -185,17 +191,17 @@
     mended = world.now
     while not portions or portions[-1] < 1.0:
         world.run(EVERY)
-        portions.append(world.siblings.portion(key))
+        portions.append(world.siblings.traffic_share(key))
         assert world.now < mended + 4 * POLICY.retry
-    assert sorted(set(portions)) == list(PORTIONS) and portions == sorted(portions)
+    assert sorted(set(portions)) == list(TRAFFIC_SHARES) and portions == sorted(portions)
     assert world.now - mended >= 2 * POLICY.steady
     world.run(POLICY.steady)
     assert world.run(EVERY) == {}
     world.cut.add((key, 0))
     world.run(2.0)
-    assert world.siblings.portion(key) == PORTIONS[0]
+    assert world.siblings.traffic_share(key) == TRAFFIC_SHARES[0]
     world.run(60.0)
-    assert world.siblings.portion(key) < 1.0, "it is still cut, and shows so at each step"
+    assert world.siblings.traffic_share(key) < 1.0, "it is still cut, and shows so at each step"
     begin = world.now
     world.run(120.0)
     assert sum(at > begin and one == key for at, one, _ in world.found) > 0.95 * 120.0 / EVERY, "and goes on to"
@@ -208,9 +214,9 @@
     world.full = set()
     world.rate = 0.0
     world.run(POLICY.retry - 1.0)
-    assert world.siblings.portion(world.keys[1]) == PORTIONS[0]
+    assert world.siblings.traffic_share(world.keys[1]) == TRAFFIC_SHARES[0]
     world.run(3.0 * POLICY.retry)
-    assert world.siblings.portion(world.keys[1]) == 1.0
+    assert world.siblings.traffic_share(world.keys[1]) == 1.0
 
 
 def test_what_it_showed_in_a_crowd_does_not_hold_it_for_long() -> None:
@@ -219,10 +225,10 @@
     world.full = {key}
     world.run(1.0)
     for _ in range(80):
-        world.counting[key].ended(0, Outcome.OK, 2.0)
+        world.counting[key].on_attempt_ended(0, Outcome.OK, 2.0)
     world.full = set()
     begin = world.now
-    while world.siblings.portion(key) < 1.0:
+    while world.siblings.traffic_share(key) < 1.0:
         world.run(EVERY)
         assert world.now < begin + 20.0
 
@@ -232,52 +238,52 @@
     key = world.keys[3]
     world.run(2.0)
     for _ in range(80):
-        world.counting[key].ended(0, Outcome.OK, 2.0)
+        world.counting[key].on_attempt_ended(0, Outcome.OK, 2.0)
     world.run(EVERY)
-    assert world.siblings.portion(key) == PORTIONS[0]
+    assert world.siblings.traffic_share(key) == TRAFFIC_SHARES[0]
     begin, world.keys = world.now, [one for one in world.keys if one != key]
-    account = read_account(world.cells[key], 0)
-    while world.siblings.portion(key) < 1.0:
+    account = read_counters(world.cells[key], 0)
+    while world.siblings.traffic_share(key) < 1.0:
         world.now += EVERY
         for one in world.keys:
             world.serve(one)
-        accounts = {one: read_account(world.cells[one], 0) for one in world.keys}
-        world.siblings.look(world.now, accounts | {key: account})
+        accounts = {one: read_counters(world.cells[one], 0) for one in world.keys}
+        world.siblings.tick(world.now, accounts | {key: account})
         assert world.now < begin + 8 * POLICY.retry
 
 
 def test_what_was_called_off_soon_tells_nothing_and_what_lasted_long_does() -> None:
-    cells = [0] * CELLS
-    counting = Counting(cells)
+    cells = [0] * CELL_COUNT
+    counting = TrafficRecorder(cells)
     for _ in range(50):
-        counting.ended(0, Outcome.OK, 0.1)
-    counting.ended(0, Outcome.CANCELLED, 0.5)
-    counting.ended(0, Outcome.ERROR, 0.01)
-    counting.ended(0, Outcome.VOID, 0.01)
-    account = read_account(cells, 0)
-    assert (account.answered, sum(account.missed)) == (50, 0), "0.8 s is eight times the usual"
-    counting.ended(0, Outcome.CANCELLED, 0.9)
-    counting.ended(9, Outcome.BROKEN, 0.0)
-    account = read_account(cells, 0)
-    assert account.missed == (1, 0, 0, 1) and len(account.missed) == ZONES
-    fresh = Counting([0] * CELLS)
+        counting.on_attempt_ended(0, Outcome.OK, 0.1)
+    counting.on_attempt_ended(0, Outcome.CANCELLED, 0.5)
+    counting.on_attempt_ended(0, Outcome.ERROR, 0.01)
+    counting.on_attempt_ended(0, Outcome.VOID, 0.01)
+    account = read_counters(cells, 0)
+    assert (account.total_answered, sum(account.unanswered)) == (50, 0), "0.8 s is eight times the usual"
+    counting.on_attempt_ended(0, Outcome.CANCELLED, 0.9)
+    counting.on_attempt_ended(9, Outcome.BROKEN, 0.0)
+    account = read_counters(cells, 0)
+    assert account.unanswered == (1, 0, 0, 1) and len(account.unanswered) == ZONES
+    fresh = TrafficRecorder([0] * CELL_COUNT)
     assert fresh._long(LONG) and not fresh._long(0.9 * LONG)
 
 
 def test_whatever_discovery_calls_a_version_fits() -> None:
-    cells = [0] * CELLS
-    counting = Counting(cells)
+    cells = [0] * CELL_COUNT
+    counting = TrafficRecorder(cells)
     for version, kept in ((-5, 0), (2**200, MOST), (12, 12)):
-        counting.stands(version, True)
-        account = read_account(cells, 0)
-        assert (account.version, account.full) == (kept, True)
+        counting.publish_state(version, True)
+        account = read_counters(cells, 0)
+        assert (account.list_version, account.out_of_descriptors) == (kept, True)
 
 
 @given(st.floats(0.0, 1.0))
 def test_an_attempt_of_one_that_fares_as_usual_speaks_for_a_lost_path_no_more_than_by_chance(usual: float) -> None:
     """Its likelihood ratio is 1 on average, or less: so between false alarms there are 10^`unlike` attempts (Lorden,
     Annals of Mathematical Statistics 1971)."""
-    missed, reached = math.exp(lost_path(1, 0, usual)), math.exp(lost_path(0, 1, usual))
+    missed, reached = math.exp(path_loss_log_ratio(1, 0, usual)), math.exp(path_loss_log_ratio(0, 1, usual))
     assert usual * missed + (1.0 - usual) * reached <= 1.0 + 1e-9
     assert missed >= 1.0 >= reached
 
@@ -289,11 +295,11 @@
     key, begin = world.keys[3], world.now
     world.cut.add((key, 1))
     world.run(8.0)
-    assert {one for _, one, _ in world.found} == {key} and world.found[0][2].why is Why.PATH
+    assert {one for _, one, _ in world.found} == {key} and world.found[0][2].cause is OutlierCause.PATH
     assert world.found[0][0] - begin < 6.0
 
 
 @pytest.mark.parametrize(("name", "value"), [("unlike", 0.0), ("slower", 1.0), ("window", math.nan)])
 def test_thresholds_that_make_no_sense_name_the_field(name: str, value: float) -> None:
     with pytest.raises(ValueError, match=name):
-        Siblings(Comparison(**{name: value}))
+        OutlierDetector(OutlierPolicy(**{name: value}))
--- a/tests/virtual/test_correlated_failure_worlds.py
+++ b/tests/virtual/test_correlated_failure_worlds.py
@@ -28,10 +28,10 @@
 
 @pytest.mark.parametrize("text", [BANNED, FORGOTTEN])
 def test_a_ban_that_is_forgotten_is_found(text: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def forget(self: recovery.Return, record: Record | None) -> None:
+    def forget(self: recovery.RecoveryController, record: Record | None) -> None:
         """Planted: orders are left aside."""
 
-    monkeypatch.setattr(recovery.Return, "_take_orders", forget)
+    monkeypatch.setattr(recovery.RecoveryController, "_restore_orders", forget)
     assert [v for v in play(script.read(text)).violations if "ban" in f"{v}"]
 
 
--- a/weldroute/correlated_failures.py
+++ b/weldroute/correlated_failures.py
@@ -24,7 +24,7 @@
 from random import Random
 from typing import Any
 
-from weldroute.recovery import Waves
+from weldroute.recovery import StartScheduler
 
 OUTSIDE = frozenset({9, 15})  # SIGKILL, SIGTERM
 TOGETHER = 0.25  # seconds by which the ends of one blow may be noticed in another order
@@ -175,7 +175,7 @@
     def spread(self, blow: Blow, names: list[tuple[str, int]]) -> dict[str, float]:
         """When to start each of these (name, tier), which a blow has ended and nobody has started since."""
         started = len(blow.names) - len(names)
-        return Waves(self.policy.pace, self._rng).spread(blow.at, names, started)
+        return StartScheduler(self.policy.pace, self._rng).schedule(blow.at, names, started)
 
     def returning(self, now: float, name: str) -> int:
         """How many come back together with this one, itself among them."""
--- a/weldroute/failure_detector.py
+++ b/weldroute/failure_detector.py
@@ -51,21 +51,21 @@
 from typing import Any
 
 from weldroute.checks import check_numbers
-from weldroute.outlier_detection import Account, Comparison, Finding, Key, Siblings
+from weldroute.outlier_detection import Finding, Key, OutlierDetector, OutlierPolicy, TrafficCounters
 
 LEARNS = 0.05  # the part of a new sample in means and deviations...
 LEARNS_ILL = 0.005  # ...and while it is suspect: one that flaps must not teach that flapping is well
 FLOOR = 0.025  # seconds: no deviation is taken to be less, for timers and looks are that coarse
 PAUSE = 1.0  # seconds between two looks from which on the observer itself was away
 KEPT = 64  # notes of one name
-ACTED_FOR = 10.0  # seconds for which one that was replaced, and that nobody follows, counts
+REPLACEMENT_TIMEOUT = 10.0  # seconds for which one that was replaced, and that nobody follows, counts
 LOG10_E = math.log10(math.e)
 
 
-class Judgement(Enum):
+class Verdict(Enum):
     """Of one process."""
 
-    WELL = "well"
+    HEALTHY = "well"
     SUSPECT = "suspect"
     STALLED = "stalled"
 
@@ -78,11 +78,11 @@
     HUNG = "hung"
     SPINNING = "spinning"
     STARVED = "starved"
-    DEAF = "deaf"
+    NOT_ACCEPTING = "deaf"
     STARTING = "starting"
 
 
-class Life(Enum):
+class Lifecycle(Enum):
     """How far a process is, as its supervisor knows."""
 
     STARTING = "starting"
@@ -90,18 +90,18 @@
     LEAVING = "leaving"
 
 
-class Do(Enum):
+class Response(Enum):
     """What is done about a process."""
 
-    RELIEVE = "others accept for it"
-    RETURN = "it accepts alone again"
-    ASIDE = "most of its new connections go to others"
-    RESTORE = "all of its new connections are its own again"
+    DIVERT_ACCEPTS = "others accept for it"
+    RESUME_ACCEPTS = "it accepts alone again"
+    EJECT = "most of its new connections go to others"
+    READMIT = "all of its new connections are its own again"
     REPLACE = "it is replaced"
 
 
 @dataclass(frozen=True, slots=True)
-class VigilPolicy:
+class FailureDetectorPolicy:
     """Thresholds; times in seconds."""
 
     beat: float = 0.05  # between the beats of a process that is well
@@ -126,26 +126,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
+class Observation:
     """What was seen of one process at one look; seconds of the machine's clock, and of time used."""
 
-    turned: float  # when its event loop turned last; 0: never yet
+    last_heartbeat: float  # when its event loop turned last; 0: never yet
     stopped: bool = False
-    ran: float = 0.0  # processor time since its start
-    starved: float = 0.0  # time since its start in which it was ready to run and had no processor
-    waits: float = 0.0  # for how long something waits at its listener
+    cpu_time: float = 0.0  # processor time since its start
+    cpu_wait: float = 0.0  # time since its start in which it was ready to run and had no processor
+    accept_wait: float = 0.0  # for how long something waits at its listener
     progress: int = 0  # attempts that have ended: a sign of life beside the beat
     runnable: bool = False  # it runs, or would if it had a processor
-    life: Life = Life.SERVING
+    lifecycle: Lifecycle = Lifecycle.SERVING
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class Decision:
     """Something to be done."""
 
     key: Key
-    do: Do
-    why: str
+    response: Response
+    reason: str
 
 
 def phi(silence: float, mean: float, deviation: float) -> float:
@@ -157,7 +157,7 @@
 
 
 @dataclass(slots=True)
-class Watched:
+class MonitoredProcess:
     """What is known of one process."""
 
     mean: float  # of the gaps between beats...
@@ -170,62 +170,62 @@
     ran_last: float = 0.0  # at the last look...
     starved_last: float = 0.0
     queued: float = 0.0  # ...and seconds of waiting for a processor that `starved` does not tell of yet
-    judgement: Judgement = Judgement.WELL
+    verdict: Verdict = Verdict.HEALTHY
     cause: Cause = Cause.NONE
     phi: float = 0.0
     certain_since: float = math.inf
     well_since: float = -math.inf
-    relieved: bool = False
+    accepts_diverted: bool = False
     replaced: bool = False
     progress: int = 0
-    life: Life = Life.SERVING
+    life: Lifecycle = Lifecycle.SERVING
     aside: Finding | None = None  # why most of its new connections go to others
 
-    def beats(self, now: float, evidence: Evidence, late: float) -> None:
+    def beats(self, now: float, evidence: Observation, late: float) -> None:
         """Its loop has turned since the last look, which was so late: some of that may lie after its beat."""
         if self.turned:
-            gap = max(0.0, evidence.turned - self.turned - self.waited(evidence) - self.excused)
+            gap = max(0.0, evidence.last_heartbeat - self.turned - self.waited(evidence) - self.excused)
             # What lies between two looks may be several beats: a gap is never taken to be longer than it was.
             off = min(gap, 4.0 * self.mean) - self.mean
-            part = LEARNS if self.judgement is Judgement.WELL else LEARNS_ILL
+            part = LEARNS if self.verdict is Verdict.HEALTHY else LEARNS_ILL
             self.mean += part * off
             self.deviation = math.sqrt((1.0 - part) * (self.deviation**2 + part * off * off))
-        self.turned = evidence.turned
-        self.begin(evidence.turned, evidence)
-        self.excused = min(late, max(0.0, now - evidence.turned))
+        self.turned = evidence.last_heartbeat
+        self.begin(evidence.last_heartbeat, evidence)
+        self.excused = min(late, max(0.0, now - evidence.last_heartbeat))
         if self.well_since < 0.0:
             self.well_since = now
 
-    def begin(self, since: float, evidence: Evidence) -> None:
+    def begin(self, since: float, evidence: Observation) -> None:
         """Its silence is counted from here."""
         self.since, self.excused, self.queued = since, 0.0, 0.0
-        self.ran, self.starved = evidence.ran, evidence.starved
+        self.ran, self.starved = evidence.cpu_time, evidence.cpu_wait
 
-    def wait(self, evidence: Evidence, every: float) -> None:
+    def wait(self, evidence: Observation, every: float) -> None:
         """Count the time in which it waited for a processor and still does.
 
         The kernel tells of a wait when it is over. One that is ready to run at a look, and has not run since the
         last, has waited in between.
         """
-        self.queued = max(0.0, self.queued - (evidence.starved - self.starved_last))
-        if evidence.runnable and evidence.ran == self.ran_last:
+        self.queued = max(0.0, self.queued - (evidence.cpu_wait - self.starved_last))
+        if evidence.runnable and evidence.cpu_time == self.ran_last:
             self.queued += every
-        self.ran_last, self.starved_last = evidence.ran, evidence.starved
+        self.ran_last, self.starved_last = evidence.cpu_time, evidence.cpu_wait
 
-    def waited(self, evidence: Evidence) -> float:
+    def waited(self, evidence: Observation) -> float:
         """Seconds of its silence in which it had no processor."""
-        return evidence.starved - self.starved + self.queued
+        return evidence.cpu_wait - self.starved + self.queued
 
 
-class Vigil:
+class FailureDetector:
     """All processes of one fleet, as one observer judges them."""
 
-    def __init__(self, policy: VigilPolicy, comparison: Comparison | None = None) -> None:
+    def __init__(self, policy: FailureDetectorPolicy, outlier_policy: OutlierPolicy | None = None) -> None:
         policy.check()
         self.policy = policy
-        self.siblings = Siblings(comparison or Comparison())
-        self.processes: dict[Key, Watched] = {}
-        self.notes: dict[str, deque[tuple[float, str]]] = {}
+        self.outlier_detector = OutlierDetector(outlier_policy or OutlierPolicy())
+        self.processes: dict[Key, MonitoredProcess] = {}
+        self.history: dict[str, deque[tuple[float, str]]] = {}
         self.counts = {
             "suspected": 0,
             "replaced": 0,
@@ -238,73 +238,73 @@
         self._looked = -math.inf
         self._held: set[Key] = set()  # told once that the budget holds them back
 
-    def gone(self, key: Key) -> None:
+    def on_exit(self, key: Key) -> None:
         """A process is no more."""
         self.processes.pop(key, None)
         self._held.discard(key)
 
-    def ready(self, key: Key) -> None:
+    def on_ready(self, key: Key) -> None:
         """A process is ready: if it stands in for one that was replaced, that one counts no more."""
         if key[0] in self._acted and self._acted[key[0]][0] < key[1]:
             del self._acted[key[0]]
 
-    def look(
+    def tick(
         self,
         now: float,
-        seen: Mapping[Key, Evidence],
-        fleet: int,
-        every: float,
-        accounts: Mapping[Key, Account] | None = None,
-    ) -> list[Act]:
+        observations: Mapping[Key, Observation],
+        fleet_size: int,
+        interval: float,
+        counters: Mapping[Key, TrafficCounters] | None = None,
+    ) -> list[Decision]:
         """Judge all that are ready, of a fleet in which so many are wanted; what is to be done.
 
         `accounts` are compared with each other. `every` is how long after the last look this one was due.
         A process that is not in `seen` any more is not judged; one that is there for the first time begins well. Only
         those that serve are looked for in `accounts`.
         """
-        late = max(0.0, now - self._looked - every) if math.isfinite(self._looked) else 0.0
+        late = max(0.0, now - self._looked - interval) if math.isfinite(self._looked) else 0.0
         self._looked = now
-        for key in set(self.processes) - set(seen):
-            self.gone(key)
-        for key, evidence in seen.items():
-            if evidence.life is Life.SERVING:
-                self.ready(key)
-            self._weigh(now, key, evidence, late, every)
+        for key in set(self.processes) - set(observations):
+            self.on_exit(key)
+        for key, evidence in observations.items():
+            if evidence.lifecycle is Lifecycle.SERVING:
+                self.on_ready(key)
+            self._weigh(now, key, evidence, late, interval)
         # One that ends may be silent in its last moment: that says nothing of the rest.
         by_silence = sum(
-            one.judgement is not Judgement.WELL and one.cause in (Cause.HUNG, Cause.SPINNING)
+            one.verdict is not Verdict.HEALTHY and one.cause in (Cause.HUNG, Cause.SPINNING)
             for one in self.processes.values()
-            if one.life is not Life.LEAVING
+            if one.life is not Lifecycle.LEAVING
         )
-        self._acted = {name: act for name, act in self._acted.items() if act[1] > now - ACTED_FOR}
-        distrusted = by_silence > max(1.0, self.policy.distrust * fleet)
-        acts: list[Act] = []
-        for key in seen:
-            acts += self._accept_for(now, key, self.processes[key], fleet)
-            acts += self._decide(now, key, fleet, distrusted)
-        return acts + self._set_aside(now, fleet, self.siblings.look(now, accounts or {}))
-
-    def _set_aside(self, now: float, fleet: int, found: Mapping[Key, Finding]) -> list[Act]:
+        self._acted = {name: act for name, act in self._acted.items() if act[1] > now - REPLACEMENT_TIMEOUT}
+        distrusted = by_silence > max(1.0, self.policy.distrust * fleet_size)
+        acts: list[Decision] = []
+        for key in observations:
+            acts += self._accept_for(now, key, self.processes[key], fleet_size)
+            acts += self._decide(now, key, fleet_size, distrusted)
+        return acts + self._set_aside(now, fleet_size, self.outlier_detector.tick(now, counters or {}))
+
+    def _set_aside(self, now: float, fleet: int, found: Mapping[Key, Finding]) -> list[Decision]:
         """Those that live, and fare worse than their siblings. No more than a share at once: the others carry it."""
         acts = []
         for key, one in self.processes.items():
             finding = found.get(key)
             if one.aside is not None and finding is None:
                 one.aside = None
-                acts.append(Act(key, Do.RESTORE, "it fares like its siblings"))
+                acts.append(Decision(key, Response.READMIT, "it fares like its siblings"))
             elif one.aside is not None:
                 one.aside = finding  # it may be another by now
-            elif finding is not None and one.judgement is not Judgement.STALLED:
+            elif finding is not None and one.verdict is not Verdict.STALLED:
                 if sum(each.aside is not None for each in self.processes.values()) < self._most(fleet):
                     one.aside = finding
                     self.counts["unlike"] += 1
-                    acts.append(Act(key, Do.ASIDE, f"{finding.why.value}: {finding.text}"))
+                    acts.append(Decision(key, Response.EJECT, f"{finding.cause.value}: {finding.description}"))
                 elif key not in self._held:
                     self._held.add(key)
                     self.counts["held_back"] += 1
-                    self._write(now, key, f"{finding.why.value}: {finding.text}; enough have been relieved")
+                    self._write(now, key, f"{finding.cause.value}: {finding.description}; enough have been relieved")
         for act in acts:
-            self._write(now, act.key, f"{act.do.value}: {act.why}")
+            self._write(now, act.key, f"{act.response.value}: {act.reason}")
         return acts
 
     def _most(self, fleet: int) -> int:
@@ -313,17 +313,17 @@
 
     # ---- judging -------------------------------------------------------------------------
 
-    def _weigh(self, now: float, key: Key, evidence: Evidence, late: float, every: float) -> None:
+    def _weigh(self, now: float, key: Key, evidence: Observation, late: float, every: float) -> None:
         one = self.processes.get(key)
         if one is None:
-            one = self.processes[key] = Watched(self.policy.beat, self.policy.beat / 2.0, since=now)
+            one = self.processes[key] = MonitoredProcess(self.policy.beat, self.policy.beat / 2.0, since=now)
         one.wait(evidence, every)
         if late > PAUSE:
             # The observer was away: what it knew of is old, and so is a beat that came meanwhile. Who lives has a
             # beat's time to show it.
-            one.turned, one.certain_since = max(one.turned, evidence.turned), math.inf
+            one.turned, one.certain_since = max(one.turned, evidence.last_heartbeat), math.inf
             one.begin(now, evidence)
-        elif evidence.turned > one.turned:
+        elif evidence.last_heartbeat > one.turned:
             one.beats(now, evidence, late)
         elif evidence.progress != one.progress:
             # It serves, though it does not beat: its silence begins anew, and teaches nothing about beats.
@@ -331,45 +331,45 @@
             one.begin(now, evidence)
         else:
             one.excused += late
-        if evidence.life is Life.STARTING and not one.turned and not evidence.stopped:
+        if evidence.lifecycle is Lifecycle.STARTING and not one.turned and not evidence.stopped:
             one.since = now  # it has not begun to beat
-        one.progress, one.life = evidence.progress, evidence.life
+        one.progress, one.life = evidence.progress, evidence.lifecycle
         # A timer that is due lately has not been missed: silence begins where the last beat was, or was excused to.
         silence = now - one.since - one.excused - one.waited(evidence)
         one.phi = phi(max(0.0, silence), one.mean, one.deviation)
         one.cause = self._cause(one, evidence, silence)
         judgement = self._judge(now, one, evidence)
-        if judgement is not Judgement.WELL:
+        if judgement is not Verdict.HEALTHY:
             one.well_since = -math.inf
-        steady = judgement is not Judgement.WELL or (
+        steady = judgement is not Verdict.HEALTHY or (
             one.turned > 0.0 and one.turned - one.well_since >= self.policy.steady
         )
-        if judgement is not one.judgement and steady:
+        if judgement is not one.verdict and steady:
             self._note(now, key, one, judgement, silence)
 
-    def _cause(self, one: Watched, evidence: Evidence, silence: float) -> Cause:
+    def _cause(self, one: MonitoredProcess, evidence: Observation, silence: float) -> Cause:
         if evidence.stopped:
             return Cause.STOPPED
         if one.phi < self.policy.suspect:
-            deaf = Cause.DEAF if one.turned else Cause.STARTING
-            return deaf if evidence.waits >= self.policy.unaccepted else Cause.NONE
+            deaf = Cause.NOT_ACCEPTING if one.turned else Cause.STARTING
+            return deaf if evidence.accept_wait >= self.policy.unaccepted else Cause.NONE
         if one.waited(evidence) > silence:
             return Cause.STARVED
-        return Cause.SPINNING if evidence.ran - one.ran > 0.5 * silence else Cause.HUNG
+        return Cause.SPINNING if evidence.cpu_time - one.ran > 0.5 * silence else Cause.HUNG
 
-    def _judge(self, now: float, one: Watched, evidence: Evidence) -> Judgement:
+    def _judge(self, now: float, one: MonitoredProcess, evidence: Observation) -> Verdict:
         policy = self.policy
-        if one.cause is Cause.STARVED or (one.cause is Cause.NONE and evidence.waits < policy.unaccepted):
+        if one.cause is Cause.STARVED or (one.cause is Cause.NONE and evidence.accept_wait < policy.unaccepted):
             one.certain_since = math.inf
-            return Judgement.WELL
-        if one.cause in (Cause.DEAF, Cause.STARTING):
+            return Verdict.HEALTHY
+        if one.cause in (Cause.NOT_ACCEPTING, Cause.STARTING):
             one.certain_since = math.inf
-            return Judgement.SUSPECT
+            return Verdict.SUSPECT
         if one.cause is Cause.STOPPED and one.phi < policy.suspect:
-            return Judgement.WELL  # for a moment, as by a debugger or a terminal
+            return Verdict.HEALTHY  # for a moment, as by a debugger or a terminal
         if one.phi < policy.certain:
             one.certain_since = math.inf
-            return Judgement.SUSPECT
+            return Verdict.SUSPECT
         # Its time counts from the last beat: what led to certainty is a part of it.
         one.certain_since = min(one.certain_since, one.since + one.excused)
         patience = {
@@ -377,67 +377,69 @@
             Cause.HUNG: policy.hung_for,
             Cause.SPINNING: policy.spinning_for,
         }[one.cause]
-        return Judgement.STALLED if now - one.certain_since >= patience else Judgement.SUSPECT
+        return Verdict.STALLED if now - one.certain_since >= patience else Verdict.SUSPECT
 
-    def _note(self, now: float, key: Key, one: Watched, judgement: Judgement, silence: float) -> None:
-        before, one.judgement = one.judgement, judgement
-        if judgement is Judgement.SUSPECT and before is Judgement.WELL:
+    def _note(self, now: float, key: Key, one: MonitoredProcess, judgement: Verdict, silence: float) -> None:
+        before, one.verdict = one.verdict, judgement
+        if judgement is Verdict.SUSPECT and before is Verdict.HEALTHY:
             self.counts["suspected"] += 1
-        elif judgement is Judgement.WELL:
+        elif judgement is Verdict.HEALTHY:
             self.counts["recovered"] += 1
         why = f", {one.cause.value}" if one.cause is not Cause.NONE else ""
         self._write(now, key, f"{judgement.value}{why}: silent for {silence:.2f} s, phi {min(one.phi, 999.0):.1f}")
 
     def _write(self, now: float, key: Key, text: str) -> None:
-        notes = self.notes.setdefault(key[0], deque(maxlen=KEPT))
+        notes = self.history.setdefault(key[0], deque(maxlen=KEPT))
         notes.append((now, f"generation {key[1]}: {text}"))
 
     # ---- acting --------------------------------------------------------------------------
 
-    def _decide(self, now: float, key: Key, fleet: int, distrusted: bool) -> list[Act]:
+    def _decide(self, now: float, key: Key, fleet: int, distrusted: bool) -> list[Decision]:
         one = self.processes[key]
-        acts: list[Act] = []
-        if one.judgement is Judgement.STALLED and not one.replaced and self._may(now, key, one, fleet, distrusted):
+        acts: list[Decision] = []
+        if one.verdict is Verdict.STALLED and not one.replaced and self._may(now, key, one, fleet, distrusted):
             one.replaced = True
-            if one.life is not Life.LEAVING:  # who ends has left its part of the work to others already
+            if one.life is not Lifecycle.LEAVING:  # who ends has left its part of the work to others already
                 self._acted[key[0]] = key[1], now
             self.counts["replaced"] += 1
-            acts.append(self._act(now, key, Do.REPLACE, self._why(one)))
+            acts.append(self._act(now, key, Response.REPLACE, self._why(one)))
         return acts
 
-    def _accept_for(self, now: float, key: Key, one: Watched, fleet: int) -> list[Act]:
+    def _accept_for(self, now: float, key: Key, one: MonitoredProcess, fleet: int) -> list[Decision]:
         """Whether others accept for a process, or it does alone."""
-        if one.judgement is Judgement.WELL:
-            if not one.relieved:
+        if one.verdict is Verdict.HEALTHY:
+            if not one.accepts_diverted:
                 return []
-            one.relieved = False
-            return [self._act(now, key, Do.RETURN, "it beats again")]
-        if one.relieved or one.life is Life.LEAVING:
+            one.accepts_diverted = False
+            return [self._act(now, key, Response.RESUME_ACCEPTS, "it beats again")]
+        if one.accepts_diverted or one.life is Lifecycle.LEAVING:
             return []
-        if one.life is Life.STARTING and self._serving() < (1.0 - self.policy.distrust) * fleet:
+        if one.life is Lifecycle.STARTING and self._serving() < (1.0 - self.policy.distrust) * fleet:
             # Where most are away it is a blow, which has paces of its own: those few would get what all wait for.
             return []
-        one.relieved = True
-        return [self._act(now, key, Do.RELIEVE, self._why(one))]
+        one.accepts_diverted = True
+        return [self._act(now, key, Response.DIVERT_ACCEPTS, self._why(one))]
 
     def _serving(self) -> int:
         """How many others could go to."""
-        return sum(one.life is Life.SERVING and one.judgement is Judgement.WELL for one in self.processes.values())
+        return sum(
+            one.life is Lifecycle.SERVING and one.verdict is Verdict.HEALTHY for one in self.processes.values()
+        )
 
     @staticmethod
-    def _why(one: Watched) -> str:
+    def _why(one: MonitoredProcess) -> str:
         return f"{one.cause.value or 'late'}, phi {min(one.phi, 999.0):.0f}"
 
-    def _act(self, now: float, key: Key, do: Do, why: str) -> Act:
+    def _act(self, now: float, key: Key, do: Response, why: str) -> Decision:
         self._write(now, key, f"{do.value}: {why}")
-        return Act(key, do, why)
+        return Decision(key, do, why)
 
-    def _may(self, now: float, key: Key, one: Watched, fleet: int, distrusted: bool) -> bool:
+    def _may(self, now: float, key: Key, one: MonitoredProcess, fleet: int, distrusted: bool) -> bool:
         """Whether one more may be replaced now."""
         held = ""
         if distrusted and one.cause is not Cause.STOPPED:
             held = "distrusted"
-        elif len(self._acted) >= self._most(fleet) and one.life is not Life.LEAVING:
+        elif len(self._acted) >= self._most(fleet) and one.life is not Lifecycle.LEAVING:
             held = "held_back"
         if held and key not in self._held:
             self._held.add(key)
@@ -454,17 +456,17 @@
         if one is None:
             return {}
         return {
-            "judgement": one.judgement.value,
+            "judgement": one.verdict.value,
             "cause": one.cause.value,
             "phi": round(min(one.phi, 999.0), 1),
             "gap": round(one.mean, 4),
             "deviation": round(one.deviation, 4),
-            "relieved": one.relieved,
-            "unlike": one.aside.why.value if one.aside is not None else "",
-            "because": one.aside.text if one.aside is not None else "",
-            "portion": self.siblings.portion(key),
+            "relieved": one.accepts_diverted,
+            "unlike": one.aside.cause.value if one.aside is not None else "",
+            "because": one.aside.description if one.aside is not None else "",
+            "portion": self.outlier_detector.traffic_share(key),
         }
 
     def explain(self, now: float, name: str) -> list[tuple[float, str]]:
         """The last notes of a name: how many seconds ago, and what was seen or done."""
-        return [(round(now - at, 2), text) for at, text in self.notes.get(name, ())]
+        return [(round(now - at, 2), text) for at, text in self.history.get(name, ())]
--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -42,7 +42,7 @@
 
 Key = tuple[str, int]  # a name, and the generation of its process
 ZONES = 4  # that are told apart; the rest of a fleet's are one together
-PORTIONS = (0.1, 0.3, 1.0)  # of its new connections that one gets that was found ill...
+TRAFFIC_SHARES = (0.1, 0.3, 1.0)  # of its new connections that one gets that was found ill...
 ENOUGH = 6.0  # ...and faded samples that are evidence of how one fares
 LATEST = 9.0  # ...of which one that was found has no more: what it shows now outweighs what it showed then
 PRIOR = 0.02  # no siblings miss less than this: they were lucky
@@ -58,7 +58,7 @@
 LOG10 = math.log(10.0)
 
 
-class Why(Enum):
+class OutlierCause(Enum):
     """How it is unlike its siblings."""
 
     PATH = "path"
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Comparison:
+class OutlierPolicy:
     """Thresholds; times in seconds."""
 
     unlike: float = 6.0  # decades
@@ -86,33 +86,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class TrafficCounters:
     """What a process has counted since its start."""
 
     tier: int = 0
-    reached: Sequence[int] = (0,) * ZONES  # attempts that were answered, by zone...
-    missed: Sequence[int] = (0,) * ZONES  # ...and those that got no answer from anybody
-    logs: float = 0.0  # sum of the natural logarithms of the times of those that were answered, in seconds...
-    squares: float = 0.0  # ...and of their squares
-    version: int = 0  # of its list
-    full: bool = False  # connections wait for a descriptor
+    answered: Sequence[int] = (0,) * ZONES  # attempts that were answered, by zone...
+    unanswered: Sequence[int] = (0,) * ZONES  # ...and those that got no answer from anybody
+    log_sum: float = 0.0  # sum of the natural logarithms of the times of those that were answered, in seconds...
+    log_square_sum: float = 0.0  # ...and of their squares
+    list_version: int = 0  # of its list
+    out_of_descriptors: bool = False  # connections wait for a descriptor
 
     @property
-    def answered(self) -> int:
+    def total_answered(self) -> int:
         """Attempts that were, in all zones."""
-        return sum(self.reached)
+        return sum(self.answered)
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
     """How a process is unlike its siblings."""
 
-    why: Why
-    rarity: float  # decades; infinite where nothing is left to chance
-    text: str
+    cause: OutlierCause
+    score: float  # decades; infinite where nothing is left to chance
+    description: str
 
 
-CELLS = 16  # of 64 bits, that a process writes: see `Counting`
+CELL_COUNT = 16  # of 64 bits, that a process writes: see `Counting`
 VERSION, FULL, REACHED, MISSED, LOGS, SQUARES = 2, 3, 4, 4 + ZONES, 4 + 2 * ZONES, 5 + 2 * ZONES
 MOST = 2**62  # of a version, which is whatever discovery writes
 MICRO = 1e6
@@ -128,7 +128,7 @@
     def __setitem__(self, at: int, value: int) -> None: ...
 
 
-class Counting:
+class TrafficRecorder:
     """The side of the process: its account in cells of memory, written at the price of a memory write.
 
     The first two cells are not the account's: the observer's cells are there, and the beat.
@@ -138,7 +138,7 @@
         self._cells = cells
         self._mean = math.nan  # of the logarithms of late
 
-    def ended(self, zone: int, how: Outcome, seconds: float) -> None:
+    def on_attempt_ended(self, zone: int, how: Outcome, seconds: float) -> None:
         """An attempt has ended after so long.
 
         What a backend refuses or fails tells that it was reached, and nothing of its pace: it counts nowhere. One
@@ -159,14 +159,14 @@
         usual = 0.0 if math.isnan(self._mean) else LONG_TIMES * math.exp(self._mean)
         return seconds >= max(LONG, usual)
 
-    def stands(self, version: int, full: bool) -> None:
+    def publish_state(self, version: int, full: bool) -> None:
         """What it knows and has at this moment."""
         self._cells[VERSION], self._cells[FULL] = min(max(version, 0), MOST), full
 
 
-def read_account(cells: Sequence[int], tier: int) -> Account:
+def read_counters(cells: Sequence[int], tier: int) -> TrafficCounters:
     """A process's account out of its cells; a count that is being written is off by one at most."""
-    return Account(
+    return TrafficCounters(
         tier,
         tuple(cells[REACHED : REACHED + ZONES]),
         tuple(cells[MISSED : MISSED + ZONES]),
@@ -177,7 +177,7 @@
     )
 
 
-def lost_path(missed: int, reached: int, usual: float) -> float:
+def path_loss_log_ratio(missed: int, reached: int, usual: float) -> float:
     """What some attempts to a zone speak for a path that loses LOSES of them, where `usual` is; natural units.
 
     Nothing, where what is usual is about as bad.
@@ -189,7 +189,7 @@
 
 
 @dataclass(slots=True)
-class Faded:
+class DecayingCounters:
     """Counts of late, each second weighing less than the next."""
 
     reached: list[float] = field(default_factory=lambda: [0.0] * ZONES)
@@ -205,15 +205,15 @@
         self.logs *= part
         self.squares *= part
 
-    def add(self, new: Account, old: Account) -> None:
+    def add(self, new: TrafficCounters, old: TrafficCounters) -> None:
         """What was counted since."""
         for zone in range(ZONES):
-            self.reached[zone] += max(0, new.reached[zone] - old.reached[zone])
-            self.missed[zone] += max(0, new.missed[zone] - old.missed[zone])
-        self.logs += new.logs - old.logs
-        self.squares += new.squares - old.squares
+            self.reached[zone] += max(0, new.answered[zone] - old.answered[zone])
+            self.missed[zone] += max(0, new.unanswered[zone] - old.unanswered[zone])
+        self.logs += new.log_sum - old.log_sum
+        self.squares += new.log_square_sum - old.log_square_sum
 
-    def join(self, other: Faded, sign: float = 1.0) -> None:
+    def join(self, other: DecayingCounters, sign: float = 1.0) -> None:
         """Add (or take away) another's."""
         for zone in range(ZONES):
             self.reached[zone] += sign * other.reached[zone]
@@ -242,11 +242,11 @@
 
 
 @dataclass(slots=True)
-class Compared:
+class TrackedProcess:
     """What is known of one process."""
 
-    account: Account
-    faded: Faded = field(default_factory=Faded)
+    account: TrafficCounters
+    faded: DecayingCounters = field(default_factory=DecayingCounters)
     slow: float = 0.0  # Page's sum of what speaks for its being slow; natural units...
     paths: list[float] = field(default_factory=lambda: [0.0] * ZONES)  # ...and for each zone's path being lost
     attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)  # at this look: missed, reached
@@ -255,22 +255,22 @@
     fresh: tuple[int, float] = (0, 0.0)  # answers at the last look, and the sum of the logarithms of their times...
     soon: tuple[float, float] = (0.0, 0.0)  # ...and the same of the last moments, fading with SOON
     behind_since: float = math.inf
-    step: int = len(PORTIONS) - 1  # of its portion
+    step: int = len(TRAFFIC_SHARES) - 1  # of its portion
     found: Finding | None = None
     alike_since: float = math.inf  # with evidence; while it has less than all
     tried_at: float = 0.0  # when its portion changed last
 
 
-class Siblings:
+class OutlierDetector:
     """All processes of one fleet."""
 
-    def __init__(self, policy: Comparison) -> None:
+    def __init__(self, policy: OutlierPolicy) -> None:
         policy.check()
         self.policy = policy
-        self.processes: dict[Key, Compared] = {}
+        self.processes: dict[Key, TrackedProcess] = {}
         self._looked = -math.inf
 
-    def look(self, now: float, seen: Mapping[Key, Account]) -> dict[Key, Finding]:
+    def tick(self, now: float, counters: Mapping[Key, TrafficCounters]) -> dict[Key, Finding]:
         """Compare all that are there; who has less than its whole portion of new connections, and why.
 
         The work is in proportion to the processes, not to their pairs: each is compared with the sum of all less
@@ -279,22 +279,22 @@
         passed = max(0.0, now - self._looked)
         part, soon = math.exp(-passed / self.policy.window), math.exp(-passed / SOON)
         self._looked = now
-        for key in set(self.processes) - set(seen):
+        for key in set(self.processes) - set(counters):
             del self.processes[key]
-        for key, account in seen.items():
+        for key, account in counters.items():
             one = self.processes.get(key)
             if one is None:
-                self.processes[key] = Compared(account)
+                self.processes[key] = TrackedProcess(account)
                 continue
-            one.faded.fade(part ** PORTIONS[one.step])
-            kept = part ** max(LASTS, PORTIONS[one.step])
+            one.faded.fade(part ** TRAFFIC_SHARES[one.step])
+            kept = part ** max(LASTS, TRAFFIC_SHARES[one.step])
             one.slow *= kept
             one.paths = [kept**PATHS_FADE * each for each in one.paths]
             one.judged = one.attempts
             one.attempts = [
                 (
-                    max(0, account.missed[zone] - one.account.missed[zone]),
-                    max(0, account.reached[zone] - one.account.reached[zone]),
+                    max(0, account.unanswered[zone] - one.account.unanswered[zone]),
+                    max(0, account.answered[zone] - one.account.answered[zone]),
                 )
                 for zone in range(ZONES)
             ]
@@ -303,31 +303,34 @@
                 for old, new in zip(one.lately, one.attempts, strict=True)
             ]
             one.faded.add(account, one.account)
-            one.fresh = max(0, account.answered - one.account.answered), account.logs - one.account.logs
+            one.fresh = (
+                max(0, account.total_answered - one.account.total_answered),
+                account.log_sum - one.account.log_sum,
+            )
             one.soon = one.soon[0] * soon + one.fresh[0], one.soon[1] * soon + one.fresh[1]
             if one.found is not None and one.faded.samples > LATEST:
                 one.faded.fade(LATEST / one.faded.samples)
             one.account = account
         found: dict[Key, Finding] = {}
-        for tier in {account.tier for account in seen.values()}:
-            keys = [key for key, account in seen.items() if account.tier == tier]
+        for tier in {account.tier for account in counters.values()}:
+            keys = [key for key, account in counters.items() if account.tier == tier]
             if len(keys) > 1:
                 found |= self._compare(now, keys)
         for key, one in self.processes.items():
             self._portion(now, one, found.get(key))
         return {key: one.found for key, one in self.processes.items() if one.found is not None}
 
-    def portion(self, key: Key) -> float:
+    def traffic_share(self, key: Key) -> float:
         """The part of the new connections for a process that it gets."""
         one = self.processes.get(key)
-        return PORTIONS[one.step] if one is not None else 1.0
+        return TRAFFIC_SHARES[one.step] if one is not None else 1.0
 
     # ---- comparing -----------------------------------------------------------------------
 
     def _compare(self, now: float, keys: Sequence[Key]) -> dict[Key, Finding]:
         """Those of one tier that are unlike the rest."""
         ones = [self.processes[key] for key in keys]
-        total, count, logs = Faded(), 0.0, 0.0
+        total, count, logs = DecayingCounters(), 0.0, 0.0
         for one in ones:
             total.join(one.faded)
             count += one.soon[0]
@@ -336,12 +339,12 @@
             (sum(one.lately[zone][0] for one in ones), sum(one.lately[zone][1] for one in ones))
             for zone in range(ZONES)
         ]
-        usual = _middle(one.account.version for one in ones)
+        usual = _middle(one.account.list_version for one in ones)
         found: dict[Key, Finding] = {}
-        fewer_full = 2 * sum(one.account.full for one in ones) < len(ones)
+        fewer_full = 2 * sum(one.account.out_of_descriptors for one in ones) < len(ones)
         for key, one in zip(keys, ones, strict=True):
-            one.behind_since = min(one.behind_since, now) if one.account.version < usual else math.inf
-            rest = Faded()
+            one.behind_since = min(one.behind_since, now) if one.account.list_version < usual else math.inf
+            rest = DecayingCounters()
             rest.join(total)
             rest.join(one.faded, -1.0)
             least = self.policy.unlike * (1.0 if one.found is None else 0.5)
@@ -355,20 +358,20 @@
         return found
 
     @staticmethod
-    def _full(one: Compared, fewer: bool) -> Finding | None:
-        if one.account.full and fewer:
-            return Finding(Why.FULL, math.inf, "no descriptor is left for new connections")
+    def _full(one: TrackedProcess, fewer: bool) -> Finding | None:
+        if one.account.out_of_descriptors and fewer:
+            return Finding(OutlierCause.FULL, math.inf, "no descriptor is left for new connections")
         return None
 
-    def _behind(self, now: float, one: Compared, usual: int) -> Finding | None:
+    def _behind(self, now: float, one: TrackedProcess, usual: int) -> Finding | None:
         since = now - one.behind_since
         if since < self.policy.behind:
             return None
-        text = f"its list is version {one.account.version}, half of all have {usual} for {since:.1f} s"
-        return Finding(Why.BEHIND, math.inf, text)
+        text = f"its list is version {one.account.list_version}, half of all have {usual} for {since:.1f} s"
+        return Finding(OutlierCause.BEHIND, math.inf, text)
 
     def _path(
-        self, one: Compared, rest: Faded, lately: Sequence[tuple[float, float]], least: float
+        self, one: TrackedProcess, rest: DecayingCounters, lately: Sequence[tuple[float, float]], least: float
     ) -> Finding | None:
         """What its attempts of the look before add to what speaks for a lost path; whether that is enough.
 
@@ -385,19 +388,21 @@
             just_missed, just_reached = lately[zone]
             if just_missed + just_reached >= FEW:
                 usual = max(usual, just_missed / (just_missed + just_reached))
-            one.paths[zone] = self._sum(one.paths[zone], lost_path(missed, reached, usual))
+            one.paths[zone] = self._sum(one.paths[zone], path_loss_log_ratio(missed, reached, usual))
             rarity = one.paths[zone] / LOG10
             if rarity >= least and finding is None:
                 lost, count = one.faded.missed[zone], one.faded.reached[zone] + one.faded.missed[zone]
                 text = f"zone {zone}: {lost:.0f} of {count:.0f} attempts unanswered, {usual:.2f} of siblings'"
-                finding = Finding(Why.PATH, rarity, text)
+                finding = Finding(OutlierCause.PATH, rarity, text)
         return finding
 
     def _sum(self, before: float, more: float) -> float:
         """Page's: never under 0, nor far over the threshold, or it would outlast what spoke for it."""
         return min(HOLDS * self.policy.unlike * LOG10, max(0.0, before + more))
 
-    def _slow(self, one: Compared, rest: Faded, soon: float, soon_logs: float, least: float) -> Finding | None:
+    def _slow(
+        self, one: TrackedProcess, rest: DecayingCounters, soon: float, soon_logs: float, least: float
+    ) -> Finding | None:
         """What its answers of this look add to what speaks for its being slow; whether that is enough.
 
         `soon`: how many answers siblings have had just now, and the sum of their logarithms.
@@ -416,11 +421,11 @@
         if rarity < least or one.faded.count <= 0.0:
             return None
         times = math.exp(one.faded.logs / one.faded.count - mean)
-        return Finding(Why.SLOW, rarity, f"lately {times:.1f} times as slow as its siblings")
+        return Finding(OutlierCause.SLOW, rarity, f"lately {times:.1f} times as slow as its siblings")
 
     # ---- coming back ---------------------------------------------------------------------
 
-    def _portion(self, now: float, one: Compared, finding: Finding | None) -> None:
+    def _portion(self, now: float, one: TrackedProcess, finding: Finding | None) -> None:
         if finding is not None:
             if one.found is None or one.step > 0:
                 self._step(now, one, 0)
@@ -432,13 +437,13 @@
             one.alike_since = min(one.alike_since, now)
         if now - max(one.alike_since, one.tried_at) >= self.policy.steady:
             self._step(now, one, one.step + 1)
-            if one.step == len(PORTIONS) - 1:
+            if one.step == len(TRAFFIC_SHARES) - 1:
                 one.found = None
 
     @staticmethod
-    def _step(now: float, one: Compared, step: int) -> None:
+    def _step(now: float, one: TrackedProcess, step: int) -> None:
         """Another portion, and evidence of its own."""
-        one.step, one.tried_at, one.alike_since, one.faded, one.slow = step, now, math.inf, Faded(), 0.0
+        one.step, one.tried_at, one.alike_since, one.faded, one.slow = step, now, math.inf, DecayingCounters(), 0.0
         one.paths = [0.0] * ZONES
 
 
--- a/weldroute/recovery.py
+++ b/weldroute/recovery.py
@@ -50,37 +50,37 @@
 RESERVE_PART = 0.3  # ...but no more than this part of the time that its caller gives
 LEARN = 10.0  # seconds over which the pace of new connections in calm times is smoothed
 LEAST_CALM, MOST_CALM = 0.5, 20.0  # new connections a second of one instance that are believed
-FIRST_RETRIES = 1.0  # further attempts that a returning instance has saved up
+INITIAL_RETRY_TOKENS = 1.0  # further attempts that a returning instance has saved up
 
 
 class Phase(Enum):
     """See the table of the module."""
 
-    NOTHING = "nothing"
-    REMEMBERED = "remembered"
+    NO_LIST = "nothing"
+    STORED = "remembered"
     CONFIRMED = "confirmed"
     RAMPING = "ramping"
     FULL = "full"
 
 
-class Hearing(Enum):
+class ListDecision(Enum):
     """What is made of a list that discovery tells; see the second table of the module."""
 
-    TAKE = "take"
+    ACCEPT = "take"
     MERGE = "merge"
     WAIT = "wait"
 
 
-class Verdict(Enum):
+class AdmissionVerdict(Enum):
     """What becomes of a request at the door."""
 
     PASS = "pass"
-    HOLD = "hold"
+    QUEUE = "hold"
     REFUSE = "refuse"
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RecoveryPlan:
     """What one instance is told of the return that it is part of."""
 
     instances: int = 1  # of the fleet
@@ -102,19 +102,19 @@
             if not math.isfinite(value) or value < 0.0 or (name in ("calm", "tries") and not value):
                 raise ValueError(f"{name}: {value!r} is not a number above 0")
 
-    def share(self, calm: float) -> float:
+    def connection_rate(self, calm: float) -> float:
         """New connections a second that this instance may open: an equal part of what those that stayed leave."""
         back = min(self.returning, self.instances)
         stayed = self.instances - back
         return calm * max(1.0, (self.multiple * self.instances - stayed) / back)
 
     @property
-    def patience(self) -> float:
+    def discovery_interval(self) -> float:
         """Seconds between tries at discovery, at most: all instances together keep to `tries`."""
         return min(max(self.instances / self.tries, 0.1), 10.0)
 
 
-class Pace:
+class ConnectionRateLimiter:
     """A token bucket for new connections; holds one, so that instances which begin at once open one each."""
 
     def __init__(self, now: float, rate: float) -> None:
@@ -146,7 +146,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class QueuedRequest:
     """A request that waits at the door."""
 
     since: float
@@ -154,7 +154,7 @@
 
 
 @dataclass(slots=True)
-class Marks:
+class Milestones:
     """When each phase was reached, on the instance's own clock; NaN for never. And what it leaned on others for."""
 
     began: float
@@ -169,78 +169,78 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class RecoveryEvent:
     """Something that operators want to know."""
 
-    event: str
-    text: str
+    name: str
+    description: str
 
 
-class Comeback:
+class Recovery:
     """One instance's return."""
 
-    def __init__(self, now: float, plan: Plan, seed: int, calm: float | None = None) -> None:
+    def __init__(self, now: float, plan: RecoveryPlan, seed: int, calm: float | None = None) -> None:
         plan.check()
         self.plan = plan
         self._rng = Random(seed)
-        self.calm = plan.calm if calm is None else min(max(calm, LEAST_CALM), MOST_CALM)
-        self.pace = Pace(now, plan.share(self.calm))
-        self.paced = True
-        self.phase = Phase.NOTHING
-        self.told = False  # discovery has spoken
-        self.marks = Marks(now)
-        self.steps: list[Step] = []  # not yet taken by who reports them
-        self.remembered_seq = 0
+        self.normal_rate = plan.calm if calm is None else min(max(calm, LEAST_CALM), MOST_CALM)
+        self.rate_limiter = ConnectionRateLimiter(now, plan.connection_rate(self.normal_rate))
+        self.rate_limited = True
+        self.phase = Phase.NO_LIST
+        self.discovery_reported = False  # discovery has spoken
+        self.milestones = Milestones(now)
+        self.events: list[RecoveryEvent] = []  # not yet taken by who reports them
+        self.stored_seq = 0
         self._doubt_until = math.inf  # when what discovery tells is believed after all
         self._list_until = math.inf
         self._trouble = now  # when somebody waited too long or was refused, last
-        self._held: dict[Hashable, Held] = {}
+        self._held: dict[Hashable, QueuedRequest] = {}
         self._opened = 0
         self._learned_at = now
         self._learned_from = 0
 
     # ---- what is known -------------------------------------------------------------------
 
-    def found(self, now: float, servers: int, age: float | None, seq: int = 0) -> None:
+    def on_stored_list(self, now: float, servers: int, age: float | None, seq: int = 0) -> None:
         """A list was kept, so many seconds ago (None: nobody can tell, and then half of its time is left)."""
-        if self.phase is not Phase.NOTHING or not servers:
+        if self.phase is not Phase.NO_LIST or not servers:
             return
-        self.remembered_seq = seq
+        self.stored_seq = seq
         left = self.plan.list_for * 0.5 if age is None else self.plan.list_for - age
         if left <= 0.0:
             return
         self._list_until = now + left
-        self._know(now, Phase.REMEMBERED, f"{servers} backends, for {left:.0f} s or until discovery tells")
+        self._know(now, Phase.STORED, f"{servers} backends, for {left:.0f} s or until discovery tells")
 
-    def hears(self, now: float, whole: bool, servers: int, seq: int) -> Hearing:
+    def on_list(self, now: float, whole: bool, servers: int, seq: int) -> ListDecision:
         """Discovery tells a list, or a change (not `whole`), of so many servers; what is to be made of it.
 
         Guards against discovery that has lost its own state, or an older copy of it. Harm: where all backends are
         gone indeed, they are tried for `doubt_for`; each that refuses is dropped at once.
         """
-        if self.told or self.phase is Phase.NOTHING:
+        if self.discovery_reported or self.phase is Phase.NO_LIST:
             if servers:
                 self._tells(now, servers)
-            return Hearing.TAKE
+            return ListDecision.ACCEPT
         if not whole:
             if not self._doubted:
                 self._tells(now, servers)
-            return Hearing.TAKE
-        if servers and seq >= self.remembered_seq:
+            return ListDecision.ACCEPT
+        if servers and seq >= self.stored_seq:
             self._tells(now, servers)
-            return Hearing.TAKE
+            return ListDecision.ACCEPT
         if not self._doubted:
             self._doubt_until = now + self.plan.doubt_for
-            text = f"version {seq}, and {self.remembered_seq} is remembered" if servers else "an empty list"
-            self.steps.append(Step("doubted", f"discovery tells of {text}"))
-        return Hearing.MERGE if servers else Hearing.WAIT
+            text = f"version {seq}, and {self.stored_seq} is remembered" if servers else "an empty list"
+            self.events.append(RecoveryEvent("doubted", f"discovery tells of {text}"))
+        return ListDecision.MERGE if servers else ListDecision.WAIT
 
     @property
     def _doubted(self) -> bool:
         """What discovery tells is not believed yet: until `believes` says so, or a list that fits has come."""
         return self._doubt_until < math.inf
 
-    def believes(self, now: float, servers: int) -> bool:
+    def confirm_distrusted(self, now: float, servers: int) -> bool:
         """Whether a list that was doubted has stood for long enough, of so many servers; told once."""
         if now < self._doubt_until:
             return False
@@ -248,67 +248,67 @@
         return True
 
     @staticmethod
-    def outlives(remembered: ServerRow, told: ServerRow) -> bool:
+    def prefers_stored(remembered: ServerRow, told: ServerRow) -> bool:
         """Whether a remembered row is kept against one of a lower version."""
         if remembered.started != told.started:
             return remembered.started > told.started
         return remembered.state is State.DRAINING and told.state is State.UP
 
     def _tells(self, now: float, servers: int) -> None:
-        if self.told:
+        if self.discovery_reported:
             return
-        self.told = True
+        self.discovery_reported = True
         self._list_until = self._doubt_until = math.inf
-        if self.phase in (Phase.NOTHING, Phase.REMEMBERED):
+        if self.phase in (Phase.NO_LIST, Phase.STORED):
             self._know(now, Phase.CONFIRMED, f"discovery tells of {servers} backends")
         else:
-            self.steps.append(Step("confirmed", f"discovery tells of {servers} backends"))
+            self.events.append(RecoveryEvent("confirmed", f"discovery tells of {servers} backends"))
 
     def _know(self, now: float, phase: Phase, text: str) -> None:
         self.phase = phase
-        if math.isnan(self.marks.known):
-            self.marks.known = now
-        self.steps.append(Step(phase.value, text))
+        if math.isnan(self.milestones.known):
+            self.milestones.known = now
+        self.events.append(RecoveryEvent(phase.value, text))
 
-    def doubts(self, server: ServerId, how: str) -> bool:
+    def on_contradiction(self, server: ServerId, how: str) -> bool:
         """A server refused a connection, or answered as another: whether it is no longer believed to be there.
 
         Guards against a list that is out of date: what discovery has told is discovery's to take back, what is only
         remembered is dropped at the first contradiction.
         """
-        if self.told:
+        if self.discovery_reported:
             return False
-        self.marks.dropped += 1
-        self.steps.append(Step("dropped", f"remembered backend {server:x} {how}"))
+        self.milestones.dropped += 1
+        self.events.append(RecoveryEvent("dropped", f"remembered backend {server:x} {how}"))
         return True
 
     @property
     def ready(self) -> bool:
         """What a front may be told: whether anything can be served here."""
-        return self.phase is not Phase.NOTHING
+        return self.phase is not Phase.NO_LIST
 
     # ---- the door ------------------------------------------------------------------------
 
-    def admit(self, now: float, request: Hashable, until: float, aim: float, free: int) -> Verdict:
+    def admit(self, now: float, request: Hashable, until: float, aim: float, free: int) -> AdmissionVerdict:
         """Whether a request goes on now. `free` connections to ready servers wait for work; seconds."""
-        if not self.paced and self.phase is not Phase.NOTHING:
-            return Verdict.PASS
+        if not self.rate_limited and self.phase is not Phase.NO_LIST:
+            return AdmissionVerdict.PASS
         if not self._held and self._room(now, free):
-            return Verdict.PASS
+            return AdmissionVerdict.PASS
         until -= min(RESERVE * aim, RESERVE_PART * (until - now))
         if len(self._held) >= MOST_HELD or until <= now:
-            self.refused(now)
-            return Verdict.REFUSE
-        self._held[request] = Held(now, until)
-        self.marks.held += 1
-        return Verdict.HOLD
+            self.on_refused(now)
+            return AdmissionVerdict.REFUSE
+        self._held[request] = QueuedRequest(now, until)
+        self.milestones.held += 1
+        return AdmissionVerdict.QUEUE
 
     def _room(self, now: float, free: int) -> bool:
-        if self.phase is Phase.NOTHING:
+        if self.phase is Phase.NO_LIST:
             return False
-        return not self.paced or free > 0 or self.pace.look(now) >= 1.0
+        return not self.rate_limited or free > 0 or self.rate_limiter.look(now) >= 1.0
 
-    def release(self, now: float, free: int) -> Hashable | None:
+    def release_next(self, now: float, free: int) -> Hashable | None:
         """The next of those that wait, if its turn has come: it goes on now."""
         if not self._held or not self._room(now, free):
             return None
@@ -317,33 +317,33 @@
             self._trouble = now
         return request
 
-    def overdue(self, now: float) -> list[Hashable]:
+    def pop_overdue(self, now: float) -> list[Hashable]:
         """Those that wait and whose time is up: they are refused now."""
         late = [request for request, held in self._held.items() if held.until <= now]
         for request in late:
             del self._held[request]
-            self.refused(now)
+            self.on_refused(now)
         return late
 
-    def leave(self, request: Hashable) -> bool:
+    def withdraw(self, request: Hashable) -> bool:
         """A request that waits goes away; whether it did wait."""
         return self._held.pop(request, None) is not None
 
     @property
-    def held(self) -> int:
+    def queue_length(self) -> int:
         """Requests that wait."""
         return len(self._held)
 
-    def due(self, now: float) -> float:
+    def next_wakeup(self, now: float) -> float:
         """When to look at those that wait again, if nothing happens before; infinity for never."""
         if not self._held:
             return math.inf
         first = min(held.until for held in self._held.values())
-        return first if self.phase is Phase.NOTHING else min(first, self.pace.due(now))
+        return first if self.phase is Phase.NO_LIST else min(first, self.rate_limiter.due(now))
 
-    def refused(self, now: float) -> None:
+    def on_refused(self, now: float) -> None:
         """A request was refused for the return."""
-        self.marks.refused += 1
+        self.milestones.refused += 1
         self._trouble = now
 
     def retry_after(self) -> float:
@@ -353,19 +353,21 @@
 
     # ---- what was leaned on --------------------------------------------------------------
 
-    def opened(self, now: float, total: int) -> None:
+    def on_connections_opened(self, now: float, total: int) -> None:
         """So many connections to backends were opened since the start."""
         fresh, self._opened = total - self._opened, total
-        if self.paced:
-            self.pace.spend(now, fresh)
-            self.marks.connects += fresh
+        if self.rate_limited:
+            self.rate_limiter.spend(now, fresh)
+            self.milestones.connects += fresh
 
-    def served(self, now: float) -> None:
+    def on_answer(self, now: float) -> None:
         """An answer was passed on."""
-        if self.phase in (Phase.REMEMBERED, Phase.CONFIRMED):
+        if self.phase in (Phase.STORED, Phase.CONFIRMED):
             self.phase = Phase.RAMPING
-            self.marks.first = now if math.isnan(self.marks.first) else self.marks.first
-            self.steps.append(Step("ramping", f"first answer {now - self.marks.began:.3f} s after the start"))
+            self.milestones.first = now if math.isnan(self.milestones.first) else self.milestones.first
+            self.events.append(
+                RecoveryEvent("ramping", f"first answer {now - self.milestones.began:.3f} s after the start")
+            )
 
     # ---- time ----------------------------------------------------------------------------
 
@@ -375,35 +377,43 @@
             self._trouble = now
         if now >= self._list_until:
             self._list_until = math.inf
-            self.phase = Phase.NOTHING
+            self.phase = Phase.NO_LIST
             self._trouble = now
-            self.steps.append(Step("nothing", f"discovery is silent, and the list is {self.plan.list_for:g} s old"))
+            self.events.append(
+                RecoveryEvent("nothing", f"discovery is silent, and the list is {self.plan.list_for:g} s old")
+            )
             return True
-        if self.phase in (Phase.REMEMBERED, Phase.CONFIRMED, Phase.RAMPING) and now - self._calm_since() >= CALM:
+        if self.phase in (Phase.STORED, Phase.CONFIRMED, Phase.RAMPING) and now - self._calm_since() >= CALM:
             self._become_full()
-        if self.paced and self.phase is Phase.FULL and self._settles(now):
-            self.paced = False
-            self.marks.settled = now
-            self.steps.append(Step("settled", f"{self.marks.connects} connections opened at {self.pace.rate:.1f}/s"))
+        if self.rate_limited and self.phase is Phase.FULL and self._settles(now):
+            self.rate_limited = False
+            self.milestones.settled = now
+            self.events.append(
+                RecoveryEvent(
+                    "settled", f"{self.milestones.connects} connections opened at {self.rate_limiter.rate:.1f}/s"
+                )
+            )
             self._learned_at, self._learned_from = now, self._opened
-        if not self.paced:
+        if not self.rate_limited:
             self._learn(now)
         return False
 
     def _calm_since(self) -> float:
         """The moment from which on nobody was kept waiting: that is when the service was full."""
-        first = self.marks.first if self.phase is Phase.RAMPING else self.marks.known
-        return max(self._trouble, self.marks.known, first)
+        first = self.milestones.first if self.phase is Phase.RAMPING else self.milestones.known
+        return max(self._trouble, self.milestones.known, first)
 
     def _become_full(self) -> None:
-        self.marks.full = self._calm_since() if math.isnan(self.marks.full) else self.marks.full
+        self.milestones.full = self._calm_since() if math.isnan(self.milestones.full) else self.milestones.full
         self.phase = Phase.FULL
-        marks = self.marks
+        marks = self.milestones
         text = f"full service {marks.full - marks.began:.3f} s after the start; {marks.held} waited, "
-        self.steps.append(Step("full", text + f"{marks.refused} refused, {marks.connects} connections opened"))
+        self.events.append(
+            RecoveryEvent("full", text + f"{marks.refused} refused, {marks.connects} connections opened")
+        )
 
     def _settles(self, now: float) -> bool:
-        return self.pace.look(now) >= 1.0 and now - self.pace.full_since >= SETTLE
+        return self.rate_limiter.look(now) >= 1.0 and now - self.rate_limiter.full_since >= SETTLE
 
     def _learn(self, now: float) -> None:
         """Smooth the pace of new connections while nothing is held back: what calm is for this instance."""
@@ -413,16 +423,16 @@
         rate = (self._opened - self._learned_from) / passed
         self._learned_at, self._learned_from = now, self._opened
         weight = min(1.0, passed / LEARN)
-        self.calm = min(max(self.calm + (rate - self.calm) * weight, LEAST_CALM), MOST_CALM)
+        self.normal_rate = min(max(self.normal_rate + (rate - self.normal_rate) * weight, LEAST_CALM), MOST_CALM)
 
-    def take_steps(self) -> list[Step]:
+    def take_events(self) -> list[RecoveryEvent]:
         """What happened since the last call."""
-        steps, self.steps = self.steps, []
+        steps, self.events = self.events, []
         return steps
 
-    def figures(self) -> dict[str, float | int | str | bool | None]:
+    def status(self) -> dict[str, float | int | str | bool | None]:
         """The return as plain values; seconds since the start of the process."""
-        marks = self.marks
+        marks = self.milestones
         times = {
             name: None if math.isnan(at) else round(at - marks.began, 4)
             for name, at in (
@@ -434,7 +444,7 @@
         }
         return {
             "phase": self.phase.value,
-            "told": self.told,
+            "told": self.discovery_reported,
             **times,
             "connects": marks.connects,
             "held": marks.held,
@@ -445,7 +455,7 @@
 
 
 @dataclass(slots=True)
-class Waves:
+class StartScheduler:
     """In which order and at what pace those that fell together are started again.
 
     The tiers behind come first: an instance of a tier before could serve nothing without them. Each start waits for
@@ -455,7 +465,7 @@
     pace: float  # starts a second
     rng: Random = field(default_factory=Random)
 
-    def spread(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
+    def schedule(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
         """When to start each of these (name, tier); the listed order counts within a tier.
 
         The places begin at `begin`, and `first` of them are taken.
--- a/weldroute/snapshots.py
+++ b/weldroute/snapshots.py
@@ -29,11 +29,11 @@
 from enum import Enum
 from typing import Any
 
-FORM = 1  # of the envelope
-SLACK = 2.0  # seconds by which two readings of clocks may differ
+FORMAT_VERSION = 1  # of the envelope
+CLOCK_TOLERANCE = 2.0  # seconds by which two readings of clocks may differ
 
 
-class Damaged(Exception):
+class InvalidRecord(Exception):
     """An envelope that can't be read; the text says why."""
 
 
@@ -46,27 +46,27 @@
     AHEAD = "ahead"
     UNDATED = "undated"
     OLD = "old"
-    OVERTAKEN = "overtaken"
+    SUPERSEDED = "overtaken"
     AGED = "aged"
     FRESH = "fresh"
 
 
 #: What each verdict lets a process take: orders of operators, the list, what was learned.
-TAKES: Mapping[Trust, frozenset[str]] = {
+USABLE_PARTS: Mapping[Trust, frozenset[str]] = {
     Trust.NOTHING: frozenset(),
     Trust.NEWER: frozenset(),
     Trust.FOREIGN: frozenset(),
     Trust.AHEAD: frozenset({"standing"}),
     Trust.UNDATED: frozenset({"standing", "list"}),
     Trust.OLD: frozenset({"standing"}),
-    Trust.OVERTAKEN: frozenset({"standing"}),
+    Trust.SUPERSEDED: frozenset({"standing"}),
     Trust.AGED: frozenset({"standing", "list"}),
     Trust.FRESH: frozenset({"standing", "list", "learned"}),
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class ClockReading:
     """Now, by both clocks; seconds."""
 
     unix: float
@@ -90,51 +90,51 @@
     kind: str
     serial: int  # grows with each writing of this kind
     owner: Owner
-    at: Moment
+    written_at: ClockReading
     body: Any
-    form: int = FORM
+    format_version: int = FORMAT_VERSION
 
-    def write(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """As plain values."""
         return {
-            "form": self.form,
+            "form": self.format_version,
             "kind": self.kind,
             "serial": self.serial,
             "fleet": self.owner.fleet,
             "instance": self.owner.instance,
             "epoch": self.owner.epoch,
-            "unix": self.at.unix,
-            "boot": self.at.boot,
-            "since_boot": self.at.since_boot,
+            "unix": self.written_at.unix,
+            "boot": self.written_at.boot,
+            "since_boot": self.written_at.since_boot,
             "body": self.body,
         }
 
 
 def _real(value: Any, what: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise Damaged(f"{what}: {value!r} is not a number")
+        raise InvalidRecord(f"{what}: {value!r} is not a number")
     return float(value)
 
 
 def _count(value: Any, what: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise Damaged(f"{what}: {value!r} is not a whole number")
+        raise InvalidRecord(f"{what}: {value!r} is not a whole number")
     return value
 
 
 def _text(value: Any, what: str) -> str:
     if not isinstance(value, str):
-        raise Damaged(f"{what}: {value!r} is not a text")
+        raise InvalidRecord(f"{what}: {value!r} is not a text")
     return value
 
 
 def read_record(value: Any) -> Record:
     """A record out of plain values; raises Damaged. Of one of a newer form only the number is read."""
     if not isinstance(value, dict):
-        raise Damaged("not an object")
+        raise InvalidRecord("not an object")
     form = _count(value.get("form"), "form")
-    if form > FORM:
-        return Record("", 0, Owner("", "", 0), Moment(0.0, "", 0.0), None, form)
+    if form > FORMAT_VERSION:
+        return Record("", 0, Owner("", "", 0), ClockReading(0.0, "", 0.0), None, form)
     return Record(
         _text(value.get("kind"), "kind"),
         _count(value.get("serial"), "serial"),
@@ -143,7 +143,7 @@
             _text(value.get("instance"), "instance"),
             _count(value.get("epoch"), "epoch"),
         ),
-        Moment(
+        ClockReading(
             _real(value.get("unix"), "unix"),
             _text(value.get("boot"), "boot"),
             _real(value.get("since_boot"), "since_boot"),
@@ -153,15 +153,15 @@
     )
 
 
-def age(record: Record, now: Moment) -> float | None:
+def age(record: Record, now: ClockReading) -> float | None:
     """Seconds since a record was written; None where no clock can tell."""
-    same_boot = record.at.boot == now.boot
-    passed = now.since_boot - record.at.since_boot if same_boot else now.unix - record.at.unix
-    return max(0.0, passed) if passed >= -SLACK else None
+    same_boot = record.written_at.boot == now.boot
+    passed = now.since_boot - record.written_at.since_boot if same_boot else now.unix - record.written_at.unix
+    return max(0.0, passed) if passed >= -CLOCK_TOLERANCE else None
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class AgeLimits:
     """How long what is remembered may be used; seconds."""
 
     list_for: float = 120.0
@@ -178,19 +178,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownVersions:
     """What the fleet knows of an instance's records without that instance: the versions that were told last."""
 
     list_seq: int = 0  # the highest version of the list that any instance had
     standing: int = 0  # the version of this instance's orders
 
 
-def judge(record: Record | None, owner: Owner, now: Moment, limits: Limits, known: Known) -> tuple[Trust, str]:
+def assess(
+    record: Record | None, owner: Owner, now: ClockReading, limits: AgeLimits, known: KnownVersions
+) -> tuple[Trust, str]:
     """What to believe of a record, and why, for the log."""
     if record is None:
         return Trust.NOTHING, "nothing is kept"
-    if record.form > FORM:
-        return Trust.NEWER, f"form {record.form}, and {FORM} is the newest that is read here"
+    if record.format_version > FORMAT_VERSION:
+        return Trust.NEWER, f"form {record.format_version}, and {FORMAT_VERSION} is the newest that is read here"
     theirs = record.owner
     if (theirs.fleet, theirs.instance) != (owner.fleet, owner.instance):
         return Trust.FOREIGN, f"of {theirs.fleet}/{theirs.instance}"
@@ -202,13 +204,13 @@
     if passed > limits.list_for:
         return Trust.OLD, f"{passed:.1f} s old"
     if _overtaken(record, known):
-        return Trust.OVERTAKEN, "the fleet knows of a newer one"
+        return Trust.SUPERSEDED, "the fleet knows of a newer one"
     if passed > limits.learned_for:
         return Trust.AGED, f"{passed:.1f} s old"
     return Trust.FRESH, f"{passed:.1f} s old"
 
 
-def _overtaken(record: Record, known: Known) -> bool:
+def _overtaken(record: Record, known: KnownVersions) -> bool:
     body = record.body if isinstance(record.body, dict) else {}
     if record.kind == "list":
         seq = body.get("seq")
@@ -219,6 +221,6 @@
     return False
 
 
-def newest(copies: list[Record | None]) -> Record | None:
+def newest_copy(copies: list[Record | None]) -> Record | None:
     """Of the copies that are whole, the one to believe: a newer form first, then the highest serial."""
-    return max((c for c in copies if c is not None), key=lambda c: (c.form, c.serial), default=None)
+    return max((c for c in copies if c is not None), key=lambda c: (c.format_version, c.serial), default=None)
