--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -47,14 +47,14 @@
     Mutant(
         "a reset is reported as never ran",
         "backends",
-        "self._pool.end(attempt, Outcome.BROKEN, None, why)",
-        "self._pool.end(attempt, Outcome.UNREACHABLE, None, why)",
+        "self._pool.finish(attempt, Outcome.BROKEN, None, why)",
+        "self._pool.finish(attempt, Outcome.UNREACHABLE, None, why)",
     ),
     Mutant(
         "a time-out is reported as never ran",
         "proxy",
-        'self.attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
-        'self.attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
+        'self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
+        'self.on_attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
     ),
     Mutant(
         "a 500 is reported as never ran",
@@ -65,34 +65,39 @@
     Mutant(
         "a caller's descriptor is not given back",
         "callers",
-        "del self._connections[connection]\n            self._descriptors.give_caller()",
+        "del self._connections[connection]\n            self._descriptors.release_caller()",
         "del self._connections[connection]",
     ),
     Mutant(
         "a backend's descriptor is not given back",
         "backends",
-        "self.unpark(connection)\n        self._descriptors.give_backend()",
-        "self.unpark(connection)",
+        "self.remove_from_pool(connection)\n        self._descriptors.release_backend()",
+        "self.remove_from_pool(connection)",
     ),
     Mutant(
         "a failed connect keeps its descriptor",
         "backends",
-        "if held and not connection.made:",
-        "if held and connection.made:",
+        "if held and not connection.connected:",
+        "if held and connection.connected:",
     ),
     Mutant(
         "a failed accept keeps its descriptor",
         "callers",
-        'log.warning("accept failed: %s", fault)\n                self._descriptors.give_caller()',
+        'log.warning("accept failed: %s", fault)\n                self._descriptors.release_caller()',
         'log.warning("accept failed: %s", fault)',
     ),
     Mutant(
         "a body's memory is not given back",
         "callers",
-        "self._callers.memory.give(request.charged)\n        request.charged = 0",
-        "request.charged = 0",
+        "self._callers.memory.release(request.reserved_bytes)\n        request.reserved_bytes = 0",
+        "request.reserved_bytes = 0",
+    ),
+    Mutant(
+        "an idle connection is not looked at before use",
+        "backends",
+        "return not self._has_unread_data()",
+        "return True",
     ),
-    Mutant("an idle connection is not looked at before use", "backends", "return not self._pending()", "return True"),
     Mutant(
         "an attempt that is given up keeps its connection",
         "backends",
@@ -102,13 +107,13 @@
     Mutant(
         "a connection in use is taken again",
         "backends",
-        "self.unpark(connection)\n            self._busy[connection] = None\n            connection.start",
-        "self._busy[connection] = None\n            connection.start",
+        "self.remove_from_pool(connection)\n            self._busy[connection] = None\n            connection.send",
+        "self._busy[connection] = None\n            connection.send",
     ),
     Mutant(
         "the module is not told that a caller left",
         "callers",
-        "if taken is not None:\n            taken.caller_left()",
+        "if taken is not None:\n            taken.on_caller_left()",
         "if taken is not None:\n            pass",
     ),
     Mutant(
@@ -135,7 +140,7 @@
     Mutant(
         "a drain closes the listener at once",
         "proxy",
-        "if emptied is None and not self.callers.posture.listens:",
+        "if emptied is None and not self.callers.listener_state.listens:",
         "if emptied is None:",
     ),
     Mutant(
@@ -147,8 +152,8 @@
     Mutant(
         "a drain never ends its connections",
         "callers",
-        "or self._callers.posture.closes or self._callers.crowded",
-        "or self._callers.crowded",
+        "or self._callers.listener_state.closes or self._callers.out_of_descriptors",
+        "or self._callers.out_of_descriptors",
     ),
     Mutant(
         "the wall clock decides deadlines",
@@ -172,13 +177,13 @@
     Mutant(
         "a head that ends with a body behind it is too large",
         "http1",
-        "if self._head > MAX_HEAD:",
-        "if self._head + self._overhead > MAX_HEAD:",
+        "if self._head_bytes > MAX_HEAD:",
+        "if self._head_bytes + self._overhead_bytes > MAX_HEAD:",
     ),
     Mutant(
         "a request is taken while another is open",
         "callers",
-        "if self._request is not None or self._whole is not None:",
+        "if self._request is not None or self._complete_request is not None:",
         "if False:",
     ),
     Mutant("the end of a watch ends discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
@@ -203,12 +208,19 @@
         "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
         "if request.done:\n            pass",
     ),
-    Mutant("the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.rid)", "pass"),
-    Mutant("a caller that was held is not read again", "stream", "if self._waiting <= WAITING // 2:", "if False:"),
+    Mutant(
+        "the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.request_id)", "pass"
+    ),
+    Mutant(
+        "a caller that was held is not read again",
+        "stream",
+        "if self._waiting_bytes <= MAX_WAITING_BYTES // 2:",
+        "if False:",
+    ),
     Mutant(
         "the other process's descriptors don't count",
         "budget",
-        "return self.used + self.others() >= self.limit",
+        "return self.used + self.used_by_others() >= self.limit",
         "return self.used >= self.limit",
     ),
     Mutant(
--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol, cast
 
-from cometusher.budget import Descriptors
+from cometusher.budget import DescriptorBudget
 from cometusher.config import Address
 from cometusher.http1 import LAST_CHUNK, MAX_BODY, Malformed, Response, ResponseParser, chunk
 from cometusher.runtime import Network
@@ -22,34 +22,34 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_PART = 0.8  # of the time after which backends may close; a write that crosses that close is lost
-AT_ONCE = 0.05  # seconds in which a reset says that the connection was dead before it was written to
-CROSSINGS, CROSSINGS_FOR = 3, 20.0  # so many such resets in so many seconds make idle connections suspect
-IDLE_AT_LEAST = 0.1  # seconds; a reset of a younger connection, or of a new one, has another cause
-ANSWER_STALL = 0.3  # seconds without a byte after which an answer that had begun to come has broken...
-ANSWER_TIME = 1.0  # ...and seconds from its first byte to its last, for one that is read whole
-HOLD = 0.35  # seconds after which an answer of unknown length goes on while it comes...
-HOLD_LONG = 0.03  # ...and the start of one that is said to be long: spoilt ones end before that
-PASS_STALL = 12.0  # seconds without a byte after which an answer that goes on while it comes has broken
-LATE = 0.2  # seconds by which a sweep may be late and still tell silence from not having listened
+IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which backends may close; a write that crosses that close is lost
+IMMEDIATE_RESET_WINDOW = 0.05  # seconds in which a reset says that the connection was dead before it was written to
+CLOSE_RACES, CLOSE_RACES_WINDOW = 3, 20.0  # so many such resets in so many seconds make idle connections suspect
+MIN_RACE_IDLE_AGE = 0.1  # seconds; a reset of a younger connection, or of a new one, has another cause
+ANSWER_STALL_TIMEOUT = 0.3  # seconds without a byte after which an answer that had begun to come has broken...
+ANSWER_READ_TIMEOUT = 1.0  # ...and seconds from its first byte to its last, for one that is read whole
+STREAM_DELAY_UNKNOWN_LENGTH = 0.35  # seconds after which an answer of unknown length goes on while it comes...
+STREAM_DELAY_KNOWN_LENGTH = 0.03  # ...and the start of one that is said to be long: spoilt ones end before that
+STREAM_STALL_TIMEOUT = 12.0  # seconds without a byte after which an answer that goes on while it comes has broken
+LATE_SWEEP = 0.2  # seconds by which a sweep may be late and still tell silence from not having listened
 
 
 class AttemptSink(Protocol):
     """Who is told of attempts."""
 
-    def may_begin(self, attempt: Attempt) -> bool:
+    def may_start(self, attempt: Attempt) -> bool:
         """Whether an attempt that had to wait for its connection may still be sent."""
 
     def request_head(self, attempt: Attempt) -> bytes:
         """The head of its request; asked for when it is written, for it tells what time is left."""
 
-    def answer_begun(self, attempt: Attempt, response: Response) -> bool:
+    def on_answer_started(self, attempt: Attempt, response: Response) -> bool:
         """A long answer has begun; whether it is to be passed on, by `answer_piece`, while it comes."""
 
-    def answer_piece(self, attempt: Attempt, piece: bytes) -> None:
+    def on_answer_data(self, attempt: Attempt, piece: bytes) -> None:
         """The next bytes of it."""
 
-    def attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
+    def on_attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
         """The one end of an attempt; with OK comes the answer."""
 
 
@@ -59,45 +59,45 @@
     __slots__ = (
         "body",
         "chunked",
+        "connect_task",
         "connection",
         "ended",
-        "expires",
+        "expires_at",
         "head",
+        "journal_index",
         "number",
         "owner",
-        "place",
         "repeatable",
-        "sent",
+        "sent_at",
         "server",
         "stream",
-        "task",
     )
 
     def __init__(self, owner: object, number: int, server: ServerId, sent: float, repeatable: bool) -> None:
         self.owner = owner
         self.number = number
         self.server = server
-        self.sent = sent
+        self.sent_at = sent
         self.repeatable = repeatable  # harmless to repeat, so that a reset costs little
-        self.expires = float("inf")  # when it is given up, before its request is
+        self.expires_at = float("inf")  # when it is given up, before its request is
         self.head = b""  # once it is written
         self.body: bytearray | bytes = b""
         self.stream: BodyStream | None = None  # the body, where it is passed on while it comes...
         self.chunked = False  # ...and whether in chunks
         self.connection: BackendConnection | None = None
-        self.task: asyncio.Task[None] | None = None  # connecting
+        self.connect_task: asyncio.Task[None] | None = None  # connecting
         self.ended = False
-        self.place = -1  # where it is noted, if it is
+        self.journal_index = -1  # where it is noted, if it is
 
 
 class Backend:
     """One backend: where it is, since when, and its idle connections, the last used last."""
 
-    __slots__ = ("born", "dial", "idle", "usable")
+    __slots__ = ("address", "idle", "started_at", "usable")
 
     def __init__(self, dial: Address, born: float, usable: bool) -> None:
-        self.dial = dial
-        self.born = born
+        self.address = dial
+        self.started_at = born
         self.usable = usable
         self.idle: list[BackendConnection] = []
 
@@ -108,103 +108,109 @@
     def __init__(self, pool: Backends, backend: Backend) -> None:
         self._pool = pool
         self.backend = backend
-        self.dial = backend.dial
-        self.born = backend.born
+        self.address = backend.address
+        self.backend_started_at = backend.started_at
         self.transport: asyncio.Transport | None = None
-        self.made = False
-        self.uses = 0
+        self.connected = False
+        self.use_count = 0
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.started = 0.0
-        self.heard = 0.0
+        self.attempt_started_at = 0.0
+        self.last_read_at = 0.0
         self._parser = ResponseParser()
-        self._begun = 0.0  # when the first byte of the answer came; 0 while there is none
-        self._passing = False  # the answer goes on while it comes
-        self._held = False  # nothing is read, for the caller takes no more
-        self._unsent = False  # the last byte of the request is not written
-        self._full = False  # the backend takes no more of the request
-        self.read = self.wrote = 0  # bytes
+        self._answer_started_at = 0.0  # when the first byte of the answer came; 0 while there is none
+        self._streaming_answer = False  # the answer goes on while it comes
+        self._reading_paused = False  # nothing is read, for the caller takes no more
+        self._request_incomplete = False  # the last byte of the request is not written
+        self._write_blocked = False  # the backend takes no more of the request
+        self.bytes_read = self.bytes_written = 0  # bytes
         self.descriptor = -1
-        self.name = 0
-        self.domain = (0, 0)  # zone and cell of its server, as far as its name is asked for
-        self._pending: Callable[[], bool] = lambda: False
+        self.connection_key = 0
+        self.failure_domain = (0, 0)  # zone and cell of its server, as far as its name is asked for
+        self._has_unread_data: Callable[[], bool] = lambda: False
 
     # ---- the transport's calls -----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
         self.transport = transport
-        self.made = True
-        self._pending = self._pool.network.pending(transport)
+        self.connected = True
+        self._has_unread_data = self._pool.network.pending(transport)
 
     def _write(self, data: bytes | bytearray) -> None:
-        self.wrote += len(data)
+        self.bytes_written += len(data)
         assert self.transport is not None
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.read += len(data)
+        self.bytes_read += len(data)
         if self.attempt is None:
             log.info("a backend sent %d bytes that nobody asked for; closing", len(data))
             self.close()
             return
-        self.heard = self._pool.loop.time()
+        self.last_read_at = self._pool.loop.time()
         try:
             response = self._parser.feed(data)
         except Malformed as fault:
-            self._spoilt(f"unreadable answer: {fault}")
+            self._fail(f"unreadable answer: {fault}")
         except Exception:
             log.exception("reading an answer failed")
-            self._spoilt("unreadable answer")
+            self._fail("unreadable answer")
         else:
             if response is not None:
-                self._answered(self.attempt, response)
+                self._on_answered(self.attempt, response)
             elif self._parser.response is None:
-                self._begun = 0.0  # 1xx answers don't count: the backend is still at work
+                self._answer_started_at = 0.0  # 1xx answers don't count: the backend is still at work
             else:
-                self._begun = self._begun or self.heard
-                self._pass_on()
+                self._answer_started_at = self._answer_started_at or self.last_read_at
+                self._try_streaming()
 
-    def _pass_on(self) -> None:
+    def _try_streaming(self) -> None:
         """Let an answer go on while it comes, if it is a long one or comes slowly and may become long.
 
         Guards against holding back what callers wait for, and against holding long answers in memory. A short
         one of known length is read whole, for it can be had again elsewhere if it turns out spoilt.
         """
         response, attempt = self._parser.response, self.attempt
-        if response is None or attempt is None or self._passing or response.status != 200 or not response.received:
+        if (
+            response is None
+            or attempt is None
+            or self._streaming_answer
+            or response.status != 200
+            or not response.received
+        ):
             return  # bytes of a body say that the head is whole
-        held = self._pool.loop.time() - self._begun
+        held = self._pool.loop.time() - self._answer_started_at
         if response.received <= MAX_BODY:
             if response.length is None:
-                if held <= HOLD:
+                if held <= STREAM_DELAY_UNKNOWN_LENGTH:
                     return
             elif response.length <= MAX_BODY:
                 return
-            elif held < HOLD_LONG:
-                self._pool.loop.call_later(HOLD_LONG, self._pass_on_later, response)
+            elif held < STREAM_DELAY_KNOWN_LENGTH:
+                self._pool.loop.call_later(STREAM_DELAY_KNOWN_LENGTH, self._retry_streaming, response)
                 return
-        if not self._pool.sink.answer_begun(attempt, response):
+        if not self._pool.sink.on_answer_started(attempt, response):
             return
         if self.attempt is not attempt:
             return  # the caller has gone meanwhile
-        self._passing = True
+        self._streaming_answer = True
         first, response.body = bytes(response.body), bytearray()
-        response.sink = self._piece
-        self._piece(first)
+        response.body_sink = self._forward
+        self._forward(first)
 
-    def _pass_on_later(self, response: Response) -> None:
+    def _retry_streaming(self, response: Response) -> None:
         if self._parser.response is response:
-            self._pass_on()
+            self._try_streaming()
 
-    def _piece(self, piece: bytes) -> None:
+    def _forward(self, piece: bytes) -> None:
         if self.attempt is not None:
-            self._pool.sink.answer_piece(self.attempt, piece)
+            self._pool.sink.on_answer_data(self.attempt, piece)
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, held: bool) -> None:
         """Read no further, or read on."""
-        self._held = held
-        self.heard = self._pool.loop.time()
+        self._reading_paused = held
+        self.last_read_at = self._pool.loop.time()
         if self.transport is None or self.transport.is_closing():
             return
         if held:
@@ -215,25 +221,25 @@
     # ---- a body that is passed on while it comes -----------------------------------------
 
     def pause_writing(self) -> None:
-        self._full = True
+        self._write_blocked = True
 
     def resume_writing(self) -> None:
-        self._full = False
-        if self._unsent and self.attempt is not None and self.attempt.stream is not None:
-            self.attempt.stream.push()
+        self._write_blocked = False
+        if self._request_incomplete and self.attempt is not None and self.attempt.stream is not None:
+            self.attempt.stream.deliver()
 
-    def takes_more(self) -> bool:
+    def can_accept(self) -> bool:
         """Whether the backend has room for more of the request."""
-        return not self._full and self.transport is not None
+        return not self._write_blocked and self.transport is not None
 
-    def take_piece(self, piece: bytes) -> None:
+    def write_body(self, piece: bytes) -> None:
         """Write the next bytes of the body."""
         if self.transport is not None and self.attempt is not None and piece:
             self._write(chunk(piece) if self.attempt.chunked else piece)
 
-    def take_end(self) -> None:
+    def end_body(self) -> None:
         """The body is whole."""
-        self._unsent = False
+        self._request_incomplete = False
         if self.transport is not None and self.attempt is not None and self.attempt.chunked:
             self._write(LAST_CHUNK)
 
@@ -241,41 +247,41 @@
         if self.attempt is not None:
             response = self._parser.finish()
             if response is not None:
-                self._answered(self.attempt, response)
+                self._on_answered(self.attempt, response)
                 return
-        self._lost("the backend ended the connection")
+        self._on_lost("the backend ended the connection")
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._lost(f"connection lost: {exc}" if exc else "connection closed")
-        self._pool.closed(self)
+        self._on_lost(f"connection lost: {exc}" if exc else "connection closed")
+        self._pool.on_closed(self)
 
     # ---- the request ---------------------------------------------------------------------
 
-    def start(self, attempt: Attempt) -> None:
+    def send(self, attempt: Attempt) -> None:
         """Write an attempt's request."""
         assert self.transport is not None
-        self.carry(attempt)
+        self.assign(attempt)
         attempt.head = self._pool.sink.request_head(attempt)
-        if self._pool.goes_out is not None:
-            self._pool.goes_out(attempt)
+        if self._pool.before_send is not None:
+            self._pool.before_send(attempt)
         data = attempt.head + attempt.body
-        self.wrote += len(data)
+        self.bytes_written += len(data)
         self.transport.write(data)
         if attempt.stream is not None:
-            self._unsent = True
+            self._request_incomplete = True
             attempt.stream.attach(self)
 
-    def carry(self, attempt: Attempt) -> None:
+    def assign(self, attempt: Attempt) -> None:
         """What comes from here on is the answer to this attempt."""
         assert self.attempt is None
         self.attempt = attempt
         attempt.connection = self
-        self.uses += 1
-        self.started = self.heard = self._pool.loop.time()
-        self._begun = 0.0
+        self.use_count += 1
+        self.attempt_started_at = self.last_read_at = self._pool.loop.time()
+        self._answer_started_at = 0.0
 
-    def clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether an idle connection is still fit for a request.
 
         Guards against reading what has come since the last answer (a second copy of it, noise) as the answer
@@ -284,27 +290,27 @@
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        return not self._pending()
+        return not self._has_unread_data()
 
-    def take_loss(self) -> None:
+    def abort_body(self) -> None:
         """The rest of the body will never come: what is written is of no use to the backend."""
-        self._spoilt("its body is lost")
+        self._fail("its body is lost")
 
     # ---- the answer ----------------------------------------------------------------------
 
-    def _answered(self, attempt: Attempt, response: Response) -> None:
-        early = self._unsent
+    def _on_answered(self, attempt: Attempt, response: Response) -> None:
+        early = self._request_incomplete
         self._release()
-        if self._parser.surplus:
+        if self._parser.has_surplus:
             log.info("more came than belongs to an answer; closing")
-        if response.keep_alive and not early and not response.until_eof and not self._parser.surplus:
-            self._pool.park(self)
+        if response.keep_alive and not early and not response.until_eof and not self._parser.has_surplus:
+            self._pool.return_to_pool(self)
         else:
             self.close()
         how, why = classify(response)
         if early and how is Outcome.OK:
             how, why = Outcome.BROKEN, "answered before the request was whole"
-        self._pool.end(attempt, how, response, why)
+        self._pool.finish(attempt, how, response, why)
 
     # ---- ends ----------------------------------------------------------------------------
 
@@ -314,52 +320,55 @@
             if self.attempt.stream is not None:
                 self.attempt.stream.detach(self)
         self.attempt = None
-        self._passing = self._unsent = False
-        if self._held:
-            self.hold(False)
+        self._streaming_answer = self._request_incomplete = False
+        if self._reading_paused:
+            self.set_reading_paused(False)
 
-    def _spoilt(self, why: str) -> None:
+    def _fail(self, why: str) -> None:
         """No answer can come of this any more; what else is on the connection is of no use."""
-        self._lost(why)
+        self._on_lost(why)
         self.close()
 
-    def _lost(self, why: str) -> None:
+    def _on_lost(self, why: str) -> None:
         """The connection is of no more use; ends the attempt on it, which may have run."""
-        self._pool.unpark(self)
+        self._pool.remove_from_pool(self)
         attempt = self.attempt
         if attempt is None:
             return
-        if self.heard == self.started and self._pool.loop.time() - self.started < AT_ONCE:
-            self._pool.reset_at_once(self.started - self.idle_since if self.uses > 1 else 0.0)
+        if (
+            self.last_read_at == self.attempt_started_at
+            and self._pool.loop.time() - self.attempt_started_at < IMMEDIATE_RESET_WINDOW
+        ):
+            self._pool.on_immediate_reset(self.attempt_started_at - self.idle_since if self.use_count > 1 else 0.0)
         response = self._parser.response
-        unsent = self._unsent
+        unsent = self._request_incomplete
         self._release()
         if response is not None and self._parser.head_done and response.status != 200:
-            self._pool.end(attempt, *cut_short(response))
+            self._pool.finish(attempt, *classify_head(response))
         elif unsent:
             # A backend begins a request with its last byte: this one never ran.
-            self._pool.end(attempt, Outcome.UNREACHABLE, None, f"{why} before the request was whole")
+            self._pool.finish(attempt, Outcome.UNREACHABLE, None, f"{why} before the request was whole")
         else:
-            self._pool.end(attempt, Outcome.BROKEN, None, why)
+            self._pool.finish(attempt, Outcome.BROKEN, None, why)
 
-    def check(self, now: float) -> None:
+    def check_stalled(self, now: float) -> None:
         """End an answer that began to come and stopped, or that comes in drops.
 
         Guards against waiting until the deadline for the rest of an answer that never comes, when there
         is still time to try again: a backend at work on an answer is never silent for so long. Harm: a
         network that holds back a part of an answer for longer looks like a broken one.
         """
-        if self.attempt is None or not self._begun or self._held:
+        if self.attempt is None or not self._answer_started_at or self._reading_paused:
             return
-        if self._passing:
-            if now - self.heard > PASS_STALL:
-                self._spoilt(f"the answer stopped coming: {self.progress()}")
-        elif now - self.heard > ANSWER_STALL or now - self._begun > ANSWER_TIME:
-            self._spoilt(f"the answer stopped coming: {self.progress()}")
+        if self._streaming_answer:
+            if now - self.last_read_at > STREAM_STALL_TIMEOUT:
+                self._fail(f"the answer stopped coming: {self.progress()}")
+        elif now - self.last_read_at > ANSWER_STALL_TIMEOUT or now - self._answer_started_at > ANSWER_READ_TIMEOUT:
+            self._fail(f"the answer stopped coming: {self.progress()}")
 
     def progress(self) -> str:
         """How far the attempt has come, for the log."""
-        used = "a used" if self.uses > 1 else "a new"
+        used = "a used" if self.use_count > 1 else "a new"
         response = self._parser.response
         if response is None or not self._parser.head_done:
             return f"no whole head of an answer on {used} connection"
@@ -372,7 +381,7 @@
             self.transport.abort()
 
 
-def cut_short(response: Response) -> tuple[Outcome, None, str]:
+def classify_head(response: Response) -> tuple[Outcome, None, str]:
     """The outcome of an answer other than 200 of which only the head is whole."""
     how, why = classify(response)
     return how, None, why
@@ -397,7 +406,7 @@
         loop: asyncio.AbstractEventLoop,
         network: Network,
         sink: AttemptSink,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         dial_timeout: float,
         idle_for: float,
     ) -> None:
@@ -405,17 +414,17 @@
         self.network = network
         self.sink = sink
         self._descriptors = descriptors
-        self._dial_timeout = dial_timeout
-        self._idle_for = idle_for * IDLE_PART if idle_for > 0.0 else 60.0
+        self._connect_timeout = dial_timeout
+        self._idle_timeout = idle_for * IDLE_TIMEOUT_FRACTION if idle_for > 0.0 else 60.0
         self._backends: dict[ServerId, Backend] = {}
         self._owners: dict[Address, ServerId] = {}  # the last backend named at each address
         self._idle: dict[BackendConnection, None] = {}  # oldest first, over all backends
         self._busy: dict[BackendConnection, None] = {}
-        self.opened = 0  # connections, since the start
-        self.goes_out: Callable[[Attempt], None] | None = None  # told before an attempt is written
-        self._joining: set[asyncio.Task[None]] = set()
-        self._crossings: deque[tuple[float, float]] = deque(maxlen=CROSSINGS)  # when, and how long idle
-        self._swept = 0.0  # when the last sweep was
+        self.connections_opened = 0  # connections, since the start
+        self.before_send: Callable[[Attempt], None] | None = None  # told before an attempt is written
+        self._takeover_tasks: set[asyncio.Task[None]] = set()
+        self._close_races: deque[tuple[float, float]] = deque(maxlen=CLOSE_RACES)  # when, and how long idle
+        self._last_sweep_at = 0.0  # when the last sweep was
         descriptors.evict_backend = self._evict
 
     # ---- the list ------------------------------------------------------------------------
@@ -429,26 +438,26 @@
         taken for a succession, if they started at different times.
         """
         owner = self._owners.get(dial)
-        if owner is not None and owner != server and self._backends[owner].born > born:
+        if owner is not None and owner != server and self._backends[owner].started_at > born:
             self.forget(server)
             return server
         backend = self._backends.get(server)
         if backend is None:
             backend = self._backends[server] = Backend(dial, born, usable)
-        elif dial != backend.dial or born != backend.born or not usable:
+        elif dial != backend.address or born != backend.started_at or not usable:
             # Guards against requests into connections to a process that is no more.
             self.drop_idle(server)
-            self._disown(server, backend)
-        backend.dial, backend.born, backend.usable = dial, born, usable
+            self._release_address(server, backend)
+        backend.address, backend.started_at, backend.usable = dial, born, usable
         self._owners[dial] = server
-        if owner is not None and owner != server and self._backends[owner].born < born:
+        if owner is not None and owner != server and self._backends[owner].started_at < born:
             self.forget(owner)
             return owner
         return None
 
-    def _disown(self, server: ServerId, backend: Backend) -> None:
-        if self._owners.get(backend.dial) == server:
-            del self._owners[backend.dial]
+    def _release_address(self, server: ServerId, backend: Backend) -> None:
+        if self._owners.get(backend.address) == server:
+            del self._owners[backend.address]
 
     def forget(self, server: ServerId) -> None:
         """Discovery no longer names it."""
@@ -456,16 +465,16 @@
         backend = self._backends.pop(server, None)
         if backend is not None:
             backend.usable = False  # connections still in use are closed, not parked
-            self._disown(server, backend)
+            self._release_address(server, backend)
 
-    def known(self) -> list[ServerId]:
+    def server_ids(self) -> list[ServerId]:
         """The ids of all backends."""
         return list(self._backends)
 
-    def dial(self, server: ServerId) -> Address | None:
+    def address_of(self, server: ServerId) -> Address | None:
         """Where it is."""
         backend = self._backends.get(server)
-        return backend.dial if backend is not None else None
+        return backend.address if backend is not None else None
 
     def drop_idle(self, server: ServerId) -> None:
         """Close the idle connections to one backend."""
@@ -480,7 +489,7 @@
         """Begin an attempt; its end is told later, never from within this call."""
         backend = self._backends.get(attempt.server)
         if backend is None:
-            self.loop.call_soon(self.end, attempt, Outcome.UNREACHABLE, None, "no such backend")
+            self.loop.call_soon(self.finish, attempt, Outcome.UNREACHABLE, None, "no such backend")
             return
         now = self.loop.time()
         # Guards against losing a repeat to the next dead connection: one that must not be lost and has been
@@ -489,146 +498,150 @@
         while backend.idle and not fresh:
             connection = backend.idle[-1]
             age = now - connection.idle_since
-            if age >= self._idle_for or not connection.clean():
+            if age >= self._idle_timeout or not connection.is_reusable():
                 self._discard(connection)
                 continue
-            if not attempt.repeatable and age >= self._trusted(now):
+            if not attempt.repeatable and age >= self._trusted_idle_age(now):
                 break
-            self.unpark(connection)
+            self.remove_from_pool(connection)
             self._busy[connection] = None
-            connection.start(attempt)
+            connection.send(attempt)
             return
-        self.opened += 1
-        attempt.task = self.loop.create_task(self._connect(backend, attempt))
+        self.connections_opened += 1
+        attempt.connect_task = self.loop.create_task(self._connect(backend, attempt))
 
-    def join(self, attempt: Attempt, connection: Any, wrote: int, read: int) -> None:
+    def take_over(self, attempt: Attempt, connection: Any, wrote: int, read: int) -> None:
         """Go on with an attempt that another process has sent, on its connection (as `Network.attach` takes it).
 
         Its descriptor is counted already.
         """
         backend = self._backends.get(attempt.server) or Backend(("", 0), 0.0, usable=False)
         protocol = BackendConnection(self, backend)
-        protocol.wrote, protocol.read = wrote, read
-        protocol.carry(attempt)
+        protocol.bytes_written, protocol.bytes_read = wrote, read
+        protocol.assign(attempt)
         self._busy[protocol] = None
-        task = self.loop.create_task(self._take_up(protocol, attempt, connection))
-        self._joining.add(task)
-        task.add_done_callback(self._joining.discard)
+        task = self.loop.create_task(self._attach(protocol, attempt, connection))
+        self._takeover_tasks.add(task)
+        task.add_done_callback(self._takeover_tasks.discard)
 
-    async def _take_up(self, protocol: BackendConnection, attempt: Attempt, connection: Any) -> None:
+    async def _attach(self, protocol: BackendConnection, attempt: Attempt, connection: Any) -> None:
         try:
             await self.network.attach(connection, lambda: protocol)
         except OSError as fault:
-            if not protocol.made:
+            if not protocol.connected:
                 connection.close()
-                self.closed(protocol)
-            self.end(attempt, Outcome.BROKEN, None, f"not taken over: {fault}")
+                self.on_closed(protocol)
+            self.finish(attempt, Outcome.BROKEN, None, f"not taken over: {fault}")
         if attempt.ended:  # meanwhile
             protocol.close()
 
-    def reset_at_once(self, age: float) -> None:
+    def on_immediate_reset(self, age: float) -> None:
         """A request was reset as soon as it was written, on a connection that had been idle for so long."""
-        if age >= IDLE_AT_LEAST:
-            self._crossings.append((self.loop.time(), age))
+        if age >= MIN_RACE_IDLE_AGE:
+            self._close_races.append((self.loop.time(), age))
         else:
             # Guards against taking a backend that resets whatever comes for one that closes early: new
             # connections would cost it work and help nobody (incident r75d229).
             # One at a time: where both kinds come, the early closers still show.
-            if self._crossings:
-                self._crossings.popleft()
+            if self._close_races:
+                self._close_races.popleft()
 
-    def _trusted(self, now: float) -> float:
+    def _trusted_idle_age(self, now: float) -> float:
         """For how long a connection may have been idle if what is written to it must not be lost.
 
         Guards against backends, or what stands before them, that close idle connections long before the
         stated time: a request that crosses the close may have run. Those that are harmless to repeat go on
         using old connections, for a new one costs the backend work.
         """
-        if len(self._crossings) < CROSSINGS or now - self._crossings[0][0] > CROSSINGS_FOR:
-            return self._idle_for
-        return 0.8 * min(age for _, age in self._crossings)
+        if len(self._close_races) < CLOSE_RACES or now - self._close_races[0][0] > CLOSE_RACES_WINDOW:
+            return self._idle_timeout
+        return 0.8 * min(age for _, age in self._close_races)
 
     async def _connect(self, backend: Backend, attempt: Attempt) -> None:
         connection = BackendConnection(self, backend)
         held = False
         try:
-            async with asyncio.timeout(self._dial_timeout):
+            async with asyncio.timeout(self._connect_timeout):
                 while not held:
                     free = asyncio.Event()
-                    held = self._descriptors.take_backend(free.set)
+                    held = self._descriptors.acquire_backend(free.set)
                     if not held:
                         await free.wait()
-                await self.loop.create_connection(lambda: connection, *backend.dial)
+                await self.loop.create_connection(lambda: connection, *backend.address)
         except (OSError, TimeoutError) as fault:
             what = "no descriptor free" if not held else str(fault) or "no connection in time"
-            attempt.task = None
-            self.end(attempt, Outcome.UNREACHABLE, None, what)
+            attempt.connect_task = None
+            self.finish(attempt, Outcome.UNREACHABLE, None, what)
             return
         finally:
-            if held and not connection.made:  # else it is given back when the connection is lost
-                self._descriptors.give_backend()
-        attempt.task = None
+            if held and not connection.connected:  # else it is given back when the connection is lost
+                self._descriptors.release_backend()
+        attempt.connect_task = None
         if attempt.ended:
             connection.close()
             return
         if connection.transport is None:
-            self.end(attempt, Outcome.UNREACHABLE, None, "lost as soon as it was made")
+            self.finish(attempt, Outcome.UNREACHABLE, None, "lost as soon as it was made")
             return
-        if not self.sink.may_begin(attempt):
+        if not self.sink.may_start(attempt):
             # Guards against what has changed while the connection came up: see `Balancer.permits`.
-            self.park(connection)
-            self.end(attempt, Outcome.VOID, None, "no longer wanted when its connection was up")
+            self.return_to_pool(connection)
+            self.finish(attempt, Outcome.VOID, None, "no longer wanted when its connection was up")
             return
         self._busy[connection] = None
-        connection.start(attempt)
+        connection.send(attempt)
 
-    def stop(self, attempt: Attempt) -> str:
+    def cancel(self, attempt: Attempt) -> str:
         """Give an attempt up: its connection is closed, for the answer may still come on it.
 
         Returns how far it had come.
         """
         attempt.ended = True
         how_far = attempt.connection.progress() if attempt.connection is not None else "not connected"
-        if attempt.task is not None:
-            attempt.task.cancel()
-            attempt.task = None
+        if attempt.connect_task is not None:
+            attempt.connect_task.cancel()
+            attempt.connect_task = None
         if attempt.connection is not None:
             attempt.connection.close()
         return how_far
 
-    def end(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
+    def finish(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
         """Tell the one end of an attempt."""
         if not attempt.ended:
             attempt.ended = True
-            self.sink.attempt_ended(attempt, how, response, why)
+            self.sink.on_attempt_ended(attempt, how, response, why)
 
     # ---- pools ---------------------------------------------------------------------------
 
-    def park(self, connection: BackendConnection) -> None:
+    def return_to_pool(self, connection: BackendConnection) -> None:
         """Keep a connection for the next attempt, unless its backend has moved on meanwhile."""
         backend = connection.backend
         self._busy.pop(connection, None)
-        if not backend.usable or connection.dial != backend.dial or connection.born != backend.born:
+        if (
+            not backend.usable
+            or connection.address != backend.address
+            or connection.backend_started_at != backend.started_at
+        ):
             connection.close()
             return
         connection.idle_since = self.loop.time()
         backend.idle.append(connection)
         self._idle[connection] = None
 
-    def unpark(self, connection: BackendConnection) -> None:
+    def remove_from_pool(self, connection: BackendConnection) -> None:
         """Take a connection out of the pool."""
         if connection in self._idle:
             del self._idle[connection]
             connection.backend.idle.remove(connection)
 
-    def closed(self, connection: BackendConnection) -> None:
+    def on_closed(self, connection: BackendConnection) -> None:
         """A connection is gone, and its descriptor with it."""
         self._busy.pop(connection, None)
-        self.unpark(connection)
-        self._descriptors.give_backend()
+        self.remove_from_pool(connection)
+        self._descriptors.release_backend()
 
     def _discard(self, connection: BackendConnection) -> None:
-        self.unpark(connection)
+        self.remove_from_pool(connection)
         connection.close()
 
     def _evict(self) -> bool:
@@ -640,16 +653,16 @@
     def sweep(self) -> None:
         """Close what has been idle for long, and end answers that stopped coming."""
         now = self.loop.time()
-        late, self._swept = now - self._swept > LATE, now
+        late, self._last_sweep_at = now - self._last_sweep_at > LATE_SWEEP, now
         while self._idle:
             connection = next(iter(self._idle))
-            if connection.idle_since > now - self._idle_for:
+            if connection.idle_since > now - self._idle_timeout:
                 break
             self._discard(connection)
         if late:
             return  # the process was held up: answers may have come that have not been read
         for connection in list(self._busy):
-            connection.check(now)
+            connection.check_stalled(now)
 
     def idle_servers(self) -> dict[ServerId, int]:
         """Idle connections by the backends that have any."""
--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -28,12 +28,12 @@
 def turn(proxy: Proxy, row: int, every: float) -> None:
     """Beat from here on, `every` so many seconds; keep an account, and heed the supervisor's word."""
     cells = memoryview(mmap.mmap(BOARD, ROWS * ROW))[row * ROW : (row + 1) * ROW].cast("q")
-    counting = proxy.counting = Counting(cells)
+    counting = proxy.traffic_counters = Counting(cells)
 
     def beat() -> None:
         cells[TURNED] = time.monotonic_ns()
-        counting.stands(proxy.discovery.seq, proxy.callers.crowded)
-        proxy.set_aside(bool(cells[ASIDE]))
+        counting.stands(proxy.discovery.seq, proxy.callers.out_of_descriptors)
+        proxy.set_ejected(bool(cells[ASIDE]))
         proxy.loop.call_later(every, beat)
 
     beat()
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -58,7 +58,7 @@
     def started(self, proxy: Proxy, stop: asyncio.Event) -> None:
         """Say so, and watch the lifeline from here on."""
         self._proxy = proxy
-        proxy.mark = [(b"x-instance", self._mark)]
+        proxy.identity_headers = [(b"x-instance", self._mark)]
         loop = asyncio.get_running_loop()
 
         def orphaned() -> None:
@@ -68,11 +68,11 @@
 
         loop.add_reader(LIFELINE, orphaned)
         self._say(event="ready")
-        if proxy.comeback is not None:
-            proxy.comeback.report = self._tell_comeback
-            self._tell_comeback(proxy.comeback.figures())
-        if proxy.hand is not None:
-            proxy.hand.tell = self._tell_declined
+        if proxy.recovery is not None:
+            proxy.recovery.report = self._tell_comeback
+            self._tell_comeback(proxy.recovery.figures())
+        if proxy.inflight is not None:
+            proxy.inflight.tell = self._tell_declined
         if os.environ.get("FLEET_VIGIL") == "1":
             self._turn(proxy)
         self._beat(loop)
@@ -94,8 +94,8 @@
     def _beat(self, loop: asyncio.AbstractEventLoop) -> None:
         loop.call_later(BEAT, self._beat, loop)
         assert self._proxy is not None
-        tallies = self._proxy.tallies
-        hand = {"hand": self._proxy.hand.figures()} if self._proxy.hand is not None else {}
+        tallies = self._proxy.counters
+        hand = {"hand": self._proxy.inflight.figures()} if self._proxy.inflight is not None else {}
         counts = {name: tallies.get(name, 0) for name in COUNTED}
         self._say(event="beat", open=self._proxy.open_requests, **counts, **hand)
 
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -36,8 +36,8 @@
         ledger = self._files.ledger
         self.ids = ledger.ids
         ledger.bury()
-        proxy.descriptors.others, proxy.descriptors.tell = ledger.descriptors, ledger.tell_descriptors
-        proxy.memory.others, proxy.memory.tell = ledger.bodies, ledger.tell_bodies
+        proxy.descriptors.used_by_others, proxy.descriptors.report_usage = ledger.descriptors, ledger.tell_descriptors
+        proxy.memory.used_by_others, proxy.memory.report_usage = ledger.bodies, ledger.tell_bodies
 
     # ---- what others have left -----------------------------------------------------------
 
@@ -99,7 +99,7 @@
         news = self._files.news()
         if news is not None:
             self._take_orders(news)
-            self._proxy.take_posture()
+            self._proxy.apply_listener_state()
 
     def stops(self) -> None:
         """It has been told to end."""
@@ -125,7 +125,7 @@
         """Guards against a newer process that finds no descriptors, while idle connections here hold them."""
         descriptors = self._proxy.descriptors
         for _ in range(MOST_EVICTED):
-            if not descriptors.tight() or not (descriptors.evict_backend() or descriptors.evict_caller()):
+            if not descriptors.is_tight() or not (descriptors.evict_backend() or descriptors.evict_caller()):
                 return
 
     def _write(self, name: str, form: dict[str, Any]) -> None:
--- a/cometusher/http1.py
+++ b/cometusher/http1.py
@@ -18,7 +18,7 @@
 MAX_HEAD = 16 * 1024  # bytes of a head, of trailers, and of what frames a body
 MAX_BODY = 64 * 1024  # of a body, either way, that is read whole; a longer one is passed on while it comes
 MAX_STREAM = 40 * 1024 * 1024  # of any body
-MAX_INTERIM = 8  # 1xx answers ahead of one
+MAX_INTERIM_ANSWERS = 8  # 1xx answers ahead of one
 
 #: Headers that speak of one connection, or of a framing that is written anew.
 HOP_BY_HOP = frozenset(
@@ -37,7 +37,7 @@
     }
 )
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -91,7 +91,7 @@
 
 def response_head(status: int, headers: Iterable[tuple[bytes, bytes]], close: bool) -> bytes:
     """The head of an answer."""
-    lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Unknown"))]
+    lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     lines += [b"%s: %s" % header for header in headers]
     if close:
         lines.append(b"connection: close")
@@ -120,13 +120,13 @@
 
     __slots__ = (
         "body",
-        "charged",
         "headers",
         "http10",
         "keep_alive",
         "length",
         "method",
         "received",
+        "reserved_bytes",
         "stream",
         "target",
     )
@@ -139,7 +139,7 @@
         self.body = bytearray()
         self.received = 0  # bytes of the body
         self.stream: BodyStream | None = None  # where it is passed on while it comes
-        self.charged = 0  # bytes that the memory budget counts for the body
+        self.reserved_bytes = 0  # bytes that the memory budget counts for the body
         self.keep_alive = True
         self.http10 = False
 
@@ -154,7 +154,7 @@
 class Response:
     """A backend's answer as far as it has come."""
 
-    __slots__ = ("body", "headers", "keep_alive", "length", "received", "sink", "status", "until_eof")
+    __slots__ = ("body", "body_sink", "headers", "keep_alive", "length", "received", "status", "until_eof")
 
     def __init__(self) -> None:
         self.status = 0
@@ -164,29 +164,29 @@
         self.keep_alive = True
         self.body = bytearray()
         self.received = 0  # bytes of the body
-        self.sink: Callable[[bytes], None] | None = None  # where they go, instead of `body`
+        self.body_sink: Callable[[bytes], None] | None = None  # where they go, instead of `body`
 
 
 class _Parser:
     """What both directions share: the counting of bytes that are not body, and the reading of framing."""
 
     def __init__(self) -> None:
-        self._overhead = 0  # bytes since the message began that were not body
-        self._head = 0  # bytes of its headers, and what keeping them costs
+        self._overhead_bytes = 0  # bytes since the message began that were not body
+        self._head_bytes = 0  # bytes of its headers, and what keeping them costs
         self._headers: Headers = []
         self.head_done = False
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._headers = []
-        self._overhead = self._head = 0
+        self._overhead_bytes = self._head_bytes = 0
         self.head_done = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.head_done:
             return  # a trailer; nothing here needs one
         # Not by the bytes read so far: a read that ends a head may bring a whole body behind it.
-        self._head += len(name) + len(value) + 32
-        if self._head > MAX_HEAD:
+        self._head_bytes += len(name) + len(value) + 32
+        if self._head_bytes > MAX_HEAD:
             raise Malformed(431, "head too large")
         self._headers.append((name.lower(), value.strip()))
 
@@ -237,7 +237,7 @@
     def on_request_head(self, request: Request) -> None:
         """The head is whole."""
 
-    def on_large(self, request: Request) -> None:
+    def on_large_body(self, request: Request) -> None:
         """Its body is longer than MAX_BODY; `stream` is to be set."""
 
     def on_request(self, request: Request) -> None:
@@ -257,13 +257,13 @@
         """Read on; calls the sink."""
         while data:
             before = self.current.received if self.current else 0
-            self._overhead += len(data)
+            self._overhead_bytes += len(data)
             rest = self._feed(self._parser, data)
             current = self.current
             if current is not None:
                 # Guards against heads, trailers and chunk framing without end, which the parser would keep.
-                self._overhead -= max(0, current.received - before)
-                if self._overhead > MAX_HEAD + 16 * current.received:
+                self._overhead_bytes -= max(0, current.received - before)
+                if self._overhead_bytes > MAX_HEAD + 16 * current.received:
                     raise Malformed(400 if self.head_done else 431, "head too large")
             data = rest
             if rest:
@@ -271,7 +271,7 @@
 
     def on_message_begin(self) -> None:
         self._sink.on_request_begin()
-        self._begin()
+        self._reset()
         self.current = Request()
 
     def on_url(self, url: bytes) -> None:
@@ -293,7 +293,7 @@
         request.http10 = self._parser.get_http_version() == "1.0"
         self._sink.on_request_head(request)
         if request.length is not None and request.length > MAX_BODY:
-            self._sink.on_large(request)
+            self._sink.on_large_body(request)
 
     def on_body(self, data: bytes) -> None:
         request = self.current
@@ -306,7 +306,7 @@
             return
         request.body += data
         if request.received > MAX_BODY:
-            self._sink.on_large(request)
+            self._sink.on_large_body(request)
 
     def on_message_complete(self) -> None:
         request = self.current
@@ -327,45 +327,45 @@
     def __init__(self) -> None:
         super().__init__()
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: Response | None = None  # whole, and not yet handed out
-        self._interims = 0
+        self._complete_answer: Response | None = None  # whole, and not yet handed out
+        self._interim_count = 0
         self.response: Response | None = None  # the one being read
-        self.surplus = False  # more came than belongs to the answer
+        self.has_surplus = False  # more came than belongs to the answer
 
     def feed(self, data: bytes) -> Response | None:
         """Read on; returns the answer once it is whole."""
         body = self.response.received if self.response else 0
-        self._overhead += len(data)
+        self._overhead_bytes += len(data)
         try:
             if self._feed(self._parser, data):
                 raise Malformed(502, "unasked upgrade")
             if self.response is not None:
-                self._overhead -= max(0, self.response.received - body)
-                if self._overhead > MAX_HEAD + 16 * self.response.received:
+                self._overhead_bytes -= max(0, self.response.received - body)
+                if self._overhead_bytes > MAX_HEAD + 16 * self.response.received:
                     raise Malformed(502, "head too large")
         except Malformed:
-            if self._answer is None:
+            if self._complete_answer is None:
                 raise
-            self.surplus = True
-        return self._hand_out()
+            self.has_surplus = True
+        return self._take_answer()
 
     def finish(self) -> Response | None:
         """The peer has ended its side: completes an answer that its end delimits."""
         if self.response is not None and self.head_done and self.response.until_eof:
-            self._answer = self.response
-        return self._hand_out()
+            self._complete_answer = self.response
+        return self._take_answer()
 
-    def _hand_out(self) -> Response | None:
-        answer, self._answer = self._answer, None
+    def _take_answer(self) -> Response | None:
+        answer, self._complete_answer = self._complete_answer, None
         if answer is not None:
-            self._interims = 0
+            self._interim_count = 0
             self.response = None
         return answer
 
     def on_message_begin(self) -> None:
-        if self._answer is not None:
+        if self._complete_answer is not None:
             raise Malformed(502, "a second answer")
-        self._begin()
+        self._reset()
         self.response = Response()
 
     def on_headers_complete(self) -> None:
@@ -388,8 +388,8 @@
         response.received += len(data)
         if response.received > MAX_STREAM:
             raise Malformed(502, "body too large")
-        if response.sink is not None:
-            response.sink(data)
+        if response.body_sink is not None:
+            response.body_sink(data)
         elif response.status == 200:  # of others nothing is passed on
             response.body += data
 
@@ -397,10 +397,10 @@
         response = self.response
         assert response is not None
         if response.status >= 200:
-            self._answer = response
-            self._overhead = 0
+            self._complete_answer = response
+            self._overhead_bytes = 0
             return
         self.response = None
-        self._interims += 1
-        if self._interims > MAX_INTERIM:
+        self._interim_count += 1
+        if self._interim_count > MAX_INTERIM_ANSWERS:
             raise Malformed(502, "interim answers without end")
--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from cometusher.backends import Attempt
     from cometusher.callers import CallerConnection
-    from cometusher.proxy import Exchange, Joined, Proxy
+    from cometusher.proxy import Exchange, Proxy, TakenOverConnection
 
 log = logging.getLogger("cometusher.inhand.hand")  # the `subsystem` of its log records
 
@@ -117,7 +117,7 @@
 
     def on_request_head(self, request: Request) -> None: ...
 
-    def on_large(self, request: Request) -> None:
+    def on_large_body(self, request: Request) -> None:
         raise Malformed(413, "longer than is noted")
 
     def on_request(self, request: Request) -> None:
@@ -190,12 +190,12 @@
         self.tell: Callable[[Received], None] = lambda offer: None  # has the supervisor told that one is declined
         self.stage: Callable[[str], None] | None = None  # told of each boundary; for tests
         self._offset = proxy.clock.from_machine(0.0)
-        proxy.callers.hand = self
-        proxy.backends.goes_out = self._sends
+        proxy.callers.inflight = self
+        proxy.backends.before_send = self._sends
 
     def start(self) -> None:
         """Take offers from here on."""
-        self._door.watch(self._offered, lambda: self._proxy.descriptors.room(LARGEST, LARGEST - SPARE))
+        self._door.watch(self._offered, lambda: self._proxy.descriptors.has_room(LARGEST, LARGEST - SPARE))
 
     def figures(self) -> dict[str, int]:
         """What operators want to know."""
@@ -216,19 +216,19 @@
     def opened(self, caller: CallerConnection) -> None:
         """A caller's connection is up."""
         assert caller.transport is not None
-        caller.descriptor, caller.name = self._network.named(caller.transport)
+        caller.descriptor, caller.connection_key = self._network.named(caller.transport)
         self._owners[caller.descriptor] = caller
-        state = IDLE if caller.slot == NONE else BUSY
-        self.book.row(caller.descriptor, caller.name, caller.read, caller.wrote, state)
+        state = IDLE if caller.journal_slot == NONE else BUSY
+        self.book.row(caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, state)
 
     def idle(self, caller: CallerConnection) -> None:
         """It is between requests, and has no entry: one that has tells of that by its last answer."""
-        self.book.row(caller.descriptor, caller.name, caller.read, caller.wrote, IDLE)
+        self.book.row(caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, IDLE)
 
     def leaves(self, caller: CallerConnection) -> None:
         """Nothing more is owed on it, or nothing that another could give."""
         if self._owners.get(caller.descriptor) is caller:
-            self.book.row(caller.descriptor, caller.name, 0, 0, BUSY)
+            self.book.row(caller.descriptor, caller.connection_key, 0, 0, BUSY)
         self._release(caller)
 
     def closed(self, caller: CallerConnection) -> None:
@@ -241,7 +241,7 @@
 
     def _release(self, caller: CallerConnection) -> None:
         """Let go of its entry; the answer of a key may stay."""
-        slot, caller.slot = caller.slot, NONE
+        slot, caller.journal_slot = caller.journal_slot, NONE
         until = self._keyed.pop(slot, None)
         if until is not None:
             self._keep(slot, until)
@@ -274,7 +274,7 @@
         Guards against counting its time from here when the process before had stood still for most of it.
         """
         upto, came = self.unread.pop(caller.descriptor, (0, 0.0))
-        return self._network.monotonic() - came if caller.read <= upto else 0.0
+        return self._network.monotonic() - came if caller.bytes_read <= upto else 0.0
 
     def _came_unread(self, caller: CallerConnection, seen: Seen) -> None:
         """A connection was taken up on which something may wait already."""
@@ -283,34 +283,34 @@
 
     def note(self, exchange: Exchange) -> None:
         """A request is in hand from here on, unless it is already."""
-        if exchange.slot != NONE:
+        if exchange.journal_slot != NONE:
             return
         caller, request = exchange.caller, exchange.request
-        raw = caller.raw
+        raw = caller.last_request_bytes
         whole = request.stream is None and (bool(raw) or len(request.body) <= COVERED_BODY)
         before = self._before(caller)
-        exchange.slot = caller.slot = self.book.take(
+        exchange.journal_slot = caller.journal_slot = self.book.take(
             raw if raw and whole else write_request(exchange, whole),
             self._proxy.clock.to_machine(exchange.deadline),
             self._network.monotonic(),
             caller.descriptor,
-            caller.name,
-            caller.read,
+            caller.connection_key,
+            caller.bytes_read,
             whole,
             not request.keep_alive,
             None,
-            exchange.key,
+            exchange.dedup_key,
             before,
-            exchange.keep_until,
+            exchange.answer_stored_until,
         )
-        if exchange.slot == NONE:
-            exchange.slot = self._uncovered(caller)
-        elif exchange.key:
-            self._keyed[exchange.slot] = exchange.keep_until
+        if exchange.journal_slot == NONE:
+            exchange.journal_slot = self._uncovered(caller)
+        elif exchange.dedup_key:
+            self._keyed[exchange.journal_slot] = exchange.answer_stored_until
 
     def _before(self, caller: CallerConnection) -> int:
         """The entry of the connection's last request, to be written over; NONE if there is none, or it stays."""
-        before = caller.slot
+        before = caller.journal_slot
         until = self._keyed.pop(before, None)
         if until is None:
             return before
@@ -325,9 +325,9 @@
 
     def meets(self, exchange: Exchange, kind: RequestClass) -> tuple[Place | None, int]:
         """A keyed request comes: where another of its key is in hand or kept, if any; and a spot of the index."""
-        exchange.key = key = key_of(exchange.request)
+        exchange.dedup_key = key = key_of(exchange.request)
         now = self._network.monotonic()
-        exchange.keep_until = now + WINDOW_MARGIN * kind.window
+        exchange.answer_stored_until = now + WINDOW_MARGIN * kind.window
         place, spot = self._door.keys.meet(key, now)
         if place is not None:
             progress = self._progress(place, key)
@@ -341,7 +341,7 @@
             return False
         self.note(exchange)
         self.joined += 1
-        self._followers[exchange.rid] = Follower(exchange, exchange.key, place, ask)
+        self._followers[exchange.request_id] = Follower(exchange, exchange.dedup_key, place, ask)
         if len(self._followers) == 1:
             self._look()
         if self.stage is not None:
@@ -350,10 +350,10 @@
 
     def found_at(self, exchange: Exchange, spot: int = NONE) -> None:
         """Whoever asks for its key from here on finds this request; `spot`: what `meets` said a moment ago."""
-        if exchange.slot >= 0:
+        if exchange.journal_slot >= 0:
             door = self._door
-            slot = self.book.slot(exchange.slot)
-            door.keys.put(exchange.key, door.number, slot, exchange.keep_until + LASTS, spot)
+            slot = self.book.slot(exchange.journal_slot)
+            door.keys.put(exchange.dedup_key, door.number, slot, exchange.answer_stored_until + LASTS, spot)
 
     def _progress(self, place: Place, key: int) -> Progress | None:
         try:
@@ -373,7 +373,7 @@
             del self._followers[rid]
             if step is Step.GIVE and progress is not None and progress.answer is not None:
                 self.answered += 1
-                self._proxy.pass_on(one.exchange, *read_answer(progress.answer))
+                self._proxy.serve_stored_answer(one.exchange, *read_answer(progress.answer))
             else:
                 self.found_at(one.exchange)
                 one.ask()
@@ -382,23 +382,25 @@
 
     def gone(self, exchange: Exchange) -> bool:
         """A request is over, or its time is up; whether it was following another."""
-        return self._followers.pop(exchange.rid, None) is not None
+        return self._followers.pop(exchange.request_id, None) is not None
 
     def whole(self, exchange: Exchange) -> None:
         """The last byte of its body has come: its time counts from here."""
-        self.book.came(exchange.slot, self._proxy.clock.to_machine(exchange.deadline), exchange.caller.read)
+        self.book.came(
+            exchange.journal_slot, self._proxy.clock.to_machine(exchange.deadline), exchange.caller.bytes_read
+        )
 
     def _sends(self, attempt: Attempt) -> None:
         """An attempt is about to be written."""
         exchange: Any = attempt.owner
         connection = attempt.connection
         assert connection is not None
-        if not connection.name:
+        if not connection.connection_key:
             assert connection.transport is not None
-            connection.descriptor, connection.name = self._network.named(connection.transport)
+            connection.descriptor, connection.connection_key = self._network.named(connection.transport)
             known = self._proxy.balancer.servers.get(attempt.server)
-            connection.domain = (known.row.zone, known.row.cell) if known is not None else (0, 0)
-        zone, cell = connection.domain
+            connection.failure_domain = (known.row.zone, known.row.cell) if known is not None else (0, 0)
+        zone, cell = connection.failure_domain
         length = len(attempt.head) + len(attempt.body) if attempt.stream is None else 0
         offset = self._offset
         if exchange.slot == NONE:
@@ -411,7 +413,7 @@
                 slot = self.book.begin(
                     raw,
                     exchange.deadline - offset,
-                    attempt.sent - offset,
+                    attempt.sent_at - offset,
                     caller.descriptor,
                     caller.name,
                     caller.read,
@@ -421,58 +423,58 @@
                     zone,
                     cell,
                     connection.descriptor,
-                    connection.name,
+                    connection.connection_key,
                     length,
-                    connection.wrote,
-                    connection.read,
+                    connection.bytes_written,
+                    connection.bytes_read,
                     exchange.key,
                     exchange.keep_until,
                 )
                 if exchange.key and slot != NONE:
                     self._keyed[slot] = exchange.keep_until
-                attempt.place = 0
+                attempt.journal_index = 0
                 caller.slot = slot
                 exchange.slot = slot if slot != NONE else self._uncovered(caller)
                 if self.stage is not None:
                     self.stage("sent")
                 return
             self.note(exchange)
-        attempt.place = self.book.sends(
+        attempt.journal_index = self.book.sends(
             exchange.slot,
             attempt.server,
             zone,
             cell,
-            attempt.sent - offset,
+            attempt.sent_at - offset,
             connection.descriptor,
-            connection.name,
+            connection.connection_key,
             length,
-            connection.wrote,
-            connection.read,
+            connection.bytes_written,
+            connection.bytes_read,
         )
         if self.stage is not None:
             self.stage("sent")
 
     def _uncovered(self, caller: CallerConnection) -> int:
-        self.book.row(caller.descriptor, caller.name, 0, 0, BUSY)
+        self.book.row(caller.descriptor, caller.connection_key, 0, 0, BUSY)
         return UNCOVERED
 
     def never(self, attempt: Attempt, exchange: Exchange) -> None:
         """An attempt has ended and has certainly not run. Of the others their connections tell."""
-        self.book.ends(exchange.slot, attempt.place, End.NEVER)
+        self.book.ends(exchange.journal_slot, attempt.journal_index, End.NEVER)
 
     def passes(self, caller: CallerConnection) -> None:
         """A long answer is about to begin."""
-        self.book.passes(caller.slot)
+        self.book.passes(caller.journal_slot)
         if self.stage is not None:
             self.stage("passing")
 
     def answers(self, caller: CallerConnection, request: Request, answer: bytes, closes: bool) -> None:
         """An answer is about to be written. What is harmless to repeat (GET) is not kept."""
-        slot = caller.slot
+        slot = caller.journal_slot
         if request.method == b"GET":
-            self.book.answers_briefly(slot, caller.wrote, len(answer), closes)
+            self.book.answers_briefly(slot, caller.bytes_written, len(answer), closes)
         else:
-            self.book.answers(slot, caller.wrote, answer, closes)
+            self.book.answers(slot, caller.bytes_written, answer, closes)
             if not answer.startswith(SERVED):
                 self._keyed.pop(slot, None)
         if self.stage is not None:
@@ -517,10 +519,10 @@
             return False
         proxy = self._proxy
         count = 1 + sum(one is not None for one in offer.tries)
-        if proxy.operations.stance is Stance.STOPPING or not proxy.descriptors.room(count + SPARE):
+        if proxy.operations.stance is Stance.STOPPING or not proxy.descriptors.has_room(count + SPARE):
             return False
         try:
-            kind, _ = proxy.read(request)
+            kind, _ = proxy.validate(request)
         except Malformed as fault:
             log.warning("work in hand is declined: %s", fault)
             return False
@@ -531,9 +533,9 @@
         ]
         work = weigh(entry, proxy.config.settings.classes[kind], caller, seen)
         verdict, why = inherit(work, self._network.monotonic())
-        if not proxy.memory.take(len(request.body)):
+        if not proxy.memory.reserve(len(request.body)):
             return False
-        request.charged = len(request.body)
+        request.reserved_bytes = len(request.body)
         slot = self.book.renote(
             entry,
             Origin(offer.process, offer.slot, offer.term),
@@ -544,7 +546,7 @@
             self.stage("noted")
         if slot == NONE or left.claimed(offer.slot) != offer.term:
             self.book.done(slot)
-            proxy.memory.give(request.charged)
+            proxy.memory.release(request.reserved_bytes)
             return False
         if entry.key:
             self._inherit_key(entry, offer, slot)
@@ -585,7 +587,7 @@
         how, why = move(row.read, row.wrote, seen)
         if how is Move.DROP or seen is None:
             connection.close()
-            self._proxy.descriptors.give_caller()
+            self._proxy.descriptors.release_caller()
             return
 
         def up(caller: CallerConnection) -> None:
@@ -593,11 +595,11 @@
             self._came_unread(caller, seen)
             if how is Move.REFUSE:
                 log.info("a caller of another process is refused: %s", why)
-                caller.turn_away(Malformed(503, "its proxy was lost"))
+                caller.reject(Malformed(503, "its proxy was lost"))
             else:
-                caller.rest()
+                caller.mark_idle()
 
-        await self._proxy.callers.inherit(connection, seen.read, seen.written, NONE, up)
+        await self._proxy.callers.take_over(connection, seen.read, seen.written, NONE, up)
 
 
 @dataclass(slots=True)
@@ -613,7 +615,7 @@
     slot: int
     seen: Seen | None  # the caller's connection
     connection: Any | None = None
-    joined: list[Joined | None] = field(default_factory=list)
+    joined: list[TakenOverConnection | None] = field(default_factory=list)
 
     def take(self, proxy: Proxy, offer: Received, seen_tries: list[Seen | None]) -> None:
         """Take the connections that it needs out of the offer, and close the others."""
@@ -640,15 +642,15 @@
         """Take up the caller's connection, and do as the verdict says."""
         there = False
         if self.connection is not None and self.seen is not None:
-            there = await proxy.callers.inherit(
+            there = await proxy.callers.take_over(
                 self.connection, self.seen.read, self.seen.written, self.slot, lambda caller: self._act(proxy, caller)
             )
         if not there:
-            proxy.memory.give(self.request.charged)
+            proxy.memory.release(self.request.reserved_bytes)
             self.hand.forget(self.slot)
             for left in filter(None, self.joined):
                 left[0].close()
-                proxy.descriptors.give_backend()
+                proxy.descriptors.release_backend()
 
     def _keeps(self) -> bool:
         """Whether the connection of a request that is answered goes on."""
@@ -658,19 +660,19 @@
         verdict, entry = self.verdict, self.entry
         over = verdict is Verdict.NOTHING or (verdict is Verdict.REFUSE and entry.stage is Stage.ANSWERED)
         if over or verdict is Verdict.GIVE:
-            proxy.memory.give(self.request.charged)
+            proxy.memory.release(self.request.reserved_bytes)
         if over:
             self.hand.forget(self.slot)
-            caller.slot = NONE
+            caller.journal_slot = NONE
         if verdict is Verdict.GIVE:
             out = max(0, self.seen.written - entry.wrote) if self.seen is not None else 0
-            caller.give((entry.answer or b"")[out:], entry.closes)
+            caller.finish_answer((entry.answer or b"")[out:], entry.closes)
         elif verdict is Verdict.NOTHING:
             if self.seen is not None:
                 self.hand._came_unread(caller, self.seen)
-            caller.rest()
+            caller.mark_idle()
         elif over:
-            caller.turn_away(Malformed(503, "its proxy was lost"))
+            caller.reject(Malformed(503, "its proxy was lost"))
         else:
             self._ask(proxy, caller)
 
@@ -682,12 +684,12 @@
             Past(one.server, clock.from_machine(one.sent), one.maybe_ran, connection is not None, one.zone, one.cell)
             for one, connection in zip(self.tries, self.joined, strict=True)
         ]
-        exchange = proxy.take_over(caller, self.request, deadline, not self.entry.whole)
+        exchange = proxy.take_over_request(caller, self.request, deadline, not self.entry.whole)
         if self.hand.stage is not None:
             self.hand.stage("acts")
         if self.verdict in (Verdict.REFUSE, Verdict.FAIL):
-            exchange.why = f"its proxy was lost: {self.why}"
+            exchange.last_failure = f"its proxy was lost: {self.why}"
             refuses = self.verdict is Verdict.REFUSE
-            proxy.turn_away(Refuse(exchange.rid, proxy.retry_after()) if refuses else Fail(exchange.rid))
+            proxy.reject(Refuse(exchange.request_id, proxy.retry_after()) if refuses else Fail(exchange.request_id))
             return
-        proxy.go_on(exchange, past, self.joined)
+        proxy.resume_attempts(exchange, past, self.joined)
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -133,8 +133,8 @@
         trust = {kind: self._trust(kind, found.get(kind)) for kind in KINDS}
         if "list" in TAKES[trust["list"]]:
             self._take_list(found["list"])
-        if not self.state.ready and proxy.backends.known():
-            self.state.found(proxy.loop.time(), len(proxy.backends.known()), None, proxy.discovery.seq)
+        if not self.state.ready and proxy.backends.server_ids():
+            self.state.found(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
         if "learned" in TAKES[trust["learned"]]:
             try:
                 known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
@@ -208,17 +208,17 @@
         """Let a request go on now (`ask`), later, or not at all."""
         proxy, state = self._proxy, self.state
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.opened)
+        state.opened(now, proxy.backends.connections_opened)
         left = exchange.deadline - proxy.clock.now()
         aim = proxy.config.settings.classes[kind].aim
-        verdict = state.admit(now, exchange.rid, now + left, aim, self._free())
+        verdict = state.admit(now, exchange.request_id, now + left, aim, self._free())
         if verdict is Verdict.PASS or self._over:
-            state.leave(exchange.rid)
+            state.leave(exchange.request_id)
             ask()
         elif verdict is Verdict.REFUSE:
             self._refuse(exchange)
         else:
-            self._waiting[exchange.rid] = ask
+            self._waiting[exchange.request_id] = ask
             self._plan()
 
     def kept(self) -> list[int] | None:
@@ -241,8 +241,8 @@
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
         after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
-        exchange.why = "coming back"
-        self._proxy.turn_away(Refuse(exchange.rid, after))
+        exchange.last_failure = "coming back"
+        self._proxy.reject(Refuse(exchange.request_id, after))
 
     def release(self) -> None:
         """Let those go on whose turn has come."""
@@ -254,7 +254,7 @@
             if exchange is not None:
                 self._refuse(exchange)
         while state.held:
-            state.opened(now, proxy.backends.opened)
+            state.opened(now, proxy.backends.connections_opened)
             turn = state.release(now, self._free())
             if turn is None:
                 break
@@ -274,17 +274,17 @@
 
     def left(self, exchange: Exchange) -> None:
         """A caller has gone away."""
-        if self._waiting.pop(exchange.rid, None) is not None:
-            self.state.leave(exchange.rid)
+        if self._waiting.pop(exchange.request_id, None) is not None:
+            self.state.leave(exchange.request_id)
 
     def late(self, exchange: Exchange) -> bool:
         """A request's time is up; whether it has waited here, and is refused now.
 
         Guards against timers that come late or in another order: what a caller gives may be a millisecond.
         """
-        if self._waiting.pop(exchange.rid, None) is None:
+        if self._waiting.pop(exchange.request_id, None) is None:
             return False
-        self.state.leave(exchange.rid)
+        self.state.leave(exchange.request_id)
         self.state.refused(self._proxy.loop.time())
         self._refuse(exchange)
         return True
@@ -297,7 +297,7 @@
         Guards against answers of another than was meant: a remembered address may be somebody else's by now.
         """
         proxy, state = self._proxy, self.state
-        state.opened(proxy.loop.time(), proxy.backends.opened)
+        state.opened(proxy.loop.time(), proxy.backends.connections_opened)
         if not state.told:
             if how is Outcome.OK and response is not None and self._other(attempt.server, response):
                 self._drop(attempt.server, "answers as another")
@@ -321,12 +321,12 @@
         known = self._proxy.balancer.servers.get(server)
         if known is None or known.row.state is State.GONE or not self.state.doubts(server, how):
             return
-        host = next((host for host, number in self._proxy.names.items() if number == server), "")
+        host = next((host for host, number in self._proxy.servers_by_host.items() if number == server), "")
         row = ServerRow(server, State.GONE, known.row.zone, known.row.cell, started=known.row.started)
-        dial = self._proxy.backends.dial(server)
+        dial = self._proxy.backends.address_of(server)
         if dial is not None:
             # Not within the event that told of it: the module is still at that.
-            self._proxy.loop.call_soon(self._proxy.listed_as, ListKind.PATCH, [Entry(row, dial, host)])
+            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [Entry(row, dial, host)])
 
     # ---- time ----------------------------------------------------------------------------
 
@@ -334,13 +334,13 @@
         """Called often: phases, and what is to be kept."""
         proxy, state = self._proxy, self.state
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.opened)
+        state.opened(now, proxy.backends.connections_opened)
         if state.tick(now):
             log.warning("the remembered list is over, and discovery is silent")
-            proxy.listed_as(ListKind.STALE, [])
+            proxy.apply_list(ListKind.STALE, [])
         if self._pending is not None and state.believes(now, len(self._pending)):
             pending, self._pending = list(self._pending.values()), None
-            proxy.listed_as(ListKind.WHOLE, pending)
+            proxy.apply_list(ListKind.WHOLE, pending)
         self._say()
         if state.held:
             self.release()
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -21,8 +21,8 @@
 def write_list(proxy: Proxy) -> dict[str, Any]:
     """The list of backends as discovery would tell it whole."""
     hosts = []
-    for host, server in proxy.names.items():
-        known, dial = proxy.balancer.servers.get(server), proxy.backends.dial(server)
+    for host, server in proxy.servers_by_host.items():
+        known, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
         if known is None or dial is None or known.row.state not in HEALTH:
             continue
         row, zones = known.row, proxy.config.zones
@@ -45,13 +45,13 @@
     listing = read_listing(form, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
         proxy.discovery.resume(listing.seq)
-        proxy.listed(ListKind.STALE, listing.entries)
+        proxy.on_list(ListKind.STALE, listing.entries)
     return listing
 
 
 def standing(proxy: Proxy, version: int) -> Standing:
     """What operators have ordered of this proxy, as a version of it."""
-    names = {server: host for host, server in proxy.names.items()}
+    names = {server: host for host, server in proxy.servers_by_host.items()}
     balancer = proxy.balancer
     return Standing(
         version,
@@ -63,7 +63,7 @@
 
 def take_standing(proxy: Proxy, orders: Standing) -> None:
     """Do as operators have ordered."""
-    proxy.names.update((host, server) for host, server, _ in orders.bans)
+    proxy.servers_by_host.update((host, server) for host, server, _ in orders.bans)
     for server in apply_standing(proxy.balancer, proxy.clock.now(), orders):
         log.info("backend %x: %s", server, "banned" if server in proxy.balancer.bans else "no longer banned")
         proxy.backends.drop_idle(server)
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -365,8 +365,8 @@
                 covered=covered,
             )
             process.proxy = proxy = Proxy(told, process.surroundings)
-            if proxy.comeback is not None:
-                proxy.comeback.report = hear
+            if proxy.recovery is not None:
+                proxy.recovery.report = hear
             if listener is None:
                 proxy.start()
             else:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -33,9 +33,9 @@
     """Time limits that a slow machine could meet by chance; a test of one sets it."""
     if _virtual(request):
         return
-    monkeypatch.setattr(callers, "REQUEST_TIME", 60.0)
-    monkeypatch.setattr(callers, "IDLE_CROWDED", 60.0)
-    monkeypatch.setattr(backends, "ANSWER_TIME", 60.0)
+    monkeypatch.setattr(callers, "REQUEST_HEAD_TIMEOUT", 60.0)
+    monkeypatch.setattr(callers, "CROWDED_IDLE_TIMEOUT", 60.0)
+    monkeypatch.setattr(backends, "ANSWER_READ_TIMEOUT", 60.0)
 
 
 @pytest.fixture
--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -38,7 +38,7 @@
 
     Proxy.__init__ = made  # type: ignore
     up = CallerConnection.connection_made
-    begin, take, end = Hand.__init__, Proxy.take, Proxy.attempt_ended
+    begin, take, end = Hand.__init__, Proxy.handle_request, Proxy.on_attempt_ended
 
     def begun(self: Any, *arguments: Any) -> None:
         begin(self, *arguments)
@@ -59,9 +59,9 @@
         reached("ended")
         end(self, *arguments)
 
-    Proxy.attempt_ended = ended  # type: ignore
+    Proxy.on_attempt_ended = ended  # type: ignore
     Hand.__init__ = begun  # type: ignore
-    Proxy.take = taken  # type: ignore
+    Proxy.handle_request = taken  # type: ignore
 
 
 if os.environ.get("STALL_HOOKS"):
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -97,7 +97,7 @@
 
 def test_an_attempt_that_still_connects_when_a_ban_comes_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     """The ban comes just as the connection is up."""
-    honest = Proxy.may_begin
+    honest = Proxy.may_start
 
     def banned_meanwhile(self: Proxy, attempt: Attempt) -> bool:
         self.balancer.ban(self.clock.now(), attempt.server)
@@ -105,7 +105,7 @@
 
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
-            monkeypatch.setattr(Proxy, "may_begin", banned_meanwhile)
+            monkeypatch.setattr(Proxy, "may_start", banned_meanwhile)
             assert (await r.call())[0] == 503 and not r.seen
 
     run(test)
--- a/tests/loopback/test_race_conditions.py
+++ b/tests/loopback/test_race_conditions.py
@@ -17,7 +17,7 @@
 from test_proxy import end, reset, run
 
 from cometusher import backends as backends_module
-from cometusher.callers import ACCEPTS, CallerConnection
+from cometusher.callers import MAX_ACCEPTS_PER_WAKEUP, CallerConnection
 from standins.messages import take_message
 from weldroute import ListKind
 from weldroute.operations import Posture
@@ -221,7 +221,7 @@
             assert (await r.call(rid="stays"))[0] == 200
             await until(lambda: r.proxy.callers.count() == 2 and r.proxy.open_requests == 0)
             assert [seen.headers[b"x-call-id"] for seen in r.seen] == [b"before", b"stays"]
-            assert r.proxy.tallies.get("left", 0) == 100
+            assert r.proxy.counters.get("left", 0) == 100
 
     run(test)
 
@@ -250,7 +250,7 @@
 
             r.proxy.balancer.outcome = leave_first  # type: ignore[method-assign]
             client.sendall(request(rid="gone"))
-            await until(lambda: r.proxy.tallies.get("left", 0) == 1 and r.proxy.open_requests == 0)
+            await until(lambda: r.proxy.counters.get("left", 0) == 1 and r.proxy.open_requests == 0)
             assert len(r.seen) == before + 1
 
     run(test)
@@ -265,9 +265,9 @@
             client = connect(r)
             client.sendall(request(rid="1"))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
-            before = r.proxy.callers.posture
+            before = r.proxy.callers.listener_state
             client.sendall(request(rid="2"))
-            r.proxy.callers.take(replace(before, keeps_idle=False))
+            r.proxy.callers.apply_listener_state(replace(before, keeps_idle=False))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             client.close()
 
@@ -281,7 +281,7 @@
             client.sendall(request(rid="1"))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             (connection,) = r.proxy.callers._connections
-            connection.since -= 60.0
+            connection.state_since -= 60.0
             client.sendall(request(rid="2"))
             r.proxy.callers.sweep()
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
@@ -328,7 +328,7 @@
 
 def test_a_cut_answer_of_unknown_length_is_no_end_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
     """An old client has nothing else to tell a part from the whole."""
-    monkeypatch.setattr(backends_module, "HOLD", 0.0)
+    monkeypatch.setattr(backends_module, "STREAM_DELAY_UNKNOWN_LENGTH", 0.0)
 
     async def part_and_reset(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -359,11 +359,11 @@
 
     async def test() -> None:
         async with rig(serve_ok, sockets=1024) as r:
-            clients = [connect(r) for _ in range(ACCEPTS + 20)]
+            clients = [connect(r) for _ in range(MAX_ACCEPTS_PER_WAKEUP + 20)]
             for i, client in enumerate(clients):
                 client.sendall(request(rid=f"r{i}"))
-            r.proxy.callers.take(deaf(r.proxy.callers.posture))
-            r.proxy.callers.hang_up()
+            r.proxy.callers.apply_listener_state(deaf(r.proxy.callers.listener_state))
+            r.proxy.callers.close_listener()
             assert {await read_answer(client) for client in clients} == {b"HTTP/1.1 200 OK"}
             for client in clients:
                 client.close()
@@ -374,10 +374,10 @@
 def test_one_that_connects_between_the_last_accept_and_the_listeners_end_is_served() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
-            r.proxy.callers.take(deaf(r.proxy.callers.posture))
+            r.proxy.callers.apply_listener_state(deaf(r.proxy.callers.listener_state))
             client = connect(r)
             client.sendall(request())
-            r.proxy.callers.hang_up()
+            r.proxy.callers.close_listener()
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             client.close()
 
--- a/tests/loopback/test_streaming.py
+++ b/tests/loopback/test_streaming.py
@@ -47,13 +47,13 @@
 
 def outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
     told: list[Outcome] = []
-    honest = backends_module.Backends.end
+    honest = backends_module.Backends.finish
 
     def end(self: Any, attempt: Any, how: Outcome, response: Any, why: str) -> None:
         told.append(how)
         honest(self, attempt, how, response, why)
 
-    monkeypatch.setattr(backends_module.Backends, "end", end)
+    monkeypatch.setattr(backends_module.Backends, "finish", end)
     return told
 
 
@@ -293,7 +293,7 @@
 
 
 def test_a_slow_body_is_served_and_a_halted_one_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers_module, "BODY_STALL", 0.4)
+    monkeypatch.setattr(callers_module, "BODY_STALL_TIMEOUT", 0.4)
 
     async def test() -> None:
         async with rig(digest) as r:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -88,14 +88,14 @@
 def outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
     """Collect the outcomes that the module is told."""
     told: list[Outcome] = []
-    whole = backends_module.Backends.end
+    whole = backends_module.Backends.finish
 
     def end(self: Any, attempt: Any, how: Outcome, response: Any, why: str) -> None:
         if not attempt.ended:
             told.append(how)
         whole(self, attempt, how, response, why)
 
-    monkeypatch.setattr(backends_module.Backends, "end", end)
+    monkeypatch.setattr(backends_module.Backends, "finish", end)
     return told
 
 
@@ -260,7 +260,7 @@
 )
 def test_a_spoilt_answer_is_a_failed_attempt(script: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     """Nothing of it reaches the caller, who is served by another backend, and its connection is closed."""
-    monkeypatch.setattr(backends_module, "ANSWER_TIME", 0.5)
+    monkeypatch.setattr(backends_module, "ANSWER_READ_TIMEOUT", 0.5)
     told = outcomes(monkeypatch)
 
     async def test() -> None:
@@ -336,10 +336,10 @@
             pool = r.proxy.backends
             assert (await r.call(rid="1"))[0] == 200
             (connection,) = pool._idle
-            assert connection.clean()
+            assert connection.is_reusable()
             os.write(writers[0].get_extra_info("socket").fileno(), reply(body=b"stray"))
             for _ in range(1_000_000):  # until the kernel has it; nothing here lets the event loop read it
-                if not connection.clean():
+                if not connection.is_reusable():
                     break
             assert (await r.call(rid="2"))[1].body == b"2"
 
@@ -348,7 +348,7 @@
 
 def test_an_interim_answer_does_not_start_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """A backend that says 100 at once and works for long has not stopped in the middle of an answer."""
-    monkeypatch.setattr(backends_module, "ANSWER_STALL", 0.05)
+    monkeypatch.setattr(backends_module, "ANSWER_STALL_TIMEOUT", 0.05)
 
     async def early_100(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
@@ -569,7 +569,7 @@
 @pytest.mark.parametrize("data", [b"", b"POST /api HT", request(kind="submit", extra=(b"Content-Length: 60000",))])
 def test_a_request_that_does_not_come_whole_is_ended(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Also one that comes byte by byte: its time is not renewed."""
-    monkeypatch.setattr(callers_module, "REQUEST_TIME", 0.3)
+    monkeypatch.setattr(callers_module, "REQUEST_HEAD_TIMEOUT", 0.3)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -631,7 +631,7 @@
 
 def test_silent_crowds_do_not_push_out_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Callers that connect and say nothing make room first, for new callers and for those between requests."""
-    monkeypatch.setattr(callers_module, "EVICT_SILENT", 0.3)
+    monkeypatch.setattr(callers_module, "EVICT_SILENT_AFTER", 0.3)
 
     async def test() -> None:
         async with rig(serve_ok, sockets=40) as r:
@@ -795,12 +795,12 @@
 
         async with rig(one_each) as r:
             pool = r.proxy.backends
-            while len(pool._crossings) < backends_module.CROSSINGS:
+            while len(pool._close_races) < backends_module.CLOSE_RACES:
                 await r.call(rid="safe")
-                await asyncio.sleep(backends_module.IDLE_AT_LEAST)
+                await asyncio.sleep(backends_module.MIN_RACE_IDLE_AGE)
             while not pool._idle:
                 await r.call(rid="park")
-            await asyncio.sleep(pool._trusted(r.proxy.loop.time()) + 0.01)
+            await asyncio.sleep(pool._trusted_idle_age(r.proxy.loop.time()) + 0.01)
             assert (await r.call(kind="once", rid="unsafe"))[0] == 200
 
     run(test)
@@ -812,11 +812,11 @@
     async def test() -> None:
         async with rig(serve_ok) as r:
             pool = r.proxy.backends
-            for _ in range(backends_module.CROSSINGS):
-                pool.reset_at_once(1.0)
-            assert pool._trusted(r.proxy.loop.time()) < 1.0
+            for _ in range(backends_module.CLOSE_RACES):
+                pool.on_immediate_reset(1.0)
+            assert pool._trusted_idle_age(r.proxy.loop.time()) < 1.0
             r.backends[0].script = reset
             assert (await r.call(kind="once"))[0] == 502
-            assert pool._trusted(r.proxy.loop.time()) > 1.0
+            assert pool._trusted_idle_age(r.proxy.loop.time()) > 1.0
 
     run(test)
--- a/tests/unit/test_stream.py
+++ b/tests/unit/test_stream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cometusher.stream import KEPT, WAITING, BodyStream
+from cometusher.stream import MAX_WAITING_BYTES, REPLAY_BYTES, BodyStream
 
 
 class Caller:
@@ -10,11 +10,11 @@
         self.held = 0
         self.events: list[str] = []
 
-    def hold_body(self) -> None:
+    def pause_body(self) -> None:
         self.held += 1
         self.events.append("hold")
 
-    def more_body(self) -> None:
+    def resume_body(self) -> None:
         self.held -= 1
         self.events.append("more")
 
@@ -25,17 +25,17 @@
         self.got = b""
         self.ended = self.lost = False
 
-    def takes_more(self) -> bool:
+    def can_accept(self) -> bool:
         return self.room > 0
 
-    def take_piece(self, piece: bytes) -> None:
+    def write_body(self, piece: bytes) -> None:
         self.got += piece
         self.room -= len(piece)
 
-    def take_end(self) -> None:
+    def end_body(self) -> None:
         self.ended = True
 
-    def take_loss(self) -> None:
+    def abort_body(self) -> None:
         self.lost = True
 
 
@@ -52,18 +52,18 @@
 def test_a_caller_is_held_while_nobody_takes_and_read_on_when_somebody_does() -> None:
     caller = Caller()
     stream = BodyStream(caller)
-    stream.feed(b"x" * WAITING)
+    stream.feed(b"x" * MAX_WAITING_BYTES)
     assert caller.held == 0
     stream.feed(b"x")
     assert caller.held == 1
-    stream.feed(b"x" * WAITING)
+    stream.feed(b"x" * MAX_WAITING_BYTES)
     assert caller.held == 1
-    backend = Backend(room=WAITING)
+    backend = Backend(room=MAX_WAITING_BYTES)
     stream.attach(backend)
-    assert caller.held == 1 and len(backend.got) == WAITING
+    assert caller.held == 1 and len(backend.got) == MAX_WAITING_BYTES
     backend.room = 10**9
-    stream.push()
-    assert caller.held == 0 and len(backend.got) == 2 * WAITING + 1
+    stream.deliver()
+    assert caller.held == 0 and len(backend.got) == 2 * MAX_WAITING_BYTES + 1
 
 
 def test_what_is_kept_goes_out_again_from_its_start() -> None:
@@ -76,20 +76,20 @@
     stream.attach(second)
     stream.finish()
     assert second.got == b"onetwo" and second.ended and not first.ended
-    assert stream.whole() == b"onetwo"
+    assert stream.contents() == b"onetwo"
 
 
 def test_what_is_let_go_is_told_once() -> None:
     told: list[bool] = []
     stream, backend = BodyStream(Caller()), Backend()
-    stream.on_spent = lambda: told.append(True)
+    stream.on_consumed = lambda: told.append(True)
     stream.attach(backend)
-    for _ in range(KEPT // 65536):
+    for _ in range(REPLAY_BYTES // 65536):
         stream.feed(b"x" * 65536)
-    assert not stream.spent and not told
+    assert not stream.consumed and not told
     stream.feed(b"y")
-    stream.feed(b"z" * KEPT)
-    assert stream.spent and told == [True] and len(backend.got) == 2 * KEPT + 1
+    stream.feed(b"z" * REPLAY_BYTES)
+    assert stream.consumed and told == [True] and len(backend.got) == 2 * REPLAY_BYTES + 1
 
 
 def test_a_body_that_nobody_wants_is_forgotten_and_its_taker_told() -> None:
@@ -97,11 +97,11 @@
     stream = BodyStream(caller)
     stream.attach(backend)
     stream.feed(b"x" * 10)
-    stream.feed(b"x" * (2 * WAITING))
+    stream.feed(b"x" * (2 * MAX_WAITING_BYTES))
     assert caller.held == 1
-    stream.drop()
+    stream.discard()
     assert caller.held == 0 and backend.lost
-    stream.feed(b"x" * KEPT)
+    stream.feed(b"x" * REPLAY_BYTES)
     assert caller.held == 0 and len(backend.got) == 10
 
 
@@ -109,7 +109,7 @@
     stream, backend = BodyStream(Caller(), b"x"), Backend()
     stream.attach(backend)
     stream.finish()
-    stream.drop()
+    stream.discard()
     assert backend.ended and not backend.lost
 
 
@@ -119,8 +119,8 @@
     stream, backend = BodyStream(caller), Backend(room=1)
     stream.attach(backend)
     stream.feed(b"xx")
-    stream.feed(b"x" * (WAITING + 1))
+    stream.feed(b"x" * (MAX_WAITING_BYTES + 1))
     assert caller.held == 1
     stream.detach(backend)
     stream.finish()
-    assert caller.held == 0 and not stream.spent and len(stream.whole()) == WAITING + 3
+    assert caller.held == 0 and not stream.consumed and len(stream.contents()) == MAX_WAITING_BYTES + 3
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -139,7 +139,9 @@
         },
     )
     assert world.proxy is not None
-    text = repr((vars(figures), world.ends, sorted(world.proxy.tallies.items()), world.loop.steps, world.loop.time()))
+    text = repr(
+        (vars(figures), world.ends, sorted(world.proxy.counters.items()), world.loop.steps, world.loop.time())
+    )
     return hashlib.sha256(text.encode()).hexdigest()
 
 
