--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -147,7 +147,7 @@
     Mutant(
         "a drain never ends its connections",
         "callers",
-        "or self._callers.posture.closes or self._callers.crowded",
+        "or self._callers.posture.closes_after_answer or self._callers.crowded",
         "or self._callers.crowded",
     ),
     Mutant(
@@ -200,10 +200,12 @@
     Mutant(
         "the module keeps requests whose attempts end late",
         "weldroute/decide",
-        "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
+        "if request.done:\n            if not request.open:\n                self.requests.pop(request_id, None)",
         "if request.done:\n            pass",
     ),
-    Mutant("the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.rid)", "pass"),
+    Mutant(
+        "the module is not told that a body is spent", "proxy", "self.balancer.on_body_released(exchange.rid)", "pass"
+    ),
     Mutant("a caller that was held is not read again", "stream", "if self._waiting <= WAITING // 2:", "if False:"),
     Mutant(
         "the other process's descriptors don't count",
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -22,7 +22,7 @@
 )
 from cometusher.runtime import Listener, Network
 from cometusher.stream import KEPT, BodyStream
-from weldroute.operations import Posture
+from weldroute.operations import ListenerState
 
 if TYPE_CHECKING:
     from cometusher.inflight.tracker import Hand
@@ -377,7 +377,7 @@
         assert self._request is not None
         if self._parser.current is self._request or self._rest_lost:
             return True  # the rest of a body that nobody wants any more
-        return not self._request.keep_alive or self._callers.posture.closes or self._callers.crowded
+        return not self._request.keep_alive or self._callers.posture.closes_after_answer or self._callers.crowded
 
     def _finish_request(self) -> None:
         self.release_body()
@@ -549,7 +549,7 @@
         self.network = network
         self.handler = handler
         self.memory = memory
-        self.posture = Posture()
+        self.posture = ListenerState()
         self.crowded = False  # connections wait for a free descriptor
         self.hand: Hand | None = None  # notes what is in hand, where that is switched on
         self.empty = asyncio.Event()
@@ -736,7 +736,7 @@
 
     # ---- leaving -------------------------------------------------------------------------
 
-    def take(self, posture: Posture) -> None:
+    def take(self, posture: ListenerState) -> None:
         """Do as the operations say from here on; called at every change, and often."""
         before, self.posture = self.posture, posture
         if before.listens and not posture.listens:
@@ -747,7 +747,7 @@
             for connection in list(self._idle):
                 if connection.idle:
                     connection.close_if_silent()
-        if not posture.keeps_partial:
+        if not posture.keeps_incomplete:
             for connection in list(self._connections):
                 if connection.partial:
                     connection.close()
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -114,7 +114,7 @@
         if yields is not self._yields:
             self._yields = yields
             log.info("a newer process serves: leaving new connections to it" if yields else "serving alone again")
-            proxy.operations.yielded(yields)
+            proxy.operations.on_newer_process(yields)
         if yields:
             self._make_room()
         elif proxy.operations.serving and proxy.loop.time() >= self._save_at:
--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -14,8 +14,8 @@
 
 from cometusher.http1 import Headers, Malformed, Request, RequestParser, request_head
 from weldroute import Fail, Refuse
-from weldroute.model import Past, RequestClass
-from weldroute.operations import Stance
+from weldroute.model import PriorAttempt, RequestClass
+from weldroute.operations import LifecycleState
 from weldroute.request_journal import (
     BUSY,
     IDLE,
@@ -517,7 +517,7 @@
             return False
         proxy = self._proxy
         count = 1 + sum(one is not None for one in offer.tries)
-        if proxy.operations.stance is Stance.STOPPING or not proxy.descriptors.room(count + SPARE):
+        if proxy.operations.state is LifecycleState.STOPPING or not proxy.descriptors.room(count + SPARE):
             return False
         try:
             kind, _ = proxy.read(request)
@@ -607,7 +607,7 @@
     hand: Hand
     entry: Entry
     request: Request
-    tries: tuple[Past, ...]
+    tries: tuple[PriorAttempt, ...]
     verdict: Verdict
     why: str
     slot: int
@@ -679,7 +679,9 @@
         clock = proxy.clock
         deadline = clock.from_machine(self.entry.deadline)
         past = [
-            Past(one.server, clock.from_machine(one.sent), one.maybe_ran, connection is not None, one.zone, one.cell)
+            PriorAttempt(
+                one.server, clock.from_machine(one.sent), one.maybe_ran, connection is not None, one.zone, one.cell
+            )
             for one, connection in zip(self.tries, self.joined, strict=True)
         ]
         exchange = proxy.take_over(caller, self.request, deadline, not self.entry.whole)
--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -20,7 +20,7 @@
 
 from cometusher.http1 import MAX_HEAD, response_head
 from cometusher.runtime import Listener
-from weldroute.operations import MAX_CALL_BODY, Call, Verdict, route, who
+from weldroute.operations import MAX_CALL_BODY, CallResult, ManagementCall, read_backend_id, route
 
 log = logging.getLogger(__name__)
 
@@ -41,19 +41,19 @@
         self._target = b""
         self._body = b""
         self._read = 0
-        self.fault: Verdict | None = None
+        self.fault: CallResult | None = None
         self.whole = False
 
     def feed(self, data: bytes) -> None:
         """Read on; sets `whole` or `fault`."""
         self._read += len(data)
         if self._read > MAX_HEAD + MAX_CALL_BODY:
-            self.fault = Verdict(413, "too large")
+            self.fault = CallResult(413, "too large")
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.fault = self.fault or Verdict(400, "malformed HTTP")
+            self.fault = self.fault or CallResult(400, "malformed HTTP")
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -61,25 +61,25 @@
     def on_body(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_CALL_BODY:
-            self.fault = Verdict(413, "too large")
+            self.fault = CallResult(413, "too large")
 
     def on_message_complete(self) -> None:
         self.whole = True
 
-    def call(self) -> tuple[Call, str] | Verdict:
+    def call(self) -> tuple[ManagementCall, str] | CallResult:
         """What is asked, and of which backend; the verdict where it makes no sense."""
         if self.fault is not None:
             return self.fault
         call = route(self._parser.get_method(), self._target)
-        if isinstance(call, Verdict):
+        if isinstance(call, CallResult):
             return call
-        if call not in (Call.EXCLUDE, Call.INCLUDE):
+        if call not in (ManagementCall.EXCLUDE, ManagementCall.INCLUDE):
             return call, ""
         try:
-            server = who(orjson.loads(self._body))
+            server = read_backend_id(orjson.loads(self._body))
         except orjson.JSONDecodeError:
-            return Verdict(400, "the body is not JSON")
-        return server if isinstance(server, Verdict) else (call, server)
+            return CallResult(400, "the body is not JSON")
+        return server if isinstance(server, CallResult) else (call, server)
 
 
 class Connection(asyncio.Protocol):
@@ -102,7 +102,7 @@
         self._reader.feed(data)
         if self._reader.whole or self._reader.fault is not None:
             call = self._reader.call()
-            self.answer(call if isinstance(call, Verdict) else self._management.carry_out(*call))
+            self.answer(call if isinstance(call, CallResult) else self._management.carry_out(*call))
 
     def eof_received(self) -> bool:
         return self.answered  # an answer under way is finished
@@ -110,10 +110,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._management.closed(self)
 
-    def answer(self, verdict: Verdict) -> None:
+    def answer(self, verdict: CallResult) -> None:
         """Say it, and close."""
         self.answered = True
-        body = orjson.dumps({"ok": verdict.yes, "text": verdict.text}) + b"\n"
+        body = orjson.dumps({"ok": verdict.succeeded, "text": verdict.text}) + b"\n"
         headers = [(b"content-type", b"application/json"), (b"content-length", b"%d" % len(body))]
         self.transport.write(response_head(verdict.status, headers, True) + body)
         self.transport.close()
@@ -127,7 +127,7 @@
         loop: asyncio.AbstractEventLoop,
         attach: Callable[[Any, Callable[[], asyncio.Protocol]], Any],
         listener: Listener,
-        handler: Callable[[Call, str], Verdict],
+        handler: Callable[[ManagementCall, str], CallResult],
     ) -> None:
         self._loop = loop
         self._attach = attach
@@ -200,13 +200,13 @@
         """A connection is gone."""
         self._connections.pop(connection, None)
 
-    def carry_out(self, call: Call, server: str) -> Verdict:
+    def carry_out(self, call: ManagementCall, server: str) -> CallResult:
         """A whole call."""
         try:
             verdict = self._handler(call, server)
         except Exception:
             log.exception("a call failed")
-            verdict = Verdict(500, "internal fault")
+            verdict = CallResult(500, "internal fault")
         log.info("call %s%s: %d %s", call.value, f" {server!r}" if server else "", verdict.status, verdict.text)
         return verdict
 
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -53,9 +53,18 @@
     Subscribe,
     Timer,
 )
-from weldroute.model import NEVER_RAN, Past, ServerId
+from weldroute.model import NEVER_RAN, PriorAttempt, ServerId
 from weldroute.model import Discovery as DiscoveryMode
-from weldroute.operations import ALREADY, DONE, NOT_YET, UNKNOWN, Call, Operations, Stance, Verdict
+from weldroute.operations import (
+    ALREADY_DONE,
+    DONE,
+    NOT_YET,
+    UNKNOWN_BACKEND,
+    CallResult,
+    LifecycleState,
+    ManagementCall,
+    Operations,
+)
 
 if TYPE_CHECKING:
     from cometusher.hot_restart import Succession
@@ -274,7 +283,7 @@
 
     def _manage(self, beside: bool = False) -> None:
         """Listen where operators call, if they do: at once, or as soon as the process before lets go."""
-        if self.config.management is None or self.operations.stance is Stance.STOPPING:
+        if self.config.management is None or self.operations.state is LifecycleState.STOPPING:
             return
         from cometusher.management import Management
 
@@ -336,12 +345,12 @@
 
     def take_posture(self) -> None:
         """Do towards callers as the operations say."""
-        self.callers.take(self.operations.posture(self.loop.time()))
+        self.callers.take(self.operations.listener_state(self.loop.time()))
 
     def set_aside(self, aside: bool) -> None:
         """Leave new connections to others, who accept on the same listener, or take them again; told often."""
-        if aside is not self.operations.aside:
-            self.operations.aside = aside
+        if aside is not self.operations.ejected:
+            self.operations.ejected = aside
             self.take_posture()
 
     def _sweep(self) -> None:
@@ -381,30 +390,30 @@
 
     # ---- operators -----------------------------------------------------------------------
 
-    def operate(self, call: Call, host: str = "") -> Verdict:
+    def operate(self, call: ManagementCall, host: str = "") -> CallResult:
         """Do what operators ask; what a yes promises holds when this returns."""
         now = self.loop.time()
-        if call is Call.READY:
-            verdict = self.operations.ready()
-            return NOT_YET if verdict.yes and self.comeback is not None and not self.comeback.ready else verdict
-        if call is Call.EVACUATE:
+        if call is ManagementCall.READY:
+            verdict = self.operations.readiness()
+            return NOT_YET if verdict.succeeded and self.comeback is not None and not self.comeback.ready else verdict
+        if call is ManagementCall.EVACUATE:
             verdict = self.operations.evacuate(now)
-        elif call is Call.REJOIN:
+        elif call is ManagementCall.REJOIN:
             verdict = self.operations.rejoin()
         else:
-            verdict = self._ban(host, call is Call.EXCLUDE)
+            verdict = self._ban(host, call is ManagementCall.EXCLUDE)
         for keeper in (self._succession, self.comeback):
-            if keeper is not None and verdict.yes:
+            if keeper is not None and verdict.succeeded:
                 keeper.ordered()
         self.take_posture()
         return verdict
 
-    def _ban(self, host: str, out: bool) -> Verdict:
+    def _ban(self, host: str, out: bool) -> CallResult:
         server = self.names.get(host)
         if server is None:
-            return UNKNOWN
+            return UNKNOWN_BACKEND
         if out is (server in self.balancer.bans):
-            return ALREADY
+            return ALREADY_DONE
         balancer = self.balancer
         self._dispatch(None, lambda now: balancer.ban(now, server) if out else balancer.unban(now, server))
         # It is restarted while it is out: what is open to it now is of no use then.
@@ -453,9 +462,9 @@
             self.discovery.subscribe()
 
     def _set_timer(self, action: Timer) -> None:
-        delay = max(0.0, action.at - self.clock.now())
+        delay = max(0.0, action.due - self.clock.now())
         token = action.token
-        self.loop.call_later(delay, lambda: self._dispatch(None, lambda now: self.balancer.timer(now, token)))
+        self.loop.call_later(delay, lambda: self._dispatch(None, lambda now: self.balancer.on_timer(now, token)))
 
     # ---- requests ------------------------------------------------------------------------
 
@@ -549,7 +558,7 @@
         caller.resumed(exchange)
         return exchange
 
-    def go_on(self, exchange: Exchange, past: Sequence[Past], joined: Sequence[Joined | None]) -> None:
+    def go_on(self, exchange: Exchange, past: Sequence[PriorAttempt], joined: Sequence[Joined | None]) -> None:
         """Go on with it, from the attempts that the other process has made; those that are joined go on here."""
         for number, (one, connection) in enumerate(zip(past, joined, strict=True)):
             attempt = Attempt(exchange, number, one.server, one.sent, exchange.repeatable)
@@ -563,7 +572,7 @@
 
         def ask() -> None:
             self._dispatch(
-                exchange, lambda now: self.balancer.inherit(now, exchange.rid, kind, tenant, deadline, past)
+                exchange, lambda now: self.balancer.take_over(now, exchange.rid, kind, tenant, deadline, past)
             )
 
         ask()
@@ -589,10 +598,10 @@
     def _ask(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
         """Bring a request before the module."""
         if self.comeback is not None:
-            self.balancer.kept = self.comeback.kept()
+            self.balancer.preferred = self.comeback.kept()
         deadline = exchange.deadline
         self._dispatch(exchange, lambda now: self.balancer.request(now, exchange.rid, kind, tenant, deadline, coming))
-        self.balancer.kept = None
+        self.balancer.preferred = None
 
     def turn_away(self, action: Refuse | Fail) -> None:
         """Refuse or fail a request that the module was not asked for."""
@@ -617,11 +626,11 @@
         for attempt in exchange.attempts:
             if not attempt.ended:
                 attempt.sent = now
-        self._dispatch(exchange, lambda now: self.balancer.whole(now, exchange.rid, exchange.deadline))
+        self._dispatch(exchange, lambda now: self.balancer.on_body_complete(now, exchange.rid, exchange.deadline))
 
     def body_spent(self, exchange: Exchange) -> None:
         """It can't be sent again."""
-        self.balancer.spent(exchange.rid)
+        self.balancer.on_body_released(exchange.rid)
 
     def read(self, request: Request) -> tuple[int, float | None]:
         """Class and budget of a request.
@@ -662,7 +671,7 @@
         if self.hand is not None:
             self.hand.gone(exchange)
         exchange.answered = True
-        self._dispatch(exchange, lambda now: self.balancer.gone(now, exchange.rid))
+        self._dispatch(exchange, lambda now: self.balancer.on_client_gone(now, exchange.rid))
         self._settle(exchange)
 
     def _give_until(self, exchange: Exchange, now: float, deadline: float) -> None:
@@ -717,7 +726,7 @@
             if not attempt.ended:
                 self._stop(attempt, Outcome.CANCELLED)
         try:
-            self.balancer.gone(self.clock.now(), exchange.rid)
+            self.balancer.on_client_gone(self.clock.now(), exchange.rid)
         except Exception:
             log.exception("the module failed to let a request go")
         self._settle(exchange)
@@ -823,7 +832,7 @@
         assert isinstance(exchange, Exchange)
         if exchange.answered or self._caller_left_unheard(exchange):
             return False
-        return self.balancer.permits(self.clock.now(), exchange.rid, attempt.number)
+        return self.balancer.may_start(self.clock.now(), exchange.rid, attempt.number)
 
     def answer_begun(self, attempt: Attempt, response: Response) -> bool:
         """A long answer has begun: it is this request's, from here on whatever comes of it."""
@@ -835,7 +844,7 @@
         exchange.passing = attempt
         self._stop_timer(exchange)
         exchange.caller.begin_answer(200, _passed_on(response), response.length)
-        self._dispatch(exchange, lambda now: self.balancer.begun(now, exchange.rid, attempt.number))
+        self._dispatch(exchange, lambda now: self.balancer.on_stream_started(now, exchange.rid, attempt.number))
         return True
 
     def answer_piece(self, attempt: Attempt, piece: bytes) -> None:
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -57,7 +57,7 @@
         version,
         proxy.operations.evacuated,
         tuple((names[server], server, since) for server, since in balancer.bans.items() if server in names),
-        tuple((server, since, back) for server, (since, back) in balancer.returned.items()),
+        tuple((server, since, back) for server, (since, back) in balancer.past_bans.items()),
     )
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
     """The proxy of a test ends at once; the waits of a real one are tested on a process."""
     if _virtual(request):
         return
-    monkeypatch.setattr(operations, "STOP_ACCEPT", 0.0)
+    monkeypatch.setattr(operations, "STOP_ACCEPT_PERIOD", 0.0)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -96,7 +96,7 @@
         if not owed.ended:
             owed.ended = True
             owed.finals += 1  # nothing is owed any more
-        self.apply(self.balancer.gone(self.now, rid))
+        self.apply(self.balancer.on_client_gone(self.now, rid))
 
     def advance(self, span: float) -> None:
         target = self.now + span
@@ -112,7 +112,7 @@
             self.now = max(self.now, at)
             if what:
                 self.timers.remove((at, n))
-                self.apply(self.balancer.timer(self.now, n))
+                self.apply(self.balancer.on_timer(self.now, n))
             else:
                 self.end(rid, n, Outcome.TIMEOUT)
         self.now = target
@@ -124,8 +124,8 @@
     def apply(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Timer):
-                assert action.at >= self.now
-                self.timers.append((max(action.at, self.now + 1e-6), action.token))
+                assert action.due >= self.now
+                self.timers.append((max(action.due, self.now + 1e-6), action.token))
             elif isinstance(action, Subscribe):
                 self.subscribed += 1
             elif isinstance(action, Send):
--- a/tests/loopback/test_race_conditions.py
+++ b/tests/loopback/test_race_conditions.py
@@ -20,7 +20,7 @@
 from cometusher.callers import ACCEPTS, CallerConnection
 from standins.messages import take_message
 from weldroute import ListKind
-from weldroute.operations import Posture
+from weldroute.operations import ListenerState
 
 NO_CANCEL = {"Bounds": {"Cancel": False}}
 SLOW_DIAL = {"Bounds": {"DialTimeout": 8.0}}
@@ -350,7 +350,7 @@
 # ---- the end of the listener ---------------------------------------------------------------------
 
 
-def deaf(posture: Posture) -> Posture:
+def deaf(posture: ListenerState) -> ListenerState:
     return replace(posture, up=False, listens=False)
 
 
@@ -449,9 +449,9 @@
             kinds: list[ListKind] = []
             members = r.proxy.balancer.members
 
-            def note(now: float, kind: ListKind, rows: Any) -> Any:
-                kinds.append(kind)
-                return members(now, kind, rows)
+            def note(now: float, list_kind: ListKind, rows: Any) -> Any:
+                kinds.append(list_kind)
+                return members(now, list_kind, rows)
 
             r.proxy.balancer.members = note  # type: ignore[method-assign]
             watch = await r.discovery.watch()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -29,8 +29,8 @@
     Tenant,
     Timer,
 )
-from weldroute.decide import COPY
-from weldroute.model import Past, Rules
+from weldroute.decide import COPY_TIMER
+from weldroute.model import PriorAttempt, Rules
 
 SAFE = RequestClass("safe", aim=1.0, deadline=4.0, repeat=Repeat.SAFE)
 UNSAFE = RequestClass("unsafe", aim=1.0, deadline=4.0, repeat=Repeat.UNSAFE)
@@ -130,7 +130,7 @@
 
 
 def test_lower_tier_has_no_entry() -> None:
-    assert made(Settings(classes=(SAFE,), tier=1, tiers=2)).entry is None
+    assert made(Settings(classes=(SAFE,), tier=1, tiers=2)).admission is None
 
 
 def test_over_share_tenant_goes_first() -> None:
@@ -206,16 +206,16 @@
         b.members(0.0, ListKind.STALE, [ServerRow(1)])
         (timer,) = b.start(0.0)
         assert isinstance(timer, Timer)
-        starts.add(timer.at)
-        assert b.timer(timer.at, timer.token) == [Subscribe()]
-        assert b.timer(timer.at, timer.token) == []  # a stale timer
+        starts.add(timer.due)
+        assert b.on_timer(timer.due, timer.token) == [Subscribe()]
+        assert b.on_timer(timer.due, timer.token) == []  # a stale timer
         waits = []
         for _ in range(4):
             (again,) = b.members(1.0, ListKind.BROKEN, [])
             assert isinstance(again, Timer)
             assert b.members(1.0, ListKind.BROKEN, []) == []  # one call at a time
-            waits.append(again.at - 1.0)
-            b.timer(again.at, again.token)
+            waits.append(again.due - 1.0)
+            b.on_timer(again.due, again.token)
         assert waits[3] > waits[0]
         assert max(waits) <= 1.5 * config.rules.ask_within
     assert len(starts) == 5
@@ -226,7 +226,7 @@
     for me in range(40):
         b = Balancer(Settings(classes=(SAFE,), balancers=40, me=me), me)
         b.members(0.0, ListKind.WHOLE, [ServerRow(i) for i in range(80)])
-        for s in b.near.used:
+        for s in b.near_pool.active:
             seen[s.row.server] += 1
     assert len(seen) == 80
     assert max(seen.values()) - min(seen.values()) <= 1
@@ -237,8 +237,8 @@
     assert b.outcome(0.0, "never", 0, Outcome.OK, 0.1) == []
     b.request(0.0, "r", 0, deadline=4.0)
     assert b.outcome(0.1, "r", 5, Outcome.OK, 0.1) == []
-    assert b.gone(0.2, "r") == []
-    assert b.gone(0.2, "r") == []
+    assert b.on_client_gone(0.2, "r") == []
+    assert b.on_client_gone(0.2, "r") == []
     assert b.outcome(0.3, "r", 0, Outcome.OK, 0.3, True) == []
     assert b.requests == {}
 
@@ -264,14 +264,14 @@
     kind = RequestClass("s", 1.0, 4.0, Repeat.SAFE, streaming=True)
     b = made(Settings(classes=(kind,), limits=Limits(cancel=True, max_attempts=3)))
     b.request(0.0, "r", 0, deadline=4.0)
-    assert b.begun(0.1, "r", 0) == []
-    assert b.gone(1.0, "r") == []  # a stream is not cancelled
+    assert b.on_stream_started(0.1, "r", 0) == []
+    assert b.on_client_gone(1.0, "r") == []  # a stream is not cancelled
     assert b.outcome(1.1, "r", 0, Outcome.BROKEN, 1.1, True) == []  # its break concludes the request
     b.request(2.0, "q", 0, deadline=6.0)
-    b.begun(2.1, "q", 0)
+    b.on_stream_started(2.1, "q", 0)
     assert b.outcome(9.0, "q", 0, Outcome.OK, 7.0, True) == []
     assert b.requests == {}
-    assert b.begun(9.0, "never", 0) == []
+    assert b.on_stream_started(9.0, "never", 0) == []
 
 
 def test_failed_attempt_goes_elsewhere_until_attempts_run_out() -> None:
@@ -323,7 +323,7 @@
 def test_calls_stuck_for_long_are_no_queue() -> None:
     b = made(Settings(classes=(SAFE,)), 6)
     _steady(b, 6.0, 0.05, 0.1)
-    assert b.entry is not None
+    assert b.admission is not None
     stuck = 0
     for i in range(40):  # a fifth is never answered, the rest is quick
         now = 6.1 + i * 0.05
@@ -333,7 +333,7 @@
             else:
                 stuck += 1
     assert stuck >= 6
-    assert b.entry.forecast(8.1) == 0.0
+    assert b.admission.forecast_wait(8.1) == 0.0
 
 
 def _zoned(price: float, servers: int = 12) -> Balancer:
@@ -382,7 +382,7 @@
     for i in range(100):
         b.request(i * 0.1, f"w{i}")
         b.outcome(i * 0.1 + 0.05, f"w{i}", 0, Outcome.OK, 0.05, True)
-        b.timer(i * 0.1 + 0.09, COPY)
+        b.on_timer(i * 0.1 + 0.09, COPY_TIMER)
     return b
 
 
@@ -390,9 +390,9 @@
 def test_a_second_copy_goes_out_once_and_only_where_it_may(kind: int, second: bool, sends: int) -> None:
     b = warmed(second_copies=second)
     b.request(20.0, "r", kind)
-    b.timer(20.1, COPY)
+    b.on_timer(20.1, COPY_TIMER)
     assert b.requests["r"].open == 1, "too early"
-    out = b.timer(20.5, COPY) + b.timer(21.0, COPY)
+    out = b.on_timer(20.5, COPY_TIMER) + b.on_timer(21.0, COPY_TIMER)
     assert sum(isinstance(action, Send) for action in out) == sends
     assert Cancel("r", 0) in b.outcome(21.1, "r", 1, Outcome.OK, 0.6, True) or not sends
 
@@ -403,7 +403,7 @@
         b.request(20.0 + i * 0.5, f"s{i}")
         b.outcome(20.4 + i * 0.5, f"s{i}", 0, Outcome.OK, 0.4, True)
     b.request(50.0, "r")
-    assert not any(isinstance(action, Send) for action in b.timer(59.0, COPY))
+    assert not any(isinstance(action, Send) for action in b.on_timer(59.0, COPY_TIMER))
 
 
 def test_servers_that_are_gone_are_forgotten() -> None:
@@ -440,7 +440,7 @@
             how = Outcome.UNREACHABLE if j % 5 == 0 else Outcome.OK
             sends += [a.server for a in b.outcome(2.1 + i, rid, 0, how, 0.1) if isinstance(a, Send)]
             assert sends and 2 not in sends
-            b.gone(2.2 + i, rid)
+            b.on_client_gone(2.2 + i, rid)
         b.members(2.5 + i, kind, [ServerRow(n, started=float(i) if n == 2 else 0.0) for n in (1, 2, 3)])
     b.members(7.0, ListKind.PATCH, [ServerRow(2, State.GONE)])
     b.members(7.1, ListKind.PATCH, [ServerRow(2, started=7.0)])
@@ -477,7 +477,7 @@
     # Discovery tells that it started while it was out: from then on that counts.
     b.members(12.0, ListKind.PATCH, [ServerRow(2, started=6.5)])
     assert b.servers[2].cold_until(b.settings.rules) == 26.5
-    assert not b.returned
+    assert not b.past_bans
 
 
 def test_first_calls_to_a_returned_server_are_spread_over_its_callers() -> None:
@@ -489,25 +489,25 @@
         b.members(0.0, ListKind.WHOLE, [ServerRow(n) for n in (1, 2, 3)])
         b.ban(1.0, 2)
         b.unban(2.0, 2)
-        due.append(b.put_back[2] - 2.0)
+        due.append(b.first_call_due[2] - 2.0)
     assert max(due) <= 12.0 and max(sum(t <= x < t + 1.0 for x in due) for t in due) <= 10
 
 
 def test_a_body_that_is_let_go_is_never_sent_again() -> None:
     b = ban_rig()
-    b.request(1.0, "r", 0, 0, 900.0, coming=True)
-    b.spent("r")
+    b.request(1.0, "r", 0, 0, 900.0, receiving=True)
+    b.on_body_released("r")
     (answer,) = b.outcome(4.0, "r", 0, Outcome.UNREACHABLE, 3.0)
     assert isinstance(answer, Refuse)
 
 
 def test_a_slow_sender_says_nothing_of_a_server() -> None:
     b = ban_rig()
-    (send,) = b.request(1.0, "r", 0, 0, 900.0, coming=True)
+    (send,) = b.request(1.0, "r", 0, 0, 900.0, receiving=True)
     assert isinstance(send, Send)
     server = b.servers[send.server]
     assert server.score(60.0, 0.1) == 0.1, "while it comes, no attempt is out"
-    b.whole(61.0, "r", 66.0)
+    b.on_body_complete(61.0, "r", 66.0)
     assert server.score(62.0, 0.1) == 2.0, "from its last byte on it counts as any other"
     b.outcome(61.3, "r", 0, Outcome.OK, 0.3, last=True)
     assert server.latency == 0.3
@@ -589,18 +589,18 @@
     ("kind", "past", "wanted"),
     [
         (0, [], "any"),
-        (0, [Past(2, 9.5)], "other"),
-        (1, [Past(2, 9.5, zone=0, cell=2)], "zone"),
-        (1, [Past(2, 9.5, maybe_ran=False, zone=0)], "other"),
-        (1, [Past(99, 9.5, zone=0)], "zone"),
-        (1, [Past(2, 5.0, zone=0)], "fail"),
-        (2, [Past(2, 9.5)], "fail"),
-        (2, [Past(2, 9.5, maybe_ran=False)], "other"),
-        (0, [Past(1, 9.5), Past(2, 9.6), Past(3, 9.7)], "refuse"),
+        (0, [PriorAttempt(2, 9.5)], "other"),
+        (1, [PriorAttempt(2, 9.5, zone=0, cell=2)], "zone"),
+        (1, [PriorAttempt(2, 9.5, maybe_ran=False, zone=0)], "other"),
+        (1, [PriorAttempt(99, 9.5, zone=0)], "zone"),
+        (1, [PriorAttempt(2, 5.0, zone=0)], "fail"),
+        (2, [PriorAttempt(2, 9.5)], "fail"),
+        (2, [PriorAttempt(2, 9.5, maybe_ran=False)], "other"),
+        (0, [PriorAttempt(1, 9.5), PriorAttempt(2, 9.6), PriorAttempt(3, 9.7)], "refuse"),
     ],
 )
-def test_a_request_of_a_lost_process_goes_on_by_the_rules(kind: int, past: list[Past], wanted: str) -> None:
-    (action,) = heir().inherit(10.0, "r", kind, 0, 12.0, past)
+def test_a_request_of_a_lost_process_goes_on_by_the_rules(kind: int, past: list[PriorAttempt], wanted: str) -> None:
+    (action,) = heir().take_over(10.0, "r", kind, 0, 12.0, past)
     if wanted in ("fail", "refuse"):
         assert isinstance(action, Fail if wanted == "fail" else Refuse)
         return
@@ -611,20 +611,20 @@
 
 def test_a_joined_attempt_is_one_of_its_own() -> None:
     balancer = heir()
-    past = [Past(2, 9.0, maybe_ran=False), Past(3, 9.5, joined=True)]
-    assert balancer.inherit(10.0, "r", 2, 0, 12.0, past) == []
-    assert len(balancer.servers[3].out) == 1
+    past = [PriorAttempt(2, 9.0, maybe_ran=False), PriorAttempt(3, 9.5, joined=True)]
+    assert balancer.take_over(10.0, "r", 2, 0, 12.0, past) == []
+    assert len(balancer.servers[3].in_flight) == 1
     assert balancer.outcome(10.5, "r", 1, Outcome.OK, 1.0, last=True) == []
-    assert not balancer.servers[3].out and not balancer.requests
+    assert not balancer.servers[3].in_flight and not balancer.requests
 
 
 def test_a_joined_attempt_that_breaks_is_decided_as_any_other() -> None:
     balancer = heir()
-    balancer.inherit(10.0, "r", 2, 0, 12.0, [Past(3, 9.5, joined=True)])
+    balancer.take_over(10.0, "r", 2, 0, 12.0, [PriorAttempt(3, 9.5, joined=True)])
     (action,) = balancer.outcome(10.5, "r", 0, Outcome.BROKEN, 1.0)
     assert isinstance(action, Fail)
 
 
 def test_work_whose_body_is_lost_or_whose_time_is_up_is_not_sent() -> None:
-    assert isinstance(heir().inherit(10.0, "r", 0, 0, 12.0, [], spent=True)[0], Refuse)
-    assert isinstance(heir().inherit(10.0, "r", 0, 0, 9.0, [])[0], Refuse)
+    assert isinstance(heir().take_over(10.0, "r", 0, 0, 12.0, [], body_released=True)[0], Refuse)
+    assert isinstance(heir().take_over(10.0, "r", 0, 0, 9.0, [])[0], Refuse)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -10,13 +10,13 @@
 def test_error_ratio_with_k_falling() -> None:
     b = Breaker()
     for _ in range(20):
-        b.failed(0.0)
+        b.record_failure(0.0)
     # one failing bucket of 40: k does not matter without accepts; (20 - 5) / 21
     assert b.error_ratio(0.0) == pytest.approx(15 / 21)
-    b.accepted(0.0)
+    b.record_success(0.0)
     # an accept ends the run of failing buckets: (21 - 5 - 1.5) / 22
     assert b.error_ratio(0.0) == pytest.approx(14.5 / 22)
-    b.failed(0.3)
+    b.record_failure(0.3)
     # one newest bucket failed only: k = 1.5 - 0.4 / 40 = 1.49; (22 - 5 - 1.49) / 23
     assert b.error_ratio(0.3) == pytest.approx(15.51 / 23)
 
@@ -24,9 +24,9 @@
 def test_protection_and_window() -> None:
     b = Breaker()
     for _ in range(5):
-        b.failed(0.0)
+        b.record_failure(0.0)
     assert b.error_ratio(0.0) == 0.0
-    b.failed(0.0)
+    b.record_failure(0.0)
     assert b.error_ratio(9.9) == pytest.approx(1 / 7)
     assert b.error_ratio(10.0) == 0.0  # bucket 0 has left the window
 
@@ -34,18 +34,18 @@
 def test_local_refusals_count_as_requests() -> None:
     b = Breaker()
     for _ in range(6):
-        b.refused(0.0)
+        b.record_refusal(0.0)
     assert b.error_ratio(0.0) == pytest.approx(1 / 7)
 
 
 def test_both_averages() -> None:
     b = Breaker()
-    b.sample(0.1)
+    b.record_latency(0.1)
     assert (b.baseline, b.current) == (0.1, 0.1)
-    b.sample(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
+    b.record_latency(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
     assert b.baseline == pytest.approx(0.104)
     assert b.current == pytest.approx(0.2)
-    b.sample(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
+    b.record_latency(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
     assert b.baseline == pytest.approx(0.079)
     assert b.current == pytest.approx(0.151)
 
@@ -73,7 +73,7 @@
     b.baseline, b.current = 0.1, 5.0
     assert b.drop_probability(0.0, 1.0) == pytest.approx(0.3)
     for _ in range(500):
-        b.failed(0.0)
+        b.record_failure(0.0)
     assert b.drop_probability(0.0, 1.0) == pytest.approx(495 / 501)
     rng = Random(1)
     assert not b.refuses(0.0, 1.0, rng)  # the forced pass
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -17,7 +17,7 @@
 from cometusher import backends as backends_module
 from cometusher import callers as callers_module
 from weldroute import Outcome
-from weldroute.decide import SAME_SERVER
+from weldroute.decide import MAX_ATTEMPTS_PER_SERVER
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -145,7 +145,7 @@
             assert (await r.call(kind="view"))[0] == safe
             assert (await r.call(kind="once", rid="2"))[0] == once
             # Where there is one backend, what broke and may be repeated is asked for there once more.
-            assert told == [how] * (1 + SAME_SERVER if how is Outcome.BROKEN else 2)
+            assert told == [how] * (1 + MAX_ATTEMPTS_PER_SERVER if how is Outcome.BROKEN else 2)
 
     run(test)
 
@@ -375,7 +375,7 @@
             assert len(r.seen) == 30
             for server in r.proxy.balancer.servers.values():
                 assert server.breaker is None or server.breaker.error_ratio(r.proxy.clock.now()) == 0.0
-                assert not server.out
+                assert not server.in_flight
 
     run(test)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -146,10 +146,10 @@
     config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4))
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.ready)
+        patch.setattr(decide.Balancer, "_allowed_servers", lambda self, now, request: self.ready)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_answer", lambda self, *rest: None)
+        patch.setattr(decide.Balancer, "_refuse_or_fail", lambda self, *rest: None)
         with pytest.raises(AssertionError, match="final answers"):
             play(Checker(config, 1, rows), steps)
--- a/tests/unit/test_handover.py
+++ b/tests/unit/test_handover.py
@@ -57,8 +57,10 @@
         assert mine.latency == server.latency and mine.breaker is not None and server.breaker is not None
         assert mine.breaker.error_ratio(20.1) == server.breaker.error_ratio(20.1)
         assert mine.breaker.current == server.breaker.current
-    assert old.entry is not None and new.entry is not None
-    assert new.entry.forecast(20.1) == old.entry.forecast(20.1) - max(0, old.entry.waiting - 5)
+    assert old.admission is not None and new.admission is not None
+    assert new.admission.forecast_wait(20.1) == old.admission.forecast_wait(20.1) - max(
+        0, old.admission.queue_length - 5
+    )
 
 
 def test_a_server_that_started_anew_has_nothing_of_the_old_process() -> None:
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -137,12 +137,12 @@
             if isinstance(action, Send):
                 self.send(balancer, action)
             elif isinstance(action, Timer):
-                self.at(action.at, partial(self.due, balancer, action.token))
+                self.at(action.due, partial(self.due, balancer, action.token))
             else:
                 assert isinstance(action, Refuse | Fail | Cancel)
 
     def due(self, balancer: Balancer, token: int) -> None:
-        self.carry_out(balancer, balancer.timer(self.now, token))
+        self.carry_out(balancer, balancer.on_timer(self.now, token))
 
     def send(self, balancer: Balancer, action: Send) -> None:
         number = len(balancer.requests[action.request].attempts) - 1
--- a/tests/unit/test_takeover.py
+++ b/tests/unit/test_takeover.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldroute.model import Group, Past, Repeat, RequestClass
+from weldroute.model import Group, PriorAttempt, Repeat, RequestClass
 from weldroute.request_journal import End, Entry, Progress, Stage, Try
 from weldroute.takeover import (
     LEAST_LEFT,
@@ -34,9 +34,9 @@
 KEYED = RequestClass("submit", repeat=Repeat.KEYED, group=Group.ZONE, window=4.0)
 KEYED_ALL = replace(KEYED, group=Group.ALL)
 UNSAFE = RequestClass("once", repeat=Repeat.UNSAFE)
-SENT = (Past(1, 10.0),)
-NEVER = (Past(1, 10.0, maybe_ran=False),)
-JOINED = (Past(1, 10.0, joined=True),)
+SENT = (PriorAttempt(1, 10.0),)
+NEVER = (PriorAttempt(1, 10.0, maybe_ran=False),)
+JOINED = (PriorAttempt(1, 10.0, joined=True),)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
     more: bool,
     sent: list[tuple[float, bool, bool]],
 ) -> None:
-    tries = tuple(Past(1, at, maybe, maybe and joined) for at, maybe, joined in sent)
+    tries = tuple(PriorAttempt(1, at, maybe, maybe and joined) for at, maybe, joined in sent)
     work = Work(kind, stage, deadline, body, caller, left, more, tries)
     verdict, _ = inherit(work, now)
     maybe = any(one.maybe_ran for one in tries)
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -11,7 +11,7 @@
 from cometusher.simulation import script
 from cometusher.simulation.world import Result, play
 from weldroute import takeover
-from weldroute.model import Past
+from weldroute.model import PriorAttempt
 from weldroute.request_journal import Try
 from weldroute.takeover import Seen
 
@@ -66,8 +66,8 @@
 def test_an_heir_that_believes_notes_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: whatever was sent is taken for what has never run."""
 
-    def never(one: Try, seen: Seen | None, came: bool = True) -> Past:
-        return Past(one.server, one.at, False, False, one.zone, one.cell)
+    def never(one: Try, seen: Seen | None, came: bool = True) -> PriorAttempt:
+        return PriorAttempt(one.server, one.at, False, False, one.zone, one.cell)
 
     monkeypatch.setattr(takeover, "weigh_try", never)
     assert [text for text in found(range(6)) if "effect twice" in text]
--- a/weldroute/benchlink.py
+++ b/weldroute/benchlink.py
@@ -25,7 +25,7 @@
 from weldroute.settings import read_settings
 
 STATES = {"U": State.UP, "L": State.DRAINING, "D": State.GONE}
-KINDS = {
+LIST_KINDS = {
     "stale_copy": ListKind.STALE,
     "whole": ListKind.WHOLE,
     "patch": ListKind.PATCH,
@@ -43,7 +43,7 @@
 }
 
 
-class WireFault(Exception):
+class ProtocolError(Exception):
     """A line that the wire does not allow."""
 
 
@@ -81,42 +81,42 @@
     if isinstance(action, Cancel):
         return {"m": "UndoSend", "ProxyId": instance, "Ref": action.request, "RoundNo": action.attempt}
     if isinstance(action, Timer):
-        return {"m": "Sleep", "ProxyId": instance, "When": action.at, "Tag": action.token}
+        return {"m": "Sleep", "ProxyId": instance, "When": action.due, "Tag": action.token}
     assert isinstance(action, Subscribe)
     return {"m": "Watch", "ProxyId": instance, "Want": True}
 
 
-class Link:
+class SimulatorAdapter:
     """All instances of one process, and the numbered lists that they share read-only."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.fresh: set[int] = set()
+        self.unstarted: set[int] = set()
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
-    def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        kind = KINDS[e["Mode"]]
+    def _on_members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
+        kind = LIST_KINDS[e["Mode"]]
         rows: tuple[ServerRow, ...] = ()
         if kind is not ListKind.BROKEN:
             if e["List"] not in self.lists:
-                raise WireFault(f"unknown list number {e['List']}")
+                raise ProtocolError(f"unknown list number {e['List']}")
             rows = self.lists[e["List"]]
         out = b.members(now, kind, rows)
-        if e["ProxyId"] in self.fresh:
-            self.fresh.discard(e["ProxyId"])
+        if e["ProxyId"] in self.unstarted:
+            self.unstarted.discard(e["ProxyId"])
             out += b.start(now)
         return out
 
     @staticmethod
-    def _call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
+    def _on_call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         return b.request(now, e["Ref"], e.get("Kind", 0), e.get("ClientGroup", 0), e.get("Deadline"))
 
     @staticmethod
-    def _returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
+    def _on_returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         how = OUTCOMES[e["How"]]
         return b.outcome(now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False))
 
-    def event(self, now: float, e: dict[str, Any]) -> list[Action]:
+    def handle(self, now: float, e: dict[str, Any]) -> list[Action]:
         """Hand one event to its instance; returns the instance's actions."""
         name = e["m"]
         if name == "Register":
@@ -125,29 +125,29 @@
         instance = e["ProxyId"]
         if name == "OpenInstance":
             self.instances[instance] = Balancer(read_settings(e.get("Settings") or {}), e.get("Entropy", 0))
-            self.fresh.add(instance)
+            self.unstarted.add(instance)
             return []
         balancer = self.instances.get(instance)
         if balancer is None:
-            raise WireFault(f"instance {instance} was never opened")
+            raise ProtocolError(f"instance {instance} was never opened")
         if name == "Teardown":
             del self.instances[instance]
-            self.fresh.discard(instance)
+            self.unstarted.discard(instance)
             return []
         if name == "Members":
-            return self._members(balancer, now, e)
+            return self._on_members(balancer, now, e)
         handler = HANDLERS.get(name)
         if handler is None:
-            raise WireFault(f"unknown message {name!r}")
+            raise ProtocolError(f"unknown message {name!r}")
         return handler(balancer, now, e)
 
 
 HANDLERS: dict[str, Callable[[Balancer, float, dict[str, Any]], list[Action]]] = {
-    "Call": Link._call,
-    "Returned": Link._returned,
-    "Wake": lambda b, now, e: b.timer(now, e["Tag"]),
-    "Aborted": lambda b, now, e: b.gone(now, e["Ref"]),
-    "Started": lambda b, now, e: b.begun(now, e["Ref"], e.get("RoundNo", 0)),
+    "Call": SimulatorAdapter._on_call,
+    "Returned": SimulatorAdapter._on_returned,
+    "Wake": lambda b, now, e: b.on_timer(now, e["Tag"]),
+    "Aborted": lambda b, now, e: b.on_client_gone(now, e["Ref"]),
+    "Started": lambda b, now, e: b.on_stream_started(now, e["Ref"], e.get("RoundNo", 0)),
     "PingResult": lambda b, now, e: [],
     "NeighbourSays": lambda b, now, e: [],
 }
@@ -155,7 +155,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: Any) -> int:
     """Answer batches until the input ends; returns the exit code."""
-    link = Link()
+    link = SimulatorAdapter()
     now: float | None = None
     replies: list[bytes] = []
     event: Any
@@ -163,15 +163,15 @@
         try:
             event = orjson.loads(line)
             if not isinstance(event, dict) or "m" not in event:
-                raise WireFault("not a message")
+                raise ProtocolError("not a message")
             name = event["m"]
             if name == "Tick":
                 if now is not None:
-                    raise WireFault("a Tick inside a batch")
+                    raise ProtocolError("a Tick inside a batch")
                 now = float(event["Time"])
                 continue
             if now is None:
-                raise WireFault(f"{name!r} outside a batch")
+                raise ProtocolError(f"{name!r} outside a batch")
             if name == "Flush":
                 replies.append(b'{"m":"Eor"}\n')
                 sink.write(b"\n".join(replies))
@@ -179,24 +179,24 @@
                 replies.clear()
                 now = None
                 continue
-        except (WireFault, ValueError, KeyError, TypeError) as fault:
-            return _reject(errors, number, fault)
+        except (ProtocolError, ValueError, KeyError, TypeError) as fault:
+            return _report_error(errors, number, fault)
         try:
-            actions = link.event(now, event)
-        except (WireFault, KeyError, TypeError) as fault:
-            if isinstance(fault, WireFault) or _in_adapter(fault):
-                return _reject(errors, number, fault)
-            replies.append(_bail(event, fault))
+            actions = link.handle(now, event)
+        except (ProtocolError, KeyError, TypeError) as fault:
+            if isinstance(fault, ProtocolError) or _in_adapter(fault):
+                return _report_error(errors, number, fault)
+            replies.append(_bail_out(event, fault))
             continue
         except Exception as fault:
-            replies.append(_bail(event, fault))
+            replies.append(_bail_out(event, fault))
             continue
         if actions:
             instance = event["ProxyId"]
             for action in actions:
                 replies.append(orjson.dumps(write_action(instance, action)))
     if now is not None:
-        return _reject(errors, 0, WireFault("the input ended inside a batch"))
+        return _report_error(errors, 0, ProtocolError("the input ended inside a batch"))
     return 0
 
 
@@ -208,12 +208,12 @@
     return trace is not None and trace.tb_frame.f_code.co_filename == __file__
 
 
-def _bail(event: dict[str, Any], fault: BaseException) -> bytes:
+def _bail_out(event: dict[str, Any], fault: BaseException) -> bytes:
     text = f"{type(fault).__name__}: {fault}"
     return orjson.dumps({"m": "BailOut", "ProxyId": event.get("ProxyId", 0), "NoteText": text})
 
 
-def _reject(errors: Any, number: int, fault: BaseException) -> int:
+def _report_error(errors: Any, number: int, fault: BaseException) -> int:
     what = f"missing field {fault}" if isinstance(fault, KeyError) else str(fault)
     print(f"benchlink: line {number}: {what}".replace("\n", " "), file=errors)
     return 2
--- a/weldroute/handover.py
+++ b/weldroute/handover.py
@@ -23,7 +23,7 @@
 from itertools import pairwise
 from typing import Any
 
-from weldroute.decide import BUCKETS, Balancer, Breaker, Entry, Server
+from weldroute.decide import BUCKETS, AdmissionControl, Balancer, Breaker, Server
 from weldroute.model import ServerId
 
 FORM = 1
@@ -223,9 +223,9 @@
         else:
             balancer.unban(now, server)
     for server, since, back in wanted.returned:
-        if server not in balancer.bans and server not in balancer.returned and server not in changed:
-            balancer.returned[server] = (since, back)
-            balancer.recall(now, server)
+        if server not in balancer.bans and server not in balancer.past_bans and server not in changed:
+            balancer.past_bans[server] = (since, back)
+            balancer.apply_past_ban(now, server)
     return changed
 
 
@@ -234,7 +234,7 @@
 
 def _write_breaker(breaker: Breaker) -> dict[str, Any]:
     return {name: getattr(breaker, name) for name in BREAKER if getattr(breaker, name) > float("-inf")} | {
-        "ring": [list(bucket) for bucket in breaker._ring]
+        "ring": [list(bucket) for bucket in breaker._buckets]
     }
 
 
@@ -251,15 +251,15 @@
     for name in BREAKER:
         if name in values:
             setattr(breaker, name, values[name])
-    breaker._ring = deque(values["ring"])
-    breaker._requests = sum(bucket[1] for bucket in breaker._ring)
-    breaker._accepts = sum(bucket[2] for bucket in breaker._ring)
+    breaker._buckets = deque(values["ring"])
+    breaker._requests = sum(bucket[1] for bucket in breaker._buckets)
+    breaker._accepts = sum(bucket[2] for bucket in breaker._buckets)
     failing = 0
-    for bucket in reversed(breaker._ring):
+    for bucket in reversed(breaker._buckets):
         if bucket[2] or not bucket[3]:
             break
         failing += 1
-    breaker._failing = failing
+    breaker._failing_buckets = failing
 
 
 def write_learned(balancer: Balancer, now: float) -> dict[str, Any]:
@@ -276,7 +276,7 @@
     ]
     form: dict[str, Any] = {"form": FORM, "at": now, "servers": servers}
     form |= {name: getattr(balancer, name) for name in BALANCER}
-    entry = balancer.entry
+    entry = balancer.admission
     if entry is not None:
         form["entry"] = {name: getattr(entry, name) for name in (*ENTRY, *ENTRY_LISTS)} | {
             "breaker": _write_breaker(entry.breaker)
@@ -284,7 +284,7 @@
     return form
 
 
-def _read_entry(value: Any, entry: Entry) -> dict[str, Any]:
+def _read_entry(value: Any, entry: AdmissionControl) -> dict[str, Any]:
     form = _object(value, "entry")
     values: dict[str, Any] = {name: _number(form.get(name), f"entry.{name}") for name in ENTRY}
     for name in ENTRY_LISTS:
@@ -314,7 +314,7 @@
         server = balancer.servers.get(number)
         if server is not None and server.row.started == _number(started, "servers.started"):
             read.append((server, figures, window))
-    entry = balancer.entry
+    entry = balancer.admission
     door = _read_entry(form["entry"], entry) if entry is not None and "entry" in form else None
     for name, number in values.items():
         setattr(balancer, name, number)
--- a/weldroute/leases.py
+++ b/weldroute/leases.py
@@ -56,7 +56,7 @@
 
     def check(self) -> None:
         """Raise ValueError naming the first field that makes no sense."""
-        check_numbers(self, zero=True)
+        check_numbers(self, allow_zero=True)
         for name in ("length", "patience", "pause"):
             if getattr(self, name) == 0.0:
                 raise ValueError(f"{name}: 0 is not enough")
--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -81,7 +81,7 @@
 
     def check(self) -> None:
         """Raise ValueError naming the first field that makes no sense."""
-        check_numbers(self, zero=True)
+        check_numbers(self, allow_zero=True)
         for name in ("period", "patience", "gossip", "sync", "knock", "pause", "fanout", "riding", "page", "most"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name}: 0 is not enough")
--- a/weldroute/model.py
+++ b/weldroute/model.py
@@ -74,7 +74,7 @@
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID})
 
 
-def _number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
+def _check_number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
     ok = isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high
     if not ok or math.isnan(value):
         raise ValueError(f"{name}: {value!r} is not a number from {low} to {high}")
@@ -97,8 +97,8 @@
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
         for name in ("aim", "deadline", "window", "worth"):
-            _number(f"{at}.{name}", getattr(self, name))
-        _number(f"{at}.late_worth", self.late_worth, 0.0, 1.0)
+            _check_number(f"{at}.{name}", getattr(self, name))
+        _check_number(f"{at}.late_worth", self.late_worth, 0.0, 1.0)
         if not self.aim or not self.deadline:
             raise ValueError(f"{at}: aim and deadline must be above 0")
 
@@ -113,8 +113,8 @@
 
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _number(f"{at}.share", self.share, 0.0, 1.0)
-        _number(f"{at}.quota", self.quota)
+        _check_number(f"{at}.share", self.share, 0.0, 1.0)
+        _check_number(f"{at}.quota", self.quota)
 
 
 @dataclass(slots=True, frozen=True)
@@ -133,10 +133,10 @@
 
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _number(f"{at}.max_attempts", self.max_attempts, 1)
-        _number(f"{at}.streams_per_connection", self.streams_per_connection, 1)
+        _check_number(f"{at}.max_attempts", self.max_attempts, 1)
+        _check_number(f"{at}.streams_per_connection", self.streams_per_connection, 1)
         for name in ("max_retry_after", "connect_timeout", "connection_idle"):
-            _number(f"{at}.{name}", getattr(self, name))
+            _check_number(f"{at}.{name}", getattr(self, name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -153,9 +153,9 @@
 
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _number(f"{at}.cold_from", self.cold_from, 0.0, 1.0)
+        _check_number(f"{at}.cold_from", self.cold_from, 0.0, 1.0)
         for item in fields(self):
-            _number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{at}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -170,7 +170,7 @@
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
         for item in fields(self):
-            _number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{at}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -187,7 +187,7 @@
     def check(self, at: str) -> None:
         """Raise ValueError for values that make no sense."""
         for item in fields(self):
-            _number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{at}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -220,18 +220,18 @@
         for i, tenant in enumerate(self.tenants):
             tenant.check(f"tenants[{i}]")
         for name, count in (("me", "balancers"), ("tier", "tiers"), ("zone", "zones")):
-            _number(count, getattr(self, count), 1)
-            _number(name, getattr(self, name), 0, getattr(self, count) - 1)
-        _number("over_share_worth", self.over_share_worth, 0.0, 1.0)
+            _check_number(count, getattr(self, count), 1)
+            _check_number(name, getattr(self, name), 0, getattr(self, count) - 1)
+        _check_number("over_share_worth", self.over_share_worth, 0.0, 1.0)
         self.limits.check("limits")
         self.rules.check("rules")
         self.goal.check("goal")
         self.prices.check("prices")
 
 
-def pick_known(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
+def known_fields(cls: type, values: Mapping[str, Any]) -> dict[str, Any]:
     """The entries of `values` that are fields of `kind` and not None; others are ignored."""
-    names = {item.name for item in fields(kind)}
+    names = {item.name for item in fields(cls)}
     return {k: v for k, v in values.items() if k in names and v is not None}
 
 
@@ -248,7 +248,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Past:
+class PriorAttempt:
     """An attempt that another process made for a request that is taken over from it."""
 
     server: ServerId
@@ -295,7 +295,7 @@
 class Timer:
     """Call `timer(now, token)` at `at` or soon after."""
 
-    at: float
+    due: float
     token: int
 
 
--- a/weldroute/settings.py
+++ b/weldroute/settings.py
@@ -18,7 +18,7 @@
     Rules,
     Settings,
     Tenant,
-    pick_known,
+    known_fields,
 )
 
 REPEATS = {"retryable": Repeat.SAFE, "dedup": Repeat.KEYED, "fragile": Repeat.UNSAFE}
@@ -61,14 +61,14 @@
 
 
 def _named(kind: Any, names: dict[str, str], values: dict[str, Any]) -> Any:
-    return kind(**pick_known(kind, {ours: values.get(theirs) for ours, theirs in names.items()}))
+    return kind(**known_fields(kind, {ours: values.get(theirs) for ours, theirs in names.items()}))
 
 
 def read_settings(wire: dict[str, Any]) -> Settings:
     """Settings of the wire in the module's own terms; unknown keys are ignored, absent ones defaulted."""
     classes = tuple(
         RequestClass(
-            **pick_known(
+            **known_fields(
                 RequestClass,
                 {
                     "name": row.get("Name"),
@@ -107,4 +107,4 @@
         "goal": _named(Goal, GOAL, wire.get("Goal") or {}),
         "prices": _named(Prices, PRICES, wire.get("Penalties") or {}),
     }
-    return Settings(**pick_known(Settings, values))
+    return Settings(**known_fields(Settings, values))
--- a/weldroute/slow_start.py
+++ b/weldroute/slow_start.py
@@ -16,33 +16,33 @@
 
 from weldroute.model import Rules
 
-BURST = 1.25  # of its load, what a cold server may get in a short span
-WARM_MULTIPLE = 0.625  # of the multiple that pushes it over: what it may get of its part of a warm one's load
-GROWTH = 2.0  # of the calls that it answered, what it may get next, at most...
-GROWTH_PART = 0.8  # ...and at most this part of the multiple that pushes it over: with BURST, just that multiple
-OWN_MEMORY = 1.0  # seconds over which the answers of one cold server are smoothed
-WARM_MEMORY = 5.0  # seconds over which the load that warm servers carry is smoothed...
-WARM_KNOWN = 1.0  # ...and seconds of it that have to be seen before it counts
+BURST_MULTIPLE = 1.25  # of its load, what a cold server may get in a short span
+WARM_SHARE = 0.625  # of the multiple that pushes it over: what it may get of its part of a warm one's load
+MAX_GROWTH = 2.0  # of the calls that it answered, what it may get next, at most...
+GROWTH_SHARE = 0.8  # ...and at most this part of the multiple that pushes it over: with BURST, just that multiple
+COLD_RATE_WINDOW = 1.0  # seconds over which the answers of one cold server are smoothed
+WARM_RATE_WINDOW = 5.0  # seconds over which the load that warm servers carry is smoothed...
+WARM_MIN_OBSERVED = 1.0  # ...and seconds of it that have to be seen before it counts
 
 
-class Rate:
+class SmoothedRate:
     """Events a second, smoothed; without events it falls to 0 within `memory` seconds."""
 
-    __slots__ = ("_at", "_memory", "_value")
+    __slots__ = ("_updated_at", "_value", "_window")
 
     def __init__(self, memory: float) -> None:
-        self._memory = memory
+        self._window = memory
         self._value = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, now: float) -> None:
         """Count one event."""
-        self._value = self.at(now) + 1.0 / self._memory
-        self._at = now
+        self._value = self.per_second(now) + 1.0 / self._window
+        self._updated_at = now
 
-    def at(self, now: float) -> float:
+    def per_second(self, now: float) -> float:
         """Events a second, as of now."""
-        return self._value * max(0.0, 1.0 - (now - self._at) / self._memory)
+        return self._value * max(0.0, 1.0 - (now - self._updated_at) / self._window)
 
 
 class WarmLoad:
@@ -55,21 +55,21 @@
         self._observed = 0.0  # ...in so many seconds
         self._answered_at = 0.0
 
-    def answered(self, now: float, warm_servers: float) -> None:
+    def on_answer(self, now: float, warm_servers: float) -> None:
         """Count an answer of one of so many warm servers; 0: of a cold one, which is no measure of the others."""
-        elapsed = min(now - self._answered_at, WARM_MEMORY)
+        elapsed = min(now - self._answered_at, WARM_RATE_WINDOW)
         self._answered_at = now
         if warm_servers > 0.0:
-            kept = 1.0 - elapsed / WARM_MEMORY
+            kept = 1.0 - elapsed / WARM_RATE_WINDOW
             self._answers = self._answers * kept + 1.0 / warm_servers
             self._observed = self._observed * kept + elapsed
 
-    def known(self) -> float | None:
+    def per_server(self) -> float | None:
         """Calls a second, as last seen; None until enough was seen."""
-        return self._answers / self._observed if self._observed >= WARM_KNOWN else None
+        return self._answers / self._observed if self._observed >= WARM_MIN_OBSERVED else None
 
 
-def capacity_part(age: float, rules: Rules) -> float:
+def capacity_fraction(age: float, rules: Rules) -> float:
     """The part of a warm server's capacity that one of this age has for certain."""
     warmed = min(1.0, max(0.0, age) / max(rules.cold_for, 1e-6))
     return rules.cold_from + (1.0 - rules.cold_from) * warmed
@@ -82,11 +82,11 @@
     """
     if warm is None:
         return demand
-    growth = min(GROWTH, GROWTH_PART * rules.fall_multiple)
-    return min(demand, max(WARM_MULTIPLE * rules.fall_multiple * warm, growth * own / part))
+    growth = min(MAX_GROWTH, GROWTH_SHARE * rules.fall_multiple)
+    return min(demand, max(WARM_SHARE * rules.fall_multiple * warm, growth * own / part))
 
 
-def refill(credit: float, elapsed: float, load: float, rules: Rules) -> float:
+def refill_credit(credit: float, elapsed: float, load: float, rules: Rules) -> float:
     """Calls saved up for a cold server after so many seconds more at this load."""
-    pace = BURST * load
+    pace = BURST_MULTIPLE * load
     return min(max(1.0, pace * rules.fall_after), credit + pace * elapsed)
--- a/weldroute/takeover.py
+++ b/weldroute/takeover.py
@@ -45,7 +45,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from weldroute.model import Group, Past, Repeat, RequestClass
+from weldroute.model import Group, PriorAttempt, Repeat, RequestClass
 from weldroute.request_journal import End, Entry, Progress, Stage, Try
 
 SHUNNED_FOR = 0.5  # seconds in which one that has not received what it was offered is offered nothing more
@@ -112,7 +112,7 @@
     caller: bool = True  # its connection is at hand
     left: int = 0  # bytes of the noted answer that have not gone out
     more: bool = False  # more was read from the caller behind this request
-    tries: tuple[Past, ...] = ()
+    tries: tuple[PriorAttempt, ...] = ()
 
     @property
     def never(self) -> bool:
@@ -120,7 +120,7 @@
         return not any(one.maybe_ran for one in self.tries)
 
 
-def weigh_try(one: Try, seen: Seen | None, came: bool = True) -> Past:
+def weigh_try(one: Try, seen: Seen | None, came: bool = True) -> PriorAttempt:
     """An attempt, by its note and the account of its connection, if that is at hand.
 
     `came`: the last byte of the request has come from the caller.
@@ -130,7 +130,7 @@
         out = seen.written - one.wrote
         maybe = out >= one.length if one.length else out > 0
         joins = maybe and 0 < one.length <= out and seen.read == one.read
-    return Past(one.server, one.at, maybe, joins, one.zone, one.cell)
+    return PriorAttempt(one.server, one.at, maybe, joins, one.zone, one.cell)
 
 
 def weigh(entry: Entry, kind: RequestClass, caller: Seen | None, tries: Sequence[Seen | None]) -> Work:
