--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -29,11 +29,11 @@
 
 import cpu  # noqa: E402
 
-from cometusher.cluster.host import Mesh  # noqa: E402
+from cometusher.cluster.host import ClusterHost  # noqa: E402
 from cometusher.fleet.spec import MeshSpec  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
-from weldroute.members import Changed, State  # noqa: E402
+from weldroute.members import MemberState, StateChange  # noqa: E402
 
 AIM_GROWTH = 1.3  # of messages a member, from the fewest members to the most
 PATIENCE = 30.0  # seconds for whatever has to be seen
@@ -46,20 +46,20 @@
         loop = asyncio.get_running_loop()
         own = f"127.0.0.1:{ports[number]}"
         spec = MeshSpec(("127.0.0.1", ports[number]), own, f"m{number}", (f"127.0.0.1:{ports[0]}",), secret)
-        mesh = Mesh(spec, "bench", loop)
+        mesh = ClusterHost(spec, "bench", loop)
         sent = 0
-        send = mesh.wires.send
+        send = mesh.transport.send
 
         def counted(address: str, message: object) -> None:
             nonlocal sent
             sent += 1
             send(address, message)  # type: ignore[arg-type]
 
-        def changed(change: Changed) -> None:
-            pipe.send((time.monotonic(), number, change.row.name, change.row.state))
+        def changed(change: StateChange) -> None:
+            pipe.send((time.monotonic(), number, change.record.name, change.record.state))
 
-        mesh.wires.send = counted  # type: ignore[method-assign]
-        mesh.node.changed = changed
+        mesh.transport.send = counted  # type: ignore[method-assign]
+        mesh.runner.on_change = changed
         asked = asyncio.Event()
 
         def ask() -> None:
@@ -142,7 +142,7 @@
         """What a member holds of another."""
         return next((state for _, who, of, state in reversed(self.told) if (who, of) == (observer, name)), None)
 
-    def all_see(self, name: str, state: State, but: set[int]) -> bool:
+    def all_see(self, name: str, state: MemberState, but: set[int]) -> bool:
         """Whether all others do."""
         return all(
             self.last(i, name) == state for i in range(len(self.processes)) if f"m{i}" != name and i not in but
@@ -167,7 +167,7 @@
     """Seconds from a moment until each held that one for dead."""
     first: dict[int, float] = {}
     for when, who, of, state in crowd.told[mark:]:
-        if of == name and state == State.DEAD:
+        if of == name and state == MemberState.DEAD:
             first.setdefault(who, when - at)
     return sorted(first.values())
 
@@ -178,7 +178,7 @@
     with tempfile.TemporaryDirectory(prefix="mesh-") as folder:
         crowd = Crowd(count, Path(folder))
         try:
-            if not crowd.until(lambda: all(crowd.all_see(f"m{i}", State.ALIVE, set()) for i in range(count))):
+            if not crowd.until(lambda: all(crowd.all_see(f"m{i}", MemberState.ALIVE, set()) for i in range(count))):
                 raise SystemExit(f"{count} members do not find each other")
             crowd.hear(3.0)
             mark, before, begin = len(crowd.told), crowd.sent(), time.monotonic()
@@ -189,16 +189,16 @@
             found.messages = sum(after[i] - before[i] for i in after) / count / passed
             found.cpu = sum(spent) / count / passed
             calm = [state for _, _, of, state in crowd.told[mark:] if of]
-            found.suspected, found.dead = calm.count(State.SUSPECT), calm.count(State.DEAD)
+            found.suspected, found.dead = calm.count(MemberState.SUSPECT), calm.count(MemberState.DEAD)
             for victim, number, times in ((1, signal.SIGKILL, found.kill), (2, signal.SIGSTOP, found.stop)):
                 mark, at, gone = len(crowd.told), time.monotonic(), {1, victim}
                 os.kill(crowd.processes[victim].pid or 0, number)
                 name = f"m{victim}"
-                crowd.until(lambda name=name, gone=gone: crowd.all_see(name, State.DEAD, gone))  # type: ignore[misc]
+                crowd.until(lambda name=name, gone=gone: crowd.all_see(name, MemberState.DEAD, gone))  # type: ignore[misc]
                 times += noticed(crowd, mark, at, name)
             at = time.monotonic()
             os.kill(crowd.processes[2].pid or 0, signal.SIGCONT)
-            crowd.until(lambda: crowd.all_see("m2", State.ALIVE, {1}))
+            crowd.until(lambda: crowd.all_see("m2", MemberState.ALIVE, {1}))
             found.back = time.monotonic() - at
         finally:
             crowd.close()
--- a/cometusher/cluster/frames.py
+++ b/cometusher/cluster/frames.py
@@ -23,36 +23,40 @@
 import msgspec
 
 from weldroute import leases, members, replicated_map
-from weldroute.links import Kind
-
-FORM = 1
-HEAD, TAG = 4, 16  # bytes
-MOST_HELLO = 1024  # bytes
-MOST = 256 * 1024  # bytes of a frame
-NONCE = 16  # bytes
-LEAST_KEY = 16  # bytes
-HELLO, HERE, ASK = 0, 1, 8  # kinds of frames that carry no message: the last asks for the one before
+from weldroute.links import Priority
+
+PROTOCOL_VERSION = 1
+LENGTH_BYTES, TAG_BYTES = 4, 16  # bytes
+MAX_HELLO_BYTES = 1024  # bytes
+MAX_FRAME_BYTES = 256 * 1024  # bytes of a frame
+NONCE_BYTES = 16  # bytes
+MIN_KEY_BYTES = 16  # bytes
+HELLO_FRAME, ALIVE_FRAME, KEEPALIVE_FRAME = (
+    0,
+    1,
+    8,
+)  # kinds of frames that carry no message: the last asks for the one before
 
 Message = members.Message | leases.Request | leases.Answer | replicated_map.Message
 
-KINDS: dict[int, tuple[type[Any], Kind]] = {
-    2: (members.Ping, Kind.PROBE),
-    3: (members.Ack, Kind.PROBE),
-    4: (members.Nack, Kind.PROBE),
-    5: (members.PingFor, Kind.PROBE),
-    6: (members.Gossip, Kind.NEWS),
-    7: (members.Sync, Kind.WHOLE),
-    16: (leases.Prepare, Kind.LEASE),
-    17: (leases.Promise, Kind.LEASE),
-    18: (leases.Propose, Kind.LEASE),
-    19: (leases.Accepted, Kind.LEASE),
-    20: (leases.Rejected, Kind.LEASE),
-    21: (leases.Released, Kind.LEASE),
-    24: (replicated_map.News, Kind.NEWS),
-    25: (replicated_map.Digest, Kind.WHOLE),
+MESSAGE_TYPES: dict[int, tuple[type[Any], Priority]] = {
+    2: (members.Ping, Priority.PROBE),
+    3: (members.Ack, Priority.PROBE),
+    4: (members.Nack, Priority.PROBE),
+    5: (members.PingFor, Priority.PROBE),
+    6: (members.Gossip, Priority.NEWS),
+    7: (members.Sync, Priority.WHOLE),
+    16: (leases.Prepare, Priority.LEASE),
+    17: (leases.Promise, Priority.LEASE),
+    18: (leases.Propose, Priority.LEASE),
+    19: (leases.Accepted, Priority.LEASE),
+    20: (leases.Rejected, Priority.LEASE),
+    21: (leases.Released, Priority.LEASE),
+    24: (replicated_map.News, Priority.NEWS),
+    25: (replicated_map.Digest, Priority.WHOLE),
 }
-_NUMBERS = {form: number for number, (form, _) in KINDS.items()}
-_DECODERS = {number: msgspec.msgpack.Decoder(form) for number, (form, _) in KINDS.items()}
+_NUMBERS = {form: number for number, (form, _) in MESSAGE_TYPES.items()}
+_DECODERS = {number: msgspec.msgpack.Decoder(form) for number, (form, _) in MESSAGE_TYPES.items()}
 _ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -75,10 +79,10 @@
 _HELLOS = msgspec.msgpack.Decoder(Hello)
 
 
-def encode(message: Message) -> tuple[Kind, bytes]:
+def encode(message: Message) -> tuple[Priority, bytes]:
     """A message as the content of a frame, and what kind it is for the outbox."""
     number = _NUMBERS[type(message)]
-    return KINDS[number][1], bytes((number,)) + _ENCODER.encode(message)
+    return MESSAGE_TYPES[number][1], bytes((number,)) + _ENCODER.encode(message)
 
 
 def decode(content: bytes) -> Message:
@@ -94,7 +98,7 @@
 
 
 def _tag(key: bytes, number: int, *parts: bytes) -> bytes:
-    made = hashlib.blake2b(number.to_bytes(8, "big"), digest_size=TAG, key=key)
+    made = hashlib.blake2b(number.to_bytes(8, "big"), digest_size=TAG_BYTES, key=key)
     for part in parts:
         made.update(part)
     return made.digest()
@@ -103,88 +107,93 @@
 class Session:
     """One end of one link."""
 
-    def __init__(self, key: bytes, fleet: str, name: str, life: int, address: str, dials: bool) -> None:
+    def __init__(self, key: bytes, fleet: str, name: str, life: int, address: str, is_dialler: bool) -> None:
         """Raises ValueError for a key that is too short."""
-        if len(key) < LEAST_KEY:
-            raise ValueError(f"a key of {len(key)} bytes is shorter than {LEAST_KEY}")
+        if len(key) < MIN_KEY_BYTES:
+            raise ValueError(f"a key of {len(key)} bytes is shorter than {MIN_KEY_BYTES}")
         self._key = hashlib.blake2b(key, digest_size=32, person=b"fleet links").digest()
-        self._me = Hello(FORM, fleet, name, life, address, secrets.token_bytes(NONCE))
-        self._dials = dials
+        self._local_hello = Hello(PROTOCOL_VERSION, fleet, name, life, address, secrets.token_bytes(NONCE_BYTES))
+        self._is_dialler = is_dialler
         self._buffer = bytearray()
-        self._in = self._out = b""  # keys of either way, once both nonces are known
-        self._came = self._went = 0  # frames
+        self._receive_key = self._send_key = b""  # keys of either way, once both nonces are known
+        self._frames_received = self._frames_sent = 0  # frames
         self.peer: Hello | None = None
-        self.up = False  # the other end has proven that it is there now
-        self.answer = b""  # to be written before anything else is sealed
+        self.authenticated = False  # the other end has proven that it is there now
+        self.reply = b""  # to be written before anything else is sealed
 
-    def begin(self) -> bytes:
+    def start_handshake(self) -> bytes:
         """What the dialler writes first."""
-        return self._hello(b"")
+        return self._build_hello(b"")
 
-    def _hello(self, covers: bytes) -> bytes:
-        content = bytes((HELLO,)) + _ENCODER.encode(self._me)
-        return len(content).to_bytes(HEAD, "big") + _tag(self._key, 0, covers, content) + content
+    def _build_hello(self, covers: bytes) -> bytes:
+        content = bytes((HELLO_FRAME,)) + _ENCODER.encode(self._local_hello)
+        return len(content).to_bytes(LENGTH_BYTES, "big") + _tag(self._key, 0, covers, content) + content
 
-    def ask(self) -> bytes:
+    def keepalive(self) -> bytes:
         """A frame that asks for a sign of life."""
-        return self.seal(bytes((ASK,)))
+        return self.seal(bytes((KEEPALIVE_FRAME,)))
 
     def seal(self, content: bytes) -> bytes:
         """A frame; only once the other end's hello is known."""
-        if len(content) > MOST:
+        if len(content) > MAX_FRAME_BYTES:
             raise ValueError(f"{len(content)} bytes do not fit a frame")
-        self._went += 1
-        return len(content).to_bytes(HEAD, "big") + _tag(self._out, self._went, content) + content
+        self._frames_sent += 1
+        return len(content).to_bytes(LENGTH_BYTES, "big") + _tag(self._send_key, self._frames_sent, content) + content
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """The contents of all frames that are whole now; raises BadFrame, and then the link is to be ended."""
         self._buffer += data
-        while len(self._buffer) >= HEAD:
-            length = int.from_bytes(self._buffer[:HEAD], "big")
-            most = MOST if self.peer is not None else MOST_HELLO
+        while len(self._buffer) >= LENGTH_BYTES:
+            length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
+            most = MAX_FRAME_BYTES if self.peer is not None else MAX_HELLO_BYTES
             if not 0 < length <= most:
                 raise BadFrame(f"a frame of {length} bytes; {most} at most")
-            end = HEAD + TAG + length
+            end = LENGTH_BYTES + TAG_BYTES + length
             if len(self._buffer) < end:
                 return
-            tag, content = bytes(self._buffer[HEAD : HEAD + TAG]), bytes(self._buffer[HEAD + TAG : end])
+            tag, content = (
+                bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + TAG_BYTES]),
+                bytes(self._buffer[LENGTH_BYTES + TAG_BYTES : end]),
+            )
             del self._buffer[:end]
             if self.peer is None:
-                self._greet(tag, content)
+                self._on_hello(tag, content)
                 continue
-            self._came += 1
-            if not hmac.compare_digest(tag, _tag(self._in, self._came, content)):
+            self._frames_received += 1
+            if not hmac.compare_digest(tag, _tag(self._receive_key, self._frames_received, content)):
                 raise BadFrame("a tag that is not this link's")
-            self.up = True
-            if content[0] == ASK:
-                self.answer += self.seal(bytes((HERE,)))
-            elif content[0] != HERE:
+            self.authenticated = True
+            if content[0] == KEEPALIVE_FRAME:
+                self.reply += self.seal(bytes((ALIVE_FRAME,)))
+            elif content[0] != ALIVE_FRAME:
                 yield content
 
-    def _greet(self, tag: bytes, content: bytes) -> None:
-        covers = self._me.nonce if self._dials else b""
+    def _on_hello(self, tag: bytes, content: bytes) -> None:
+        covers = self._local_hello.nonce if self._is_dialler else b""
         if not hmac.compare_digest(tag, _tag(self._key, 0, covers, content)):
             raise BadFrame("a hello with another key")
-        if content[0] != HELLO:
+        if content[0] != HELLO_FRAME:
             raise BadFrame("no hello")
         try:
             peer = _HELLOS.decode(content[1:])
         except (msgspec.DecodeError, ValueError) as fault:
             raise BadFrame(f"hello: {fault}") from None
-        if peer.form != FORM:
-            raise BadFrame(f"form {peer.form} is not spoken here; {FORM} is")
-        if peer.fleet != self._me.fleet:
+        if peer.form != PROTOCOL_VERSION:
+            raise BadFrame(f"form {peer.form} is not spoken here; {PROTOCOL_VERSION} is")
+        if peer.fleet != self._local_hello.fleet:
             raise BadFrame(f"of fleet {peer.fleet!r}")
-        if len(peer.nonce) != NONCE or peer.nonce == self._me.nonce:
+        if len(peer.nonce) != NONCE_BYTES or peer.nonce == self._local_hello.nonce:
             raise BadFrame("a nonce that is none")
         self.peer = peer
-        nonces = (self._me.nonce + peer.nonce) if self._dials else (peer.nonce + self._me.nonce)
+        nonces = (
+            (self._local_hello.nonce + peer.nonce) if self._is_dialler else (peer.nonce + self._local_hello.nonce)
+        )
         up, down = (
             hashlib.blake2b(nonces, digest_size=32, key=self._key, person=way).digest() for way in (b"up", b"down")
         )
-        self._out, self._in = (up, down) if self._dials else (down, up)
-        if self._dials:
-            self.up = True  # its tag covers our nonce
-            self.answer = self.seal(bytes((HERE,)))
+        self._send_key, self._receive_key = (up, down) if self._is_dialler else (down, up)
+        if self._is_dialler:
+            self.authenticated = True  # its tag covers our nonce
+            self.reply = self.seal(bytes((ALIVE_FRAME,)))
         else:
-            self.answer = self._hello(peer.nonce)
+            self.reply = self._build_hello(peer.nonce)
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -37,7 +37,7 @@
 from weldroute.snapshots import Owner
 
 if TYPE_CHECKING:
-    from cometusher.cluster.host import Mesh
+    from cometusher.cluster.host import ClusterHost
     from cometusher.fleet.orphans import Estates
     from cometusher.fleet.supervisor_state import Memory
     from cometusher.fleet.watchdog import Watch
@@ -135,7 +135,7 @@
         self.memory: Memory | None = None
         self.estates: Estates | None = None
         self.watch: Watch | None = None
-        self.mesh: Mesh | None = None
+        self.mesh: ClusterHost | None = None
         self._keep_due = False
         self.children: dict[Key, Child] = {}
         self.manager = ServiceManager(environ)
@@ -175,10 +175,10 @@
             if self.spec.recorded is not None:
                 self.watch.recorder = Recorder(self.spec.recorded.path, self.spec.recorded.most)
         if self.spec.mesh is not None:
-            from cometusher.cluster.host import Mesh
+            from cometusher.cluster.host import ClusterHost
 
-            self.mesh = Mesh(self.spec.mesh, self.spec.place.name, self.loop, self._doors)
-            self.fleet.turn = self.mesh.turn
+            self.mesh = ClusterHost(self.spec.mesh, self.spec.place.name, self.loop, self._doors)
+            self.fleet.turn = self.mesh.may_roll_out
         await self._settle_predecessor()
         for one in self.spec.instances.values():
             self.listeners.get(one.name, one.listen)
@@ -297,7 +297,7 @@
             if stat is not None:
                 self.fleet.cpu(now, name, generation, stat.cpu, stat.state == RUNNABLE)
         if self.mesh is not None:
-            self.mesh.rolls(self.fleet.rolls)
+            self.mesh.request_rollout(self.fleet.rolls)
         self._do(self.fleet.tick(now))
         if not self._ended.is_set():
             self.loop.call_later(TICK, self._tick)
@@ -776,7 +776,7 @@
         if command in ("ban", "unban"):
             if not names:
                 raise ControlError(f"{command}: which backends?")
-            left = mesh.ban(names, command == "ban")
+            left = mesh.set_banned(names, command == "ban")
             if left:
                 raise ControlError(f"could not be said of {', '.join(map(repr, left[:5]))}: no room, or too long")
             return {"text": f"{command}: {', '.join(names)}"}
--- a/tests/unit/test_frames.py
+++ b/tests/unit/test_frames.py
@@ -8,13 +8,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cometusher.cluster.frames import HEAD, MOST, MOST_HELLO, TAG, BadFrame, Message, Session, decode, encode
+from cometusher.cluster.frames import (
+    LENGTH_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_HELLO_BYTES,
+    TAG_BYTES,
+    BadFrame,
+    Message,
+    Session,
+    decode,
+    encode,
+)
 from weldroute import leases, replicated_map
-from weldroute.links import Kind
-from weldroute.members import Ack, Gossip, Nack, Ping, PingFor, Row, State, Sync
+from weldroute.links import Priority
+from weldroute.members import Ack, Gossip, MemberRecord, MemberState, Nack, Ping, PingFor, Sync
 
 KEY = b"k" * 32
-ROW = Row(3, State.SUSPECT, 2**61, "10.0.0.1:7", "kigali", "m1", by="m2")
+ROW = MemberRecord(3, MemberState.SUSPECT, 2**61, "10.0.0.1:7", "kigali", "m1", by="m2")
 LEASE = leases.Lease("a", (4, "a"))
 MESSAGES: list[Message] = [
     Ping("f", "a", 1, "b", (ROW,)),
@@ -30,7 +40,7 @@
     leases.Accepted("d", (1, "a")),
     leases.Rejected("d", (1, "a"), (2, "b")),
     leases.Released("d", LEASE),
-    replicated_map.News("f", "a", (replicated_map.Fact("k", "v", (1, 2, "a")),)),
+    replicated_map.News("f", "a", (replicated_map.MapEntry("k", "v", (1, 2, "a")),)),
     replicated_map.Digest("f", "a", 7, True),
 ]
 
@@ -41,9 +51,9 @@
 
 def met() -> tuple[Session, Session]:
     one, other = ends()
-    assert list(other.feed(one.begin())) == [] and not other.up
-    assert list(one.feed(other.answer)) == [] and one.up
-    assert list(other.feed(one.answer)) == [] and other.up
+    assert list(other.feed(one.start_handshake())) == [] and not other.authenticated
+    assert list(one.feed(other.reply)) == [] and one.authenticated
+    assert list(other.feed(one.reply)) == [] and other.authenticated
     other.answer = one.answer = b""
     return one, other
 
@@ -60,7 +70,9 @@
 
 def test_probes_go_before_news_and_leases_before_all() -> None:
     kinds = [encode(message)[0] for message in MESSAGES]
-    assert kinds[:6] == [Kind.PROBE] * 4 + [Kind.NEWS, Kind.WHOLE] and set(kinds[6:-2]) == {Kind.LEASE}
+    assert kinds[:6] == [Priority.PROBE] * 4 + [Priority.NEWS, Priority.WHOLE] and set(kinds[6:-2]) == {
+        Priority.LEASE
+    }
 
 
 @given(st.lists(st.integers(0, len(MESSAGES) - 1), min_size=1, max_size=6), st.lists(st.integers(1, 50), max_size=40))
@@ -98,34 +110,34 @@
 
 def test_a_recorded_hello_gets_an_answer_and_is_not_believed() -> None:
     one, other = ends()
-    hello = one.begin()
+    hello = one.start_handshake()
     list(other.feed(hello))
-    list(one.feed(other.answer))
-    here = one.answer
+    list(one.feed(other.reply))
+    here = one.reply
     _, later = ends()
     list(later.feed(hello))
-    assert later.answer and not later.up
+    assert later.reply and not later.authenticated
     with pytest.raises(BadFrame, match="tag"):
         list(later.feed(here))
-    assert not later.up
+    assert not later.authenticated
 
 
 @pytest.mark.parametrize(("key", "fleet", "why"), [(b"x" * 32, "f", "another key"), (KEY, "g", "of fleet 'f'")])
 def test_strangers_and_other_fleets_are_refused(key: bytes, fleet: str, why: str) -> None:
     one, other = ends(key, fleet)
     with pytest.raises(BadFrame, match=why):
-        list(other.feed(one.begin()))
+        list(other.feed(one.start_handshake()))
 
 
-@pytest.mark.parametrize("length", [0, MOST_HELLO + 1, 2**30, 2**32 - 1])
+@pytest.mark.parametrize("length", [0, MAX_HELLO_BYTES + 1, 2**30, 2**32 - 1])
 def test_a_length_out_of_bounds_is_refused_before_anything_else_is_read(length: int) -> None:
     _, other = ends()
     with pytest.raises(BadFrame, match="bytes"):
-        list(other.feed(length.to_bytes(HEAD, "big")))
+        list(other.feed(length.to_bytes(LENGTH_BYTES, "big")))
     other = met()[1]
-    if not 0 < length <= MOST:
+    if not 0 < length <= MAX_FRAME_BYTES:
         with pytest.raises(BadFrame, match="bytes"):
-            list(other.feed(length.to_bytes(HEAD, "big")))
+            list(other.feed(length.to_bytes(LENGTH_BYTES, "big")))
 
 
 @given(st.binary(max_size=3000))
@@ -133,7 +145,7 @@
     for session in (ends()[0], ends()[1], met()[0], met()[1]):
         with contextlib.suppress(BadFrame):
             assert list(session.feed(data)) == []
-        assert len(session._buffer) <= HEAD + TAG + MOST
+        assert len(session._buffer) <= LENGTH_BYTES + TAG_BYTES + MAX_FRAME_BYTES
 
 
 @given(st.binary(max_size=200))
@@ -144,8 +156,8 @@
 
 def test_one_that_is_asked_for_a_sign_of_life_gives_it() -> None:
     one, other = met()
-    assert list(other.feed(one.ask())) == [] and other.answer
-    assert list(one.feed(other.answer)) == []
+    assert list(other.feed(one.keepalive())) == [] and other.reply
+    assert list(one.feed(other.reply)) == []
 
 
 def test_a_short_key_is_refused() -> None:
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -12,13 +12,13 @@
 from weldroute.leases import (
     Accepted,
     Answer,
-    Asker,
     Grantor,
     Lease,
     LeasePolicy,
     Prepare,
     Promise,
     Propose,
+    Proposer,
     Rejected,
     Released,
     Request,
@@ -33,39 +33,39 @@
 
 def test_a_grantor_that_has_just_started_answers_nobody_until_what_it_forgot_has_ended() -> None:
     grantor = Grantor(POLICY, 100.0)
-    assert grantor.hear(100.0 + POLICY.forgotten - 0.01, Prepare(D, (1, "a"))) is None
-    assert grantor.hear(100.0 + POLICY.forgotten, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
-    assert POLICY.held < POLICY.length < POLICY.forgotten
+    assert grantor.on_request(100.0 + POLICY.restart_wait - 0.01, Prepare(D, (1, "a"))) is None
+    assert grantor.on_request(100.0 + POLICY.restart_wait, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
+    assert POLICY.holding_time < POLICY.length < POLICY.restart_wait
 
 
 def test_a_grantor_gives_one_lease_at_a_time_and_tells_of_it() -> None:
     grantor, now = Grantor(POLICY, 0.0), 100.0
     one = Lease("a", (1, "a"))
-    assert grantor.hear(now, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
-    assert grantor.hear(now, Propose(D, (1, "a"), one)) == Accepted(D, (1, "a"))
-    assert grantor.hear(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
-    assert grantor.hear(now, Propose(D, (1, "a"), one)) == Rejected(D, (1, "a"), (2, "b"))
-    assert grantor.hear(now + POLICY.length, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
-    assert grantor.hear(now, Prepare("another", (1, "a"))) == Promise("another", (1, "a"), None)
+    assert grantor.on_request(now, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
+    assert grantor.on_request(now, Propose(D, (1, "a"), one)) == Accepted(D, (1, "a"))
+    assert grantor.on_request(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
+    assert grantor.on_request(now, Propose(D, (1, "a"), one)) == Rejected(D, (1, "a"), (2, "b"))
+    assert grantor.on_request(now + POLICY.length, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
+    assert grantor.on_request(now, Prepare("another", (1, "a"))) == Promise("another", (1, "a"), None)
 
 
 def test_what_is_released_is_free_and_nobody_releases_anothers() -> None:
     grantor, now = Grantor(POLICY, 0.0), 100.0
     one = Lease("a", (1, "a"))
-    grantor.hear(now, Propose(D, (1, "a"), one))
-    grantor.hear(now, Released(D, Lease("a", (0, "a"))))
-    assert grantor.hear(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
-    assert grantor.hear(now, Released(D, one)) is None
-    assert grantor.hear(now, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
+    grantor.on_request(now, Propose(D, (1, "a"), one))
+    grantor.on_request(now, Released(D, Lease("a", (0, "a"))))
+    assert grantor.on_request(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
+    assert grantor.on_request(now, Released(D, one)) is None
+    assert grantor.on_request(now, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
 
 
 def test_a_grantor_keeps_so_many_duties_and_forgets_none_that_could_matter() -> None:
-    grantor = Grantor(POLICY, 0.0, most=2)
+    grantor = Grantor(POLICY, 0.0, max_duties=2)
     for i in range(2):
-        grantor.hear(100.0, Propose(f"d{i}", (1, "a"), Lease("a", (1, "a"))))
-    late = 100.0 + POLICY.length + POLICY.forgotten
-    assert grantor.hear(late - 0.01, Prepare("d2", (1, "b"))) is None
-    assert grantor.hear(late, Prepare("d2", (1, "b"))) == Promise("d2", (1, "b"), None)
+        grantor.on_request(100.0, Propose(f"d{i}", (1, "a"), Lease("a", (1, "a"))))
+    late = 100.0 + POLICY.length + POLICY.restart_wait
+    assert grantor.on_request(late - 0.01, Prepare("d2", (1, "b"))) is None
+    assert grantor.on_request(late, Prepare("d2", (1, "b"))) == Promise("d2", (1, "b"), None)
 
 
 class Table:
@@ -75,70 +75,70 @@
         self.grantors = {name: Grantor(policy, -100.0) for name in "xyz"}
         self.away: set[str] = set()
 
-    def settle(self, asker: Asker, now: float) -> None:
-        due: list[Request] = asker.look(now)
+    def settle(self, asker: Proposer, now: float) -> None:
+        due: list[Request] = asker.tick(now)
         while due:
             request, *due = due
             for name, grantor in self.grantors.items():
-                answer = grantor.hear(now, request) if name not in self.away else None
+                answer = grantor.on_request(now, request) if name not in self.away else None
                 if answer is not None:
-                    due += asker.hear(now, name, answer)
+                    due += asker.on_answer(now, name, answer)
 
 
 def test_a_holder_renews_in_time_with_the_same_epoch_and_stops_by_its_own_clock() -> None:
-    table, asker = Table(), Asker(POLICY, D, "a", "xyz")
+    table, asker = Table(), Proposer(POLICY, D, "a", "xyz")
     now, epochs = 0.0, set()
     while now < 20.0:
         table.settle(asker, now)
-        epochs.add(asker.may(now))
+        epochs.add(asker.current_epoch(now))
         now += 0.05
     assert epochs == {(1, "a")}
     table.away = {"x", "y"}
     last = now
-    while asker.may(now) is not None:
+    while asker.current_epoch(now) is not None:
         table.settle(asker, now)
         now += 0.05
-    assert now - last <= POLICY.held + 0.05
-    other = Asker(POLICY, D, "b", "xyz")
+    assert now - last <= POLICY.holding_time + 0.05
+    other = Proposer(POLICY, D, "b", "xyz")
     table.away = set()
     table.settle(other, now)
-    assert other.may(now) is None, "grantors hold on for longer than the holder believes"
+    assert other.current_epoch(now) is None, "grantors hold on for longer than the holder believes"
     now = last + POLICY.length + 0.1 + POLICY.pause
-    other.look(now)
-    while other.may(now) is None and now < last + 10.0:
+    other.tick(now)
+    while other.current_epoch(now) is None and now < last + 10.0:
         table.settle(other, now)
         now += 0.05
-    epoch = other.may(now)
+    epoch = other.current_epoch(now)
     assert epoch is not None and epoch > (1, "a")
 
 
 def test_one_that_wakes_after_its_time_does_nothing_and_what_was_under_way_to_it_counts_from_before() -> None:
-    asker = Asker(POLICY, D, "a", "xyz")
-    asker.look(0.0)
+    asker = Proposer(POLICY, D, "a", "xyz")
+    asker.tick(0.0)
     for name in "xy":
-        asker.hear(0.0, name, Promise(D, (1, "a"), None))
+        asker.on_answer(0.0, name, Promise(D, (1, "a"), None))
     for name in "xy":  # heard after it was stopped for a minute
-        asker.hear(60.0, name, Accepted(D, (1, "a")))
-    assert asker.may(60.0) is None
+        asker.on_answer(60.0, name, Accepted(D, (1, "a")))
+    assert asker.current_epoch(60.0) is None
 
 
 def test_an_epoch_that_others_acted_with_is_never_won_again() -> None:
-    table, asker = Table(), Asker(POLICY, D, "a", "xyz")
-    asker.saw((41, "q"))
+    table, asker = Table(), Proposer(POLICY, D, "a", "xyz")
+    asker.observe_epoch((41, "q"))
     table.settle(asker, 0.0)
-    assert asker.may(0.0) == (42, "a")
+    assert asker.current_epoch(0.0) == (42, "a")
 
 
 def test_one_that_has_released_holds_nothing_and_another_has_it_at_once() -> None:
-    table, asker, other = Table(), Asker(POLICY, D, "a", "xyz"), Asker(POLICY, D, "b", "xyz")
+    table, asker, other = Table(), Proposer(POLICY, D, "a", "xyz"), Proposer(POLICY, D, "b", "xyz")
     table.settle(asker, 0.0)
     (released,) = asker.release(1.0)
-    assert asker.may(1.0) is None and asker.look(50.0) == []
+    assert asker.current_epoch(1.0) is None and asker.tick(50.0) == []
     for grantor in table.grantors.values():
-        grantor.hear(1.0, released)
-    other.saw((1, "a"))
+        grantor.on_request(1.0, released)
+    other.observe_epoch((1, "a"))
     table.settle(other, 1.0)
-    assert other.may(1.0) == (2, "b")
+    assert other.current_epoch(1.0) == (2, "b")
 
 
 @pytest.mark.parametrize(
@@ -179,7 +179,7 @@
         self.rates = {name: 1.0 + POLICY.drift * rng.uniform(-1.0, 1.0) for name in (*names, *askers)}
         self.offsets = {name: rng.uniform(0.0, 1e5) for name in self.rates}
         self.grantors = {name: Grantor(self.policy, self.clock(name) - 100.0) for name in names}
-        self.askers = {name: Asker(self.policy, D, name, names, rng.random()) for name in askers}
+        self.askers = {name: Proposer(self.policy, D, name, names, rng.random()) for name in askers}
         self.paused = dict.fromkeys(askers, 0.0)  # until then
         self.started = dict.fromkeys(names, 0.0)
         self.under_way: list[tuple[float, str, str, Request | Answer]] = []
@@ -204,11 +204,11 @@
         self.under_way = [one for one in self.under_way if one not in due]
         for _, sender, to, content in sorted(due, key=lambda one: one[0]):
             if isinstance(content, Prepare | Propose | Released):
-                answer = self.grantors[to].hear(self.clock(to), content)
+                answer = self.grantors[to].on_request(self.clock(to), content)
                 if answer is not None:
                     self.send(to, sender, answer)
             else:
-                self.send_all(to, self.askers[to].hear(self.clock(to), sender, content))
+                self.send_all(to, self.askers[to].on_answer(self.clock(to), sender, content))
 
     def faults(self) -> None:
         rng = self.rng
@@ -225,9 +225,9 @@
             self.deliver()
             for name, asker in self.askers.items():
                 if self.paused[name] <= self.now:
-                    self.send_all(name, asker.look(self.clock(name)))
+                    self.send_all(name, asker.tick(self.clock(name)))
             # One that is paused is looked at too: what it believes when it wakes is what it would act on.
-            epochs = [asker.may(self.clock(name)) for name, asker in self.askers.items()]
+            epochs = [asker.current_epoch(self.clock(name)) for name, asker in self.askers.items()]
             holders = [epoch for epoch in epochs if epoch is not None]
             self.held += bool(holders)
             if len(holders) > 1 and self.two < 0.0:
@@ -268,7 +268,7 @@
 
 
 def test_a_grantor_that_does_not_wait_after_its_start_is_found() -> None:
-    assert planted(fresh=lambda policy, now: Grantor(policy, now - policy.forgotten))
+    assert planted(fresh=lambda policy, now: Grantor(policy, now - policy.restart_wait))
 
 
 def test_a_holder_that_leaves_no_room_for_drift_is_found() -> None:
@@ -276,14 +276,14 @@
 
 
 def test_a_holder_that_counts_from_the_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hear = Asker.hear
+    hear = Proposer.on_answer
 
-    def late(self: Asker, now: float, grantor: str, answer: Answer) -> list[Request]:
-        before = self._until
+    def late(self: Proposer, now: float, grantor: str, answer: Answer) -> list[Request]:
+        before = self._held_until
         found = hear(self, now, grantor, answer)
-        if self._until != before and isinstance(answer, Accepted):
-            self._until = now + self._policy.held
+        if self._held_until != before and isinstance(answer, Accepted):
+            self._held_until = now + self._policy.holding_time
         return found
 
-    monkeypatch.setattr(leases.Asker, "hear", late)
+    monkeypatch.setattr(leases.Proposer, "on_answer", late)
     assert planted()
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -17,21 +17,21 @@
 from weldroute.members import (
     Ack,
     Action,
-    Changed,
     Gossip,
     MemberPolicy,
-    Members,
+    MemberRecord,
+    Membership,
+    MemberState,
     Message,
     Ping,
     PingFor,
-    Row,
     Send,
-    State,
+    StateChange,
     Sync,
 )
 
 POLICY = MemberPolicy()
-ALIVE, SUSPECT, DEAD, LEFT = State
+ALIVE, SUSPECT, DEAD, LEFT = MemberState
 
 
 @dataclass
@@ -43,10 +43,10 @@
     delay: float = 0.002  # seconds on average
     policy: MemberPolicy = POLICY
     now: float = 0.0
-    ones: dict[str, Members] = field(default_factory=dict)  # by address
+    ones: dict[str, Membership] = field(default_factory=dict)  # by address
     stopped: dict[str, float] = field(default_factory=dict)  # until then
     cut: Callable[[str, str], bool] = lambda sender, to: False
-    changes: list[tuple[float, str, Changed]] = field(default_factory=list)  # when, who says so, what
+    changes: list[tuple[float, str, StateChange]] = field(default_factory=list)  # when, who says so, what
     sent: dict[str, int] = field(default_factory=dict)  # messages by sender
     largest: int = 0  # news on one
 
@@ -65,9 +65,9 @@
         offset, rate = self.clocks[address]
         return offset + rate * self.now
 
-    def start(self, name: str, seeds: Iterable[str], fleet: str = "f", address: str = "") -> Members:
+    def start(self, name: str, seeds: Iterable[str], fleet: str = "f", address: str = "") -> Membership:
         address = address or f"{name}:1"
-        one = Members(
+        one = Membership(
             self.policy, fleet, name, address, seeds, self.clock(address), self.rng.getrandbits(32), zone=name[:1]
         )
         self.ones[address] = one
@@ -80,15 +80,15 @@
             self.start(f"m{i}", ["m0:1", "x:1", "y:1"])
         return list(self.ones)
 
-    def look(self, address: str, one: Members) -> None:
+    def look(self, address: str, one: Membership) -> None:
         if self.ones.get(address) is not one:
             return
         until = self.stopped.get(address, 0.0)
         if until > self.now:
             self.at(until + 0.001, lambda: self.look(address, one))
             return
-        self.do(address, one.look(self.clock(address)))
-        wait = max(0.001, one.due() - self.clock(address))
+        self.do(address, one.tick(self.clock(address)))
+        wait = max(0.001, one.next_due() - self.clock(address))
         self.at(self.now + wait, lambda: self.look(address, one))
 
     def do(self, address: str, actions: list[Action]) -> None:
@@ -96,7 +96,7 @@
             if isinstance(action, Send):
                 self.send(address, action.address, action.message)
             else:
-                self.changes.append((self.now, self.ones[address].me.name, action))
+                self.changes.append((self.now, self.ones[address].local.name, action))
 
     def send(self, sender: str, to: str, message: Message) -> None:
         self.sent[sender] = self.sent.get(sender, 0) + 1
@@ -113,7 +113,7 @@
         if until > self.now:  # the kernel keeps it
             self.at(until, lambda: self.come(sender, to, message))
             return
-        self.do(to, one.hear(self.clock(to), sender, message))
+        self.do(to, one.on_message(self.clock(to), sender, message))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -132,17 +132,17 @@
     def stop(self, address: str, seconds: float) -> None:
         self.stopped[address] = self.now + seconds
 
-    def seen(self, name: str) -> set[State | None]:
+    def seen(self, name: str) -> set[MemberState | None]:
         """What all others believe of a member."""
-        return {one.state(name) for one in self.ones.values() if one.me.name != name}
+        return {one.state(name) for one in self.ones.values() if one.local.name != name}
 
     def agreed(self) -> bool:
         """All that are there hold each other for alive."""
-        return all(self.seen(one.me.name) == {ALIVE} for one in self.ones.values())
+        return all(self.seen(one.local.name) == {ALIVE} for one in self.ones.values())
 
     def deaths(self, since: float = 0.0) -> list[tuple[str, str]]:
         """Who was called dead, and by whom."""
-        return [(who, c.row.name) for at, who, c in self.changes if at >= since and c.row.state is DEAD]
+        return [(who, c.record.name) for at, who, c in self.changes if at >= since and c.record.state is DEAD]
 
 
 def ready(count: int, seed: int = 1, **how: float) -> World:
@@ -171,7 +171,7 @@
     world.kill("m7:1")
     world.run(12.0)
     assert world.seen("m7") == {DEAD} and {name for _, name in world.deaths()} == {"m7"}
-    noticed = max(at for at, _, c in world.changes if c.row.name == "m7" and c.row.state is DEAD) - begin
+    noticed = max(at for at, _, c in world.changes if c.record.name == "m7" and c.record.state is DEAD) - begin
     assert noticed < 8.0
     assert all(one.state("m3") is ALIVE for one in world.ones.values())
 
@@ -194,18 +194,18 @@
         world.start("m4", ["m0:1"])
         world.run(6.0)
         assert world.agreed()
-    assert world.ones["m4:1"].me.incarnation > 3
+    assert world.ones["m4:1"].local.incarnation > 3
 
 
 def test_one_that_comes_back_before_anybody_noticed_is_known_as_another_process() -> None:
     world = ready(10)
-    old = world.ones["m4:1"].me
+    old = world.ones["m4:1"].local
     world.kill("m4:1")
     world.run(0.2)
     fresh = world.start("m4", ["m0:1"])
     world.run(8.0)
-    assert world.agreed() and fresh.me.life != old.life
-    assert {one.members["m4"].row.life for a, one in world.ones.items() if a != "m4:1"} == {fresh.me.life}
+    assert world.agreed() and fresh.local.life != old.life
+    assert {one.members["m4"].record.life for a, one in world.ones.items() if a != "m4:1"} == {fresh.local.life}
 
 
 def test_all_that_start_anew_at_once_without_state_find_each_other() -> None:
@@ -223,7 +223,7 @@
         world.start(f"n{i}", ["m0:1", "n0:1"], fleet="g")
     world.run(10.0)
     assert all(one.state("n0") is None for a, one in world.ones.items() if a.startswith("m"))
-    assert sum(one.foreign for one in world.ones.values()) > 0
+    assert sum(one.foreign_messages for one in world.ones.values()) > 0
     assert world.ones["n1:1"].state("n4") is ALIVE
 
 
@@ -245,7 +245,7 @@
     world.loss = 0.0
     world.run(10.0)
     assert world.deaths() == [] and world.agreed()
-    began = {(c.row.name, c.row.incarnation) for _, _, c in world.changes if c.row.state is SUSPECT}
+    began = {(c.record.name, c.record.incarnation) for _, _, c in world.changes if c.record.state is SUSPECT}
     assert len(began) <= most
 
 
@@ -322,7 +322,7 @@
     world.run(seconds)
     woke = world.now
     world.run(0.5)
-    assert (world.ones["m3:1"].doubt > 0) is (seconds > 1.5)
+    assert (world.ones["m3:1"].health_score > 0) is (seconds > 1.5)
     world.run(20.0)
     assert world.agreed()
     assert [name for who, name in world.deaths(woke) if who == "m3"] == []
@@ -387,12 +387,14 @@
 def test_so_many_are_known_and_the_dead_make_room_first() -> None:
     world = World(1, policy=replace(POLICY, most=4, forget=1000.0))
     one = world.start("a", [])
-    rows = [Row(1, ALIVE, i, f"n{i}:1", "", f"n{i}") for i in range(3)] + [Row(1, DEAD, 9, "d:1", "", "d")]
-    one.hear(1e4, "n0:1", Gossip("f", "n0", tuple(rows)))
-    one.hear(1e4, "n0:1", Gossip("f", "n0", (Row(1, ALIVE, 7, "n7:1", "", "n7"),)))
+    rows = [MemberRecord(1, ALIVE, i, f"n{i}:1", "", f"n{i}") for i in range(3)] + [
+        MemberRecord(1, DEAD, 9, "d:1", "", "d")
+    ]
+    one.on_message(1e4, "n0:1", Gossip("f", "n0", tuple(rows)))
+    one.on_message(1e4, "n0:1", Gossip("f", "n0", (MemberRecord(1, ALIVE, 7, "n7:1", "", "n7"),)))
     assert set(one.members) == {"n0", "n1", "n2", "n7"}
-    one.hear(1e4, "n0:1", Gossip("f", "n0", (Row(1, ALIVE, 8, "n8:1", "", "n8"),)))
-    assert set(one.members) == {"n0", "n1", "n2", "n7"} and len(one._rumours) <= 6
+    one.on_message(1e4, "n0:1", Gossip("f", "n0", (MemberRecord(1, ALIVE, 8, "n8:1", "", "n8"),)))
+    assert set(one.members) == {"n0", "n1", "n2", "n7"} and len(one._updates) <= 6
 
 
 def test_the_dead_are_forgotten_after_their_time() -> None:
@@ -407,7 +409,7 @@
 
 
 ROWS = st.builds(
-    Row,
+    MemberRecord,
     st.integers(1, 3),
     st.sampled_from([ALIVE, SUSPECT, LEFT]),
     st.integers(1, 2),
@@ -419,32 +421,32 @@
 
 
 @given(st.lists(ROWS, max_size=6), st.randoms())
-def test_the_order_in_which_news_of_the_living_come_does_not_matter(rows: list[Row], rng: Random) -> None:
+def test_the_order_in_which_news_of_the_living_come_does_not_matter(rows: list[MemberRecord], rng: Random) -> None:
     believed = []
     for _ in range(2):
-        one = Members(POLICY, "f", "a", "a:1", [], 0.0, 1)
+        one = Membership(POLICY, "f", "a", "a:1", [], 0.0, 1)
         for row in rows:
-            one.hear(0.0, "x:1", Gossip("f", "x", (row, row)))
-        believed.append(one.members["b"].row if rows else None)
+            one.on_message(0.0, "x:1", Gossip("f", "x", (row, row)))
+        believed.append(one.members["b"].record if rows else None)
         rng.shuffle(rows)
     assert believed[0] == believed[1] == (max(rows) if rows else None)
 
 
 def test_another_is_dead_by_word_only_to_one_who_did_not_know_it() -> None:
-    dead = Row(1, DEAD, 5, "b:1", "", "b", by="x")
-    knows, fresh = (Members(POLICY, "f", "a", "a:1", [], 0.0, 1) for _ in range(2))
-    knows.hear(0.0, "x:1", Gossip("f", "x", (replace(dead, state=ALIVE),)))
+    dead = MemberRecord(1, DEAD, 5, "b:1", "", "b", by="x")
+    knows, fresh = (Membership(POLICY, "f", "a", "a:1", [], 0.0, 1) for _ in range(2))
+    knows.on_message(0.0, "x:1", Gossip("f", "x", (replace(dead, state=ALIVE),)))
     for one, state in ((knows, SUSPECT), (fresh, DEAD)):
-        one.hear(0.0, "x:1", Gossip("f", "x", (dead,)))
+        one.on_message(0.0, "x:1", Gossip("f", "x", (dead,)))
         assert one.state("b") is state
 
 
 @given(
     st.lists(
         st.builds(
-            Row,
+            MemberRecord,
             st.integers(1, 50),
-            st.sampled_from(State),
+            st.sampled_from(MemberState),
             st.integers(1, 3),
             st.just("a:1"),
             st.just(""),
@@ -453,11 +455,11 @@
         max_size=8,
     )
 )
-def test_whatever_is_said_of_it_its_own_word_is_above(rows: list[Row]) -> None:
-    one = Members(POLICY, "f", "a", "a:1", [], 0.0, 1)
+def test_whatever_is_said_of_it_its_own_word_is_above(rows: list[MemberRecord]) -> None:
+    one = Membership(POLICY, "f", "a", "a:1", [], 0.0, 1)
     for row in rows:
-        one.hear(0.0, "x:1", Gossip("f", "x", (row,)))
-        assert one.me > row and one.me.state is ALIVE
+        one.on_message(0.0, "x:1", Gossip("f", "x", (row,)))
+        assert one.local > row and one.local.state is ALIVE
 
 
 @pytest.mark.parametrize(
@@ -479,39 +481,39 @@
 
 
 def test_a_member_that_believes_after_a_stop_what_it_waited_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members.Members, "_woke", lambda self, now: None)
+    monkeypatch.setattr(members.Membership, "_on_pause", lambda self, now: None)
     with pytest.raises(AssertionError):
         test_one_that_was_stopped_doubts_itself_and_calls_nobody_dead(60.0)
 
 
 def test_a_probe_without_helpers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members.Members, "_ask_helpers", lambda self, now, probe: None)
+    monkeypatch.setattr(members.Membership, "_send_indirect_probes", lambda self, now, probe: None)
     with pytest.raises(AssertionError):
         test_losses_make_nobody_dead_and_few_suspect(0.1, 12)
 
 
 def test_a_member_that_believes_others_dead_by_word_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members.Members, "_doubtful", lambda self, row: row)
+    monkeypatch.setattr(members.Membership, "_downgrade_to_suspect", lambda self, row: row)
     with pytest.raises(AssertionError):
         for seed in range(3):
             test_halves_that_were_cut_find_each_other_again_and_nobody_of_the_own_half_is_called_dead(seed)
 
 
 def test_nobody_who_knocks_at_the_dead_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members.Members, "_knock", lambda self, now: None)
+    monkeypatch.setattr(members.Membership, "_send_contact_probe", lambda self, now: None)
     with pytest.raises(AssertionError):
         test_halves_that_were_cut_find_each_other_again_and_nobody_of_the_own_half_is_called_dead(0)
 
 
 def test_a_member_that_does_not_refute_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members.Members, "_hear_of_me", lambda self, now, row: None)
+    monkeypatch.setattr(members.Membership, "_refute", lambda self, now, row: None)
     with pytest.raises(AssertionError):
         test_one_that_comes_back_without_state_speaks_from_above_what_was_known_of_it()
 
 
 def test_what_comes_to_anothers_old_address_is_not_answered() -> None:
-    one = Members(POLICY, "f", "a", "a:1", [], 0.0, 1)
-    assert one.hear(0.0, "x:1", Ping("f", "x", 5, "b")) == []
-    (answer,) = one.hear(0.0, "x:1", Ping("f", "x", 5, "a"))
+    one = Membership(POLICY, "f", "a", "a:1", [], 0.0, 1)
+    assert one.on_message(0.0, "x:1", Ping("f", "x", 5, "b")) == []
+    (answer,) = one.on_message(0.0, "x:1", Ping("f", "x", 5, "a"))
     assert isinstance(answer, Send) and isinstance(answer.message, Ack) and answer.message.number == 5
-    assert one.hear(0.0, "x:1", Sync("g", "x", (), True)) == [] and one.foreign == 1
+    assert one.on_message(0.0, "x:1", Sync("g", "x", (), True)) == [] and one.foreign_messages == 1
--- a/weldroute/leases.py
+++ b/weldroute/leases.py
@@ -40,7 +40,7 @@
 from weldroute.checks import check_numbers
 
 Ballot = tuple[int, str]  # a round, and the asker; compared in this order
-NOTHING: Ballot = (0, "")
+NO_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,16 +64,16 @@
             raise ValueError(f"renew: {self.renew!r} is not between 0 and 1")
         if self.drift >= 0.5:
             raise ValueError(f"drift: {self.drift!r} is half or more")
-        if self.held <= 0.0:
+        if self.holding_time <= 0.0:
             raise ValueError(f"length: {self.length!r} leaves nothing after drift and margin")
 
     @property
-    def held(self) -> float:
+    def holding_time(self) -> float:
         """Seconds for which a holder believes in its lease, from before it proposed it."""
         return self.length * (1.0 - self.drift) / (1.0 + self.drift) - self.margin
 
     @property
-    def forgotten(self) -> float:
+    def restart_wait(self) -> float:
         """Seconds after which whatever a grantor gave before its start has ended, by any clock."""
         return self.length * (1.0 + self.drift) / (1.0 - self.drift)
 
@@ -142,34 +142,34 @@
 
 
 @dataclass(slots=True)
-class Given:
+class Grant:
     """What a grantor knows of one duty."""
 
-    promised: Ballot = NOTHING
+    promised: Ballot = NO_BALLOT
     lease: Lease | None = None
-    until: float = -math.inf
+    expires_at: float = -math.inf
 
 
 class Grantor:
     """One of those whose majority decides. It keeps nothing that outlives it."""
 
-    def __init__(self, policy: LeasePolicy, now: float, most: int = 1024) -> None:
+    def __init__(self, policy: LeasePolicy, now: float, max_duties: int = 1024) -> None:
         policy.check()
         self._policy = policy
-        self._silent_until = now + policy.forgotten
-        self._most = most  # duties
-        self._given: dict[str, Given] = {}
+        self._ready_at = now + policy.restart_wait
+        self._max_duties = max_duties  # duties
+        self._grants: dict[str, Grant] = {}
 
-    def hear(self, now: float, request: Request) -> Answer | None:
+    def on_request(self, now: float, request: Request) -> Answer | None:
         """The answer to a request; None where none is given."""
-        if now < self._silent_until:
+        if now < self._ready_at:
             return None
-        given = self._given.get(request.duty)
+        given = self._grants.get(request.duty)
         if given is None:
-            if len(self._given) >= self._most and not self._forget(now):
+            if len(self._grants) >= self._max_duties and not self._evict_expired(now):
                 return None
-            given = self._given[request.duty] = Given()
-        if given.lease is not None and now >= given.until:
+            given = self._grants[request.duty] = Grant()
+        if given.lease is not None and now >= given.expires_at:
             given.lease = None
         if isinstance(request, Released):
             if given.lease == request.lease:
@@ -180,26 +180,27 @@
         given.promised = request.ballot
         if isinstance(request, Prepare):
             return Promise(request.duty, request.ballot, given.lease)
-        given.lease, given.until = request.lease, now + self._policy.length
+        given.lease, given.expires_at = request.lease, now + self._policy.length
         return Accepted(request.duty, request.ballot)
 
-    def _forget(self, now: float) -> bool:
+    def _evict_expired(self, now: float) -> bool:
         """Make room by a duty that nobody has; promises about it go with it, which is as after a start.
 
         So it is done only for one whose lease ended long enough ago that no proposal under way can count.
         """
-        for duty, given in self._given.items():
-            if now >= given.until + self._policy.forgotten:
-                del self._given[duty]
+        for duty, given in self._grants.items():
+            if now >= given.expires_at + self._policy.restart_wait:
+                del self._grants[duty]
                 return True
         return False
 
-    def key(self, now: float) -> tuple[object, ...]:
+    def state_key(self, now: float) -> tuple[object, ...]:
         """All that its answers depend on, with times from now: for tests that explore."""
         rows = tuple(
-            (duty, one.promised, one.lease, max(0.0, one.until - now)) for duty, one in sorted(self._given.items())
+            (duty, one.promised, one.lease, max(0.0, one.expires_at - now))
+            for duty, one in sorted(self._grants.items())
         )
-        return (max(0.0, self._silent_until - now), rows)
+        return (max(0.0, self._ready_at - now), rows)
 
 
 @dataclass(slots=True)
@@ -207,115 +208,117 @@
     """One try of an asker."""
 
     ballot: Ballot
-    since: float
-    proposed: float = math.nan  # when, before it was sent; nan: not yet
+    started: float
+    proposed_at: float = math.nan  # when, before it was sent; nan: not yet
     promises: set[str] = field(default_factory=set)
-    accepted: set[str] = field(default_factory=set)
+    acceptances: set[str] = field(default_factory=set)
 
 
-class Asker:
+class Proposer:
     """One that may hold a duty, and asks for it as long as it wishes to."""
 
-    def __init__(self, policy: LeasePolicy, duty: str, name: str, grantors: Iterable[str], turn: float = 0.0) -> None:
+    def __init__(
+        self, policy: LeasePolicy, duty: str, name: str, grantors: Iterable[str], stagger: float = 0.0
+    ) -> None:
         """`turn`, from 0 to 1, is its own: askers that began together do not go on together."""
         policy.check()
         self._policy = policy
         self.duty = duty
         self.name = name
         self.grantors = sorted(set(grantors))
-        self._turn = turn
-        self._seen = 0  # the highest round that it has seen or used
+        self._turn = stagger
+        self._highest_round = 0  # the highest round that it has seen or used
         self._round: Round | None = None
-        self._next = -math.inf  # when it tries again
+        self._next_try = -math.inf  # when it tries again
         self._lease: Lease | None = None
-        self._until = -math.inf  # of its own clock
-        self.wishes = True
+        self._held_until = -math.inf  # of its own clock
+        self.wanted = True
 
     @property
     def majority(self) -> int:
         """So many grantors decide."""
         return len(self.grantors) // 2 + 1
 
-    def may(self, now: float) -> Ballot | None:
+    def current_epoch(self, now: float) -> Ballot | None:
         """The epoch with which to act at this very moment, or None: it must not."""
-        return self._lease.epoch if self._lease is not None and now < self._until else None
+        return self._lease.epoch if self._lease is not None and now < self._held_until else None
 
-    def until(self, now: float) -> float:
+    def expires_at(self, now: float) -> float:
         """When it stops by its own clock; now, if it holds nothing."""
-        return self._until if self.may(now) is not None else now
+        return self._held_until if self.current_epoch(now) is not None else now
 
-    def saw(self, epoch: Ballot) -> None:
+    def observe_epoch(self, epoch: Ballot) -> None:
         """An epoch that others have acted with: its own next is higher, whatever grantors have forgotten."""
-        self._seen = max(self._seen, epoch[0])
+        self._highest_round = max(self._highest_round, epoch[0])
 
-    def due(self, now: float) -> float:
+    def next_due(self, now: float) -> float:
         """When `look` has something to do next; at once or later."""
         if self._round is not None:
-            return self._round.since + self._policy.patience
-        return max(self._next, self._renew_at() if self.may(now) is not None else now)
+            return self._round.started + self._policy.patience
+        return max(self._next_try, self._renewal_time() if self.current_epoch(now) is not None else now)
 
-    def _renew_at(self) -> float:
-        return self._until - self._policy.held * (1.0 - self._policy.renew)
+    def _renewal_time(self) -> float:
+        return self._held_until - self._policy.holding_time * (1.0 - self._policy.renew)
 
-    def look(self, now: float) -> list[Request]:
+    def tick(self, now: float) -> list[Request]:
         """Called when something is due; what to send to every grantor."""
-        if self._round is not None and now - self._round.since >= self._policy.patience:
-            self._give_up(now)
-        if not self.wishes or self._round is not None or now < self._next:
+        if self._round is not None and now - self._round.started >= self._policy.patience:
+            self._abandon_round(now)
+        if not self.wanted or self._round is not None or now < self._next_try:
             return []
-        if self.may(now) is not None and now < self._renew_at():
+        if self.current_epoch(now) is not None and now < self._renewal_time():
             return []
-        self._seen += 1
-        self._round = Round((self._seen, self.name), now)
+        self._highest_round += 1
+        self._round = Round((self._highest_round, self.name), now)
         return [Prepare(self.duty, self._round.ballot)]
 
-    def hear(self, now: float, grantor: str, answer: Answer) -> list[Request]:
+    def on_answer(self, now: float, grantor: str, answer: Answer) -> list[Request]:
         """A grantor has answered; what to send to every grantor."""
         if isinstance(answer, Rejected):
-            self._seen = max(self._seen, answer.promised[0])
+            self._highest_round = max(self._highest_round, answer.promised[0])
         one = self._round
         if one is None or answer.duty != self.duty or answer.ballot != one.ballot or grantor not in self.grantors:
             return []
         if isinstance(answer, Rejected):
-            self._give_up(now)
+            self._abandon_round(now)
             return []
         if isinstance(answer, Accepted):
-            return self._accepted(now, one, grantor)
+            return self._on_accepted(now, one, grantor)
         if answer.lease is not None and answer.lease.holder != self.name:
-            self.saw(answer.lease.epoch)
+            self.observe_epoch(answer.lease.epoch)
             return []  # a majority without it may come all the same
         one.promises.add(grantor)
-        if len(one.promises) < self.majority or not math.isnan(one.proposed):
+        if len(one.promises) < self.majority or not math.isnan(one.proposed_at):
             return []
-        one.proposed = now
-        epoch = self.may(now)
+        one.proposed_at = now
+        epoch = self.current_epoch(now)
         return [Propose(self.duty, one.ballot, Lease(self.name, epoch if epoch is not None else one.ballot))]
 
-    def _accepted(self, now: float, one: Round, grantor: str) -> list[Request]:
-        if math.isnan(one.proposed):
+    def _on_accepted(self, now: float, one: Round, grantor: str) -> list[Request]:
+        if math.isnan(one.proposed_at):
             return []
-        one.accepted.add(grantor)
-        if len(one.accepted) < self.majority:
+        one.acceptances.add(grantor)
+        if len(one.acceptances) < self.majority:
             return []
         self._round = None
         # Renewed only if it has not ended meanwhile: another may have held it in between.
-        epoch = self.may(now)
+        epoch = self.current_epoch(now)
         self._lease = Lease(self.name, epoch if epoch is not None else one.ballot)
-        self._until = one.proposed + self._policy.held
-        self._next = now
+        self._held_until = one.proposed_at + self._policy.holding_time
+        self._next_try = now
         return []
 
-    def _give_up(self, now: float) -> None:
+    def _abandon_round(self, now: float) -> None:
         self._round = None
-        self._next = now + self._policy.pause * (1.0 + self._turn)
+        self._next_try = now + self._policy.pause * (1.0 + self._turn)
 
     def release(self, now: float) -> list[Request]:
         """Stop, before the time is over; nothing may be done with it from here on."""
-        lease, self._lease, self.wishes = self._lease, None, False
-        self._round, self._until = None, -math.inf
+        lease, self._lease, self.wanted = self._lease, None, False
+        self._round, self._held_until = None, -math.inf
         return [Released(self.duty, lease)] if lease is not None else []
 
-    def key(self, now: float) -> tuple[object, ...]:
+    def state_key(self, now: float) -> tuple[object, ...]:
         """All that its acts depend on, with times from now: for tests that explore."""
         one = self._round
         tried = (
@@ -323,10 +326,17 @@
             if one is None
             else (
                 one.ballot,
-                now - one.since,
-                None if math.isnan(one.proposed) else now - one.proposed,
+                now - one.started,
+                None if math.isnan(one.proposed_at) else now - one.proposed_at,
                 tuple(sorted(one.promises)),
-                tuple(sorted(one.accepted)),
+                tuple(sorted(one.acceptances)),
             )
         )
-        return (self._seen, tried, max(0.0, self._next - now), self._lease, max(0.0, self._until - now), self.wishes)
+        return (
+            self._highest_round,
+            tried,
+            max(0.0, self._next_try - now),
+            self._lease,
+            max(0.0, self._held_until - now),
+            self.wanted,
+        )
--- a/weldroute/links.py
+++ b/weldroute/links.py
@@ -33,10 +33,10 @@
 
 from weldroute.checks import check_numbers
 
-PAUSE = 1.0  # seconds between two looks from which on this process itself stood still
+STALL_THRESHOLD = 1.0  # seconds between two looks from which on this process itself stood still
 
 
-class Kind(IntEnum):
+class Priority(IntEnum):
     """Of what is sent, in the order in which it goes out."""
 
     LEASE = 0
@@ -69,34 +69,34 @@
         if self.again_to < self.again_from:
             raise ValueError("again_to: below again_from")
 
-    def good_for(self, kind: Kind) -> float:
+    def max_age(self, kind: Priority) -> float:
         """Seconds for which a message of a kind may wait."""
-        return {Kind.LEASE: self.lease_for, Kind.PROBE: self.probe_for}.get(kind, math.inf)
+        return {Priority.LEASE: self.lease_for, Priority.PROBE: self.probe_for}.get(kind, math.inf)
 
 
-class Outbox:
+class SendQueue:
     """What waits for one neighbour."""
 
     def __init__(self, policy: LinkPolicy) -> None:
         self._policy = policy
-        self._queues: tuple[deque[tuple[float, bytes]], ...] = tuple(deque() for _ in Kind)
-        self._sizes = [0] * len(Kind)  # bytes, by kind
+        self._queues: tuple[deque[tuple[float, bytes]], ...] = tuple(deque() for _ in Priority)
+        self._sizes = [0] * len(Priority)  # bytes, by kind
         self.bytes = 0
         self.count = 0
-        self.dropped = [0] * len(Kind)  # for want of room, by kind...
-        self.late = 0  # ...and for having waited too long
+        self.dropped = [0] * len(Priority)  # for want of room, by kind...
+        self.expired = 0  # ...and for having waited too long
 
-    def put(self, now: float, kind: Kind, data: bytes) -> bool:
+    def enqueue(self, now: float, kind: Priority, data: bytes) -> bool:
         """Let a message wait; whether it does. Others may be dropped for it, never one that goes out before it."""
-        self._age(now)
-        later = [one for one in reversed(Kind) if one >= kind]
+        self._drop_expired(now)
+        later = [one for one in reversed(Priority) if one >= kind]
         given_up = sum(self._sizes[one] for one in later), sum(len(self._queues[one]) for one in later)
         if not self._fits(len(data), *given_up):
             self.dropped[kind] += 1
             return False
         while not self._fits(len(data)):
             worst = next(one for one in later if self._queues[one])
-            self._take(worst)
+            self._pop(worst)
             self.dropped[worst] += 1
         self._queues[kind].append((now, data))
         self._sizes[kind] += len(data)
@@ -109,150 +109,152 @@
         policy = self._policy
         return self.bytes - freed + size <= policy.waiting and self.count - gone < policy.messages
 
-    def _take(self, kind: Kind) -> bytes:
+    def _pop(self, kind: Priority) -> bytes:
         _, data = self._queues[kind].popleft()
         self._sizes[kind] -= len(data)
         self.bytes -= len(data)
         self.count -= 1
         return data
 
-    def _age(self, now: float) -> None:
-        for kind in (Kind.LEASE, Kind.PROBE):
-            queue, good = self._queues[kind], self._policy.good_for(kind)
+    def _drop_expired(self, now: float) -> None:
+        for kind in (Priority.LEASE, Priority.PROBE):
+            queue, good = self._queues[kind], self._policy.max_age(kind)
             while queue and now - queue[0][0] > good:
-                self._take(kind)
-                self.late += 1
+                self._pop(kind)
+                self.expired += 1
 
-    def next(self, now: float) -> bytes | None:
+    def dequeue(self, now: float) -> bytes | None:
         """What goes out now."""
-        self._age(now)
-        for kind in Kind:
+        self._drop_expired(now)
+        for kind in Priority:
             if self._queues[kind]:
-                return self._take(kind)
+                return self._pop(kind)
         return None
 
 
 @dataclass(slots=True)
-class Neighbour:
+class Peer:
     """What is known of the way to one address."""
 
-    outbox: Outbox
-    failed: int = 0  # dials in a row
-    dial_at: float = -math.inf  # not before
-    dialling: float = math.nan  # since when; nan: it is not
-    up: bool = False
-    used: float = 0.0  # when something was last to be sent
-    spoke: float = 0.0  # when it was last heard...
-    asked: float = math.inf  # ...and the first moment since at which something was sent to it
-    questioned: bool = False  # it was asked for a sign of life since then
+    send_queue: SendQueue
+    failures: int = 0  # dials in a row
+    next_dial: float = -math.inf  # not before
+    dialling_since: float = math.nan  # since when; nan: it is not
+    connected: bool = False
+    last_used: float = 0.0  # when something was last to be sent
+    last_received: float = 0.0  # when it was last heard...
+    awaiting_since: float = math.inf  # ...and the first moment since at which something was sent to it
+    keepalive_sent: bool = False  # it was asked for a sign of life since then
 
 
-class Links:
+class LinkManager:
     """All neighbours of one member, by address."""
 
     def __init__(self, policy: LinkPolicy, seed: int) -> None:
         policy.check()
         self.policy = policy
-        self.neighbours: dict[str, Neighbour] = {}
+        self.peers: dict[str, Peer] = {}
         self._rng = Random(seed)
         self._tokens = policy.burst
-        self._filled = -math.inf
-        self._looked = math.inf
+        self._tokens_updated = -math.inf
+        self._last_check = math.inf
         self.refused = 0  # messages to more neighbours than there may be
-        self.ended = {"silent": 0, "idle": 0}
+        self.closed = {"silent": 0, "idle": 0}
 
-    def put(self, now: float, address: str, kind: Kind, data: bytes) -> Neighbour | None:
+    def enqueue(self, now: float, address: str, kind: Priority, data: bytes) -> Peer | None:
         """A message for an address; None where there are too many neighbours."""
-        one = self.neighbours.get(address)
+        one = self.peers.get(address)
         if one is None:
-            if len(self.neighbours) >= self.policy.most and not self._make_room():
+            if len(self.peers) >= self.policy.most and not self._evict_disconnected():
                 self.refused += 1
                 return None
-            one = self.neighbours[address] = Neighbour(Outbox(self.policy))
-        one.used = now
-        one.outbox.put(now, kind, data)
+            one = self.peers[address] = Peer(SendQueue(self.policy))
+        one.last_used = now
+        one.send_queue.enqueue(now, kind, data)
         return one
 
-    def _make_room(self) -> bool:
-        down = [address for address, one in self.neighbours.items() if not one.up and math.isnan(one.dialling)]
+    def _evict_disconnected(self) -> bool:
+        down = [
+            address for address, one in self.peers.items() if not one.connected and math.isnan(one.dialling_since)
+        ]
         if not down:
             return False
-        del self.neighbours[min(down, key=lambda address: self.neighbours[address].used)]
+        del self.peers[min(down, key=lambda address: self.peers[address].last_used)]
         return True
 
     # ---- dialling ------------------------------------------------------------------------
 
-    def dials(self, now: float) -> list[str]:
+    def start_dials(self, now: float) -> list[str]:
         """Addresses to dial now."""
         policy = self.policy
-        if math.isfinite(self._filled):
-            self._tokens = min(policy.burst, self._tokens + policy.dials * max(0.0, now - self._filled))
-        self._filled = now
+        if math.isfinite(self._tokens_updated):
+            self._tokens = min(policy.burst, self._tokens + policy.dials * max(0.0, now - self._tokens_updated))
+        self._tokens_updated = now
         due = [
-            (one.dial_at, address)
-            for address, one in self.neighbours.items()
-            if not one.up and math.isnan(one.dialling) and one.outbox.count and now >= one.dial_at
+            (one.next_dial, address)
+            for address, one in self.peers.items()
+            if not one.connected and math.isnan(one.dialling_since) and one.send_queue.count and now >= one.next_dial
         ]
         chosen = [address for _, address in sorted(due)[: int(self._tokens)]]
         for address in chosen:
             self._tokens -= 1.0
-            self.neighbours[address].dialling = now
+            self.peers[address].dialling_since = now
         return chosen
 
-    def is_up(self, now: float, address: str) -> Neighbour:
+    def on_connected(self, now: float, address: str) -> Peer:
         """A link to it is up, whoever dialled it."""
-        one = self.neighbours.get(address)
+        one = self.peers.get(address)
         if one is None:
-            one = self.neighbours[address] = Neighbour(Outbox(self.policy))
-        one.up, one.dialling, one.failed = True, math.nan, 0
-        one.spoke, one.asked, one.questioned, one.used = now, math.inf, False, now
+            one = self.peers[address] = Peer(SendQueue(self.policy))
+        one.connected, one.dialling_since, one.failures = True, math.nan, 0
+        one.last_received, one.awaiting_since, one.keepalive_sent, one.last_used = now, math.inf, False, now
         return one
 
-    def failed(self, now: float, address: str) -> None:
+    def on_disconnected(self, now: float, address: str) -> None:
         """A dial came to nothing, or a link has ended."""
-        one = self.neighbours.get(address)
+        one = self.peers.get(address)
         if one is None:
             return
-        one.up, one.dialling = False, math.nan
-        longest = min(self.policy.again_to, self.policy.again_from * 2.0 ** min(one.failed, 16))
-        one.failed += 1
-        one.dial_at = now + longest * self._rng.uniform(0.1, 1.0)
+        one.connected, one.dialling_since = False, math.nan
+        longest = min(self.policy.again_to, self.policy.again_from * 2.0 ** min(one.failures, 16))
+        one.failures += 1
+        one.next_dial = now + longest * self._rng.uniform(0.1, 1.0)
 
     # ---- links that are up ---------------------------------------------------------------
 
-    def sent(self, now: float, address: str) -> None:
+    def on_sent(self, now: float, address: str) -> None:
         """Something was written to it."""
-        one = self.neighbours[address]
-        one.asked = min(one.asked, now)
+        one = self.peers[address]
+        one.awaiting_since = min(one.awaiting_since, now)
 
-    def heard(self, now: float, address: str) -> None:
+    def on_received(self, now: float, address: str) -> None:
         """Something has come from it."""
-        one = self.neighbours.get(address)
+        one = self.peers.get(address)
         if one is not None:
-            one.spoke, one.asked, one.questioned = now, math.inf, False
+            one.last_received, one.awaiting_since, one.keepalive_sent = now, math.inf, False
 
-    def questions(self, now: float) -> list[str]:
+    def due_keepalives(self, now: float) -> list[str]:
         """Links on which to ask for a sign of life now. To be called often, before `over`."""
-        late, self._looked = now - self._looked, now
+        late, self._last_check = now - self._last_check, now
         found = []
-        for address, one in self.neighbours.items():
-            if late > PAUSE and math.isfinite(one.asked):
-                one.asked = now  # what has come meanwhile is still unread
-            if one.up and not one.questioned and now - one.asked >= self.policy.silent / 3.0:
-                one.questioned = True
+        for address, one in self.peers.items():
+            if late > STALL_THRESHOLD and math.isfinite(one.awaiting_since):
+                one.awaiting_since = now  # what has come meanwhile is still unread
+            if one.connected and not one.keepalive_sent and now - one.awaiting_since >= self.policy.silent / 3.0:
+                one.keepalive_sent = True
                 found.append(address)
         return found
 
-    def over(self, now: float) -> list[tuple[str, str]]:
+    def expired_links(self, now: float) -> list[tuple[str, str]]:
         """Links to end now, and why; each is to be followed by `failed`."""
         found = []
-        for address, one in self.neighbours.items():
-            if one.up and now - one.asked >= self.policy.silent:
+        for address, one in self.peers.items():
+            if one.connected and now - one.awaiting_since >= self.policy.silent:
                 found.append((address, "silent"))
-            elif one.up and now - max(one.used, one.spoke) >= self.policy.idle:
+            elif one.connected and now - max(one.last_used, one.last_received) >= self.policy.idle:
                 found.append((address, "idle"))
-        for _, why in found:
-            self.ended[why] += 1
+        for _, reason in found:
+            self.closed[reason] += 1
         return found
 
     def view(self, now: float) -> list[dict[str, object]]:
@@ -260,20 +262,24 @@
         return [
             {
                 "address": address,
-                "up": one.up,
-                "failed": one.failed,
-                "waiting": one.outbox.count,
-                "waiting_bytes": one.outbox.bytes,
-                "late": one.outbox.late,
-                "dropped": {kind.name.lower(): one.outbox.dropped[kind] for kind in Kind if one.outbox.dropped[kind]},
-                "silent_for": round(now - one.spoke, 2) if one.up else None,
+                "up": one.connected,
+                "failed": one.failures,
+                "waiting": one.send_queue.count,
+                "waiting_bytes": one.send_queue.bytes,
+                "late": one.send_queue.expired,
+                "dropped": {
+                    kind.name.lower(): one.send_queue.dropped[kind]
+                    for kind in Priority
+                    if one.send_queue.dropped[kind]
+                },
+                "silent_for": round(now - one.last_received, 2) if one.connected else None,
             }
-            for address, one in sorted(self.neighbours.items())
+            for address, one in sorted(self.peers.items())
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class LinkEnd:
     """One end of a link, as the other sees it."""
 
     name: str
@@ -281,8 +287,8 @@
     dialled: bool = field(default=False)  # by this member, not by the other
 
 
-def stays(me: str, old: End, new: End) -> bool:
+def should_replace(local_name: str, old: LinkEnd, new: LinkEnd) -> bool:
     """Whether the newer of two links to one neighbour stays, and not the older."""
     if old.life != new.life or old.dialled is new.dialled:
         return True  # the older one's process, or its connection, is gone
-    return new.dialled is (me < new.name)
+    return new.dialled is (local_name < new.name)
--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -44,13 +44,13 @@
 
 from weldroute.checks import check_numbers
 
-MOST_RELAYED = 64  # probes that are under way for others
-DOUBT_MOST = 8  # steps of doubt in itself...
-DOUBT_WOKEN = 4  # ...and those of one that had stood still
-MOST_CONFIRMED = 32  # names that are kept of who else suspects
+MAX_RELAYED_PROBES = 64  # probes that are under way for others
+MAX_HEALTH_SCORE = 8  # steps of doubt in itself...
+PAUSE_HEALTH_PENALTY = 4  # ...and those of one that had stood still
+MAX_SUSPECTED_BY = 32  # names that are kept of who else suspects
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """Of a member, in the order in which one outweighs another of the same incarnation."""
 
     ALIVE = 0
@@ -92,11 +92,11 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Row:
+class MemberRecord:
     """What is believed of a member. The order decides which of two rows about one member holds."""
 
     incarnation: int
-    state: State
+    state: MemberState
     life: int  # of its process, drawn at its start
     address: str
     zone: str = ""
@@ -112,7 +112,7 @@
     sender: str
     number: int
     target: str  # whoever else hears it does not answer; "": whoever is at that address
-    news: tuple[Row, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
     fleet: str
     sender: str
     number: int
-    news: tuple[Row, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +144,7 @@
     target: str
     address: str
     patience: float
-    news: tuple[Row, ...] = ()
+    news: tuple[MemberRecord, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
 
     fleet: str
     sender: str
-    news: tuple[Row, ...]
+    news: tuple[MemberRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,7 +162,7 @@
 
     fleet: str
     sender: str
-    rows: tuple[Row, ...]
+    rows: tuple[MemberRecord, ...]
     asks: bool
 
 
@@ -178,24 +178,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class StateChange:
     """A member is in another state."""
 
-    row: Row
-    before: State | None  # None: it is new
-    why: str
+    record: MemberRecord
+    previous: MemberState | None  # None: it is new
+    reason: str
 
 
-Action = Send | Changed
+Action = Send | StateChange
 
 
 @dataclass(slots=True)
 class Member:
     """One other."""
 
-    row: Row
+    record: MemberRecord
     since: float  # of its state
-    confirmed: set[str] = field(default_factory=set)  # who suspects it
+    suspected_by: set[str] = field(default_factory=set)  # who suspects it
 
 
 @dataclass(slots=True)
@@ -205,31 +205,31 @@
     target: str
     number: int
     since: float
-    patience: float
-    until: float
+    timeout: float
+    deadline: float
     helpers: int = 0
     nacks: int = 0
-    asked: bool = False
+    helpers_asked: bool = False
 
 
 @dataclass(slots=True)
-class Relay:
+class RelayedProbe:
     """A probe for another."""
 
-    asker: str  # address
+    requester: str  # address
     number: int  # the asker's
-    until: float
+    deadline: float
 
 
 @dataclass(slots=True)
-class Rumour:
+class PendingUpdate:
     """A piece of news on its way."""
 
-    row: Row
+    record: MemberRecord
     sent: int = 0
 
 
-class Members:
+class Membership:
     """One member's view of all."""
 
     def __init__(
@@ -247,396 +247,411 @@
         self.policy = policy
         self.fleet = fleet
         self._rng = Random(seed)
-        self.me = Row(1, State.ALIVE, self._rng.getrandbits(62), address, zone, name)
+        self.local = MemberRecord(1, MemberState.ALIVE, self._rng.getrandbits(62), address, zone, name)
         self.members: dict[str, Member] = {}
-        self.doubt = 0  # in itself, from 0 to DOUBT_MOST
+        self.health_score = 0  # in itself, from 0 to DOUBT_MOST
         self.conflicts = 0  # rows about its name that another process of that name has spoken
-        self.foreign = 0  # messages of other fleets
+        self.foreign_messages = 0  # messages of other fleets
         self._seeds = sorted(set(seeds) - {address})
-        self._turn: list[str] = []  # whom it probes next, from the end
+        self._probe_order: list[str] = []  # whom it probes next, from the end
         self._probe: Probe | None = None
-        self._relays: dict[int, Relay] = {}
-        self._rumours: dict[str, Rumour] = {}
-        self._number = 0
-        self._looked = now
+        self._relays: dict[int, RelayedProbe] = {}
+        self._updates: dict[str, PendingUpdate] = {}
+        self._last_number = 0
+        self._last_tick = now
         self._next_probe = now + policy.period * self._rng.random()
         self._next_gossip = now
         self._next_sync = now
-        self._next_knock = now
-        self._out: list[Action] = []
-        self._tell(self.me)
+        self._next_contact_probe = now
+        self._actions: list[Action] = []
+        self._enqueue_update(self.local)
 
     # ---- what others ask -----------------------------------------------------------------
 
     @property
-    def alive(self) -> list[Row]:
+    def alive(self) -> list[MemberRecord]:
         """The others that are alive, or only suspect."""
-        return [one.row for one in self.members.values() if one.row.state <= State.SUSPECT]
+        return [one.record for one in self.members.values() if one.record.state <= MemberState.SUSPECT]
 
-    def state(self, name: str) -> State | None:
+    def state(self, name: str) -> MemberState | None:
         """Of a member; None for one that is not known."""
-        if name == self.me.name:
-            return self.me.state
+        if name == self.local.name:
+            return self.local.state
         one = self.members.get(name)
-        return one.row.state if one is not None else None
+        return one.record.state if one is not None else None
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When `look` has something to do next."""
         probe = self._probe
-        times = [self._next_probe, self._next_sync, self._next_knock, *(one.until for one in self._relays.values())]
+        times = [
+            self._next_probe,
+            self._next_sync,
+            self._next_contact_probe,
+            *(one.deadline for one in self._relays.values()),
+        ]
         if probe is not None:
-            times.append(probe.until if probe.asked else probe.since + probe.patience)
-        if self._rumours:
+            times.append(probe.deadline if probe.helpers_asked else probe.since + probe.timeout)
+        if self._updates:
             times.append(self._next_gossip)
-        times += [self._dies(one) for one in self.members.values() if one.row.state is State.SUSPECT]
+        times += [
+            self._suspicion_deadline(one) for one in self.members.values() if one.record.state is MemberState.SUSPECT
+        ]
         return min(times)
 
     # ---- time ----------------------------------------------------------------------------
 
-    def look(self, now: float) -> list[Action]:
+    def tick(self, now: float) -> list[Action]:
         """Called when something is due, and often in any case; what to do."""
-        gap = now - max(self._looked, self._looked_due())
-        self._looked = now
+        gap = now - max(self._last_tick, self._next_scheduled())
+        self._last_tick = now
         if gap > self.policy.pause:
-            self._woke(now)
-        self._look_probe(now)
-        self._look_relays(now)
-        self._look_suspects(now)
+            self._on_pause(now)
+        self._tick_probe(now)
+        self._expire_relays(now)
+        self._expire_suspects(now)
         if now >= self._next_sync:
             self._next_sync = now + self.policy.sync * self._rng.uniform(0.5, 1.0)
-            self._ask_all()
-        if now >= self._next_knock:
-            self._next_knock = now + self.policy.knock * self._rng.uniform(0.5, 1.0)
-            self._knock(now)
-        if self._rumours and now >= self._next_gossip:
+            self._start_sync()
+        if now >= self._next_contact_probe:
+            self._next_contact_probe = now + self.policy.knock * self._rng.uniform(0.5, 1.0)
+            self._send_contact_probe(now)
+        if self._updates and now >= self._next_gossip:
             self._next_gossip = now + self.policy.gossip
-            self._spread()
-        return self._done()
+            self._send_gossip()
+        return self._take_actions()
 
-    def _looked_due(self) -> float:
+    def _next_scheduled(self) -> float:
         """The latest moment at which a look was due that has not come: what is later than that is a pause."""
-        return min(self._next_probe, self._next_sync, self._next_knock)
+        return min(self._next_probe, self._next_sync, self._next_contact_probe)
 
-    def _woke(self, now: float) -> None:
+    def _on_pause(self, now: float) -> None:
         """It has stood still: what it was waiting for may have come and gone."""
         self._probe = None
         self._relays.clear()
         self._next_probe = now
-        self._doubts(DOUBT_WOKEN)
+        self._adjust_health_score(PAUSE_HEALTH_PENALTY)
         for one in self.members.values():
-            if one.row.state is State.SUSPECT:
+            if one.record.state is MemberState.SUSPECT:
                 one.since = now
 
-    def _done(self) -> list[Action]:
-        out, self._out = self._out, []
+    def _take_actions(self) -> list[Action]:
+        out, self._actions = self._actions, []
         return out
 
-    def _doubts(self, steps: int) -> None:
-        self.doubt = min(DOUBT_MOST, max(0, self.doubt + steps))
+    def _adjust_health_score(self, steps: int) -> None:
+        self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + steps))
 
     # ---- probes --------------------------------------------------------------------------
 
-    def _look_probe(self, now: float) -> None:
+    def _tick_probe(self, now: float) -> None:
         probe, policy = self._probe, self.policy
-        if probe is not None and not probe.asked and now >= probe.since + probe.patience:
-            self._ask_helpers(now, probe)
-        if probe is not None and now >= probe.until:
+        if probe is not None and not probe.helpers_asked and now >= probe.since + probe.timeout:
+            self._send_indirect_probes(now, probe)
+        if probe is not None and now >= probe.deadline:
             self._probe = None
             missing = probe.helpers - probe.nacks
             # Helpers that are silent too: it may be this member that nobody hears. With none there is no other sign.
-            self._doubts(missing if probe.helpers else 1)
+            self._adjust_health_score(missing if probe.helpers else 1)
             why = f"no answer to a probe, {probe.nacks} of {probe.helpers} helpers had none"
             self._suspect(now, probe.target, why)
         if self._probe is None and now >= self._next_probe:
-            stretch = 1.0 + self.doubt
+            stretch = 1.0 + self.health_score
             self._next_probe = now + policy.period * stretch
             target = self._next_target()
             if target is not None:
-                self._probe = Probe(target, self._take_number(), now, policy.patience * stretch, self._next_probe)
-                self._ping(target, self._probe.number)
+                self._probe = Probe(target, self._next_number(), now, policy.patience * stretch, self._next_probe)
+                self._send_ping(target, self._probe.number)
 
-    def _take_number(self) -> int:
-        self._number += 1
-        return self._number
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
     def _next_target(self) -> str | None:
         """All in turn, in an order drawn anew for each round (SWIM, 4.3): none is left out for long."""
         while True:
-            if not self._turn:
-                self._turn = sorted(row.name for row in self.alive)
-                self._rng.shuffle(self._turn)
-                if not self._turn:
+            if not self._probe_order:
+                self._probe_order = sorted(row.name for row in self.alive)
+                self._rng.shuffle(self._probe_order)
+                if not self._probe_order:
                     return None
-            name = self._turn.pop()
+            name = self._probe_order.pop()
             one = self.members.get(name)
-            if one is not None and one.row.state <= State.SUSPECT:
+            if one is not None and one.record.state <= MemberState.SUSPECT:
                 return name
 
-    def _ping(self, name: str, number: int) -> None:
-        row = self.members[name].row
-        news = self._riding()
-        if row.state is not State.ALIVE and row not in news:
+    def _send_ping(self, name: str, number: int) -> None:
+        row = self.members[name].record
+        news = self._select_updates()
+        if row.state is not MemberState.ALIVE and row not in news:
             news = (row, *news)[: self.policy.riding]  # it must be the first to hear of it
-        self._out.append(Send(row.address, Ping(self.fleet, self.me.name, number, name, news)))
+        self._actions.append(Send(row.address, Ping(self.fleet, self.local.name, number, name, news)))
 
-    def _ask_helpers(self, now: float, probe: Probe) -> None:
-        probe.asked = True
+    def _send_indirect_probes(self, now: float, probe: Probe) -> None:
+        probe.helpers_asked = True
         target = self.members.get(probe.target)
         if target is None:
             return
         others = [
-            one.row for one in self.members.values() if one.row.state is State.ALIVE and one.row.name != probe.target
+            one.record
+            for one in self.members.values()
+            if one.record.state is MemberState.ALIVE and one.record.name != probe.target
         ]
         helpers = self._rng.sample(others, min(self.policy.helpers, len(others)))
         probe.helpers = len(helpers)
-        self._ping(probe.target, probe.number)  # once more: where messages get lost, two are better than one
-        left = 0.8 * max(0.0, probe.until - now)
+        self._send_ping(probe.target, probe.number)  # once more: where messages get lost, two are better than one
+        left = 0.8 * max(0.0, probe.deadline - now)
         for row in helpers:
-            self._out.append(
+            self._actions.append(
                 Send(
                     row.address,
                     PingFor(
                         self.fleet,
-                        self.me.name,
+                        self.local.name,
                         probe.number,
                         probe.target,
-                        target.row.address,
+                        target.record.address,
                         left,
-                        self._riding(),
+                        self._select_updates(),
                     ),
                 )
             )
 
-    def _look_relays(self, now: float) -> None:
+    def _expire_relays(self, now: float) -> None:
         for number, relay in list(self._relays.items()):
-            if now >= relay.until:
+            if now >= relay.deadline:
                 del self._relays[number]
-                self._out.append(Send(relay.asker, Nack(self.fleet, self.me.name, relay.number)))
+                self._actions.append(Send(relay.requester, Nack(self.fleet, self.local.name, relay.number)))
 
     # ---- suspicion -----------------------------------------------------------------------
 
     def _suspect(self, now: float, name: str, why: str) -> None:
         one = self.members.get(name)
-        if one is None or one.row.state > State.SUSPECT:
+        if one is None or one.record.state > MemberState.SUSPECT:
             return
-        if one.row.state is State.SUSPECT:
-            self._confirm(one, self.me.name)
+        if one.record.state is MemberState.SUSPECT:
+            self._confirm_suspicion(one, self.local.name)
         else:
-            self._take(now, replace(one.row, state=State.SUSPECT, by=self.me.name), why)
+            self._accept(now, replace(one.record, state=MemberState.SUSPECT, by=self.local.name), why)
 
-    def _confirm(self, one: Member, by: str) -> None:
-        if by and by not in one.confirmed and len(one.confirmed) < MOST_CONFIRMED:
-            one.confirmed.add(by)
-            self._tell(replace(one.row, by=by))
+    def _confirm_suspicion(self, one: Member, by: str) -> None:
+        if by and by not in one.suspected_by and len(one.suspected_by) < MAX_SUSPECTED_BY:
+            one.suspected_by.add(by)
+            self._enqueue_update(replace(one.record, by=by))
 
-    def _dies(self, one: Member) -> float:
+    def _suspicion_deadline(self, one: Member) -> float:
         """When a suspect is dead, if it says nothing: the sooner the more suspect it (Lifeguard, local-aware)."""
         policy = self.policy
         count = len(self.members) + 1
         least = policy.suspicion * max(1.0, math.log10(count)) * policy.period
         most = policy.alone * least
         enough = max(1, min(policy.helpers, count - 2))
-        part = math.log(min(len(one.confirmed), enough + 1)) / math.log(enough + 1) if one.confirmed else 0.0
+        part = math.log(min(len(one.suspected_by), enough + 1)) / math.log(enough + 1) if one.suspected_by else 0.0
         return one.since + max(least, most - (most - least) * part)
 
-    def _look_suspects(self, now: float) -> None:
+    def _expire_suspects(self, now: float) -> None:
         for one in list(self.members.values()):
-            if one.row.state is State.SUSPECT and now >= self._dies(one):
-                why = f"suspect for {now - one.since:.1f} s, by {len(one.confirmed)}"
-                self._take(now, replace(one.row, state=State.DEAD, by=self.me.name), why)
+            if one.record.state is MemberState.SUSPECT and now >= self._suspicion_deadline(one):
+                why = f"suspect for {now - one.since:.1f} s, by {len(one.suspected_by)}"
+                self._accept(now, replace(one.record, state=MemberState.DEAD, by=self.local.name), why)
 
     # ---- news ----------------------------------------------------------------------------
 
-    def hear(self, now: float, address: str, message: Message) -> list[Action]:
+    def on_message(self, now: float, address: str, message: Message) -> list[Action]:
         """A message has come from an address; what to do. One of another fleet is counted, and that is all."""
         if message.fleet != self.fleet:
-            self.foreign += 1
+            self.foreign_messages += 1
             return []
         if isinstance(message, Ping):
-            self._hear_ping(now, address, message)
+            self._on_ping(now, address, message)
         elif isinstance(message, Ack):
-            self._hear_ack(now, message)
+            self._on_ack(now, message)
         elif isinstance(message, Nack):
             if self._probe is not None and message.number == self._probe.number:
                 self._probe.nacks += 1
         elif isinstance(message, PingFor):
-            self._hear_rows(now, message.news)
-            self._relay(now, address, message)
+            self._merge_records(now, message.news)
+            self._relay_probe(now, address, message)
         elif isinstance(message, Gossip):
-            self._hear_rows(now, message.news)
+            self._merge_records(now, message.news)
         else:
-            self._hear_sync(now, address, message)
-        return self._done()
+            self._on_sync(now, address, message)
+        return self._take_actions()
 
-    def _hear_ping(self, now: float, address: str, ping: Ping) -> None:
-        if ping.target not in ("", self.me.name):
+    def _on_ping(self, now: float, address: str, ping: Ping) -> None:
+        if ping.target not in ("", self.local.name):
             return  # another had this address
-        self._hear_rows(now, ping.news)
-        self._out.append(Send(address, Ack(self.fleet, self.me.name, ping.number, self._riding(self.me))))
+        self._merge_records(now, ping.news)
+        self._actions.append(
+            Send(address, Ack(self.fleet, self.local.name, ping.number, self._select_updates(self.local)))
+        )
 
-    def _hear_ack(self, now: float, ack: Ack) -> None:
-        self._hear_rows(now, ack.news)
+    def _on_ack(self, now: float, ack: Ack) -> None:
+        self._merge_records(now, ack.news)
         relay = self._relays.pop(ack.number, None)
         if relay is not None:
-            self._out.append(Send(relay.asker, Ack(self.fleet, ack.sender, relay.number)))
+            self._actions.append(Send(relay.requester, Ack(self.fleet, ack.sender, relay.number)))
             return
         probe = self._probe
         if probe is not None and (ack.number, ack.sender) == (probe.number, probe.target):
             self._probe = None
-            self._doubts(0 if probe.asked else -1)
+            self._adjust_health_score(0 if probe.helpers_asked else -1)
 
-    def _relay(self, now: float, asker: str, request: PingFor) -> None:
-        if len(self._relays) >= MOST_RELAYED:
+    def _relay_probe(self, now: float, asker: str, request: PingFor) -> None:
+        if len(self._relays) >= MAX_RELAYED_PROBES:
             return
-        number = self._take_number()
-        self._relays[number] = Relay(asker, request.number, now + min(request.patience, self.policy.sync))
+        number = self._next_number()
+        self._relays[number] = RelayedProbe(asker, request.number, now + min(request.patience, self.policy.sync))
         one = self.members.get(request.target)
-        news = self._riding(one.row) if one is not None and one.row.state is not State.ALIVE else self._riding()
-        self._out.append(Send(request.address, Ping(self.fleet, self.me.name, number, request.target, news)))
-
-    def _hear_rows(self, now: float, rows: Iterable[Row]) -> None:
+        news = (
+            self._select_updates(one.record)
+            if one is not None and one.record.state is not MemberState.ALIVE
+            else self._select_updates()
+        )
+        self._actions.append(Send(request.address, Ping(self.fleet, self.local.name, number, request.target, news)))
+
+    def _merge_records(self, now: float, rows: Iterable[MemberRecord]) -> None:
         for row in rows:
-            if row.name == self.me.name:
-                self._hear_of_me(now, row)
+            if row.name == self.local.name:
+                self._refute(now, row)
             elif row.name:
-                self._hear_row(now, self._doubtful(row))
+                self._merge_record(now, self._downgrade_to_suspect(row))
 
-    def _hear_row(self, now: float, row: Row) -> None:
+    def _merge_record(self, now: float, row: MemberRecord) -> None:
         one = self.members.get(row.name)
-        if one is not None and row <= one.row:
-            same = row.incarnation == one.row.incarnation
-            if same and row.state is State.SUSPECT and one.row.state is State.SUSPECT:
-                self._confirm(one, row.by)
+        if one is not None and row <= one.record:
+            same = row.incarnation == one.record.incarnation
+            if same and row.state is MemberState.SUSPECT and one.record.state is MemberState.SUSPECT:
+                self._confirm_suspicion(one, row.by)
             return
-        if one is None and len(self.members) >= self.policy.most and not self._make_room():
+        if one is None and len(self.members) >= self.policy.most and not self._evict_dead():
             return
-        self._take(now, row, f"{row.by or 'its own word'} says so")
+        self._accept(now, row, f"{row.by or 'its own word'} says so")
 
-    def _take(self, now: float, row: Row, why: str) -> None:
+    def _accept(self, now: float, row: MemberRecord, why: str) -> None:
         """Believe a row that is greater than what was believed."""
         one = self.members.get(row.name)
-        before = one.row.state if one is not None else None
+        before = one.record.state if one is not None else None
         if one is None:
             one = self.members[row.name] = Member(row, now)
-            self._turn.insert(self._rng.randint(0, len(self._turn)), row.name)
+            self._probe_order.insert(self._rng.randint(0, len(self._probe_order)), row.name)
         if before is not row.state:
             one.since = now
-            self._out.append(Changed(row, before, why))
-        one.row = row
-        one.confirmed = {row.by} if row.state is State.SUSPECT and row.by else set()
-        self._tell(row)
+            self._actions.append(StateChange(row, before, why))
+        one.record = row
+        one.suspected_by = {row.by} if row.state is MemberState.SUSPECT and row.by else set()
+        self._enqueue_update(row)
 
-    def _hear_of_me(self, now: float, row: Row) -> None:
+    def _refute(self, now: float, row: MemberRecord) -> None:
         """What is not so is refuted, from above it."""
-        if row.incarnation < self.me.incarnation or row == self.me:
+        if row.incarnation < self.local.incarnation or row == self.local:
             return
-        if row.life != self.me.life and row.state is State.ALIVE:
+        if row.life != self.local.life and row.state is MemberState.ALIVE:
             self.conflicts += 1
-        if row.life == self.me.life and row.state in (State.SUSPECT, State.DEAD):
-            self._doubts(1)
-        self.me = replace(self.me, incarnation=row.incarnation + 1)
-        self._tell(self.me)
+        if row.life == self.local.life and row.state in (MemberState.SUSPECT, MemberState.DEAD):
+            self._adjust_health_score(1)
+        self.local = replace(self.local, incarnation=row.incarnation + 1)
+        self._enqueue_update(self.local)
 
-    def _make_room(self) -> bool:
+    def _evict_dead(self) -> bool:
         """Forget the one that has been dead or gone for the longest."""
-        gone = [one for one in self.members.values() if one.row.state >= State.DEAD]
+        gone = [one for one in self.members.values() if one.record.state >= MemberState.DEAD]
         if not gone:
             return False
-        del self.members[min(gone, key=lambda one: one.since).row.name]
+        del self.members[min(gone, key=lambda one: one.since).record.name]
         return True
 
     # ---- spreading -----------------------------------------------------------------------
 
-    def _tell(self, row: Row) -> None:
-        self._rumours[row.name] = Rumour(row)
+    def _enqueue_update(self, row: MemberRecord) -> None:
+        self._updates[row.name] = PendingUpdate(row)
 
-    def _most_sent(self) -> int:
+    def _max_transmissions(self) -> int:
         return math.ceil(self.policy.spread * math.log2(len(self.members) + 2))
 
-    def _riding(self, *first: Row) -> tuple[Row, ...]:
+    def _select_updates(self, *first: MemberRecord) -> tuple[MemberRecord, ...]:
         """News for one message: what was sent the least goes first."""
         rows = list(first)
-        most = self._most_sent()
-        waiting = sorted(self._rumours.values(), key=lambda one: (one.sent, one.row.name))
+        most = self._max_transmissions()
+        waiting = sorted(self._updates.values(), key=lambda one: (one.sent, one.record.name))
         for one in waiting[: self.policy.riding - len(rows)]:
-            if one.row in rows:
+            if one.record in rows:
                 continue
-            rows.append(one.row)
+            rows.append(one.record)
             one.sent += 1
             if one.sent >= most:
-                del self._rumours[one.row.name]
+                del self._updates[one.record.name]
         return tuple(rows)
 
-    def _spread(self) -> None:
+    def _send_gossip(self) -> None:
         others = [row.address for row in self.alive]
         for address in self._rng.sample(others, min(self.policy.fanout, len(others))):
-            news = self._riding()
+            news = self._select_updates()
             if news:
-                self._out.append(Send(address, Gossip(self.fleet, self.me.name, news)))
+                self._actions.append(Send(address, Gossip(self.fleet, self.local.name, news)))
 
     # ---- all that is known ---------------------------------------------------------------
 
-    def _ask_all(self) -> None:
+    def _start_sync(self) -> None:
         """Exchange all with one other; while there is none, with two of the seeds, of which some may be wrong."""
         others = [row.address for row in self.alive]
         targets = [self._rng.choice(others)] if others else self._rng.sample(self._seeds, min(2, len(self._seeds)))
         if not others:
-            self._next_sync = self._looked + min(self.policy.sync, 2.0 * self.policy.period)
+            self._next_sync = self._last_tick + min(self.policy.sync, 2.0 * self.policy.period)
         for address in targets:
-            self._send_all(address, True)
+            self._send_all_records(address, True)
 
-    def _send_all(self, address: str, asks: bool) -> None:
-        rows = [self.me, *(one.row for one in self.members.values())]
+    def _send_all_records(self, address: str, asks: bool) -> None:
+        rows = [self.local, *(one.record for one in self.members.values())]
         for at in range(0, len(rows), self.policy.page):
             page = tuple(rows[at : at + self.policy.page])
-            self._out.append(Send(address, Sync(self.fleet, self.me.name, page, asks and at == 0)))
+            self._actions.append(Send(address, Sync(self.fleet, self.local.name, page, asks and at == 0)))
 
-    def _hear_sync(self, now: float, address: str, sync: Sync) -> None:
+    def _on_sync(self, now: float, address: str, sync: Sync) -> None:
         if sync.asks:
-            self._send_all(address, False)  # what was known before: also what the asker has to refute
-        self._hear_rows(now, sync.rows)
+            self._send_all_records(address, False)  # what was known before: also what the asker has to refute
+        self._merge_records(now, sync.rows)
 
-    def _doubtful(self, row: Row) -> Row:
+    def _downgrade_to_suspect(self, row: MemberRecord) -> MemberRecord:
         """Of whom another holds for dead, and this one does not: suspect, so that it is asked before."""
         one = self.members.get(row.name)
-        if row.state is State.DEAD and one is not None and one.row.state <= State.SUSPECT:
-            return replace(row, state=State.SUSPECT)
+        if row.state is MemberState.DEAD and one is not None and one.record.state <= MemberState.SUSPECT:
+            return replace(row, state=MemberState.SUSPECT)
         return row
 
-    def _knock(self, now: float) -> None:
+    def _send_contact_probe(self, now: float) -> None:
         """Probe one that is dead, or a seed that nobody has: a cut may have healed. Forget who is gone for long."""
         for name, one in list(self.members.items()):
-            if one.row.state >= State.DEAD and now - one.since >= self.policy.forget:
+            if one.record.state >= MemberState.DEAD and now - one.since >= self.policy.forget:
                 del self.members[name]
-        known = {one.row.address for one in self.members.values() if one.row.state <= State.SUSPECT}
-        dead = [one.row.address for one in self.members.values() if one.row.state is State.DEAD]
-        doors = sorted({*dead, *self._seeds} - known - {self.me.address})
+        known = {one.record.address for one in self.members.values() if one.record.state <= MemberState.SUSPECT}
+        dead = [one.record.address for one in self.members.values() if one.record.state is MemberState.DEAD]
+        doors = sorted({*dead, *self._seeds} - known - {self.local.address})
         if doors:
-            self._send_all(self._rng.choice(doors), True)
+            self._send_all_records(self._rng.choice(doors), True)
 
     # ---- the end -------------------------------------------------------------------------
 
     def leave(self, now: float) -> list[Action]:
         """Say to some at once that it leaves; they tell the rest."""
-        self._looked = now
-        self.me = replace(self.me, state=State.LEFT)
+        self._last_tick = now
+        self.local = replace(self.local, state=MemberState.LEFT)
         others = [row.address for row in self.alive]
         for address in self._rng.sample(others, min(2 * self.policy.fanout, len(others))):
-            self._out.append(Send(address, Gossip(self.fleet, self.me.name, (self.me,))))
-        return self._done()
+            self._actions.append(Send(address, Gossip(self.fleet, self.local.name, (self.local,))))
+        return self._take_actions()
 
     def view(self, now: float) -> list[dict[str, object]]:
         """All members for operators, by name: state, since how many seconds, incarnation, who suspects."""
-        ones = [Member(self.me, now), *(self.members[name] for name in sorted(self.members))]
+        ones = [Member(self.local, now), *(self.members[name] for name in sorted(self.members))]
         return [
             {
-                "name": one.row.name,
-                "address": one.row.address,
-                "zone": one.row.zone,
-                "state": one.row.state.name.lower(),
-                "incarnation": one.row.incarnation,
+                "name": one.record.name,
+                "address": one.record.address,
+                "zone": one.record.zone,
+                "state": one.record.state.name.lower(),
+                "incarnation": one.record.incarnation,
                 "since": round(now - one.since, 2),
-                "suspected_by": sorted(one.confirmed),
+                "suspected_by": sorted(one.suspected_by),
             }
             for one in ones
         ]
--- a/weldroute/replicated_map.py
+++ b/weldroute/replicated_map.py
@@ -33,12 +33,12 @@
 
 from weldroute.checks import check_numbers
 
-OVER = ""  # the value of what holds no more
+TOMBSTONE = ""  # the value of what holds no more
 Stamp = tuple[int, int, str]  # milliseconds of Unix time, a count, and who wrote it; compared in this order
 
 
 @dataclass(frozen=True, slots=True)
-class FactPolicy:
+class ReplicationPolicy:
     """Times in seconds."""
 
     gossip: float = 0.1  # between rounds of news, while there are any...
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class MapEntry:
     """Something that holds."""
 
     key: str
@@ -72,7 +72,7 @@
 
     fleet: str
     sender: str
-    facts: tuple[Fact, ...]
+    facts: tuple[MapEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,46 +89,50 @@
 
 
 @dataclass(slots=True)
-class Held:
+class StoredEntry:
     """A fact, and what is done with it."""
 
-    fact: Fact
-    since: float  # when it came here
-    left: int  # times to send it yet
+    entry: MapEntry
+    stored_at: float  # when it came here
+    sends_left: int  # times to send it yet
 
 
-class Facts:
+class ReplicatedMap:
     """What one member holds."""
 
-    def __init__(self, policy: FactPolicy, fleet: str, name: str, seed: int) -> None:
+    def __init__(self, policy: ReplicationPolicy, fleet: str, name: str, seed: int) -> None:
         policy.check()
         self.policy = policy
         self._fleet = fleet
         self._name = name
         self._rng = Random(seed)
-        self._held: dict[str, Held] = {}
-        self._seen: tuple[int, int] = (0, 0)  # the greatest stamp's time and count
+        self._entries: dict[str, StoredEntry] = {}
+        self._clock: tuple[int, int] = (0, 0)  # the greatest stamp's time and count
         self._digest = 0  # of all that is held: the sum of each one's own
-        self._spreading: dict[str, None] = {}  # keys, in the order in which they came
+        self._to_spread: dict[str, None] = {}  # keys, in the order in which they came
         self._next_gossip = -math.inf
         self._next_compare = -math.inf
         self.refused = {"ahead": 0, "room": 0, "long": 0}
 
     # ---- what is held --------------------------------------------------------------------
 
-    def value(self, key: str) -> str | None:
+    def get(self, key: str) -> str | None:
         """What holds; None for what was never said, or is over."""
-        held = self._held.get(key)
-        return held.fact.value if held is not None and held.fact.value != OVER else None
+        held = self._entries.get(key)
+        return held.entry.value if held is not None and held.entry.value != TOMBSTONE else None
 
     def keys(self, prefix: str = "") -> list[str]:
         """Those of which something holds."""
-        return sorted(key for key, held in self._held.items() if key.startswith(prefix) and held.fact.value != OVER)
+        return sorted(
+            key for key, held in self._entries.items() if key.startswith(prefix) and held.entry.value != TOMBSTONE
+        )
 
-    def said(self, prefix: str) -> dict[str, bool]:
+    def presence(self, prefix: str) -> dict[str, bool]:
         """Whatever was said of keys that begin so, by the rest of the key: whether something holds."""
         return {
-            key[len(prefix) :]: held.fact.value != OVER for key, held in self._held.items() if key.startswith(prefix)
+            key[len(prefix) :]: held.entry.value != TOMBSTONE
+            for key, held in self._entries.items()
+            if key.startswith(prefix)
         }
 
     def view(self, now: float) -> list[dict[str, object]]:
@@ -136,118 +140,118 @@
         return [
             {
                 "key": key,
-                "value": held.fact.value or None,
-                "by": held.fact.stamp[2],
-                "at": held.fact.stamp[0] / 1000.0,
-                "since": round(now - held.since, 2),
+                "value": held.entry.value or None,
+                "by": held.entry.stamp[2],
+                "at": held.entry.stamp[0] / 1000.0,
+                "since": round(now - held.stored_at, 2),
             }
-            for key, held in sorted(self._held.items())
+            for key, held in sorted(self._entries.items())
         ]
 
     # ---- writing and hearing -------------------------------------------------------------
 
-    def write(self, now: float, wall: float, key: str, value: str) -> Fact | None:
+    def write(self, now: float, wall: float, key: str, value: str) -> MapEntry | None:
         """Say something here (OVER: that it holds no more); None where there is no room. `wall`: Unix time."""
         milliseconds = int(wall * 1000.0)
-        time, count = self._seen
+        time, count = self._clock
         stamp = (milliseconds, 0) if milliseconds > time else (time, count + 1)
-        fact = Fact(key, value, (*stamp, self._name))
-        return fact if self._take(now, fact) else None
+        fact = MapEntry(key, value, (*stamp, self._name))
+        return fact if self._store(now, fact) else None
 
-    def hear(self, now: float, wall: float, message: Message) -> tuple[list[Fact], list[Message]]:
+    def on_message(self, now: float, wall: float, message: Message) -> tuple[list[MapEntry], list[Message]]:
         """A message: the facts that hold from here on by it, and what to answer."""
         if message.fleet != self._fleet:
             return [], []
         if isinstance(message, News):
-            return [fact for fact in message.facts if self._hear_one(now, wall, fact)], []
+            return [fact for fact in message.facts if self._merge(now, wall, fact)], []
         if message.value == self._digest:
             return [], []
-        answer: list[Message] = list(self._all())
+        answer: list[Message] = list(self._all_entries())
         if message.asks:
             answer.append(Digest(self._fleet, self._name, self._digest, False))
         return [], answer
 
-    def _hear_one(self, now: float, wall: float, fact: Fact) -> bool:
+    def _merge(self, now: float, wall: float, fact: MapEntry) -> bool:
         if fact.stamp[0] > (wall + self.policy.ahead) * 1000.0:
             self.refused["ahead"] += 1
             return False
-        held = self._held.get(fact.key)
-        if held is not None and held.fact.stamp >= fact.stamp:
+        held = self._entries.get(fact.key)
+        if held is not None and held.entry.stamp >= fact.stamp:
             return False
-        if held is None and self._is_past(wall, fact):
+        if held is None and self._is_expired_tombstone(wall, fact):
             return False
-        return self._take(now, fact)
+        return self._store(now, fact)
 
-    def _is_past(self, wall: float, fact: Fact) -> bool:
+    def _is_expired_tombstone(self, wall: float, fact: MapEntry) -> bool:
         """Over, and for long enough."""
-        return fact.value == OVER and fact.stamp[0] < (wall - self.policy.remember) * 1000.0
+        return fact.value == TOMBSTONE and fact.stamp[0] < (wall - self.policy.remember) * 1000.0
 
-    def _take(self, now: float, fact: Fact) -> bool:
-        policy, held = self.policy, self._held.get(fact.key)
+    def _store(self, now: float, fact: MapEntry) -> bool:
+        policy, held = self.policy, self._entries.get(fact.key)
         if max(len(fact.key), len(fact.value)) > policy.longest:
             self.refused["long"] += 1
             return False
-        if held is None and len(self._held) >= policy.most and not self._make_room():
+        if held is None and len(self._entries) >= policy.most and not self._evict_tombstone():
             self.refused["room"] += 1
             return False
         if held is not None:
-            self._digest ^= _mark(held.fact)
-        self._digest ^= _mark(fact)
-        self._held[fact.key] = Held(fact, now, -1)
-        self._spreading[fact.key] = None
-        self._seen = max(self._seen, fact.stamp[:2])
+            self._digest ^= _entry_digest(held.entry)
+        self._digest ^= _entry_digest(fact)
+        self._entries[fact.key] = StoredEntry(fact, now, -1)
+        self._to_spread[fact.key] = None
+        self._clock = max(self._clock, fact.stamp[:2])
         return True
 
-    def _make_room(self) -> bool:
+    def _evict_tombstone(self) -> bool:
         """Forget the oldest of those that are over."""
-        over = [held for held in self._held.values() if held.fact.value == OVER]
+        over = [held for held in self._entries.values() if held.entry.value == TOMBSTONE]
         if not over:
             return False
-        self._forget(min(over, key=lambda held: held.since))
+        self._remove(min(over, key=lambda held: held.stored_at))
         return True
 
-    def _forget(self, held: Held) -> None:
-        del self._held[held.fact.key]
-        self._spreading.pop(held.fact.key, None)
-        self._digest ^= _mark(held.fact)
+    def _remove(self, held: StoredEntry) -> None:
+        del self._entries[held.entry.key]
+        self._to_spread.pop(held.entry.key, None)
+        self._digest ^= _entry_digest(held.entry)
 
     # ---- spreading -----------------------------------------------------------------------
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         """When `look` has something to do next."""
-        return min(self._next_compare, self._next_gossip) if self._spreading else self._next_compare
+        return min(self._next_compare, self._next_gossip) if self._to_spread else self._next_compare
 
-    def look(self, now: float, wall: float, others: Sequence[str]) -> list[tuple[str, Message]]:
+    def tick(self, now: float, wall: float, others: Sequence[str]) -> list[tuple[str, Message]]:
         """Called when something is due, with the addresses of those that are alive; what to send to whom."""
         out: list[tuple[str, Message]] = []
-        if self._spreading and others and now >= self._next_gossip:
+        if self._to_spread and others and now >= self._next_gossip:
             self._next_gossip = now + self.policy.gossip
-            out += self._spread(others)
+            out += self._gossip(others)
         if others and now >= self._next_compare:  # with nobody there, with the first who is
             self._next_compare = now + self.policy.compare * self._rng.uniform(0.5, 1.0)
-            for held in [one for one in self._held.values() if self._is_past(wall, one.fact)]:
-                self._forget(held)
+            for held in [one for one in self._entries.values() if self._is_expired_tombstone(wall, one.entry)]:
+                self._remove(held)
             out.append((self._rng.choice(others), Digest(self._fleet, self._name, self._digest, True)))
         return out
 
-    def _spread(self, others: Sequence[str]) -> list[tuple[str, Message]]:
+    def _gossip(self, others: Sequence[str]) -> list[tuple[str, Message]]:
         times = math.ceil(self.policy.spread * math.log2(len(others) + 2))
-        news = [self._held[key] for key in list(self._spreading)[: self.policy.riding]]
+        news = [self._entries[key] for key in list(self._to_spread)[: self.policy.riding]]
         to = self._rng.sample(others, min(self.policy.fanout, len(others)))
         for held in news:
-            held.left = (times if held.left < 0 else held.left) - len(to)
-            if held.left <= 0:
-                del self._spreading[held.fact.key]
-        message = News(self._fleet, self._name, tuple(held.fact for held in news))
+            held.sends_left = (times if held.sends_left < 0 else held.sends_left) - len(to)
+            if held.sends_left <= 0:
+                del self._to_spread[held.entry.key]
+        message = News(self._fleet, self._name, tuple(held.entry for held in news))
         return [(address, message) for address in to]
 
-    def _all(self) -> Iterable[News]:
-        facts = [held.fact for held in self._held.values()]
+    def _all_entries(self) -> Iterable[News]:
+        facts = [held.entry for held in self._entries.values()]
         for at in range(0, len(facts), self.policy.page):
             yield News(self._fleet, self._name, tuple(facts[at : at + self.policy.page]))
 
 
-def _mark(fact: Fact) -> int:
+def _entry_digest(fact: MapEntry) -> int:
     """63 bits of a fact; of a set of them all together (by exclusive or) it is the same in any order."""
     text = "\0".join((fact.key, fact.value, *map(str, fact.stamp)))
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
