--- a/tests/unit/test_frames.py
+++ b/tests/unit/test_frames.py
@@ -54,7 +54,7 @@
     assert list(other.feed(one.start_handshake())) == [] and not other.authenticated
     assert list(one.feed(other.reply)) == [] and one.authenticated
     assert list(other.feed(one.reply)) == [] and other.authenticated
-    other.answer = one.answer = b""
+    other.reply = one.reply = b""
     return one, other
 
 
