--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -152,7 +152,7 @@
     Mutant(
         "a drain never ends its connections",
         "callers",
-        "or self._callers.listener_state.closes or self._callers.out_of_descriptors",
+        "or self._callers.listener_state.closes_after_answer\n            or self._callers.out_of_descriptors",
         "or self._callers.out_of_descriptors",
     ),
     Mutant(
@@ -205,11 +205,14 @@
     Mutant(
         "the module keeps requests whose attempts end late",
         "weldroute/decide",
-        "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
+        "if request.done:\n            if not request.open:\n                self.requests.pop(request_id, None)",
         "if request.done:\n            pass",
     ),
     Mutant(
-        "the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.request_id)", "pass"
+        "the module is not told that a body is spent",
+        "proxy",
+        "self.balancer.on_body_released(exchange.request_id)",
+        "pass",
     ),
     Mutant(
         "a caller that was held is not read again",
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -22,7 +22,7 @@
 )
 from cometusher.runtime import Listener, Network
 from cometusher.stream import REPLAY_BYTES, BodyStream
-from weldroute.operations import Posture
+from weldroute.operations import ListenerState
 
 if TYPE_CHECKING:
     from cometusher.inflight.tracker import Hand
@@ -381,7 +381,11 @@
         assert self._request is not None
         if self._parser.current is self._request or self._discarding_body:
             return True  # the rest of a body that nobody wants any more
-        return not self._request.keep_alive or self._callers.listener_state.closes or self._callers.out_of_descriptors
+        return (
+            not self._request.keep_alive
+            or self._callers.listener_state.closes_after_answer
+            or self._callers.out_of_descriptors
+        )
 
     def _finish_request(self) -> None:
         self.release_body()
@@ -559,7 +563,7 @@
         self.network = network
         self.handler = handler
         self.memory = memory
-        self.listener_state = Posture()
+        self.listener_state = ListenerState()
         self.out_of_descriptors = False  # connections wait for a free descriptor
         self.inflight: Hand | None = None  # notes what is in hand, where that is switched on
         self.all_closed = asyncio.Event()
@@ -757,7 +761,7 @@
 
     # ---- leaving -------------------------------------------------------------------------
 
-    def apply_listener_state(self, posture: Posture) -> None:
+    def apply_listener_state(self, posture: ListenerState) -> None:
         """Do as the operations say from here on; called at every change, and often."""
         before, self.listener_state = self.listener_state, posture
         if before.listens and not posture.listens:
@@ -768,7 +772,7 @@
             for connection in list(self._idle):
                 if connection.is_idle:
                     connection.close_if_nothing_unread()
-        if not posture.keeps_partial:
+        if not posture.keeps_incomplete:
             for connection in list(self._connections):
                 if connection.is_partial:
                     connection.close()
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -53,9 +53,18 @@
     Subscribe,
     Timer,
 )
-from weldroute.model import NEVER_RAN, Past, ServerId
+from weldroute.model import NEVER_RAN, PriorAttempt, ServerId
 from weldroute.model import Discovery as DiscoveryMode
-from weldroute.operations import ALREADY, DONE, NOT_YET, UNKNOWN, Call, Operations, Stance, Verdict
+from weldroute.operations import (
+    ALREADY_DONE,
+    DONE,
+    NOT_YET,
+    UNKNOWN_BACKEND,
+    CallResult,
+    LifecycleState,
+    ManagementCall,
+    Operations,
+)
 
 if TYPE_CHECKING:
     from cometusher.hot_restart import Succession
@@ -278,7 +287,7 @@
 
     def _listen_for_management(self, beside: bool = False) -> None:
         """Listen where operators call, if they do: at once, or as soon as the process before lets go."""
-        if self.config.management is None or self.operations.stance is Stance.STOPPING:
+        if self.config.management is None or self.operations.state is LifecycleState.STOPPING:
             return
         from cometusher.management import Management
 
@@ -340,12 +349,12 @@
 
     def apply_listener_state(self) -> None:
         """Do towards callers as the operations say."""
-        self.callers.apply_listener_state(self.operations.posture(self.loop.time()))
+        self.callers.apply_listener_state(self.operations.listener_state(self.loop.time()))
 
     def set_ejected(self, aside: bool) -> None:
         """Leave new connections to others, who accept on the same listener, or take them again; told often."""
-        if aside is not self.operations.aside:
-            self.operations.aside = aside
+        if aside is not self.operations.ejected:
+            self.operations.ejected = aside
             self.apply_listener_state()
 
     def _sweep(self) -> None:
@@ -385,30 +394,30 @@
 
     # ---- operators -----------------------------------------------------------------------
 
-    def handle_operator_call(self, call: Call, host: str = "") -> Verdict:
+    def handle_operator_call(self, call: ManagementCall, host: str = "") -> CallResult:
         """Do what operators ask; what a yes promises holds when this returns."""
         now = self.loop.time()
-        if call is Call.READY:
-            verdict = self.operations.ready()
-            return NOT_YET if verdict.yes and self.recovery is not None and not self.recovery.ready else verdict
-        if call is Call.EVACUATE:
+        if call is ManagementCall.READY:
+            verdict = self.operations.readiness()
+            return NOT_YET if verdict.succeeded and self.recovery is not None and not self.recovery.ready else verdict
+        if call is ManagementCall.EVACUATE:
             verdict = self.operations.evacuate(now)
-        elif call is Call.REJOIN:
+        elif call is ManagementCall.REJOIN:
             verdict = self.operations.rejoin()
         else:
-            verdict = self._set_ban(host, call is Call.EXCLUDE)
+            verdict = self._set_ban(host, call is ManagementCall.EXCLUDE)
         for keeper in (self._hot_restart, self.recovery):
-            if keeper is not None and verdict.yes:
+            if keeper is not None and verdict.succeeded:
                 keeper.ordered()
         self.apply_listener_state()
         return verdict
 
-    def _set_ban(self, host: str, out: bool) -> Verdict:
+    def _set_ban(self, host: str, out: bool) -> CallResult:
         server = self.servers_by_host.get(host)
         if server is None:
-            return UNKNOWN
+            return UNKNOWN_BACKEND
         if out is (server in self.balancer.bans):
-            return ALREADY
+            return ALREADY_DONE
         balancer = self.balancer
         self._dispatch(None, lambda now: balancer.ban(now, server) if out else balancer.unban(now, server))
         # It is restarted while it is out: what is open to it now is of no use then.
@@ -457,9 +466,9 @@
             self.discovery.subscribe()
 
     def _set_timer(self, action: Timer) -> None:
-        delay = max(0.0, action.at - self.clock.now())
+        delay = max(0.0, action.due - self.clock.now())
         token = action.token
-        self.loop.call_later(delay, lambda: self._dispatch(None, lambda now: self.balancer.timer(now, token)))
+        self.loop.call_later(delay, lambda: self._dispatch(None, lambda now: self.balancer.on_timer(now, token)))
 
     # ---- requests ------------------------------------------------------------------------
 
@@ -556,7 +565,7 @@
         return exchange
 
     def resume_attempts(
-        self, exchange: Exchange, past: Sequence[Past], joined: Sequence[TakenOverConnection | None]
+        self, exchange: Exchange, past: Sequence[PriorAttempt], joined: Sequence[TakenOverConnection | None]
     ) -> None:
         """Go on with it, from the attempts that the other process has made; those that are joined go on here."""
         for number, (one, connection) in enumerate(zip(past, joined, strict=True)):
@@ -571,7 +580,7 @@
 
         def ask() -> None:
             self._dispatch(
-                exchange, lambda now: self.balancer.inherit(now, exchange.request_id, kind, tenant, deadline, past)
+                exchange, lambda now: self.balancer.take_over(now, exchange.request_id, kind, tenant, deadline, past)
             )
 
         ask()
@@ -597,12 +606,12 @@
     def _submit(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
         """Bring a request before the module."""
         if self.recovery is not None:
-            self.balancer.kept = self.recovery.kept()
+            self.balancer.preferred = self.recovery.kept()
         deadline = exchange.deadline
         self._dispatch(
             exchange, lambda now: self.balancer.request(now, exchange.request_id, kind, tenant, deadline, coming)
         )
-        self.balancer.kept = None
+        self.balancer.preferred = None
 
     def reject(self, action: Refuse | Fail) -> None:
         """Refuse or fail a request that the module was not asked for."""
@@ -627,11 +636,13 @@
         for attempt in exchange.attempts:
             if not attempt.ended:
                 attempt.sent_at = now
-        self._dispatch(exchange, lambda now: self.balancer.whole(now, exchange.request_id, exchange.deadline))
+        self._dispatch(
+            exchange, lambda now: self.balancer.on_body_complete(now, exchange.request_id, exchange.deadline)
+        )
 
     def on_body_consumed(self, exchange: Exchange) -> None:
         """It can't be sent again."""
-        self.balancer.spent(exchange.request_id)
+        self.balancer.on_body_released(exchange.request_id)
 
     def validate(self, request: Request) -> tuple[int, float | None]:
         """Class and budget of a request.
@@ -672,7 +683,7 @@
         if self.inflight is not None:
             self.inflight.gone(exchange)
         exchange.answered = True
-        self._dispatch(exchange, lambda now: self.balancer.gone(now, exchange.request_id))
+        self._dispatch(exchange, lambda now: self.balancer.on_client_gone(now, exchange.request_id))
         self._forget_if_settled(exchange)
 
     def _set_deadline(self, exchange: Exchange, now: float, deadline: float) -> None:
@@ -727,7 +738,7 @@
             if not attempt.ended:
                 self._give_up(attempt, Outcome.CANCELLED)
         try:
-            self.balancer.gone(self.clock.now(), exchange.request_id)
+            self.balancer.on_client_gone(self.clock.now(), exchange.request_id)
         except Exception:
             log.exception("the module failed to let a request go")
         self._forget_if_settled(exchange)
@@ -833,7 +844,7 @@
         assert isinstance(exchange, Exchange)
         if exchange.answered or self._detect_caller_left(exchange):
             return False
-        return self.balancer.permits(self.clock.now(), exchange.request_id, attempt.number)
+        return self.balancer.may_start(self.clock.now(), exchange.request_id, attempt.number)
 
     def on_answer_started(self, attempt: Attempt, response: Response) -> bool:
         """A long answer has begun: it is this request's, from here on whatever comes of it."""
@@ -845,7 +856,9 @@
         exchange.streaming_attempt = attempt
         self._stop_timer(exchange)
         exchange.caller.begin_answer(200, _forwarded_headers(response), response.length)
-        self._dispatch(exchange, lambda now: self.balancer.begun(now, exchange.request_id, attempt.number))
+        self._dispatch(
+            exchange, lambda now: self.balancer.on_stream_started(now, exchange.request_id, attempt.number)
+        )
         return True
 
     def on_answer_data(self, attempt: Attempt, piece: bytes) -> None:
