--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -133,9 +133,9 @@
         trust = {kind: self._trust(kind, found.get(kind)) for kind in RECORD_KINDS}
         if "list" in USABLE_PARTS[trust["list"]]:
             self._take_list(found["list"])
-        if not self.recovery.ready and proxy.backends.known():
-            self.recovery.on_stored_list(proxy.loop.time(), len(proxy.backends.known()), None, proxy.discovery.seq)
-        if "learned" in USABLE_PARTS[trust["learned"]]:
+        if not self.state.ready and proxy.backends.server_ids():
+            self.state.found(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
+        if "learned" in TAKES[trust["learned"]]:
             try:
                 known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
                 log.info("took over what was learned of %d backends", known)
@@ -208,17 +208,17 @@
         """Let a request go on now (`ask`), later, or not at all."""
         proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.on_connections_opened(now, proxy.backends.opened)
+        state.opened(now, proxy.backends.connections_opened)
         left = exchange.deadline - proxy.clock.now()
         aim = proxy.config.settings.classes[kind].aim
-        verdict = state.admit(now, exchange.rid, now + left, aim, self._free())
-        if verdict is AdmissionVerdict.PASS or self._over:
-            state.withdraw(exchange.rid)
+        verdict = state.admit(now, exchange.request_id, now + left, aim, self._free())
+        if verdict is Verdict.PASS or self._over:
+            state.leave(exchange.request_id)
             ask()
         elif verdict is AdmissionVerdict.REFUSE:
             self._refuse(exchange)
         else:
-            self._waiting[exchange.rid] = ask
+            self._waiting[exchange.request_id] = ask
             self._plan()
 
     def preferred_servers(self) -> list[int] | None:
@@ -240,9 +240,9 @@
 
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
-        after = min(self.recovery.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
-        exchange.why = "coming back"
-        self._proxy.turn_away(Refuse(exchange.rid, after))
+        after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
+        exchange.last_failure = "coming back"
+        self._proxy.reject(Refuse(exchange.request_id, after))
 
     def release_queued(self) -> None:
         """Let those go on whose turn has come."""
@@ -253,9 +253,9 @@
             exchange = proxy.exchange(str(request))
             if exchange is not None:
                 self._refuse(exchange)
-        while state.queue_length:
-            state.on_connections_opened(now, proxy.backends.opened)
-            turn = state.release_next(now, self._free())
+        while state.held:
+            state.opened(now, proxy.backends.connections_opened)
+            turn = state.release(now, self._free())
             if turn is None:
                 break
             ask = self._waiting.pop(str(turn), None)
@@ -274,18 +274,18 @@
 
     def on_caller_gone(self, exchange: Exchange) -> None:
         """A caller has gone away."""
-        if self._waiting.pop(exchange.rid, None) is not None:
-            self.recovery.withdraw(exchange.rid)
+        if self._waiting.pop(exchange.request_id, None) is not None:
+            self.state.leave(exchange.request_id)
 
     def on_deadline(self, exchange: Exchange) -> bool:
         """A request's time is up; whether it has waited here, and is refused now.
 
         Guards against timers that come late or in another order: what a caller gives may be a millisecond.
         """
-        if self._waiting.pop(exchange.rid, None) is None:
+        if self._waiting.pop(exchange.request_id, None) is None:
             return False
-        self.recovery.withdraw(exchange.rid)
-        self.recovery.on_refused(self._proxy.loop.time())
+        self.state.leave(exchange.request_id)
+        self.state.refused(self._proxy.loop.time())
         self._refuse(exchange)
         return True
 
@@ -296,9 +296,9 @@
 
         Guards against answers of another than was meant: a remembered address may be somebody else's by now.
         """
-        proxy, state = self._proxy, self.recovery
-        state.on_connections_opened(proxy.loop.time(), proxy.backends.opened)
-        if not state.discovery_reported:
+        proxy, state = self._proxy, self.state
+        state.opened(proxy.loop.time(), proxy.backends.connections_opened)
+        if not state.told:
             if how is Outcome.OK and response is not None and self._other(attempt.server, response):
                 self._drop(attempt.server, "answers as another")
                 how = Outcome.BROKEN
@@ -321,12 +321,12 @@
         known = self._proxy.balancer.servers.get(server)
         if known is None or known.row.state is State.GONE or not self.recovery.on_contradiction(server, how):
             return
-        host = next((host for host, number in self._proxy.names.items() if number == server), "")
+        host = next((host for host, number in self._proxy.servers_by_host.items() if number == server), "")
         row = ServerRow(server, State.GONE, known.row.zone, known.row.cell, started=known.row.started)
-        dial = self._proxy.backends.dial(server)
+        dial = self._proxy.backends.address_of(server)
         if dial is not None:
             # Not within the event that told of it: the module is still at that.
-            self._proxy.loop.call_soon(self._proxy.listed_as, ListKind.PATCH, [Entry(row, dial, host)])
+            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [Entry(row, dial, host)])
 
     # ---- time ----------------------------------------------------------------------------
 
@@ -334,13 +334,13 @@
         """Called often: phases, and what is to be kept."""
         proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.on_connections_opened(now, proxy.backends.opened)
+        state.opened(now, proxy.backends.connections_opened)
         if state.tick(now):
             log.warning("the remembered list is over, and discovery is silent")
-            proxy.listed_as(ListKind.STALE, [])
-        if self._pending is not None and state.confirm_distrusted(now, len(self._pending)):
+            proxy.apply_list(ListKind.STALE, [])
+        if self._pending is not None and state.believes(now, len(self._pending)):
             pending, self._pending = list(self._pending.values()), None
-            proxy.listed_as(ListKind.WHOLE, pending)
+            proxy.apply_list(ListKind.WHOLE, pending)
         self._say()
         if state.queue_length:
             self.release_queued()
