--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -28,11 +28,11 @@
 def turn(proxy: Proxy, row: int, every: float) -> None:
     """Beat from here on, `every` so many seconds; keep an account, and heed the supervisor's word."""
     cells = memoryview(mmap.mmap(BOARD, ROWS * ROW))[row * ROW : (row + 1) * ROW].cast("q")
-    counting = proxy.traffic_counters = Counting(cells)
+    counting = proxy.traffic_counters = TrafficRecorder(cells)
 
     def beat() -> None:
         cells[TURNED] = time.monotonic_ns()
-        counting.stands(proxy.discovery.seq, proxy.callers.out_of_descriptors)
+        counting.publish_state(proxy.discovery.seq, proxy.callers.out_of_descriptors)
         proxy.set_ejected(bool(cells[ASIDE]))
         proxy.loop.call_later(every, beat)
 
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -70,7 +70,7 @@
         self._say(event="ready")
         if proxy.recovery is not None:
             proxy.recovery.report = self._tell_comeback
-            self._tell_comeback(proxy.recovery.figures())
+            self._tell_comeback(proxy.recovery.status())
         if proxy.inflight is not None:
             proxy.inflight.tell = self._tell_declined
         if os.environ.get("FLEET_VIGIL") == "1":
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -190,9 +190,9 @@
         self.config = config
         self.operations = Operations()
         self._hot_restart: Succession | None = None
-        self.recovery: Return | None = None
+        self.recovery: RecoveryController | None = None
         self.inflight: Hand | None = None
-        self.traffic_counters: Counting | None = None  # what its supervisor compares with others'
+        self.traffic_counters: TrafficRecorder | None = None  # what its supervisor compares with others'
         self.management: Management | None = None
         self.servers_by_host: dict[str, ServerId] = {}  # backends as discovery names them
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
@@ -236,7 +236,7 @@
         if config.returning is not None:
             from cometusher.recovery import RecoveryController
 
-            self.recovery = Return(self, config.returning)
+            self.recovery = RecoveryController(self, config.returning)
         if config.covered is not None:
             from cometusher.inflight.tracker import Hand
 
@@ -329,7 +329,7 @@
         if self._hot_restart is not None:
             self._hot_restart.stops()
         if self.recovery is not None:
-            self.recovery.stops()
+            self.recovery.stop()
         self.operations.stop(self.loop.time(), DRAIN_FULL_BUDGET_WINDOW + longest - DRAIN_ACCEPT_MARGIN)
         emptied: asyncio.Task[None] | None = None
         while emptied is None or not emptied.done():
@@ -361,7 +361,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         self.backends.sweep()
         if self.recovery is not None:
-            self.recovery.look()
+            self.recovery.tick()
         if self._hot_restart is not None:
             self._hot_restart.look()
         self.apply_listener_state()
@@ -408,7 +408,7 @@
             verdict = self._set_ban(host, call is ManagementCall.EXCLUDE)
         for keeper in (self._hot_restart, self.recovery):
             if keeper is not None and verdict.succeeded:
-                keeper.ordered()
+                keeper.on_operator_orders()
         self.apply_listener_state()
         return verdict
 
@@ -530,7 +530,7 @@
         if self.recovery is None or coming:
             self._submit(exchange, kind, tenant, coming)
         else:
-            self.recovery.admits(exchange, kind, lambda: self._submit(exchange, kind, tenant, False))
+            self.recovery.admit(exchange, kind, lambda: self._submit(exchange, kind, tenant, False))
 
     def _tenant_index(self, request: Request) -> int:
         return self._tenant_indices.get(request.header(b"x-caller") or b"", len(self._tenant_indices))
@@ -600,13 +600,13 @@
         headers, up = list(self.identity_headers), self.callers.listener_state.up
         if self.recovery is not None:
             up = up and self.recovery.ready
-            headers.append((b"x-comeback", self.recovery.state.phase.value.encode()))
+            headers.append((b"x-comeback", self.recovery.recovery.phase.value.encode()))
         caller.answer(200 if up else 503, headers, b"")
 
     def _submit(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
         """Bring a request before the module."""
         if self.recovery is not None:
-            self.balancer.preferred = self.recovery.kept()
+            self.balancer.preferred = self.recovery.preferred_servers()
         deadline = exchange.deadline
         self._dispatch(
             exchange, lambda now: self.balancer.request(now, exchange.request_id, kind, tenant, deadline, coming)
@@ -679,7 +679,7 @@
             return
         self._increment("left")
         if self.recovery is not None:
-            self.recovery.left(exchange)
+            self.recovery.on_caller_gone(exchange)
         if self.inflight is not None:
             self.inflight.gone(exchange)
         exchange.answered = True
@@ -703,7 +703,7 @@
             exchange.timer = self.loop.call_later(early + 0.001, self._on_deadline, exchange)
             return
         exchange.timer = None
-        if self.recovery is not None and self.recovery.late(exchange):
+        if self.recovery is not None and self.recovery.on_deadline(exchange):
             return
         if self.inflight is not None and self.inflight.gone(exchange):
             # What it followed may have run, here or elsewhere.
@@ -876,11 +876,11 @@
         if self.traffic_counters is not None:
             known = self.balancer.servers.get(attempt.server)
             if known is not None:
-                self.traffic_counters.ended(known.row.zone, how, latency)
+                self.traffic_counters.on_attempt_ended(known.row.zone, how, latency)
         if self.inflight is not None and how in NEVER_RAN:
             self.inflight.never(attempt, exchange)
         if self.recovery is not None:
-            how = self.recovery.ended(attempt, how, response)
+            how = self.recovery.on_attempt_ended(attempt, how, response)
         if how is not Outcome.OK and how is not Outcome.CANCELLED:
             exchange.last_failure = f"backend {attempt.server:x}: {why}"
             self._increment(how.value)
@@ -908,7 +908,7 @@
     def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
         """The list, a change to it, or the news that a call failed."""
         if self.recovery is not None:
-            heard = self.recovery.hears(kind, entries)
+            heard = self.recovery.on_list(kind, entries)
             if heard is None:
                 return
             entries = heard
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -133,9 +133,11 @@
         trust = {kind: self._trust(kind, found.get(kind)) for kind in RECORD_KINDS}
         if "list" in USABLE_PARTS[trust["list"]]:
             self._take_list(found["list"])
-        if not self.state.ready and proxy.backends.server_ids():
-            self.state.found(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
-        if "learned" in TAKES[trust["learned"]]:
+        if not self.recovery.ready and proxy.backends.server_ids():
+            self.recovery.on_stored_list(
+                proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq
+            )
+        if "learned" in USABLE_PARTS[trust["learned"]]:
             try:
                 known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
                 log.info("took over what was learned of %d backends", known)
@@ -208,12 +210,12 @@
         """Let a request go on now (`ask`), later, or not at all."""
         proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.connections_opened)
+        state.on_connections_opened(now, proxy.backends.connections_opened)
         left = exchange.deadline - proxy.clock.now()
         aim = proxy.config.settings.classes[kind].aim
         verdict = state.admit(now, exchange.request_id, now + left, aim, self._free())
-        if verdict is Verdict.PASS or self._over:
-            state.leave(exchange.request_id)
+        if verdict is AdmissionVerdict.PASS or self._over:
+            state.withdraw(exchange.request_id)
             ask()
         elif verdict is AdmissionVerdict.REFUSE:
             self._refuse(exchange)
@@ -240,7 +242,7 @@
 
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
-        after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
+        after = min(self.recovery.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
         exchange.last_failure = "coming back"
         self._proxy.reject(Refuse(exchange.request_id, after))
 
@@ -253,9 +255,9 @@
             exchange = proxy.exchange(str(request))
             if exchange is not None:
                 self._refuse(exchange)
-        while state.held:
-            state.opened(now, proxy.backends.connections_opened)
-            turn = state.release(now, self._free())
+        while state.queue_length:
+            state.on_connections_opened(now, proxy.backends.connections_opened)
+            turn = state.release_next(now, self._free())
             if turn is None:
                 break
             ask = self._waiting.pop(str(turn), None)
@@ -275,7 +277,7 @@
     def on_caller_gone(self, exchange: Exchange) -> None:
         """A caller has gone away."""
         if self._waiting.pop(exchange.request_id, None) is not None:
-            self.state.leave(exchange.request_id)
+            self.recovery.withdraw(exchange.request_id)
 
     def on_deadline(self, exchange: Exchange) -> bool:
         """A request's time is up; whether it has waited here, and is refused now.
@@ -284,8 +286,8 @@
         """
         if self._waiting.pop(exchange.request_id, None) is None:
             return False
-        self.state.leave(exchange.request_id)
-        self.state.refused(self._proxy.loop.time())
+        self.recovery.withdraw(exchange.request_id)
+        self.recovery.on_refused(self._proxy.loop.time())
         self._refuse(exchange)
         return True
 
@@ -296,9 +298,9 @@
 
         Guards against answers of another than was meant: a remembered address may be somebody else's by now.
         """
-        proxy, state = self._proxy, self.state
-        state.opened(proxy.loop.time(), proxy.backends.connections_opened)
-        if not state.told:
+        proxy, state = self._proxy, self.recovery
+        state.on_connections_opened(proxy.loop.time(), proxy.backends.connections_opened)
+        if not state.discovery_reported:
             if how is Outcome.OK and response is not None and self._other(attempt.server, response):
                 self._drop(attempt.server, "answers as another")
                 how = Outcome.BROKEN
@@ -334,11 +336,11 @@
         """Called often: phases, and what is to be kept."""
         proxy, state = self._proxy, self.recovery
         now = proxy.loop.time()
-        state.opened(now, proxy.backends.connections_opened)
+        state.on_connections_opened(now, proxy.backends.connections_opened)
         if state.tick(now):
             log.warning("the remembered list is over, and discovery is silent")
             proxy.apply_list(ListKind.STALE, [])
-        if self._pending is not None and state.believes(now, len(self._pending)):
+        if self._pending is not None and state.confirm_distrusted(now, len(self._pending)):
             pending, self._pending = list(self._pending.values()), None
             proxy.apply_list(ListKind.WHOLE, pending)
         self._say()
