--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -104,7 +104,7 @@
         learned = found.get("learned")
         calm = learned.body.get("calm") if learned is not None and isinstance(learned.body, dict) else None
         calm = float(calm) if isinstance(calm, (int, float)) and not isinstance(calm, bool) else None
-        self.recovery = Recovery(proxy.loop.time(), returning.plan, proxy.config.seed, calm)
+        self.state = Recovery(proxy.loop.time(), returning.plan, proxy.config.seed, calm)
         self.report: Report = lambda values: None
         self._version = 0  # of the orders
         self._save_at = self._list_at = 0.0
@@ -133,10 +133,8 @@
         trust = {kind: self._trust(kind, found.get(kind)) for kind in RECORD_KINDS}
         if "list" in USABLE_PARTS[trust["list"]]:
             self._take_list(found["list"])
-        if not self.recovery.ready and proxy.backends.server_ids():
-            self.recovery.on_stored_list(
-                proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq
-            )
+        if not self.state.ready and proxy.backends.server_ids():
+            self.state.on_stored_list(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
         if "learned" in USABLE_PARTS[trust["learned"]]:
             try:
                 known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
@@ -153,7 +151,7 @@
             log.warning("the kept list is left aside: %s", fault)
             return
         passed = age(record, self._moment())
-        self.recovery.on_stored_list(proxy.loop.time(), len(listing.entries), passed, listing.seq)
+        self.state.on_stored_list(proxy.loop.time(), len(listing.entries), passed, listing.seq)
 
     def _restore_orders(self, record: Record | None) -> None:
         """Of the instance's own and the fleet's copy, the higher version: an order is never forgotten silently."""
@@ -181,7 +179,7 @@
             return entries
         proxy, now = self._proxy, self._proxy.loop.time()
         whole = kind is ListKind.WHOLE
-        hearing = self.recovery.on_list(now, whole, len(entries), proxy.discovery.seq)
+        hearing = self.state.on_list(now, whole, len(entries), proxy.discovery.seq)
         self._list_changed = True
         if whole:
             self._pending = None if hearing is ListDecision.ACCEPT else {entry.host: entry for entry in entries}
@@ -201,14 +199,14 @@
         for item in read_listing(write_list(proxy), proxy.config.zones).entries:
             other = told.get(item.row.server)
             known = servers[item.row.server].row
-            merged.append(item if other is None or self.recovery.prefers_stored(known, other.row) else other)
+            merged.append(item if other is None or self.state.prefers_stored(known, other.row) else other)
         return merged
 
     # ---- the door ------------------------------------------------------------------------
 
     def admit(self, exchange: Exchange, kind: int, ask: Callable[[], None]) -> None:
         """Let a request go on now (`ask`), later, or not at all."""
-        proxy, state = self._proxy, self.recovery
+        proxy, state = self._proxy, self.state
         now = proxy.loop.time()
         state.on_connections_opened(now, proxy.backends.connections_opened)
         left = exchange.deadline - proxy.clock.now()
@@ -225,13 +223,13 @@
 
     def preferred_servers(self) -> list[int] | None:
         """The servers that first tries keep to now: those with an idle connection, while no new one may be opened."""
-        state = self.recovery
-        if not state.rate_limited or state.rate_limiter.look(self._proxy.loop.time()) >= 1.0:
+        state = self.state
+        if not state.rate_limited or state.rate_limiter.available(self._proxy.loop.time()) >= 1.0:
             return None
         return list(self._proxy.backends.idle_servers())
 
     def _free(self) -> int:
-        if not self.recovery.rate_limited:
+        if not self.state.rate_limited:
             return 0
         balancer, count = self._proxy.balancer, 0
         for server, idle in self._proxy.backends.idle_servers().items():
@@ -242,13 +240,13 @@
 
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
-        after = min(self.recovery.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
+        after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
         exchange.last_failure = "coming back"
         self._proxy.reject(Refuse(exchange.request_id, after))
 
     def release_queued(self) -> None:
         """Let those go on whose turn has come."""
-        proxy, state = self._proxy, self.recovery
+        proxy, state = self._proxy, self.state
         now = proxy.loop.time()
         for request in state.pop_overdue(now):
             self._waiting.pop(str(request), None)
@@ -270,14 +268,14 @@
             self._timer.cancel()
             self._timer = None
         now = self._proxy.loop.time()
-        due = self.recovery.next_wakeup(now)
+        due = self.state.next_wakeup(now)
         if due < float("inf"):
             self._timer = self._proxy.loop.call_later(max(0.001, due - now), self.release_queued)
 
     def on_caller_gone(self, exchange: Exchange) -> None:
         """A caller has gone away."""
         if self._waiting.pop(exchange.request_id, None) is not None:
-            self.recovery.withdraw(exchange.request_id)
+            self.state.withdraw(exchange.request_id)
 
     def on_deadline(self, exchange: Exchange) -> bool:
         """A request's time is up; whether it has waited here, and is refused now.
@@ -286,8 +284,8 @@
         """
         if self._waiting.pop(exchange.request_id, None) is None:
             return False
-        self.recovery.withdraw(exchange.request_id)
-        self.recovery.on_refused(self._proxy.loop.time())
+        self.state.withdraw(exchange.request_id)
+        self.state.on_refused(self._proxy.loop.time())
         self._refuse(exchange)
         return True
 
@@ -298,7 +296,7 @@
 
         Guards against answers of another than was meant: a remembered address may be somebody else's by now.
         """
-        proxy, state = self._proxy, self.recovery
+        proxy, state = self._proxy, self.state
         state.on_connections_opened(proxy.loop.time(), proxy.backends.connections_opened)
         if not state.discovery_reported:
             if how is Outcome.OK and response is not None and self._other(attempt.server, response):
@@ -321,7 +319,7 @@
 
     def _drop(self, server: int, how: str) -> None:
         known = self._proxy.balancer.servers.get(server)
-        if known is None or known.row.state is State.GONE or not self.recovery.on_contradiction(server, how):
+        if known is None or known.row.state is State.GONE or not self.state.on_contradiction(server, how):
             return
         host = next((host for host, number in self._proxy.servers_by_host.items() if number == server), "")
         row = ServerRow(server, State.GONE, known.row.zone, known.row.cell, started=known.row.started)
@@ -334,7 +332,7 @@
 
     def tick(self) -> None:
         """Called often: phases, and what is to be kept."""
-        proxy, state = self._proxy, self.recovery
+        proxy, state = self._proxy, self.state
         now = proxy.loop.time()
         state.on_connections_opened(now, proxy.backends.connections_opened)
         if state.tick(now):
@@ -350,7 +348,7 @@
             self._save(now)
 
     def _say(self) -> None:
-        steps = self.recovery.take_events()
+        steps = self.state.take_events()
         for step in steps:
             log.info("coming back: %s: %s", step.name, step.description, extra={"event": "comeback"})
         if steps:
@@ -361,7 +359,7 @@
         if now >= self._save_at:
             self._save_at = now + SAVE_EVERY
             learned = write_learned(proxy.balancer, proxy.clock.now())
-            self._kept.put("learned", learned | {"calm": self.recovery.normal_rate})
+            self._kept.put("learned", learned | {"calm": self.state.normal_rate})
         # Guards against a list that seems younger than its truth: it is written again only while discovery speaks.
         if self._list_changed or (now >= self._list_at and proxy.discovery.live):
             self._list_changed = False
@@ -378,19 +376,19 @@
 
     def status(self) -> dict[str, Any]:
         """The return, for the supervisor."""
-        return {**self.recovery.status(), "seq": self._proxy.discovery.seq if self.recovery.discovery_reported else 0}
+        return {**self.state.status(), "seq": self._proxy.discovery.seq if self.state.discovery_reported else 0}
 
     @property
     def ready(self) -> bool:
         """Whether anything can be served."""
-        return self.recovery.ready
+        return self.state.ready
 
     def stop(self) -> None:
         """Nothing waits any longer: the process is about to end."""
         self._over = True
         waiting, self._waiting = list(self._waiting.items()), {}
         for rid, ask in waiting:
-            self.recovery.withdraw(rid)
+            self.state.withdraw(rid)
             ask()
 
     async def close(self) -> None:
--- a/tests/unit/test_outlier_detection.py
+++ b/tests/unit/test_outlier_detection.py
@@ -12,8 +12,8 @@
 from weldroute.model import Outcome
 from weldroute.outlier_detection import (
     CELL_COUNT,
-    LONG,
-    MOST,
+    MAX_LIST_VERSION,
+    MIN_LONG_ATTEMPT,
     TRAFFIC_SHARES,
     ZONES,
     Finding,
@@ -267,13 +267,13 @@
     account = read_counters(cells, 0)
     assert account.unanswered == (1, 0, 0, 1) and len(account.unanswered) == ZONES
     fresh = TrafficRecorder([0] * CELL_COUNT)
-    assert fresh._long(LONG) and not fresh._long(0.9 * LONG)
+    assert fresh._is_long(MIN_LONG_ATTEMPT) and not fresh._is_long(0.9 * MIN_LONG_ATTEMPT)
 
 
 def test_whatever_discovery_calls_a_version_fits() -> None:
     cells = [0] * CELL_COUNT
     counting = TrafficRecorder(cells)
-    for version, kept in ((-5, 0), (2**200, MOST), (12, 12)):
+    for version, kept in ((-5, 0), (2**200, MAX_LIST_VERSION), (12, 12)):
         counting.publish_state(version, True)
         account = read_counters(cells, 0)
         assert (account.list_version, account.out_of_descriptors) == (kept, True)
--- a/tests/unit/test_recovery.py
+++ b/tests/unit/test_recovery.py
@@ -12,10 +12,10 @@
 
 from weldroute import ServerRow, State
 from weldroute.recovery import (
-    CALM,
-    GRACE,
-    MOST_HELD,
-    SETTLE,
+    FULL_SERVICE_AFTER,
+    MAX_QUEUED,
+    QUEUE_GRACE,
+    SETTLE_TIME,
     AdmissionVerdict,
     ConnectionRateLimiter,
     ListDecision,
@@ -63,14 +63,14 @@
     for c in (kept, nothing, remembered()):
         c.on_answer(1.1)
         assert phase(c) is Phase.RAMPING
-        ticked(c, 1.1, 1.1 + CALM + 0.1)
+        ticked(c, 1.1, 1.1 + FULL_SERVICE_AFTER + 0.1)
         assert phase(c) is Phase.FULL
-        assert c.milestones.full == pytest.approx(1.1), "full when the calm began, not when it was seen"
+        assert c.milestones.full_service_at == pytest.approx(1.1), "full when the calm began, not when it was seen"
 
 
 def test_full_also_where_nobody_asks() -> None:
     c = remembered()
-    ticked(c, 0.0, CALM + 0.1)
+    ticked(c, 0.0, FULL_SERVICE_AFTER + 0.1)
     assert c.phase is Phase.FULL
 
 
@@ -161,7 +161,7 @@
     assert c.on_contradiction(7, "refuses connections")
     c.on_list(1.0, True, 40, 42)
     assert not c.on_contradiction(7, "refuses connections")
-    assert c.milestones.dropped == 1
+    assert c.milestones.servers_dropped == 1
 
 
 # ---- paces and the door ------------------------------------------------------------------
@@ -176,12 +176,12 @@
 
 def test_one_connection_at_once_and_further_ones_at_the_pace() -> None:
     pace = ConnectionRateLimiter(0.0, 2.0)
-    assert pace.look(0.0) == 1.0
+    assert pace.available(0.0) == 1.0
     pace.spend(0.0, 1)
-    assert pace.due(0.0) == pytest.approx(0.5)
-    assert pace.look(0.4) < 1.0 <= pace.look(0.5) + 1e-9
+    assert pace.next_at(0.0) == pytest.approx(0.5)
+    assert pace.available(0.4) < 1.0 <= pace.available(0.5) + 1e-9
     pace.spend(1.0, 3)  # repeats and second copies did not ask
-    assert pace.due(1.0) == pytest.approx(2.5)
+    assert pace.next_at(1.0) == pytest.approx(2.5)
 
 
 def test_requests_wait_for_a_connection_in_their_order_and_go_on_with_one() -> None:
@@ -202,15 +202,15 @@
     assert c.release_next(0.1, 5) is None
     assert c.next_wakeup(0.1) == pytest.approx(2.5)
     assert c.pop_overdue(2.49) == [] and c.pop_overdue(2.5) == ["a"]
-    assert c.milestones.refused == 1
+    assert c.milestones.requests_refused == 1
     assert c.admit(0.0, "b", 0.0, 1.0, 0) is AdmissionVerdict.REFUSE, "no time at all"
 
 
 def test_what_waits_is_bounded() -> None:
     c = made()
-    verdicts = [c.admit(0.0, i, 3.0, 1.0, 0) for i in range(MOST_HELD + 5)]
-    assert verdicts.count(AdmissionVerdict.QUEUE) == MOST_HELD == c.queue_length
-    assert verdicts[MOST_HELD:] == [AdmissionVerdict.REFUSE] * 5
+    verdicts = [c.admit(0.0, i, 3.0, 1.0, 0) for i in range(MAX_QUEUED + 5)]
+    assert verdicts.count(AdmissionVerdict.QUEUE) == MAX_QUEUED == c.queue_length
+    assert verdicts[MAX_QUEUED:] == [AdmissionVerdict.REFUSE] * 5
 
 
 def test_who_leaves_takes_nobodys_turn() -> None:
@@ -230,8 +230,8 @@
     ticked(c, 0.1, 1.0)
     assert phase(c) is Phase.RAMPING
     c.release_next(1.0, 1)
-    ticked(c, 1.0, 1.0 + CALM + 0.1)
-    assert phase(c) is Phase.FULL and c.milestones.full == pytest.approx(1.0, abs=GRACE)
+    ticked(c, 1.0, 1.0 + FULL_SERVICE_AFTER + 0.1)
+    assert phase(c) is Phase.FULL and c.milestones.full_service_at == pytest.approx(1.0, abs=QUEUE_GRACE)
 
 
 def test_the_pace_lasts_until_nobody_asks_for_more() -> None:
@@ -241,13 +241,13 @@
     for i in range(200):
         now = 0.1 + 0.05 * i
         c.tick(now)
-        if i < 60 and c.rate_limiter.look(now) >= 1.0:
+        if i < 60 and c.rate_limiter.available(now) >= 1.0:
             opened += 1
         c.on_connections_opened(now, opened)
         if i < 60:
             assert c.rate_limited
     assert not c.rate_limited
-    assert c.milestones.settled >= 0.1 + 0.05 * 60 + SETTLE - 0.3
+    assert c.milestones.settled_at >= 0.1 + 0.05 * 60 + SETTLE_TIME - 0.3
     assert c.admit(20.0, "a", 23.0, 1.0, 0) is AdmissionVerdict.PASS
 
 
@@ -321,7 +321,7 @@
             assert opened <= allowed + 1e-6
         assert c.queue_length == len(waiting)
         c.pop_overdue(now)
-        waiting = {k: v for k, v in waiting.items() if k in c._held}
+        waiting = {k: v for k, v in waiting.items() if k in c._queue}
         assert all(until >= now for until in waiting.values())
         assert c.next_wakeup(now) > now or c.queue_length
         if before is Phase.FULL and c.phase is not Phase.FULL:
@@ -329,7 +329,8 @@
         if c.discovery_reported:
             assert not c.tick(now + 0.0) or c.phase is Phase.NO_LIST
     assert all(
-        math.isnan(mark) or mark <= now for mark in (c.milestones.known, c.milestones.first, c.milestones.full)
+        math.isnan(mark) or mark <= now
+        for mark in (c.milestones.list_known_at, c.milestones.first_answer_at, c.milestones.full_service_at)
     )
 
 
--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -114,10 +114,13 @@
 
 CELL_COUNT = 16  # of 64 bits, that a process writes: see `Counting`
 VERSION, FULL, REACHED, MISSED, LOGS, SQUARES = 2, 3, 4, 4 + ZONES, 4 + 2 * ZONES, 5 + 2 * ZONES
-MOST = 2**62  # of a version, which is whatever discovery writes
+MAX_LIST_VERSION = 2**62  # of a version, which is whatever discovery writes
 MICRO = 1e6
 UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.UNREACHABLE, Outcome.BROKEN})
-LONG, LONG_TIMES = 0.25, 8.0  # seconds, and times what is usual, from which on one that was called off had no answer
+MIN_LONG_ATTEMPT, LONG_TIMES = (
+    0.25,
+    8.0,
+)  # seconds, and times what is usual, from which on one that was called off had no answer
 
 
 class Cells(Protocol):
@@ -152,16 +155,16 @@
             cells[REACHED + zone] += 1
             cells[LOGS] += int(log * MICRO)
             cells[SQUARES] += int(log * log * MICRO)
-        elif how in UNANSWERED or (how is Outcome.CANCELLED and self._long(seconds)):
+        elif how in UNANSWERED or (how is Outcome.CANCELLED and self._is_long(seconds)):
             cells[MISSED + zone] += 1
 
-    def _long(self, seconds: float) -> bool:
+    def _is_long(self, seconds: float) -> bool:
         usual = 0.0 if math.isnan(self._mean) else LONG_TIMES * math.exp(self._mean)
-        return seconds >= max(LONG, usual)
+        return seconds >= max(MIN_LONG_ATTEMPT, usual)
 
     def publish_state(self, version: int, full: bool) -> None:
         """What it knows and has at this moment."""
-        self._cells[VERSION], self._cells[FULL] = min(max(version, 0), MOST), full
+        self._cells[VERSION], self._cells[FULL] = min(max(version, 0), MAX_LIST_VERSION), full
 
 
 def read_counters(cells: Sequence[int], tier: int) -> TrafficCounters:
--- a/weldroute/recovery.py
+++ b/weldroute/recovery.py
@@ -42,10 +42,10 @@
 
 from weldroute.model import ServerId, ServerRow, State
 
-CALM = 0.3  # seconds
-GRACE = 0.1  # seconds that a request may wait at the door and count as served at once
-SETTLE = 2.0
-MOST_HELD = 512  # requests that wait at the door
+FULL_SERVICE_AFTER = 0.3  # seconds
+QUEUE_GRACE = 0.1  # seconds that a request may wait at the door and count as served at once
+SETTLE_TIME = 2.0
+MAX_QUEUED = 512  # requests that wait at the door
 RESERVE = 0.5  # of its aim that a request must have left when it is let in...
 RESERVE_PART = 0.3  # ...but no more than this part of the time that its caller gives
 LEARN = 10.0  # seconds over which the pace of new connections in calm times is smoothed
@@ -123,7 +123,7 @@
         self._at = now
         self.full_since = now
 
-    def look(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Tokens now."""
         before, self._at = self._at, max(now, self._at)
         if self.tokens < 1.0:
@@ -134,14 +134,14 @@
 
     def spend(self, now: float, count: int) -> None:
         """So many connections were opened. What was not asked here (repeats) is paid for later."""
-        self.look(now)
+        self.available(now)
         if count:
             self.tokens -= count
             self.full_since = self._at
 
-    def due(self, now: float) -> float:
+    def next_at(self, now: float) -> float:
         """When the next connection may be opened."""
-        missing = 1.0 - self.look(now)
+        missing = 1.0 - self.available(now)
         return now if missing <= 0.0 else now + missing / self.rate
 
 
@@ -157,15 +157,15 @@
 class Milestones:
     """When each phase was reached, on the instance's own clock; NaN for never. And what it leaned on others for."""
 
-    began: float
-    known: float = math.nan
-    first: float = math.nan
-    full: float = math.nan
-    settled: float = math.nan
-    connects: int = 0  # new connections to backends until it was settled
-    held: int = 0
-    refused: int = 0
-    dropped: int = 0  # remembered servers that were not what was remembered
+    started_at: float
+    list_known_at: float = math.nan
+    first_answer_at: float = math.nan
+    full_service_at: float = math.nan
+    settled_at: float = math.nan
+    connections_opened: int = 0  # new connections to backends until it was settled
+    requests_queued: int = 0
+    requests_refused: int = 0
+    servers_dropped: int = 0  # remembered servers that were not what was remembered
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,7 +194,7 @@
         self._doubt_until = math.inf  # when what discovery tells is believed after all
         self._list_until = math.inf
         self._trouble = now  # when somebody waited too long or was refused, last
-        self._held: dict[Hashable, QueuedRequest] = {}
+        self._queue: dict[Hashable, QueuedRequest] = {}
         self._opened = 0
         self._learned_at = now
         self._learned_from = 0
@@ -266,8 +266,8 @@
 
     def _know(self, now: float, phase: Phase, text: str) -> None:
         self.phase = phase
-        if math.isnan(self.milestones.known):
-            self.milestones.known = now
+        if math.isnan(self.milestones.list_known_at):
+            self.milestones.list_known_at = now
         self.events.append(RecoveryEvent(phase.value, text))
 
     def on_contradiction(self, server: ServerId, how: str) -> bool:
@@ -278,7 +278,7 @@
         """
         if self.discovery_reported:
             return False
-        self.milestones.dropped += 1
+        self.milestones.servers_dropped += 1
         self.events.append(RecoveryEvent("dropped", f"remembered backend {server:x} {how}"))
         return True
 
@@ -293,57 +293,57 @@
         """Whether a request goes on now. `free` connections to ready servers wait for work; seconds."""
         if not self.rate_limited and self.phase is not Phase.NO_LIST:
             return AdmissionVerdict.PASS
-        if not self._held and self._room(now, free):
+        if not self._queue and self._room(now, free):
             return AdmissionVerdict.PASS
         until -= min(RESERVE * aim, RESERVE_PART * (until - now))
-        if len(self._held) >= MOST_HELD or until <= now:
+        if len(self._queue) >= MAX_QUEUED or until <= now:
             self.on_refused(now)
             return AdmissionVerdict.REFUSE
-        self._held[request] = QueuedRequest(now, until)
-        self.milestones.held += 1
+        self._queue[request] = QueuedRequest(now, until)
+        self.milestones.requests_queued += 1
         return AdmissionVerdict.QUEUE
 
     def _room(self, now: float, free: int) -> bool:
         if self.phase is Phase.NO_LIST:
             return False
-        return not self.rate_limited or free > 0 or self.rate_limiter.look(now) >= 1.0
+        return not self.rate_limited or free > 0 or self.rate_limiter.available(now) >= 1.0
 
     def release_next(self, now: float, free: int) -> Hashable | None:
         """The next of those that wait, if its turn has come: it goes on now."""
-        if not self._held or not self._room(now, free):
+        if not self._queue or not self._room(now, free):
             return None
-        request = next(iter(self._held))
-        if now - self._held.pop(request).since > GRACE:
+        request = next(iter(self._queue))
+        if now - self._queue.pop(request).since > QUEUE_GRACE:
             self._trouble = now
         return request
 
     def pop_overdue(self, now: float) -> list[Hashable]:
         """Those that wait and whose time is up: they are refused now."""
-        late = [request for request, held in self._held.items() if held.until <= now]
+        late = [request for request, held in self._queue.items() if held.until <= now]
         for request in late:
-            del self._held[request]
+            del self._queue[request]
             self.on_refused(now)
         return late
 
     def withdraw(self, request: Hashable) -> bool:
         """A request that waits goes away; whether it did wait."""
-        return self._held.pop(request, None) is not None
+        return self._queue.pop(request, None) is not None
 
     @property
     def queue_length(self) -> int:
         """Requests that wait."""
-        return len(self._held)
+        return len(self._queue)
 
     def next_wakeup(self, now: float) -> float:
         """When to look at those that wait again, if nothing happens before; infinity for never."""
-        if not self._held:
+        if not self._queue:
             return math.inf
-        first = min(held.until for held in self._held.values())
-        return first if self.phase is Phase.NO_LIST else min(first, self.rate_limiter.due(now))
+        first = min(held.until for held in self._queue.values())
+        return first if self.phase is Phase.NO_LIST else min(first, self.rate_limiter.next_at(now))
 
     def on_refused(self, now: float) -> None:
         """A request was refused for the return."""
-        self.milestones.refused += 1
+        self.milestones.requests_refused += 1
         self._trouble = now
 
     def retry_after(self) -> float:
@@ -358,22 +358,24 @@
         fresh, self._opened = total - self._opened, total
         if self.rate_limited:
             self.rate_limiter.spend(now, fresh)
-            self.milestones.connects += fresh
+            self.milestones.connections_opened += fresh
 
     def on_answer(self, now: float) -> None:
         """An answer was passed on."""
         if self.phase in (Phase.STORED, Phase.CONFIRMED):
             self.phase = Phase.RAMPING
-            self.milestones.first = now if math.isnan(self.milestones.first) else self.milestones.first
+            self.milestones.first_answer_at = (
+                now if math.isnan(self.milestones.first_answer_at) else self.milestones.first_answer_at
+            )
             self.events.append(
-                RecoveryEvent("ramping", f"first answer {now - self.milestones.began:.3f} s after the start")
+                RecoveryEvent("ramping", f"first answer {now - self.milestones.started_at:.3f} s after the start")
             )
 
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> bool:
         """Look at what time alone changes; whether the remembered list is over and must be let go."""
-        if self._held and now - next(iter(self._held.values())).since > GRACE:
+        if self._queue and now - next(iter(self._queue.values())).since > QUEUE_GRACE:
             self._trouble = now
         if now >= self._list_until:
             self._list_until = math.inf
@@ -383,14 +385,18 @@
                 RecoveryEvent("nothing", f"discovery is silent, and the list is {self.plan.list_for:g} s old")
             )
             return True
-        if self.phase in (Phase.STORED, Phase.CONFIRMED, Phase.RAMPING) and now - self._calm_since() >= CALM:
+        if (
+            self.phase in (Phase.STORED, Phase.CONFIRMED, Phase.RAMPING)
+            and now - self._calm_since() >= FULL_SERVICE_AFTER
+        ):
             self._become_full()
         if self.rate_limited and self.phase is Phase.FULL and self._settles(now):
             self.rate_limited = False
-            self.milestones.settled = now
+            self.milestones.settled_at = now
             self.events.append(
                 RecoveryEvent(
-                    "settled", f"{self.milestones.connects} connections opened at {self.rate_limiter.rate:.1f}/s"
+                    "settled",
+                    f"{self.milestones.connections_opened} connections opened at {self.rate_limiter.rate:.1f}/s",
                 )
             )
             self._learned_at, self._learned_from = now, self._opened
@@ -400,20 +406,24 @@
 
     def _calm_since(self) -> float:
         """The moment from which on nobody was kept waiting: that is when the service was full."""
-        first = self.milestones.first if self.phase is Phase.RAMPING else self.milestones.known
-        return max(self._trouble, self.milestones.known, first)
+        first = self.milestones.first_answer_at if self.phase is Phase.RAMPING else self.milestones.list_known_at
+        return max(self._trouble, self.milestones.list_known_at, first)
 
     def _become_full(self) -> None:
-        self.milestones.full = self._calm_since() if math.isnan(self.milestones.full) else self.milestones.full
+        self.milestones.full_service_at = (
+            self._calm_since() if math.isnan(self.milestones.full_service_at) else self.milestones.full_service_at
+        )
         self.phase = Phase.FULL
         marks = self.milestones
-        text = f"full service {marks.full - marks.began:.3f} s after the start; {marks.held} waited, "
+        text = f"full service {marks.full_service_at - marks.started_at:.3f} s after the start; {marks.requests_queued} waited, "
         self.events.append(
-            RecoveryEvent("full", text + f"{marks.refused} refused, {marks.connects} connections opened")
+            RecoveryEvent(
+                "full", text + f"{marks.requests_refused} refused, {marks.connections_opened} connections opened"
+            )
         )
 
     def _settles(self, now: float) -> bool:
-        return self.rate_limiter.look(now) >= 1.0 and now - self.rate_limiter.full_since >= SETTLE
+        return self.rate_limiter.available(now) >= 1.0 and now - self.rate_limiter.full_since >= SETTLE_TIME
 
     def _learn(self, now: float) -> None:
         """Smooth the pace of new connections while nothing is held back: what calm is for this instance."""
@@ -434,23 +444,23 @@
         """The return as plain values; seconds since the start of the process."""
         marks = self.milestones
         times = {
-            name: None if math.isnan(at) else round(at - marks.began, 4)
+            name: None if math.isnan(at) else round(at - marks.started_at, 4)
             for name, at in (
-                ("known", marks.known),
-                ("first", marks.first),
-                ("full", marks.full),
-                ("settled", marks.settled),
+                ("known", marks.list_known_at),
+                ("first", marks.first_answer_at),
+                ("full", marks.full_service_at),
+                ("settled", marks.settled_at),
             )
         }
         return {
             "phase": self.phase.value,
             "told": self.discovery_reported,
             **times,
-            "connects": marks.connects,
-            "held": marks.held,
-            "refused": marks.refused,
-            "dropped": marks.dropped,
-            "waiting": len(self._held),
+            "connects": marks.connections_opened,
+            "held": marks.requests_queued,
+            "refused": marks.requests_refused,
+            "dropped": marks.servers_dropped,
+            "waiting": len(self._queue),
         }
 
 
@@ -462,7 +472,7 @@
     its place, moved by chance within half a place either way, so that no two fleets beat in step.
     """
 
-    pace: float  # starts a second
+    rate: float  # starts a second
     rng: Random = field(default_factory=Random)
 
     def schedule(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
@@ -471,7 +481,7 @@
         The places begin at `begin`, and `first` of them are taken.
         """
         ordered = sorted(names, key=lambda pair: -pair[1])
-        gap = 1.0 / self.pace
+        gap = 1.0 / self.rate
         return {
             name: begin + gap * max(0.0, place + self.rng.random() - 0.5)
             for place, (name, _) in enumerate(ordered, first)
