--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -600,7 +600,7 @@
         headers, up = list(self.identity_headers), self.callers.listener_state.up
         if self.recovery is not None:
             up = up and self.recovery.ready
-            headers.append((b"x-comeback", self.state.state.phase.value.encode()))
+            headers.append((b"x-comeback", self.recovery.state.phase.value.encode()))
         caller.answer(200 if up else 503, headers, b"")
 
     def _submit(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
--- a/tests/unit/test_recovery.py
+++ b/tests/unit/test_recovery.py
@@ -259,8 +259,8 @@
         c.on_connections_opened(5.0 + second, 3 * second)
         c.tick(5.0 + second)
     assert 2.5 < c.normal_rate < 3.1
-    assert Recovery(0.0, PLAN, 1, calm=1e9).normal_rate == 20.0
-    assert Recovery(0.0, PLAN, 1, calm=0.0).normal_rate == 0.5
+    assert Recovery(0.0, PLAN, 1, normal_rate=1e9).normal_rate == 20.0
+    assert Recovery(0.0, PLAN, 1, normal_rate=0.0).normal_rate == 0.5
 
 
 def test_refusals_are_sent_back_spread_in_time() -> None:
--- a/weldroute/recovery.py
+++ b/weldroute/recovery.py
@@ -1,35 +1,35 @@
-"""One instance's return to service: what it knows, how fast it may lean on others, what it lets in. Sans I/O.
-
-Every event is a method that takes the time (seconds, of any clock that never steps back). Phases, and what each event
-makes of them ("-": nothing):
-
-| phase      | a list was kept | discovery tells | an answer   | calm for CALM | the kept list is over |
-| ---------- | --------------- | --------------- | ----------- | ------------- | --------------------- |
-| nothing    | remembered      | confirmed       | -           | -             | -                     |
-| remembered | -               | confirmed       | ramping     | full          | nothing               |
-| confirmed  | -               | -               | ramping     | full          | -                     |
-| ramping    | -               | -               | -           | full          | nothing               |
-| full       | -               | -               | -           | -             | nothing               |
-
-Calm is a time in which nobody had to wait for longer than GRACE and nobody was refused for the return. The last
-column holds as long as discovery has not told anything. In `nothing` requests wait, as long as their time allows:
-nothing has been sent for them, so a refusal is certain to be harmless.
-
-What discovery tells is weighed against what is remembered (`hears`):
-
-| discovery tells         | and remembered is | verdict                                                    |
-| ----------------------- | ----------------- | ---------------------------------------------------------- |
-| anything                | nothing           | take                                                       |
-| a change to a list      | a list            | take                                                       |
-| a list, version no lower | a list           | take                                                       |
-| an empty list           | a list            | wait: taken if nothing else comes within `doubt_for`       |
-| a list, version lower   | a list            | merge what is newer in it; taken whole after `doubt_for`   |
-
-Merged: of each backend the later start counts, and a drain of that start stays a drain; a backend that is not in the
-remembered list has gone since, unless it started after that list was written.
-
-The pace of new connections lasts beyond `full`: until the bucket has been full for SETTLE seconds, so that the
-connections which the return has put off do not come all at once after it.
+"""Recovery of one instance after a restart: which list it uses, how fast it connects, which requests it admits.
+
+Sans I/O. Every event is a method that takes the time (seconds of any monotonic clock). Phases, and the phase that
+each event leads to ("-": no change); the value in quotes is what operators see:
+
+| phase                  | a list was stored | discovery reports | an answer | undisturbed | the stored list expired |
+| ---------------------- | ----------------- | ----------------- | --------- | ----------- | ----------------------- |
+| NO_LIST "nothing"      | STORED            | CONFIRMED         | -         | -           | -                       |
+| STORED "remembered"    | -                 | CONFIRMED         | RAMPING   | FULL        | NO_LIST                 |
+| CONFIRMED "confirmed"  | -                 | -                 | RAMPING   | FULL        | -                       |
+| RAMPING "ramping"      | -                 | -                 | -         | FULL        | NO_LIST                 |
+| FULL "full"            | -                 | -                 | -         | -           | NO_LIST                 |
+
+Undisturbed means that for FULL_SERVICE_AFTER seconds no request was queued for longer than QUEUE_GRACE and none was
+refused because of the recovery. The last column applies as long as discovery has not reported anything. In NO_LIST
+requests are queued as long as their deadline allows: nothing has been sent for them, so refusing them is always safe.
+
+A list from discovery is checked against the stored list (`on_list`):
+
+| discovery reports            | stored  | decision                                                           |
+| ---------------------------- | ------- | ------------------------------------------------------------------ |
+| anything                     | nothing | ACCEPT                                                             |
+| a change to a list           | a list  | ACCEPT                                                             |
+| a list, version not lower    | a list  | ACCEPT                                                             |
+| an empty list                | a list  | WAIT: accepted if nothing else comes within `doubt_for`            |
+| a list, version lower        | a list  | MERGE newer entries; accepted as a whole after `doubt_for`         |
+
+Merge: for each backend the later start counts, and a drain of that start stays a drain; a backend that is missing
+from the stored list has gone since, unless it started after that list was written.
+
+New connections stay rate limited beyond FULL, until the bucket has been full for SETTLE_TIME seconds, so that the
+connections which the recovery has delayed are not opened all at once after it.
 """
 
 from __future__ import annotations
@@ -42,19 +42,19 @@
 
 from weldroute.model import ServerId, ServerRow, State
 
-FULL_SERVICE_AFTER = 0.3  # seconds
-QUEUE_GRACE = 0.1  # seconds that a request may wait at the door and count as served at once
-SETTLE_TIME = 2.0
-MAX_QUEUED = 512  # requests that wait at the door
-RESERVE = 0.5  # of its aim that a request must have left when it is let in...
-RESERVE_PART = 0.3  # ...but no more than this part of the time that its caller gives
-LEARN = 10.0  # seconds over which the pace of new connections in calm times is smoothed
-LEAST_CALM, MOST_CALM = 0.5, 20.0  # new connections a second of one instance that are believed
-INITIAL_RETRY_TOKENS = 1.0  # further attempts that a returning instance has saved up
+FULL_SERVICE_AFTER = 0.3  # seconds without a delayed or refused request
+QUEUE_GRACE = 0.1  # seconds that a request may be queued and still count as served without delay
+SETTLE_TIME = 2.0  # seconds
+MAX_QUEUED = 512  # requests
+AIM_RESERVE = 0.5  # share of its aim that a request must have left when it is admitted...
+MAX_RESERVE_SHARE = 0.3  # ...but no more than this share of the time until its deadline
+RATE_SMOOTHING_TIME = 10.0  # seconds over which the normal rate of new connections is smoothed
+MIN_NORMAL_RATE, MAX_NORMAL_RATE = 0.5, 20.0  # bounds of the normal rate; new connections per second and instance
+INITIAL_RETRY_TOKENS = 1.0  # retries that a recovering instance may make at first
 
 
 class Phase(Enum):
-    """See the table of the module."""
+    """Phases of a recovery; see the module's first table."""
 
     NO_LIST = "nothing"
     STORED = "remembered"
@@ -64,7 +64,7 @@
 
 
 class ListDecision(Enum):
-    """What is made of a list that discovery tells; see the second table of the module."""
+    """What to do with a list from discovery; see the module's second table."""
 
     ACCEPT = "take"
     MERGE = "merge"
@@ -72,7 +72,7 @@
 
 
 class AdmissionVerdict(Enum):
-    """What becomes of a request at the door."""
+    """What happens to an arriving request."""
 
     PASS = "pass"
     QUEUE = "hold"
@@ -81,19 +81,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryPlan:
-    """What one instance is told of the return that it is part of."""
+    """Parameters that the supervisor gives an instance for its recovery."""
 
     instances: int = 1  # of the fleet
-    returning: int = 1  # of them that come back together with this one
-    calm: float = 1.0  # new connections a second of one instance, until its own pace is known
-    multiple: float = 3.0  # of calm that the whole fleet may open while it comes back
-    list_for: float = 120.0  # seconds that a remembered list serves
-    doubt_for: float = 10.0  # seconds that a list which contradicts what is remembered must stand
-    tries: float = 40.0  # calls of discovery a second that the whole fleet may try
-    retry_after: float = 1.0  # seconds over which the return of those refused is spread; 0: none is named
+    returning: int = 1  # instances that recover together, this one included
+    calm: float = 1.0  # new connections per second of one instance, until its own normal rate is known
+    multiple: float = 3.0  # times the normal rate that the whole fleet may open during a recovery
+    list_for: float = 120.0  # seconds for which a stored list may be used
+    doubt_for: float = 10.0  # seconds after which a list that contradicts the stored one is accepted
+    tries: float = 40.0  # calls of discovery per second that the whole fleet may make
+    retry_after: float = 1.0  # seconds over which retries of refused requests are spread; 0: no Retry-After is sent
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         for name, least in (("instances", 1), ("returning", 1), ("multiple", 1.0)):
             if not getattr(self, name) >= least:
                 raise ValueError(f"{name}: {getattr(self, name)!r} is not a number of {least} or more")
@@ -102,42 +102,42 @@
             if not math.isfinite(value) or value < 0.0 or (name in ("calm", "tries") and not value):
                 raise ValueError(f"{name}: {value!r} is not a number above 0")
 
-    def connection_rate(self, calm: float) -> float:
-        """New connections a second that this instance may open: an equal part of what those that stayed leave."""
-        back = min(self.returning, self.instances)
-        stayed = self.instances - back
-        return calm * max(1.0, (self.multiple * self.instances - stayed) / back)
+    def connection_rate(self, normal_rate: float) -> float:
+        """New connections per second for this instance: an equal share of what the instances that stayed leave."""
+        recovering = min(self.returning, self.instances)
+        stayed = self.instances - recovering
+        return normal_rate * max(1.0, (self.multiple * self.instances - stayed) / recovering)
 
     @property
     def discovery_interval(self) -> float:
-        """Seconds between tries at discovery, at most: all instances together keep to `tries`."""
+        """Maximum seconds between calls of discovery: all instances together keep to `tries`."""
         return min(max(self.instances / self.tries, 0.1), 10.0)
 
 
 class ConnectionRateLimiter:
-    """A token bucket for new connections; holds one, so that instances which begin at once open one each."""
+    """A token bucket for new connections; its size is 1, so instances that start together open one each."""
 
     def __init__(self, now: float, rate: float) -> None:
-        self.rate = rate
+        self.rate = rate  # tokens per second
         self.tokens = 1.0
-        self._at = now
+        self._updated_at = now
         self.full_since = now
 
     def available(self, now: float) -> float:
-        """Tokens now."""
-        before, self._at = self._at, max(now, self._at)
+        """Refill the bucket and return its tokens; negative while spent connections are owed."""
+        before, self._updated_at = self._updated_at, max(now, self._updated_at)
         if self.tokens < 1.0:
-            filled = self.tokens + self.rate * (self._at - before)
+            filled = self.tokens + self.rate * (self._updated_at - before)
             self.tokens = 1.0 if filled >= 1.0 - 1e-9 else filled
-            self.full_since = self._at
+            self.full_since = self._updated_at
         return self.tokens
 
     def spend(self, now: float, count: int) -> None:
-        """So many connections were opened. What was not asked here (repeats) is paid for later."""
+        """Count connections that were opened; those opened without asking (retries) are paid for later."""
         self.available(now)
         if count:
             self.tokens -= count
-            self.full_since = self._at
+            self.full_since = self._updated_at
 
     def next_at(self, now: float) -> float:
         """When the next connection may be opened."""
@@ -147,221 +147,225 @@
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A request that waits at the door."""
+    """A request that waits for admission."""
 
-    since: float
-    until: float  # it must be let in or refused by then
+    queued_at: float
+    deadline: float  # it must be admitted or refused by then
 
 
 @dataclass(slots=True)
 class Milestones:
-    """When each phase was reached, on the instance's own clock; NaN for never. And what it leaned on others for."""
+    """When each phase was reached, on the instance's own clock (NaN: never), and counts of the recovery."""
 
     started_at: float
     list_known_at: float = math.nan
     first_answer_at: float = math.nan
     full_service_at: float = math.nan
     settled_at: float = math.nan
-    connections_opened: int = 0  # new connections to backends until it was settled
+    connections_opened: int = 0  # new connections to backends until settled
     requests_queued: int = 0
     requests_refused: int = 0
-    servers_dropped: int = 0  # remembered servers that were not what was remembered
+    servers_dropped: int = 0  # servers of the stored list that turned out to be wrong
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryEvent:
-    """Something that operators want to know."""
+    """An event of the recovery that is logged for operators."""
 
     name: str
     description: str
 
 
 class Recovery:
-    """One instance's return."""
+    """State machine of one instance's recovery."""
 
-    def __init__(self, now: float, plan: RecoveryPlan, seed: int, calm: float | None = None) -> None:
+    def __init__(self, now: float, plan: RecoveryPlan, seed: int, normal_rate: float | None = None) -> None:
         plan.check()
         self.plan = plan
         self._rng = Random(seed)
-        self.normal_rate = plan.calm if calm is None else min(max(calm, LEAST_CALM), MOST_CALM)
+        self.normal_rate = (
+            plan.calm if normal_rate is None else min(max(normal_rate, MIN_NORMAL_RATE), MAX_NORMAL_RATE)
+        )
         self.rate_limiter = ConnectionRateLimiter(now, plan.connection_rate(self.normal_rate))
         self.rate_limited = True
         self.phase = Phase.NO_LIST
-        self.discovery_reported = False  # discovery has spoken
+        self.discovery_reported = False
         self.milestones = Milestones(now)
-        self.events: list[RecoveryEvent] = []  # not yet taken by who reports them
+        self.events: list[RecoveryEvent] = []  # not yet fetched by `take_events`
         self.stored_seq = 0
-        self._doubt_until = math.inf  # when what discovery tells is believed after all
-        self._list_until = math.inf
-        self._trouble = now  # when somebody waited too long or was refused, last
+        self._distrust_until = math.inf  # when a distrusted list from discovery is accepted after all
+        self._list_expires_at = math.inf
+        self._disturbed_at = now  # when a request was last queued for too long or refused
         self._queue: dict[Hashable, QueuedRequest] = {}
-        self._opened = 0
-        self._learned_at = now
-        self._learned_from = 0
+        self._connections_opened = 0
+        self._rate_updated_at = now
+        self._rate_counted_from = 0
 
-    # ---- what is known -------------------------------------------------------------------
+    # ---- lists ---------------------------------------------------------------------------
 
     def on_stored_list(self, now: float, servers: int, age: float | None, seq: int = 0) -> None:
-        """A list was kept, so many seconds ago (None: nobody can tell, and then half of its time is left)."""
+        """A stored list was loaded; `age` in seconds (None: unknown, then half of its lifetime is left)."""
         if self.phase is not Phase.NO_LIST or not servers:
             return
         self.stored_seq = seq
         left = self.plan.list_for * 0.5 if age is None else self.plan.list_for - age
         if left <= 0.0:
             return
-        self._list_until = now + left
-        self._know(now, Phase.STORED, f"{servers} backends, for {left:.0f} s or until discovery tells")
+        self._list_expires_at = now + left
+        self._on_list_known(now, Phase.STORED, f"{servers} backends, for {left:.0f} s or until discovery reports")
 
     def on_list(self, now: float, whole: bool, servers: int, seq: int) -> ListDecision:
-        """Discovery tells a list, or a change (not `whole`), of so many servers; what is to be made of it.
+        """Discovery reported a list, or a change (not `whole`), of `servers` entries; return what to do with it.
 
-        Guards against discovery that has lost its own state, or an older copy of it. Harm: where all backends are
-        gone indeed, they are tried for `doubt_for`; each that refuses is dropped at once.
+        Guards against discovery that has lost its state or restored an older copy of it. Drawback: where all backends
+        have really gone, they are tried for `doubt_for`; each that refuses a connection is dropped at once.
         """
         if self.discovery_reported or self.phase is Phase.NO_LIST:
             if servers:
-                self._tells(now, servers)
+                self._on_discovery_confirmed(now, servers)
             return ListDecision.ACCEPT
         if not whole:
-            if not self._doubted:
-                self._tells(now, servers)
+            if not self._distrusted:
+                self._on_discovery_confirmed(now, servers)
             return ListDecision.ACCEPT
         if servers and seq >= self.stored_seq:
-            self._tells(now, servers)
+            self._on_discovery_confirmed(now, servers)
             return ListDecision.ACCEPT
-        if not self._doubted:
-            self._doubt_until = now + self.plan.doubt_for
-            text = f"version {seq}, and {self.stored_seq} is remembered" if servers else "an empty list"
-            self.events.append(RecoveryEvent("doubted", f"discovery tells of {text}"))
+        if not self._distrusted:
+            self._distrust_until = now + self.plan.doubt_for
+            reported = f"version {seq}, while {self.stored_seq} is stored" if servers else "an empty list"
+            self.events.append(RecoveryEvent("doubted", f"discovery reported {reported}"))
         return ListDecision.MERGE if servers else ListDecision.WAIT
 
     @property
-    def _doubted(self) -> bool:
-        """What discovery tells is not believed yet: until `believes` says so, or a list that fits has come."""
-        return self._doubt_until < math.inf
+    def _distrusted(self) -> bool:
+        """Whether discovery is distrusted: until `confirm_distrusted` ends it, or a consistent list arrives."""
+        return self._distrust_until < math.inf
 
     def confirm_distrusted(self, now: float, servers: int) -> bool:
-        """Whether a list that was doubted has stood for long enough, of so many servers; told once."""
-        if now < self._doubt_until:
+        """Accept a distrusted list of `servers` entries once `doubt_for` has passed; true only the first time."""
+        if now < self._distrust_until:
             return False
-        self._tells(now, servers)
+        self._on_discovery_confirmed(now, servers)
         return True
 
     @staticmethod
-    def prefers_stored(remembered: ServerRow, told: ServerRow) -> bool:
-        """Whether a remembered row is kept against one of a lower version."""
-        if remembered.started != told.started:
-            return remembered.started > told.started
-        return remembered.state is State.DRAINING and told.state is State.UP
+    def prefers_stored(stored: ServerRow, reported: ServerRow) -> bool:
+        """Whether a stored entry wins over the entry of a list with a lower version."""
+        if stored.started != reported.started:
+            return stored.started > reported.started
+        return stored.state is State.DRAINING and reported.state is State.UP
 
-    def _tells(self, now: float, servers: int) -> None:
+    def _on_discovery_confirmed(self, now: float, servers: int) -> None:
         if self.discovery_reported:
             return
         self.discovery_reported = True
-        self._list_until = self._doubt_until = math.inf
+        self._list_expires_at = self._distrust_until = math.inf
         if self.phase in (Phase.NO_LIST, Phase.STORED):
-            self._know(now, Phase.CONFIRMED, f"discovery tells of {servers} backends")
+            self._on_list_known(now, Phase.CONFIRMED, f"discovery reported {servers} backends")
         else:
-            self.events.append(RecoveryEvent("confirmed", f"discovery tells of {servers} backends"))
+            self.events.append(RecoveryEvent("confirmed", f"discovery reported {servers} backends"))
 
-    def _know(self, now: float, phase: Phase, text: str) -> None:
+    def _on_list_known(self, now: float, phase: Phase, description: str) -> None:
         self.phase = phase
         if math.isnan(self.milestones.list_known_at):
             self.milestones.list_known_at = now
-        self.events.append(RecoveryEvent(phase.value, text))
+        self.events.append(RecoveryEvent(phase.value, description))
 
-    def on_contradiction(self, server: ServerId, how: str) -> bool:
-        """A server refused a connection, or answered as another: whether it is no longer believed to be there.
+    def on_contradiction(self, server: ServerId, reason: str) -> bool:
+        """A server refused a connection or answered under another identity; return whether to drop it.
 
-        Guards against a list that is out of date: what discovery has told is discovery's to take back, what is only
-        remembered is dropped at the first contradiction.
+        Guards against an outdated list: a server that discovery reported is only removed by discovery, one that is
+        only in the stored list is dropped at the first contradiction.
         """
         if self.discovery_reported:
             return False
         self.milestones.servers_dropped += 1
-        self.events.append(RecoveryEvent("dropped", f"remembered backend {server:x} {how}"))
+        self.events.append(RecoveryEvent("dropped", f"backend {server:x} of the stored list {reason}"))
         return True
 
     @property
     def ready(self) -> bool:
-        """What a front may be told: whether anything can be served here."""
+        """Whether requests can be served; reported to the front load balancer."""
         return self.phase is not Phase.NO_LIST
 
-    # ---- the door ------------------------------------------------------------------------
+    # ---- admission -----------------------------------------------------------------------
 
-    def admit(self, now: float, request: Hashable, until: float, aim: float, free: int) -> AdmissionVerdict:
-        """Whether a request goes on now. `free` connections to ready servers wait for work; seconds."""
+    def admit(
+        self, now: float, request: Hashable, deadline: float, aim: float, idle_connections: int
+    ) -> AdmissionVerdict:
+        """Whether a request is forwarded now. `idle_connections` to ready servers are available; times in seconds."""
         if not self.rate_limited and self.phase is not Phase.NO_LIST:
             return AdmissionVerdict.PASS
-        if not self._queue and self._room(now, free):
+        if not self._queue and self._can_forward(now, idle_connections):
             return AdmissionVerdict.PASS
-        until -= min(RESERVE * aim, RESERVE_PART * (until - now))
-        if len(self._queue) >= MAX_QUEUED or until <= now:
+        deadline -= min(AIM_RESERVE * aim, MAX_RESERVE_SHARE * (deadline - now))
+        if len(self._queue) >= MAX_QUEUED or deadline <= now:
             self.on_refused(now)
             return AdmissionVerdict.REFUSE
-        self._queue[request] = QueuedRequest(now, until)
+        self._queue[request] = QueuedRequest(now, deadline)
         self.milestones.requests_queued += 1
         return AdmissionVerdict.QUEUE
 
-    def _room(self, now: float, free: int) -> bool:
+    def _can_forward(self, now: float, idle_connections: int) -> bool:
         if self.phase is Phase.NO_LIST:
             return False
-        return not self.rate_limited or free > 0 or self.rate_limiter.available(now) >= 1.0
+        return not self.rate_limited or idle_connections > 0 or self.rate_limiter.available(now) >= 1.0
 
-    def release_next(self, now: float, free: int) -> Hashable | None:
-        """The next of those that wait, if its turn has come: it goes on now."""
-        if not self._queue or not self._room(now, free):
+    def release_next(self, now: float, idle_connections: int) -> Hashable | None:
+        """Remove and return the oldest queued request if it can be forwarded now."""
+        if not self._queue or not self._can_forward(now, idle_connections):
             return None
         request = next(iter(self._queue))
-        if now - self._queue.pop(request).since > QUEUE_GRACE:
-            self._trouble = now
+        if now - self._queue.pop(request).queued_at > QUEUE_GRACE:
+            self._disturbed_at = now
         return request
 
     def pop_overdue(self, now: float) -> list[Hashable]:
-        """Those that wait and whose time is up: they are refused now."""
-        late = [request for request, held in self._queue.items() if held.until <= now]
-        for request in late:
+        """Remove and return the queued requests whose deadline has passed; they are to be refused now."""
+        overdue = [request for request, queued in self._queue.items() if queued.deadline <= now]
+        for request in overdue:
             del self._queue[request]
             self.on_refused(now)
-        return late
+        return overdue
 
     def withdraw(self, request: Hashable) -> bool:
-        """A request that waits goes away; whether it did wait."""
+        """Remove a request from the queue; return whether it was queued."""
         return self._queue.pop(request, None) is not None
 
     @property
     def queue_length(self) -> int:
-        """Requests that wait."""
+        """Queued requests."""
         return len(self._queue)
 
     def next_wakeup(self, now: float) -> float:
-        """When to look at those that wait again, if nothing happens before; infinity for never."""
+        """When to check the queue again if no event occurs before; infinity for never."""
         if not self._queue:
             return math.inf
-        first = min(held.until for held in self._queue.values())
+        first = min(queued.deadline for queued in self._queue.values())
         return first if self.phase is Phase.NO_LIST else min(first, self.rate_limiter.next_at(now))
 
     def on_refused(self, now: float) -> None:
-        """A request was refused for the return."""
+        """A request was refused because of the recovery."""
         self.milestones.requests_refused += 1
-        self._trouble = now
+        self._disturbed_at = now
 
     def retry_after(self) -> float:
-        """Seconds for one that is refused: spread, so that those who are sent away together do not come back so."""
+        """Retry-After in seconds for a refused request, with jitter so that refused callers don't return together."""
         spread = self.plan.retry_after
         return spread * (0.5 + self._rng.random()) if spread else 0.0
 
-    # ---- what was leaned on --------------------------------------------------------------
+    # ---- connections and answers ---------------------------------------------------------
 
     def on_connections_opened(self, now: float, total: int) -> None:
-        """So many connections to backends were opened since the start."""
-        fresh, self._opened = total - self._opened, total
+        """Connections to backends were opened; `total` counts from the start of the process."""
+        opened, self._connections_opened = total - self._connections_opened, total
         if self.rate_limited:
-            self.rate_limiter.spend(now, fresh)
-            self.milestones.connections_opened += fresh
+            self.rate_limiter.spend(now, opened)
+            self.milestones.connections_opened += opened
 
     def on_answer(self, now: float) -> None:
-        """An answer was passed on."""
+        """A backend's answer was forwarded to a caller."""
         if self.phase in (Phase.STORED, Phase.CONFIRMED):
             self.phase = Phase.RAMPING
             self.milestones.first_answer_at = (
@@ -374,23 +378,23 @@
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> bool:
-        """Look at what time alone changes; whether the remembered list is over and must be let go."""
-        if self._queue and now - next(iter(self._queue.values())).since > QUEUE_GRACE:
-            self._trouble = now
-        if now >= self._list_until:
-            self._list_until = math.inf
+        """Make the changes that depend on time alone; return whether the stored list has expired."""
+        if self._queue and now - next(iter(self._queue.values())).queued_at > QUEUE_GRACE:
+            self._disturbed_at = now
+        if now >= self._list_expires_at:
+            self._list_expires_at = math.inf
             self.phase = Phase.NO_LIST
-            self._trouble = now
+            self._disturbed_at = now
             self.events.append(
-                RecoveryEvent("nothing", f"discovery is silent, and the list is {self.plan.list_for:g} s old")
+                RecoveryEvent("nothing", f"discovery is silent, and the stored list is {self.plan.list_for:g} s old")
             )
             return True
         if (
             self.phase in (Phase.STORED, Phase.CONFIRMED, Phase.RAMPING)
-            and now - self._calm_since() >= FULL_SERVICE_AFTER
+            and now - self._undisturbed_since() >= FULL_SERVICE_AFTER
         ):
             self._become_full()
-        if self.rate_limited and self.phase is Phase.FULL and self._settles(now):
+        if self.rate_limited and self.phase is Phase.FULL and self._is_settled(now):
             self.rate_limited = False
             self.milestones.settled_at = now
             self.events.append(
@@ -399,90 +403,98 @@
                     f"{self.milestones.connections_opened} connections opened at {self.rate_limiter.rate:.1f}/s",
                 )
             )
-            self._learned_at, self._learned_from = now, self._opened
+            self._rate_updated_at, self._rate_counted_from = now, self._connections_opened
         if not self.rate_limited:
-            self._learn(now)
+            self._update_normal_rate(now)
         return False
 
-    def _calm_since(self) -> float:
-        """The moment from which on nobody was kept waiting: that is when the service was full."""
+    def _undisturbed_since(self) -> float:
+        """Since when no request has been delayed: full service counts from then, not from when it was noticed."""
         first = self.milestones.first_answer_at if self.phase is Phase.RAMPING else self.milestones.list_known_at
-        return max(self._trouble, self.milestones.list_known_at, first)
+        return max(self._disturbed_at, self.milestones.list_known_at, first)
 
     def _become_full(self) -> None:
         self.milestones.full_service_at = (
-            self._calm_since() if math.isnan(self.milestones.full_service_at) else self.milestones.full_service_at
+            self._undisturbed_since()
+            if math.isnan(self.milestones.full_service_at)
+            else self.milestones.full_service_at
         )
         self.phase = Phase.FULL
-        marks = self.milestones
-        text = f"full service {marks.full_service_at - marks.started_at:.3f} s after the start; {marks.requests_queued} waited, "
+        reached = self.milestones
+        summary = (
+            f"full service {reached.full_service_at - reached.started_at:.3f} s after the start; "
+            f"{reached.requests_queued} queued, "
+        )
         self.events.append(
             RecoveryEvent(
-                "full", text + f"{marks.requests_refused} refused, {marks.connections_opened} connections opened"
+                "full",
+                summary + f"{reached.requests_refused} refused, {reached.connections_opened} connections opened",
             )
         )
 
-    def _settles(self, now: float) -> bool:
+    def _is_settled(self, now: float) -> bool:
         return self.rate_limiter.available(now) >= 1.0 and now - self.rate_limiter.full_since >= SETTLE_TIME
 
-    def _learn(self, now: float) -> None:
-        """Smooth the pace of new connections while nothing is held back: what calm is for this instance."""
-        passed = now - self._learned_at
+    def _update_normal_rate(self, now: float) -> None:
+        """Smooth this instance's rate of new connections while it is not limited."""
+        passed = now - self._rate_updated_at
         if passed < 1.0:
             return
-        rate = (self._opened - self._learned_from) / passed
-        self._learned_at, self._learned_from = now, self._opened
-        weight = min(1.0, passed / LEARN)
-        self.normal_rate = min(max(self.normal_rate + (rate - self.normal_rate) * weight, LEAST_CALM), MOST_CALM)
+        rate = (self._connections_opened - self._rate_counted_from) / passed
+        self._rate_updated_at, self._rate_counted_from = now, self._connections_opened
+        weight = min(1.0, passed / RATE_SMOOTHING_TIME)
+        self.normal_rate = min(
+            max(self.normal_rate + (rate - self.normal_rate) * weight, MIN_NORMAL_RATE), MAX_NORMAL_RATE
+        )
 
     def take_events(self) -> list[RecoveryEvent]:
-        """What happened since the last call."""
-        steps, self.events = self.events, []
-        return steps
+        """Return the events since the last call, and forget them."""
+        events, self.events = self.events, []
+        return events
 
     def status(self) -> dict[str, float | int | str | bool | None]:
-        """The return as plain values; seconds since the start of the process."""
-        marks = self.milestones
+        """The recovery as plain values; times in seconds since the start of the process."""
+        reached = self.milestones
         times = {
-            name: None if math.isnan(at) else round(at - marks.started_at, 4)
-            for name, at in (
-                ("known", marks.list_known_at),
-                ("first", marks.first_answer_at),
-                ("full", marks.full_service_at),
-                ("settled", marks.settled_at),
+            name: None if math.isnan(time) else round(time - reached.started_at, 4)
+            for name, time in (
+                ("known", reached.list_known_at),
+                ("first", reached.first_answer_at),
+                ("full", reached.full_service_at),
+                ("settled", reached.settled_at),
             )
         }
         return {
             "phase": self.phase.value,
             "told": self.discovery_reported,
             **times,
-            "connects": marks.connections_opened,
-            "held": marks.requests_queued,
-            "refused": marks.requests_refused,
-            "dropped": marks.servers_dropped,
+            "connects": reached.connections_opened,
+            "held": reached.requests_queued,
+            "refused": reached.requests_refused,
+            "dropped": reached.servers_dropped,
             "waiting": len(self._queue),
         }
 
 
 @dataclass(slots=True)
 class StartScheduler:
-    """In which order and at what pace those that fell together are started again.
+    """Order and rate at which instances that failed together are started again.
 
-    The tiers behind come first: an instance of a tier before could serve nothing without them. Each start waits for
-    its place, moved by chance within half a place either way, so that no two fleets beat in step.
+    The rear tiers come first: an instance of a front tier could serve nothing without them. Each start has its slot,
+    shifted at random by up to half a slot either way, so that no two fleets start in step.
     """
 
-    rate: float  # starts a second
+    rate: float  # starts per second
     rng: Random = field(default_factory=Random)
 
     def schedule(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
-        """When to start each of these (name, tier); the listed order counts within a tier.
+        """When to start each instance of `names` (name, tier); the given order counts within a tier.
 
-        The places begin at `begin`, and `first` of them are taken.
+        The slots begin at `begin`; the first `first` of them are taken.
         """
         ordered = sorted(names, key=lambda pair: -pair[1])
-        gap = 1.0 / self.rate
+        interval = 1.0 / self.rate
         return {
-            name: begin + gap * max(0.0, place + self.rng.random() - 0.5)
-            for place, (name, _) in enumerate(ordered, first)
+            name: begin + interval * max(0.0, slot + self.rng.random() - 0.5)
+            for slot, (name, _) in enumerate(ordered, first)
         }
