--- a/cometusher/cluster/__init__.py
+++ b/cometusher/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Links between instances of many machines; imported only where a file switches them on."""
+"""Membership and replication among the supervisors of a fleet; imported only if the fleet's file enables it."""
--- a/cometusher/cluster/duties.py
+++ b/cometusher/cluster/duties.py
@@ -1,4 +1,4 @@
-"""Duties that one member at a time has: grantors and askers of `weldroute.leases` on the links."""
+"""Duties with one holder at a time: the grantor and the proposers of `weldroute.leases`, on the links."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 log = logging.getLogger("cometusher.mesh.duties")  # the `subsystem` of its log records
 
-TICK_INTERVAL = 0.05  # seconds between looks, while anything is wished for
+TICK_INTERVAL = 0.05  # seconds, while any duty is wanted
 
 
 class DutyManager:
-    """One member's part: what it asks for, and, if its address is among the grantors', what it gives."""
+    """One member's proposers, and its grantor if its address is one of the grantors'."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         send: Callable[[str, Message], None],
         seed: int,
     ) -> None:
-        """`name` is this process's alone: two of one name would be one to grantors."""
+        """`name` must be unique to this process: grantors can't tell two processes of one name apart."""
         self._loop = loop
         self._policy = policy
         self._name = name
@@ -40,47 +40,47 @@
         self._rng = Random(seed)
         self._grantor = Grantor(policy, loop.time()) if address in grantors else None
         self._proposers: dict[str, Proposer] = {}
-        self._reported: dict[str, Ballot | None] = {}
+        self._logged: dict[str, Ballot | None] = {}  # epochs, by duty
         self._timer: asyncio.TimerHandle | None = None
 
     def set_wanted(self, duty: str, wanted: bool) -> None:
-        """Ask for a duty from here on, and keep it; or let it go at once."""
-        asker = self._proposers.get(duty)
-        if asker is None:
+        """Acquire a duty and keep it from here on, or release it at once."""
+        proposer = self._proposers.get(duty)
+        if proposer is None:
             if not wanted:
                 return
-            asker = self._proposers[duty] = Proposer(
+            proposer = self._proposers[duty] = Proposer(
                 self._policy, duty, self._name, self._grantors, self._rng.random()
             )
-        elif wanted is asker.wanted:
+        elif wanted is proposer.wanted:
             return
-        asker.wanted = wanted
+        proposer.wanted = wanted
         if not wanted:
-            self._broadcast(asker.release(self._loop.time()))
-            self._log_change(asker)
+            self._broadcast(proposer.release(self._loop.time()))
+            self._log_change(proposer)
         if self._timer is None:
             self._tick()
 
     def current_epoch(self, duty: str) -> Ballot | None:
-        """The epoch with which to act at this very moment; None: it must not."""
-        asker = self._proposers.get(duty)
-        return asker.current_epoch(self._loop.time()) if asker is not None else None
+        """The epoch to act with at this instant; None if this member does not hold the duty and must not act."""
+        proposer = self._proposers.get(duty)
+        return proposer.current_epoch(self._loop.time()) if proposer is not None else None
 
     def on_message(self, address: str, message: leases.Request | leases.Answer) -> None:
-        """A message has come from an address, or from this member itself."""
+        """Handle a message from an address, which may be this member's own."""
         now = self._loop.time()
         if isinstance(message, leases.Prepare | leases.Propose | leases.Released):
             answer = self._grantor.on_request(now, message) if self._grantor is not None else None
             if answer is not None:
                 self._send_to(address, answer)
             return
-        asker = self._proposers.get(message.duty)
-        if asker is not None:
-            self._broadcast(asker.on_answer(now, address, message))
-            self._log_change(asker)
+        proposer = self._proposers.get(message.duty)
+        if proposer is not None:
+            self._broadcast(proposer.on_answer(now, address, message))
+            self._log_change(proposer)
 
     def close(self) -> None:
-        """Let go of all."""
+        """Release all duties and stop."""
         for duty in list(self._proposers):
             self.set_wanted(duty, False)
         if self._timer is not None:
@@ -88,32 +88,32 @@
             self._timer = None
 
     def view(self) -> list[dict[str, Any]]:
-        """What it wishes for or has, for operators; `until` in seconds of the machine's clock."""
+        """The duties that this member wants or holds, for operators; `until` in seconds of the machine's clock."""
         now = self._loop.time()
-        rows = []
-        for duty, asker in sorted(self._proposers.items()):
-            epoch = asker.current_epoch(now)
-            rows.append(
+        duties = []
+        for duty, proposer in sorted(self._proposers.items()):
+            epoch = proposer.current_epoch(now)
+            duties.append(
                 {
                     "duty": duty,
-                    "wishes": asker.wanted,
+                    "wishes": proposer.wanted,
                     "holds": epoch is not None,
                     "epoch": epoch and epoch[0],
-                    "for": round(asker.expires_at(now) - now, 2),
-                    "until": asker.expires_at(now) if epoch is not None else None,
+                    "for": round(proposer.expires_at(now) - now, 2),
+                    "until": proposer.expires_at(now) if epoch is not None else None,
                 }
             )
-        return rows
+        return duties
 
     # ---- time and messages ---------------------------------------------------------------
 
     def _tick(self) -> None:
         now = self._loop.time()
-        for asker in self._proposers.values():
-            self._broadcast(asker.tick(now))
-            self._log_change(asker)
-        busy = any(asker.wanted for asker in self._proposers.values())
-        self._timer = self._loop.call_later(TICK_INTERVAL, self._tick) if busy else None
+        for proposer in self._proposers.values():
+            self._broadcast(proposer.tick(now))
+            self._log_change(proposer)
+        any_wanted = any(proposer.wanted for proposer in self._proposers.values())
+        self._timer = self._loop.call_later(TICK_INTERVAL, self._tick) if any_wanted else None
 
     def _broadcast(self, requests: list[leases.Request]) -> None:
         for request in requests:
@@ -126,11 +126,15 @@
         else:
             self._send(address, message)
 
-    def _log_change(self, asker: Proposer) -> None:
+    def _log_change(self, proposer: Proposer) -> None:
         now = self._loop.time()
-        epoch = asker.current_epoch(now)
-        before = self._reported.get(asker.duty)
-        self._reported[asker.duty] = epoch
-        if epoch != before:
-            text = f"has {asker.duty!r}, epoch {epoch[0]}" if epoch is not None else f"has {asker.duty!r} no more"
-            log.info("%s", text, extra={"event": "lease", "duty": asker.duty})
+        epoch = proposer.current_epoch(now)
+        previous = self._logged.get(proposer.duty)
+        self._logged[proposer.duty] = epoch
+        if epoch != previous:
+            text = (
+                f"has {proposer.duty!r}, epoch {epoch[0]}"
+                if epoch is not None
+                else f"no longer has {proposer.duty!r}"
+            )
+            log.info("%s", text, extra={"event": "lease", "duty": proposer.duty})
--- a/cometusher/cluster/host.py
+++ b/cometusher/cluster/host.py
@@ -1,4 +1,4 @@
-"""A supervisor's part in the talk among machines: its member, on its links. Imported only where `[mesh]` is there."""
+"""A supervisor's member of the fleet, with its links, duties and bans. Imported only if the file has `[mesh]`."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 log = logging.getLogger("cometusher.mesh.host")  # the `subsystem` of its log records
 
-BAN_KEY_PREFIX = "ban:"  # before a backend's name, the key of the fact that it is banned
-MAP_TICK_INTERVAL = 0.1  # seconds between looks at facts
-ROLLOUT_DUTY = "rollout"  # the duty of who replaces instances a few at a time
-LEAVE_GRACE = 0.2  # seconds in which the word that it leaves may go out
+BAN_KEY_PREFIX = "ban:"  # of the keys of bans in the replicated map; a backend's name follows
+MAP_TICK_INTERVAL = 0.1  # seconds between ticks of the replicated map
+ROLLOUT_DUTY = "rollout"  # its holder may replace instances, a few at a time
+LEAVE_GRACE = 0.2  # seconds for the announcement that this member leaves to be sent
 
 
 class ClusterHost:
-    """One member and its links."""
+    """One member of the fleet and all that runs on its links."""
 
     def __init__(
         self,
@@ -38,22 +38,22 @@
         loop: asyncio.AbstractEventLoop,
         management_addresses: ManagementAddresses = tuple,
     ) -> None:
-        """`doors`: processes that are ready, and their operators' addresses.
+        """`management_addresses`: of the processes that are ready.
 
-        Raises OSError or ConfigError, for an address that is taken or a secret that can't be used.
+        Raises OSError or ConfigError for an address that is in use or a secret that can't be used.
         """
         self._spec = spec
         key = read_secret(spec.secret)
-        view = Membership(
+        membership = Membership(
             spec.policy, fleet, spec.name, spec.address, spec.seeds, loop.time(), secrets.randbits(62), spec.zone
         )
-        me = LocalMember(fleet, spec.name, view.local.life, spec.address)
+        local = LocalMember(fleet, spec.name, membership.local.life, spec.address)
         self._listener = open_listener(spec.listen)
         self._loop = loop
-        self.transport = ClusterTransport(loop, me, key, LinkPolicy(), secrets.randbits(62), self._on_message)
-        self.runner = MembershipRunner(loop, view, self.transport)
-        # Its life too: a process that is stopped and one that has followed it are two.
-        name = f"{spec.name}#{view.local.life:x}"
+        self.transport = ClusterTransport(loop, local, key, LinkPolicy(), secrets.randbits(62), self._on_message)
+        self.runner = MembershipRunner(loop, membership, self.transport)
+        # Includes the process's identifier: grantors must tell a paused process from its successor.
+        name = f"{spec.name}#{membership.local.life:x}"
         self.duties = (
             DutyManager(
                 loop, spec.lease, name, spec.address, spec.grantors, self.transport.send, secrets.randbits(62)
@@ -69,11 +69,11 @@
 
     def _on_message(self, address: str, message: Message) -> None:
         if isinstance(message, replicated_map.News | replicated_map.Digest):
-            new, answers = self.replicated_map.on_message(self._loop.time(), time.time(), message)
-            for fact in new:
-                how = "over" if fact.value == TOMBSTONE else fact.value
-                text = f"{fact.key} is {how}, says {fact.stamp[2]}"
-                log.info("%s", text, extra={"event": "fact", "key": fact.key})
+            changed, answers = self.replicated_map.on_message(self._loop.time(), time.time(), message)
+            for entry in changed:
+                value = "over" if entry.value == TOMBSTONE else entry.value
+                text = f"{entry.key} is {value}, written by {entry.stamp[2]}"
+                log.info("%s", text, extra={"event": "fact", "key": entry.key})
             for answer in answers:
                 self.transport.send(address, answer)
         elif not isinstance(message, leases.Request | leases.Answer):
@@ -82,14 +82,14 @@
             self.duties.on_message(address, message)
 
     def _tick_replicated_map(self) -> None:
-        others = [row.address for row in self.runner.membership.alive]
+        others = [record.address for record in self.runner.membership.alive]
         for address, message in self.replicated_map.tick(self._loop.time(), time.time(), others):
             self.transport.send(address, message)
         self._timer = self._loop.call_later(MAP_TICK_INTERVAL, self._tick_replicated_map)
 
     def set_banned(self, hosts: list[str], banned: bool) -> list[str]:
-        """Say that backends are banned, or no more; those of which it could not be said, for want of room."""
-        said = [
+        """Ban backends or lift their bans in the whole fleet; return those for which the map had no room."""
+        written = [
             host
             for host in hosts
             if self.replicated_map.write(
@@ -97,26 +97,26 @@
             )
             is not None
         ]
-        return [host for host in hosts if host not in said]
+        return [host for host in hosts if host not in written]
 
     def may_roll_out(self, now: float) -> bool:
-        """Whether a rolling operation may begin a step at this moment: no other machine may, or nobody decides."""
+        """Whether a rolling operation may begin a step at this instant: no other machine may, or no lease is used."""
         return self.duties is None or self.duties.current_epoch(ROLLOUT_DUTY) is not None
 
     def request_rollout(self, wanted: bool) -> None:
-        """Whether this machine has something to roll out."""
+        """Acquire the roll-out duty while this machine has something to roll out; release it otherwise."""
         if self.duties is not None:
             self.duties.set_wanted(ROLLOUT_DUTY, wanted)
 
     async def start(self) -> None:
-        """Be a member from here on."""
+        """Join the fleet and start the periodic work."""
         await self.transport.start(self._listener)
         self.runner.start()
         self.ban_propagator.start()
         self._tick_replicated_map()
 
     async def close(self) -> None:
-        """Leave in order: some are told, and there is a moment for that."""
+        """Leave the fleet: release all duties, announce the leave, and close the links after a short grace."""
         self.ban_propagator.close()
         if self._timer is not None:
             self._timer.cancel()
@@ -127,21 +127,21 @@
         await self.transport.close()
 
     def view(self) -> dict[str, Any]:
-        """What operators want to know."""
-        now, members = self._loop.time(), self.runner.membership
+        """Members, links and counters, for operators."""
+        now, membership = self._loop.time(), self.runner.membership
         return {
-            "members": members.view(now),
+            "members": membership.view(now),
             "links": self.transport.links.view(now),
-            "doubt": members.health_score,
-            "conflicts": members.conflicts,
-            "foreign": members.foreign_messages,
+            "doubt": membership.health_score,
+            "conflicts": membership.conflicts,
+            "foreign": membership.foreign_messages,
             "bad": self.transport.invalid_links,
             "refused": self.transport.links.refused,
             "ended": self.transport.links.closed,
         }
 
     def bans(self) -> dict[str, Any]:
-        """What the fleet has said of backends, and how many orders instances here have not said yes to."""
+        """The fleet's bans, and the number of orders that instances here have not confirmed."""
         return {
             "bans": self.replicated_map.view(self._loop.time()),
             "pending": self.ban_propagator.pending(),
@@ -149,7 +149,7 @@
         }
 
     def leases(self) -> dict[str, Any]:
-        """Who decides, and what this member has."""
+        """The grantors, and the duties that this member wants or holds."""
         return {
             "grantors": list(self._spec.grantors),
             "duties": self.duties.view() if self.duties is not None else [],
--- a/cometusher/cluster/node.py
+++ b/cometusher/cluster/node.py
@@ -1,4 +1,4 @@
-"""One member on its links: time and messages into `weldroute.members`, what it says out over the wires."""
+"""Runs a member: feeds time and messages into `weldroute.members` and sends what it returns."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 log = logging.getLogger("cometusher.mesh.node")  # the `subsystem` of its log records
 
-MIN_TICK_INTERVAL = 0.005  # seconds between two looks
-MAX_TICK_INTERVAL = 0.2  # ...and at most: a stop of the whole process shows as a look that came late
+MIN_TICK_INTERVAL = 0.005  # seconds
+MAX_TICK_INTERVAL = 0.2  # seconds; a pause of the whole process shows as a tick that came late
 
 
 class MembershipRunner:
-    """A member that runs."""
+    """Drives a `Membership` on the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, membership: Membership, transport: ClusterTransport) -> None:
         self.membership = membership
@@ -27,17 +27,17 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Look from here on."""
+        """Start the periodic work."""
         self._tick()
 
     def stop(self) -> None:
-        """Leave in order."""
+        """Stop, and announce that this member leaves."""
         if self._timer is not None:
             self._timer.cancel()
         self._execute(self.membership.leave(self._loop.time()))
 
     def on_message(self, address: str, message: members.Message) -> None:
-        """A message of members has come."""
+        """Handle a membership message from an address."""
         self._execute(self.membership.on_message(self._loop.time(), address, message))
 
     def _tick(self) -> None:
@@ -51,7 +51,7 @@
             if isinstance(action, Send):
                 self.transport.send(action.address, action.message)
                 continue
-            row = action.record
-            text = f"{row.name} is {row.state.name.lower()}: {action.reason}"
-            log.info("%s", text, extra={"event": "member", "member": row.name})
+            record = action.record
+            text = f"{record.name} is {record.state.name.lower()}: {action.reason}"
+            log.info("%s", text, extra={"event": "member", "member": record.name})
             self.on_change(action)
--- a/cometusher/cluster/transport.py
+++ b/cometusher/cluster/transport.py
@@ -1,7 +1,7 @@
-"""The sockets of links: one TCP connection a neighbour, as `weldroute.links` decides.
+"""The sockets of links: one TCP connection per peer, managed by `weldroute.links`.
 
-Nothing waits here for a neighbour. What finds no room in the connection's own buffer waits in its outbox, which is
-bounded, and whoever sends is not told.
+Nothing waits here for a peer. What does not fit the connection's write buffer waits in the peer's send queue, which
+is bounded, and the sender is not notified.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 log = logging.getLogger("cometusher.mesh.wires")  # the `subsystem` of its log records
 
-TICK_INTERVAL = 0.05  # seconds between looks at dials and at links that are silent
-WRITE_BUFFER_BYTES = 32 * 1024  # bytes that a connection may hold beside its outbox
-MAX_PENDING_HANDSHAKES = 64  # accepted connections whose other end has not proven itself
+TICK_INTERVAL = 0.05  # seconds
+WRITE_BUFFER_BYTES = 32 * 1024  # that a connection may hold in addition to the peer's send queue
+MAX_PENDING_HANDSHAKES = 64  # accepted connections whose other end is not authenticated
 
 MessageHandler = Callable[[str, Message], None]
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """Who this end is."""
+    """Identity of this end of all links."""
 
     fleet: str
     name: str
-    life: int
-    address: str  # as others are told of it
+    life: int  # identifier of the process
+    address: str  # advertised to the other members
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection to a peer."""
 
     def __init__(self, owner: ClusterTransport, dialled: str = "") -> None:
         self._owner = owner
-        self.dialled = dialled  # the address; "": it was accepted
-        me = owner.local
-        self.session = Session(owner.key, me.fleet, me.name, me.life, me.address, bool(dialled))
+        self.dialled = dialled  # the address; "": the connection was accepted
+        local = owner.local
+        self.session = Session(owner.key, local.fleet, local.name, local.life, local.address, bool(dialled))
         self.transport: asyncio.Transport | None = None
-        self.address = ""  # of the neighbour, once it is known
+        self.address = ""  # of the peer, once it is authenticated
         self.write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -66,22 +66,23 @@
             for content in self.session.feed(data):
                 self._after_frame()
                 if self.transport is None:
-                    return  # another link to the same neighbour stays
+                    return  # another link to the same peer was kept
                 self._owner.on_message(self.address, decode(content))
             self._after_frame()
-        except BadFrame as fault:
+        except BadFrame as error:
             self._owner.invalid_links += 1
-            log.warning("a link from %s is ended: %s", self.address or self._remote_address(), fault)
-            self.abort()
+            log.warning("closing the link from %s: %s", self.address or self._remote_address(), error)
+            self.disconnect()
 
     def _remote_address(self) -> str:
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         return f"{peer[0]}:{peer[1]}" if peer else "nowhere"
 
     def _after_frame(self) -> None:
+        """Write the session's reply, and report authentication and activity."""
         if self.session.reply and self.transport is not None:
-            answer, self.session.reply = self.session.reply, b""
-            self.transport.write(answer)
+            reply, self.session.reply = self.session.reply, b""
+            self.transport.write(reply)
         if self.session.authenticated and not self.address and self.transport is not None:
             peer = self.session.peer
             assert peer is not None
@@ -97,12 +98,12 @@
         self.write_paused = False
         self._owner.flush(self.address)
 
-    def connection_lost(self, fault: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         self._owner.on_lost(self)
 
-    def abort(self) -> None:
-        """At once: what it still held is for nobody."""
+    def disconnect(self) -> None:
+        """Close at once, discarding what is still buffered."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -123,38 +124,37 @@
         Session(key, local.fleet, local.name, local.life, local.address, True)
         self.local, self.key = local, key
         self.links = LinkManager(policy, seed)
-        self.invalid_links = 0  # links that were ended for what came over them
+        self.invalid_links = 0  # links closed for invalid input
         self._loop = loop
         self._on_message = on_message
-        self._connections: dict[
-            str, tuple[PeerConnection, LinkEnd]
-        ] = {}  # those that are up, by the neighbour's address
-        self._handshaking: dict[PeerConnection, float] = {}  # those whose handshake is not over, and since when
+        # Authenticated connections, by the address of the peer.
+        self._connections: dict[str, tuple[PeerConnection, LinkEnd]] = {}
+        self._handshaking: dict[PeerConnection, float] = {}  # not authenticated yet, and since when
         self._dial_tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self, listener: socket.socket) -> None:
-        """Accept on a listener, and follow the links from here on."""
+        """Accept connections on a listener, and start the periodic work."""
         self._server = await self._loop.create_server(lambda: PeerConnection(self), sock=listener)
         self._tick()
 
     async def close(self) -> None:
-        """End all."""
+        """Close the listener and all links."""
         if self._timer is not None:
             self._timer.cancel()
         if self._server is not None:
             self._server.close()
         for task in self._dial_tasks:
             task.cancel()
-        for wire in [*self._handshaking, *(wire for wire, _ in self._connections.values())]:
-            wire.abort()
+        for connection in [*self._handshaking, *(connection for connection, _ in self._connections.values())]:
+            connection.disconnect()
         await asyncio.sleep(0)
 
     def send(self, address: str, message: Message) -> None:
-        """A message for a neighbour: now, soon, or never; nobody waits for it, and nobody is told."""
-        kind, content = encode(message)
-        if self.links.enqueue(self._loop.time(), address, kind, content) is None:
+        """Send a message to a peer if possible: it may be delayed or dropped, and the caller is not notified."""
+        priority, content = encode(message)
+        if self.links.enqueue(self._loop.time(), address, priority, content) is None:
             return
         if address in self._connections:
             self.flush(address)
@@ -162,75 +162,75 @@
             self._dial_due()
 
     def flush(self, address: str) -> None:
-        """Write what waits for a neighbour, as far as its connection takes it."""
+        """Write the queued messages of a peer, as far as its connection takes them."""
         found = self._connections.get(address)
-        one = self.links.peers.get(address)
-        if found is None or one is None:
+        peer = self.links.peers.get(address)
+        if found is None or peer is None:
             return
-        wire, now = found[0], self._loop.time()
-        while not wire.write_paused and wire.transport is not None:
-            content = one.send_queue.dequeue(now)
+        connection, now = found[0], self._loop.time()
+        while not connection.write_paused and connection.transport is not None:
+            content = peer.send_queue.dequeue(now)
             if content is None:
                 return
-            wire.transport.write(wire.session.seal(content))
+            connection.transport.write(connection.session.seal(content))
             self.links.on_sent(now, address)
 
-    # ---- what wires tell -----------------------------------------------------------------
+    # ---- events of connections -----------------------------------------------------------
 
-    def on_accepted(self, wire: PeerConnection) -> None:
-        """A connection has come. Guards against strangers who connect and say nothing."""
-        accepted = [one for one in self._handshaking if not one.dialled]
+    def on_accepted(self, connection: PeerConnection) -> None:
+        """A connection was accepted. The oldest pending handshake is closed if there are too many."""
+        accepted = [pending for pending in self._handshaking if not pending.dialled]
         if len(accepted) >= MAX_PENDING_HANDSHAKES:
-            accepted[0].abort()
-        self._handshaking[wire] = self._loop.time()
-
-    def on_authenticated(self, wire: PeerConnection, end: LinkEnd) -> None:
-        """Its other end has proven itself."""
-        self._handshaking.pop(wire, None)
-        before = self._connections.get(wire.address)
-        if before is not None and not should_replace(self.local.name, before[1], end):
-            wire.abort()
+            accepted[0].disconnect()
+        self._handshaking[connection] = self._loop.time()
+
+    def on_authenticated(self, connection: PeerConnection, end: LinkEnd) -> None:
+        """The other end of a connection is authenticated; of two links to one peer, one is closed."""
+        self._handshaking.pop(connection, None)
+        previous = self._connections.get(connection.address)
+        if previous is not None and not should_replace(self.local.name, previous[1], end):
+            connection.disconnect()
             return
-        self._connections[wire.address] = wire, end
-        if before is not None:
-            before[0].abort()
-        self.links.on_connected(self._loop.time(), wire.address)
-        self.flush(wire.address)
+        self._connections[connection.address] = connection, end
+        if previous is not None:
+            previous[0].disconnect()
+        self.links.on_connected(self._loop.time(), connection.address)
+        self.flush(connection.address)
 
     def on_received(self, address: str) -> None:
-        """Something has come from a neighbour."""
+        """Something was received from a peer."""
         self.links.on_received(self._loop.time(), address)
 
     def on_message(self, address: str, message: Message) -> None:
-        """A message has come."""
+        """A message was received from a peer."""
         self._on_message(address, message)
 
-    def on_lost(self, wire: PeerConnection) -> None:
+    def on_lost(self, connection: PeerConnection) -> None:
         """A connection has ended."""
-        self._handshaking.pop(wire, None)
-        found = self._connections.get(wire.address)
-        if found is not None and found[0] is wire:
-            del self._connections[wire.address]
-        elif wire.address or not wire.dialled:
-            return  # another link stays, or a stranger has gone
-        self.links.on_disconnected(self._loop.time(), wire.address or wire.dialled)
+        self._handshaking.pop(connection, None)
+        found = self._connections.get(connection.address)
+        if found is not None and found[0] is connection:
+            del self._connections[connection.address]
+        elif connection.address or not connection.dialled:
+            return  # another link to the peer was kept, or the other end was never authenticated
+        self.links.on_disconnected(self._loop.time(), connection.address or connection.dialled)
 
     # ---- time ----------------------------------------------------------------------------
 
     def _tick(self) -> None:
         now = self._loop.time()
         for address in self.links.due_keepalives(now):
-            wire = self._connections[address][0]
-            if wire.transport is not None and not wire.write_paused:
-                wire.transport.write(wire.session.keepalive())
-        for address, why in self.links.expired_links(now):
-            log.info("the link to %s is ended: %s", address, why)
+            connection = self._connections[address][0]
+            if connection.transport is not None and not connection.write_paused:
+                connection.transport.write(connection.session.keepalive())
+        for address, reason in self.links.expired_links(now):
+            log.info("closing the link to %s: %s", address, reason)
             found = self._connections.get(address)
             if found is not None:
-                found[0].abort()
-        for wire, since in list(self._handshaking.items()):
+                found[0].disconnect()
+        for connection, since in list(self._handshaking.items()):
             if now - since > self.links.policy.dial_for:
-                wire.abort()
+                connection.disconnect()
         self._dial_due()
         self._timer = self._loop.call_later(TICK_INTERVAL, self._tick)
 
@@ -244,10 +244,10 @@
         try:
             host, port = read_address(address, "member")
             async with asyncio.timeout(self.links.policy.dial_for):
-                _, wire = await self._loop.create_connection(lambda: PeerConnection(self, address), host, port)
-        except (OSError, ConfigError) as fault:
+                _, connection = await self._loop.create_connection(lambda: PeerConnection(self, address), host, port)
+        except (OSError, ConfigError) as error:
             self.links.on_disconnected(self._loop.time(), address)
-            log.debug("%s can't be reached: %s", address, fault)
+            log.debug("%s can't be reached: %s", address, error)
         else:
-            if wire.transport is not None and not wire.address:
-                self._handshaking[wire] = self._loop.time()
+            if connection.transport is not None and not connection.address:
+                self._handshaking[connection] = self._loop.time()
--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -1,37 +1,41 @@
-"""Who of many machines is alive: SWIM with suspicion, and a member's doubt in itself. Sans I/O, without clocks.
-
-SWIM (Das, Gupta, Motivala, DSN 2002): each member probes one other a period, itself and then through helpers; who
-does not answer is *suspect*, and *dead* when that has not been refuted in time. News of members ride on the probes,
-each a bounded number of times. So the work of a member is the same however many there are. Lifeguard (Dadgar,
-Phillips, Currey 2017): one that misses answers which others get doubts itself first, probes more slowly and waits
-longer; helpers say when they had no answer either (nack); suspicion by many ends sooner than that by one; a suspect
-is told so with the next probe. Every event takes the time of the machine's own monotonic clock.
-
-What is believed of a member is one `Row`, and of two rows the greater holds, in the order of incarnation, state, and
-what else is in it: rows are a join semilattice, so the order in which news of the living come does not matter.
-
-| state   | becomes by                                             | ends by                                        |
-| ------- | ------------------------------------------------------ | ---------------------------------------------- |
-| alive   | its own word, of a higher incarnation                  | suspect, dead, left of the same incarnation    |
-| suspect | a probe without an answer, or another's word           | its own word; time                             |
-| dead    | time as a suspect; another's word, if it was not known | its own word; forgotten after `forget` seconds |
-| left    | its own word                                           | its own word; likewise                         |
-
-Only the member itself raises its incarnation: whenever it hears of itself what is not so, to one more than it heard.
-So one that comes back without any state needs no clock and no disk: it begins at 1, is told what was last known of it
-by the first that it asks, and speaks from above that (`hear`). Two processes of one name (their `life` differs) raise
-each other's by turns: that is counted as a conflict, and told.
-
-Cuts. Who is unreachable one way, or for one, is reached by helpers. Whoever is dead is still asked now and then, and
-so are the seeds: when a cut heals either side hears that it is thought dead, and refutes. Nobody who is known to be
-alive is dead by word alone: the word of others is one more suspicion, and the time to refute it is given by each
-member itself. Else one that hears nobody and is heard would end all the others, and healing would for a moment.
-
-A stop. One that has stood still (`look` comes late by more than `pause`) believes nothing that it was waiting for:
-its probe counts for nothing, suspicions begin their time anew, and it doubts itself at once.
-
-Bounds: members known (`most`), news in a message (`riding`), rows in an exchange of all (`page`), probes relayed for
-others, and how often one piece of news is sent (`spread` times the logarithm of the members).
+"""Failure detection among the members of a fleet: SWIM with suspicion and Lifeguard. Sans I/O, without clocks.
+
+SWIM (Das, Gupta, Motivala, DSN 2002): in each period a member probes one other, directly and then through helpers. A
+member that does not answer becomes *suspect*, and *dead* if the suspicion is not refuted in time. Updates about
+members are piggybacked on the probes, each a bounded number of times, so the load on a member does not depend on the
+size of the fleet. Lifeguard (Dadgar, Phillips, Currey 2017): a member that misses answers which others receive raises
+its own health score, probes more slowly and waits longer; a helper reports that it had no answer either (nack);
+a suspicion shared by many members ends sooner than that of one; a suspect is told of the suspicion with the next
+probe. Every event takes the time of the machine's own monotonic clock.
+
+What is known of a member is one `MemberRecord`. Of two records the greater one wins, ordered by incarnation, then
+state, then the remaining fields: records form a join semilattice, so the order in which updates about living members
+arrive does not matter.
+
+| state   | entered by                                    | left by                                     |
+| ------- | --------------------------------------------- | ------------------------------------------- |
+| alive   | its own update, of a higher incarnation       | suspect, dead, left of the same incarnation |
+| suspect | an unanswered probe, or a report by another   | its own update; timeout                     |
+| dead    | timeout as a suspect; a report, if unknown    | its own update; after `forget` seconds      |
+| left    | its own update                                | its own update; after `forget` seconds      |
+
+Only the member itself raises its incarnation: when it receives a wrong record about itself, it takes one more than
+the incarnation in that record. A member that restarts without state therefore needs neither a clock nor a disk: it
+starts at 1, receives the last known record from the first member that it contacts, and refutes it (`on_message`).
+Two processes of one name (they differ in `life`) raise each other's incarnation in turns; that is counted as a
+conflict and reported.
+
+Partitions. A member that is unreachable in one direction, or for one other member only, is reached through helpers.
+Dead members and the seeds are still contacted now and then: once a partition heals, either side learns that it is
+believed dead, and refutes that. A report of death never kills a member that is known to be alive: it counts as one
+more suspicion, and each member waits the time for a refutation itself. Otherwise a member that receives nothing but
+can send would declare all the others dead, and so would both sides for a moment when a partition heals.
+
+Pauses. A member whose `tick` comes late by more than `pause` drops everything that it was waiting for: its probe does
+not count, the timeouts of suspicions begin again, and it raises its health score at once.
+
+Bounds: known members (`most`), updates in a message (`riding`), records in a message of a full exchange (`page`),
+probes relayed for others, and how often one update is sent (`spread` times the logarithm of the number of members).
 """
 
 from __future__ import annotations
@@ -44,14 +48,14 @@
 
 from weldroute.checks import check_numbers
 
-MAX_RELAYED_PROBES = 64  # probes that are under way for others
-MAX_HEALTH_SCORE = 8  # steps of doubt in itself...
-PAUSE_HEALTH_PENALTY = 4  # ...and those of one that had stood still
-MAX_SUSPECTED_BY = 32  # names that are kept of who else suspects
+MAX_RELAYED_PROBES = 64  # probes in flight on behalf of other members
+MAX_HEALTH_SCORE = 8
+PAUSE_HEALTH_PENALTY = 4  # added to the health score after a pause of this process
+MAX_SUSPECTED_BY = 32  # stored names of members that share one suspicion
 
 
 class MemberState(IntEnum):
-    """Of a member, in the order in which one outweighs another of the same incarnation."""
+    """State of a member; of two states of the same incarnation the greater one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -61,30 +65,30 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberPolicy:
-    """Times in seconds."""
+    """Settings of the failure detector; times in seconds."""
 
     period: float = 0.5  # between probes
-    patience: float = 0.12  # for an answer, before helpers are asked
+    patience: float = 0.12  # for an answer to a direct probe, before helpers are asked
     helpers: int = 3
-    gossip: float = 0.1  # between rounds of news, while there are any...
-    fanout: int = 3  # ...each to so many
-    riding: int = 8  # news on one message
-    spread: float = 3.0  # times the logarithm of the members that each piece of news is sent
-    suspicion: float = 3.0  # periods, times the logarithm of the members, for a suspicion that many share...
-    alone: float = 4.0  # ...and so many times that for one that nobody shares
-    sync: float = 10.0  # between exchanges of all that is known
-    page: int = 64  # rows in one of those
-    knock: float = 3.0  # between probes of a dead one, or of a seed
-    forget: float = 86400.0  # for which the dead and those that left are remembered
-    pause: float = 1.0  # by which a look may be late
-    most: int = 1024  # members
+    gossip: float = 0.1  # between gossip rounds, while there are updates to send
+    fanout: int = 3  # members that receive one gossip round
+    riding: int = 8  # updates in one message
+    spread: float = 3.0  # times the logarithm of the number of members: how often each update is sent
+    suspicion: float = 3.0  # periods, times the logarithm of the number of members: shortest suspicion timeout
+    alone: float = 4.0  # factor on that for a suspicion that no other member shares
+    sync: float = 10.0  # between full exchanges
+    page: int = 64  # records in one message of a full exchange
+    knock: float = 3.0  # between contact probes of a dead member or a seed
+    forget: float = 86400.0  # for which dead members and those that left are kept
+    pause: float = 1.0  # lateness of a tick from which this process counts as paused
+    most: int = 1024  # known members
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         check_numbers(self, zero=True)
         for name in ("period", "patience", "gossip", "sync", "knock", "pause", "fanout", "riding", "page", "most"):
             if getattr(self, name) <= 0:
-                raise ValueError(f"{name}: 0 is not enough")
+                raise ValueError(f"{name}: must be greater than 0")
         if self.patience >= self.period:
             raise ValueError("patience: not below period")
         if self.alone < 1.0:
@@ -93,31 +97,31 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class MemberRecord:
-    """What is believed of a member. The order decides which of two rows about one member holds."""
+    """What is known of a member. The order decides which of two records about one member wins."""
 
     incarnation: int
     state: MemberState
-    life: int  # of its process, drawn at its start
+    life: int  # random identifier of the process, drawn at its start
     address: str
     zone: str = ""
     name: str = ""
-    by: str = field(default="", compare=False)  # who says so first, of a suspicion
+    by: str = field(default="", compare=False)  # the member that first reported a suspicion or death
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there?"""
+    """Probe of a member."""
 
     fleet: str
     sender: str
     number: int
-    target: str  # whoever else hears it does not answer; "": whoever is at that address
+    target: str  # other members that receive it do not answer; "": whichever member has that address
     news: tuple[MemberRecord, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Yes; or for another, who was asked."""
+    """Answer to a ping, or from a helper on behalf of the probed member."""
 
     fleet: str
     sender: str
@@ -127,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """I am here, and had no answer from whom you asked for."""
+    """A helper's report that it is alive itself and had no answer from the probed member."""
 
     fleet: str
     sender: str
@@ -136,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingFor:
-    """Please ask this one for me."""
+    """Request to a helper to probe a member (SWIM's ping-req)."""
 
     fleet: str
     sender: str
@@ -149,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """News alone."""
+    """Updates without a probe."""
 
     fleet: str
     sender: str
@@ -158,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """All that one knows, in pages; `asks` for the same."""
+    """One page of all records of the sender; `asks` for the receiver's in return."""
 
     fleet: str
     sender: str
@@ -171,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To be sent to an address."""
+    """A message to send to an address."""
 
     address: str
     message: Message
@@ -179,10 +183,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A member is in another state."""
+    """A member has changed its state."""
 
     record: MemberRecord
-    previous: MemberState | None  # None: it is new
+    previous: MemberState | None  # None: the member is new
     reason: str
 
 
@@ -191,21 +195,21 @@
 
 @dataclass(slots=True)
 class Member:
-    """One other."""
+    """Another member as this one knows it."""
 
     record: MemberRecord
-    since: float  # of its state
-    suspected_by: set[str] = field(default_factory=set)  # who suspects it
+    state_since: float
+    suspected_by: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class Probe:
-    """The one that is under way."""
+    """The probe in flight."""
 
     target: str
     number: int
-    since: float
-    timeout: float
+    started: float
+    timeout: float  # seconds from the start until helpers are asked
     deadline: float
     helpers: int = 0
     nacks: int = 0
@@ -214,23 +218,23 @@
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe for another."""
+    """A probe in flight on behalf of another member."""
 
     requester: str  # address
-    number: int  # the asker's
+    number: int  # of the requester's probe
     deadline: float
 
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """A piece of news on its way."""
+    """An update that is still to be sent."""
 
     record: MemberRecord
     sent: int = 0
 
 
 class Membership:
-    """One member's view of all."""
+    """The fleet as one member sees it."""
 
     def __init__(
         self,
@@ -243,17 +247,18 @@
         seed: int,
         zone: str = "",
     ) -> None:
+        """`seeds`: addresses to join by; `seed`: of the random numbers. Raises ValueError for an invalid policy."""
         policy.check()
         self.policy = policy
         self.fleet = fleet
         self._rng = Random(seed)
         self.local = MemberRecord(1, MemberState.ALIVE, self._rng.getrandbits(62), address, zone, name)
         self.members: dict[str, Member] = {}
-        self.health_score = 0  # in itself, from 0 to DOUBT_MOST
-        self.conflicts = 0  # rows about its name that another process of that name has spoken
+        self.health_score = 0  # Lifeguard's local health multiplier: 0 is healthy, at most MAX_HEALTH_SCORE
+        self.conflicts = 0  # records about its name that came from another process of that name
         self.foreign_messages = 0  # messages of other fleets
         self._seeds = sorted(set(seeds) - {address})
-        self._probe_order: list[str] = []  # whom it probes next, from the end
+        self._probe_order: list[str] = []  # members to probe next, from the end
         self._probe: Probe | None = None
         self._relays: dict[int, RelayedProbe] = {}
         self._updates: dict[str, PendingUpdate] = {}
@@ -266,42 +271,44 @@
         self._actions: list[Action] = []
         self._enqueue_update(self.local)
 
-    # ---- what others ask -----------------------------------------------------------------
+    # ---- queries -------------------------------------------------------------------------
 
     @property
     def alive(self) -> list[MemberRecord]:
-        """The others that are alive, or only suspect."""
-        return [one.record for one in self.members.values() if one.record.state <= MemberState.SUSPECT]
+        """The other members that are alive or suspect."""
+        return [member.record for member in self.members.values() if member.record.state <= MemberState.SUSPECT]
 
     def state(self, name: str) -> MemberState | None:
-        """Of a member; None for one that is not known."""
+        """The state of a member; None if it is unknown."""
         if name == self.local.name:
             return self.local.state
-        one = self.members.get(name)
-        return one.record.state if one is not None else None
+        member = self.members.get(name)
+        return member.record.state if member is not None else None
 
     def next_due(self) -> float:
-        """When `look` has something to do next."""
+        """The time at which `tick` is due next."""
         probe = self._probe
         times = [
             self._next_probe,
             self._next_sync,
             self._next_contact_probe,
-            *(one.deadline for one in self._relays.values()),
+            *(relay.deadline for relay in self._relays.values()),
         ]
         if probe is not None:
-            times.append(probe.deadline if probe.helpers_asked else probe.since + probe.timeout)
+            times.append(probe.deadline if probe.helpers_asked else probe.started + probe.timeout)
         if self._updates:
             times.append(self._next_gossip)
         times += [
-            self._suspicion_deadline(one) for one in self.members.values() if one.record.state is MemberState.SUSPECT
+            self._suspicion_deadline(member)
+            for member in self.members.values()
+            if member.record.state is MemberState.SUSPECT
         ]
         return min(times)
 
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
-        """Called when something is due, and often in any case; what to do."""
+        """Do what is due and return the actions to take; to be called at `next_due`, and may be called earlier."""
         gap = now - max(self._last_tick, self._next_scheduled())
         self._last_tick = now
         if gap > self.policy.pause:
@@ -321,22 +328,22 @@
         return self._take_actions()
 
     def _next_scheduled(self) -> float:
-        """The latest moment at which a look was due that has not come: what is later than that is a pause."""
+        """The next scheduled time for a tick; a tick that is much later follows a pause of this process."""
         return min(self._next_probe, self._next_sync, self._next_contact_probe)
 
     def _on_pause(self, now: float) -> None:
-        """It has stood still: what it was waiting for may have come and gone."""
+        """Drop what was pending before a pause of this process: answers may have come and gone unread."""
         self._probe = None
         self._relays.clear()
         self._next_probe = now
         self._adjust_health_score(PAUSE_HEALTH_PENALTY)
-        for one in self.members.values():
-            if one.record.state is MemberState.SUSPECT:
-                one.since = now
+        for member in self.members.values():
+            if member.record.state is MemberState.SUSPECT:
+                member.state_since = now
 
     def _take_actions(self) -> list[Action]:
-        out, self._actions = self._actions, []
-        return out
+        actions, self._actions = self._actions, []
+        return actions
 
     def _adjust_health_score(self, steps: int) -> None:
         self.health_score = min(MAX_HEALTH_SCORE, max(0, self.health_score + steps))
@@ -345,15 +352,16 @@
 
     def _tick_probe(self, now: float) -> None:
         probe, policy = self._probe, self.policy
-        if probe is not None and not probe.helpers_asked and now >= probe.since + probe.timeout:
+        if probe is not None and not probe.helpers_asked and now >= probe.started + probe.timeout:
             self._send_indirect_probes(now, probe)
         if probe is not None and now >= probe.deadline:
             self._probe = None
             missing = probe.helpers - probe.nacks
-            # Helpers that are silent too: it may be this member that nobody hears. With none there is no other sign.
+            # Helpers that are silent as well suggest that this member is the one cut off. Without helpers the
+            # unanswered probe is the only sign.
             self._adjust_health_score(missing if probe.helpers else 1)
-            why = f"no answer to a probe, {probe.nacks} of {probe.helpers} helpers had none"
-            self._suspect(now, probe.target, why)
+            reason = f"no answer to a probe, {probe.nacks} of {probe.helpers} helpers had none"
+            self._suspect(now, probe.target, reason)
         if self._probe is None and now >= self._next_probe:
             stretch = 1.0 + self.health_score
             self._next_probe = now + policy.period * stretch
@@ -367,24 +375,24 @@
         return self._last_number
 
     def _next_target(self) -> str | None:
-        """All in turn, in an order drawn anew for each round (SWIM, 4.3): none is left out for long."""
+        """The next member to probe: each in turn, in a new random order for each round (SWIM, section 4.3)."""
         while True:
             if not self._probe_order:
-                self._probe_order = sorted(row.name for row in self.alive)
+                self._probe_order = sorted(record.name for record in self.alive)
                 self._rng.shuffle(self._probe_order)
                 if not self._probe_order:
                     return None
             name = self._probe_order.pop()
-            one = self.members.get(name)
-            if one is not None and one.record.state <= MemberState.SUSPECT:
+            member = self.members.get(name)
+            if member is not None and member.record.state <= MemberState.SUSPECT:
                 return name
 
     def _send_ping(self, name: str, number: int) -> None:
-        row = self.members[name].record
+        record = self.members[name].record
         news = self._select_updates()
-        if row.state is not MemberState.ALIVE and row not in news:
-            news = (row, *news)[: self.policy.riding]  # it must be the first to hear of it
-        self._actions.append(Send(row.address, Ping(self.fleet, self.local.name, number, name, news)))
+        if record.state is not MemberState.ALIVE and record not in news:
+            news = (record, *news)[: self.policy.riding]  # the target must learn of its suspicion first
+        self._actions.append(Send(record.address, Ping(self.fleet, self.local.name, number, name, news)))
 
     def _send_indirect_probes(self, now: float, probe: Probe) -> None:
         probe.helpers_asked = True
@@ -392,25 +400,25 @@
         if target is None:
             return
         others = [
-            one.record
-            for one in self.members.values()
-            if one.record.state is MemberState.ALIVE and one.record.name != probe.target
+            member.record
+            for member in self.members.values()
+            if member.record.state is MemberState.ALIVE and member.record.name != probe.target
         ]
         helpers = self._rng.sample(others, min(self.policy.helpers, len(others)))
         probe.helpers = len(helpers)
-        self._send_ping(probe.target, probe.number)  # once more: where messages get lost, two are better than one
-        left = 0.8 * max(0.0, probe.deadline - now)
-        for row in helpers:
+        self._send_ping(probe.target, probe.number)  # a second direct ping, in case the first one was lost
+        time_left = 0.8 * max(0.0, probe.deadline - now)
+        for record in helpers:
             self._actions.append(
                 Send(
-                    row.address,
+                    record.address,
                     PingFor(
                         self.fleet,
                         self.local.name,
                         probe.number,
                         probe.target,
                         target.record.address,
-                        left,
+                        time_left,
                         self._select_updates(),
                     ),
                 )
@@ -424,40 +432,42 @@
 
     # ---- suspicion -----------------------------------------------------------------------
 
-    def _suspect(self, now: float, name: str, why: str) -> None:
-        one = self.members.get(name)
-        if one is None or one.record.state > MemberState.SUSPECT:
+    def _suspect(self, now: float, name: str, reason: str) -> None:
+        member = self.members.get(name)
+        if member is None or member.record.state > MemberState.SUSPECT:
             return
-        if one.record.state is MemberState.SUSPECT:
-            self._confirm_suspicion(one, self.local.name)
+        if member.record.state is MemberState.SUSPECT:
+            self._confirm_suspicion(member, self.local.name)
         else:
-            self._accept(now, replace(one.record, state=MemberState.SUSPECT, by=self.local.name), why)
+            self._accept(now, replace(member.record, state=MemberState.SUSPECT, by=self.local.name), reason)
 
-    def _confirm_suspicion(self, one: Member, by: str) -> None:
-        if by and by not in one.suspected_by and len(one.suspected_by) < MAX_SUSPECTED_BY:
-            one.suspected_by.add(by)
-            self._enqueue_update(replace(one.record, by=by))
+    def _confirm_suspicion(self, member: Member, by: str) -> None:
+        if by and by not in member.suspected_by and len(member.suspected_by) < MAX_SUSPECTED_BY:
+            member.suspected_by.add(by)
+            self._enqueue_update(replace(member.record, by=by))
 
-    def _suspicion_deadline(self, one: Member) -> float:
-        """When a suspect is dead, if it says nothing: the sooner the more suspect it (Lifeguard, local-aware)."""
+    def _suspicion_deadline(self, member: Member) -> float:
+        """When a suspect that does not refute is dead: the sooner the more members suspect it (Lifeguard)."""
         policy = self.policy
         count = len(self.members) + 1
-        least = policy.suspicion * max(1.0, math.log10(count)) * policy.period
-        most = policy.alone * least
+        shortest = policy.suspicion * max(1.0, math.log10(count)) * policy.period
+        longest = policy.alone * shortest
         enough = max(1, min(policy.helpers, count - 2))
-        part = math.log(min(len(one.suspected_by), enough + 1)) / math.log(enough + 1) if one.suspected_by else 0.0
-        return one.since + max(least, most - (most - least) * part)
+        fraction = (
+            math.log(min(len(member.suspected_by), enough + 1)) / math.log(enough + 1) if member.suspected_by else 0.0
+        )
+        return member.state_since + max(shortest, longest - (longest - shortest) * fraction)
 
     def _expire_suspects(self, now: float) -> None:
-        for one in list(self.members.values()):
-            if one.record.state is MemberState.SUSPECT and now >= self._suspicion_deadline(one):
-                why = f"suspect for {now - one.since:.1f} s, by {len(one.suspected_by)}"
-                self._accept(now, replace(one.record, state=MemberState.DEAD, by=self.local.name), why)
+        for member in list(self.members.values()):
+            if member.record.state is MemberState.SUSPECT and now >= self._suspicion_deadline(member):
+                reason = f"suspect for {now - member.state_since:.1f} s, by {len(member.suspected_by)}"
+                self._accept(now, replace(member.record, state=MemberState.DEAD, by=self.local.name), reason)
 
-    # ---- news ----------------------------------------------------------------------------
+    # ---- received messages ---------------------------------------------------------------
 
     def on_message(self, now: float, address: str, message: Message) -> list[Action]:
-        """A message has come from an address; what to do. One of another fleet is counted, and that is all."""
+        """Handle a message from an address and return the actions to take; those of other fleets are only counted."""
         if message.fleet != self.fleet:
             self.foreign_messages += 1
             return []
@@ -479,7 +489,7 @@
 
     def _on_ping(self, now: float, address: str, ping: Ping) -> None:
         if ping.target not in ("", self.local.name):
-            return  # another had this address
+            return  # meant for a member that had this address before
         self._merge_records(now, ping.news)
         self._actions.append(
             Send(address, Ack(self.fleet, self.local.name, ping.number, self._select_updates(self.local)))
@@ -496,104 +506,104 @@
             self._probe = None
             self._adjust_health_score(0 if probe.helpers_asked else -1)
 
-    def _relay_probe(self, now: float, asker: str, request: PingFor) -> None:
+    def _relay_probe(self, now: float, requester: str, request: PingFor) -> None:
         if len(self._relays) >= MAX_RELAYED_PROBES:
             return
         number = self._next_number()
-        self._relays[number] = RelayedProbe(asker, request.number, now + min(request.patience, self.policy.sync))
-        one = self.members.get(request.target)
+        self._relays[number] = RelayedProbe(requester, request.number, now + min(request.patience, self.policy.sync))
+        member = self.members.get(request.target)
         news = (
-            self._select_updates(one.record)
-            if one is not None and one.record.state is not MemberState.ALIVE
+            self._select_updates(member.record)
+            if member is not None and member.record.state is not MemberState.ALIVE
             else self._select_updates()
         )
         self._actions.append(Send(request.address, Ping(self.fleet, self.local.name, number, request.target, news)))
 
-    def _merge_records(self, now: float, rows: Iterable[MemberRecord]) -> None:
-        for row in rows:
-            if row.name == self.local.name:
-                self._refute(now, row)
-            elif row.name:
-                self._merge_record(now, self._downgrade_to_suspect(row))
-
-    def _merge_record(self, now: float, row: MemberRecord) -> None:
-        one = self.members.get(row.name)
-        if one is not None and row <= one.record:
-            same = row.incarnation == one.record.incarnation
-            if same and row.state is MemberState.SUSPECT and one.record.state is MemberState.SUSPECT:
-                self._confirm_suspicion(one, row.by)
+    def _merge_records(self, now: float, records: Iterable[MemberRecord]) -> None:
+        for record in records:
+            if record.name == self.local.name:
+                self._refute(now, record)
+            elif record.name:
+                self._merge_record(now, self._downgrade_to_suspect(record))
+
+    def _merge_record(self, now: float, record: MemberRecord) -> None:
+        member = self.members.get(record.name)
+        if member is not None and record <= member.record:
+            same = record.incarnation == member.record.incarnation
+            if same and record.state is MemberState.SUSPECT and member.record.state is MemberState.SUSPECT:
+                self._confirm_suspicion(member, record.by)
             return
-        if one is None and len(self.members) >= self.policy.most and not self._evict_dead():
+        if member is None and len(self.members) >= self.policy.most and not self._evict_dead():
             return
-        self._accept(now, row, f"{row.by or 'its own word'} says so")
-
-    def _accept(self, now: float, row: MemberRecord, why: str) -> None:
-        """Believe a row that is greater than what was believed."""
-        one = self.members.get(row.name)
-        before = one.record.state if one is not None else None
-        if one is None:
-            one = self.members[row.name] = Member(row, now)
-            self._probe_order.insert(self._rng.randint(0, len(self._probe_order)), row.name)
-        if before is not row.state:
-            one.since = now
-            self._actions.append(StateChange(row, before, why))
-        one.record = row
-        one.suspected_by = {row.by} if row.state is MemberState.SUSPECT and row.by else set()
-        self._enqueue_update(row)
-
-    def _refute(self, now: float, row: MemberRecord) -> None:
-        """What is not so is refuted, from above it."""
-        if row.incarnation < self.local.incarnation or row == self.local:
+        self._accept(now, record, f"reported by {record.by or 'the member itself'}")
+
+    def _accept(self, now: float, record: MemberRecord, reason: str) -> None:
+        """Store a record that is greater than the known one, and spread it."""
+        member = self.members.get(record.name)
+        previous = member.record.state if member is not None else None
+        if member is None:
+            member = self.members[record.name] = Member(record, now)
+            self._probe_order.insert(self._rng.randint(0, len(self._probe_order)), record.name)
+        if previous is not record.state:
+            member.state_since = now
+            self._actions.append(StateChange(record, previous, reason))
+        member.record = record
+        member.suspected_by = {record.by} if record.state is MemberState.SUSPECT and record.by else set()
+        self._enqueue_update(record)
+
+    def _refute(self, now: float, record: MemberRecord) -> None:
+        """Answer a wrong record about this member with a higher incarnation."""
+        if record.incarnation < self.local.incarnation or record == self.local:
             return
-        if row.life != self.local.life and row.state is MemberState.ALIVE:
+        if record.life != self.local.life and record.state is MemberState.ALIVE:
             self.conflicts += 1
-        if row.life == self.local.life and row.state in (MemberState.SUSPECT, MemberState.DEAD):
+        if record.life == self.local.life and record.state in (MemberState.SUSPECT, MemberState.DEAD):
             self._adjust_health_score(1)
-        self.local = replace(self.local, incarnation=row.incarnation + 1)
+        self.local = replace(self.local, incarnation=record.incarnation + 1)
         self._enqueue_update(self.local)
 
     def _evict_dead(self) -> bool:
-        """Forget the one that has been dead or gone for the longest."""
-        gone = [one for one in self.members.values() if one.record.state >= MemberState.DEAD]
+        """Make room by removing the member that has been dead or gone for the longest; False if there is none."""
+        gone = [member for member in self.members.values() if member.record.state >= MemberState.DEAD]
         if not gone:
             return False
-        del self.members[min(gone, key=lambda one: one.since).record.name]
+        del self.members[min(gone, key=lambda member: member.state_since).record.name]
         return True
 
-    # ---- spreading -----------------------------------------------------------------------
+    # ---- gossip --------------------------------------------------------------------------
 
-    def _enqueue_update(self, row: MemberRecord) -> None:
-        self._updates[row.name] = PendingUpdate(row)
+    def _enqueue_update(self, record: MemberRecord) -> None:
+        self._updates[record.name] = PendingUpdate(record)
 
     def _max_transmissions(self) -> int:
         return math.ceil(self.policy.spread * math.log2(len(self.members) + 2))
 
     def _select_updates(self, *first: MemberRecord) -> tuple[MemberRecord, ...]:
-        """News for one message: what was sent the least goes first."""
-        rows = list(first)
-        most = self._max_transmissions()
-        waiting = sorted(self._updates.values(), key=lambda one: (one.sent, one.record.name))
-        for one in waiting[: self.policy.riding - len(rows)]:
-            if one.record in rows:
+        """Updates for one message, after `first`: those that were sent least often."""
+        records = list(first)
+        max_transmissions = self._max_transmissions()
+        waiting = sorted(self._updates.values(), key=lambda update: (update.sent, update.record.name))
+        for update in waiting[: self.policy.riding - len(records)]:
+            if update.record in records:
                 continue
-            rows.append(one.record)
-            one.sent += 1
-            if one.sent >= most:
-                del self._updates[one.record.name]
-        return tuple(rows)
+            records.append(update.record)
+            update.sent += 1
+            if update.sent >= max_transmissions:
+                del self._updates[update.record.name]
+        return tuple(records)
 
     def _send_gossip(self) -> None:
-        others = [row.address for row in self.alive]
+        others = [record.address for record in self.alive]
         for address in self._rng.sample(others, min(self.policy.fanout, len(others))):
             news = self._select_updates()
             if news:
                 self._actions.append(Send(address, Gossip(self.fleet, self.local.name, news)))
 
-    # ---- all that is known ---------------------------------------------------------------
+    # ---- full exchange -------------------------------------------------------------------
 
     def _start_sync(self) -> None:
-        """Exchange all with one other; while there is none, with two of the seeds, of which some may be wrong."""
-        others = [row.address for row in self.alive]
+        """Exchange all records with one other member, or with two seeds (some may be wrong) while none is known."""
+        others = [record.address for record in self.alive]
         targets = [self._rng.choice(others)] if others else self._rng.sample(self._seeds, min(2, len(self._seeds)))
         if not others:
             self._next_sync = self._last_tick + min(self.policy.sync, 2.0 * self.policy.period)
@@ -601,57 +611,60 @@
             self._send_all_records(address, True)
 
     def _send_all_records(self, address: str, asks: bool) -> None:
-        rows = [self.local, *(one.record for one in self.members.values())]
-        for at in range(0, len(rows), self.policy.page):
-            page = tuple(rows[at : at + self.policy.page])
-            self._actions.append(Send(address, Sync(self.fleet, self.local.name, page, asks and at == 0)))
+        records = [self.local, *(member.record for member in self.members.values())]
+        for start in range(0, len(records), self.policy.page):
+            page = tuple(records[start : start + self.policy.page])
+            self._actions.append(Send(address, Sync(self.fleet, self.local.name, page, asks and start == 0)))
 
     def _on_sync(self, now: float, address: str, sync: Sync) -> None:
         if sync.asks:
-            self._send_all_records(address, False)  # what was known before: also what the asker has to refute
+            # Records from before the merge: they include those that the sender has to refute.
+            self._send_all_records(address, False)
         self._merge_records(now, sync.rows)
 
-    def _downgrade_to_suspect(self, row: MemberRecord) -> MemberRecord:
-        """Of whom another holds for dead, and this one does not: suspect, so that it is asked before."""
-        one = self.members.get(row.name)
-        if row.state is MemberState.DEAD and one is not None and one.record.state <= MemberState.SUSPECT:
-            return replace(row, state=MemberState.SUSPECT)
-        return row
+    def _downgrade_to_suspect(self, record: MemberRecord) -> MemberRecord:
+        """Turn a report of death into a suspicion if the member is not dead here, so that it can refute first."""
+        member = self.members.get(record.name)
+        if record.state is MemberState.DEAD and member is not None and member.record.state <= MemberState.SUSPECT:
+            return replace(record, state=MemberState.SUSPECT)
+        return record
 
     def _send_contact_probe(self, now: float) -> None:
-        """Probe one that is dead, or a seed that nobody has: a cut may have healed. Forget who is gone for long."""
-        for name, one in list(self.members.items()):
-            if one.record.state >= MemberState.DEAD and now - one.since >= self.policy.forget:
+        """Contact a dead member or an unknown seed, in case a partition has healed; drop members gone for long."""
+        for name, member in list(self.members.items()):
+            if member.record.state >= MemberState.DEAD and now - member.state_since >= self.policy.forget:
                 del self.members[name]
-        known = {one.record.address for one in self.members.values() if one.record.state <= MemberState.SUSPECT}
-        dead = [one.record.address for one in self.members.values() if one.record.state is MemberState.DEAD]
-        doors = sorted({*dead, *self._seeds} - known - {self.local.address})
-        if doors:
-            self._send_all_records(self._rng.choice(doors), True)
+        known = {
+            member.record.address for member in self.members.values() if member.record.state <= MemberState.SUSPECT
+        }
+        dead = [member.record.address for member in self.members.values() if member.record.state is MemberState.DEAD]
+        candidates = sorted({*dead, *self._seeds} - known - {self.local.address})
+        if candidates:
+            self._send_all_records(self._rng.choice(candidates), True)
 
-    # ---- the end -------------------------------------------------------------------------
+    # ---- leaving and reports -------------------------------------------------------------
 
     def leave(self, now: float) -> list[Action]:
-        """Say to some at once that it leaves; they tell the rest."""
+        """Announce to some members that this one leaves; they spread it."""
         self._last_tick = now
         self.local = replace(self.local, state=MemberState.LEFT)
-        others = [row.address for row in self.alive]
+        others = [record.address for record in self.alive]
         for address in self._rng.sample(others, min(2 * self.policy.fanout, len(others))):
             self._actions.append(Send(address, Gossip(self.fleet, self.local.name, (self.local,))))
         return self._take_actions()
 
     def view(self, now: float) -> list[dict[str, object]]:
-        """All members for operators, by name: state, since how many seconds, incarnation, who suspects."""
-        ones = [Member(self.local, now), *(self.members[name] for name in sorted(self.members))]
+        """All members for operators, sorted by name; `since`: seconds in the state."""
+        members = [Member(self.local, now), *(self.members[name] for name in sorted(self.members))]
         return [
             {
-                "name": one.record.name,
-                "address": one.record.address,
-                "zone": one.record.zone,
-                "state": one.record.state.name.lower(),
-                "incarnation": one.record.incarnation,
-                "since": round(now - one.since, 2),
-                "suspected_by": sorted(one.suspected_by),
+                "name": member.record.name,
+                "address": member.record.address,
+                "zone": member.record.zone,
+                "state": member.record.state.name.lower(),
+                "incarnation": member.record.incarnation,
+                "since": round(now - member.state_since, 2),
+                "suspected_by": sorted(member.suspected_by),
             }
-            for one in ones
+            for member in members
         ]
