--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -85,7 +85,7 @@
 
     def check(self) -> None:
         """Raise ValueError naming the first invalid field."""
-        check_numbers(self, zero=True)
+        check_numbers(self, allow_zero=True)
         for name in ("period", "patience", "gossip", "sync", "knock", "pause", "fanout", "riding", "page", "most"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name}: must be greater than 0")
