--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -130,9 +130,9 @@
     assert fleet.acts[-1][0] - back >= POLICY.steady
     assert [text.split(": ")[1].split(",")[0] for _, text in fleet.vigil.explain(fleet.now, key[0])] == [
         "suspect",
-        "others accept for it",
+        "others accept its connections",
         "well",
-        "it accepts alone again",
+        "it accepts its own connections again",
     ]
 
 
