--- a/weldroute/failure_detector.py
+++ b/weldroute/failure_detector.py
@@ -13,7 +13,7 @@
 al. 2017): the time that it waited for a processor, and the observer's own delay.
 
 | verdict   | condition                                                   | consequence                              |
-| --------- | ------------------------------------------------------------| ---------------------------------------- |
+| --------- | ----------------------------------------------------------- | ---------------------------------------- |
 | healthy   | phi under `suspect`, no connection waits for long           | it gets back what others did for it      |
 | suspect   | phi over `suspect`, or a connection waited for `unaccepted` | others accept its waiting connections    |
 | stalled   | phi over `certain` for as long as its cause requires        | killed, which fences it, and replaced    |
@@ -153,7 +153,7 @@
 def phi(silence: float, mean: float, deviation: float) -> float:
     """Minus log10 of the probability that a heartbeat comes later than after `silence` seconds."""
     x = (silence - mean) / max(deviation, MIN_DEVIATION)
-    if x > 6.0:  # erfc underflows: its asymptotic expansion (Abramowitz and Stegun 7.1.23)
+    if x > 6.0:  # erfc underflows to 0: its asymptotic expansion (Abramowitz and Stegun 7.1.23)
         return x * x / 2.0 * LOG10_E + math.log10(x * math.sqrt(2.0 * math.pi))
     return -math.log10(0.5 * math.erfc(x / math.sqrt(2.0)))
 
@@ -188,7 +188,10 @@
         if self.last_heartbeat:
             gap = max(
                 0.0,
-                observation.last_heartbeat - self.last_heartbeat - self.cpu_wait(observation) - self.observer_delay,
+                observation.last_heartbeat
+                - self.last_heartbeat
+                - self.cpu_wait_in_silence(observation)
+                - self.observer_delay,
             )
             # Several heartbeats may lie between two observations: the cap avoids overestimating the gap.
             difference = min(gap, 4.0 * self.mean_gap) - self.mean_gap
@@ -219,7 +222,7 @@
             self.pending_cpu_wait += interval
         self.last_cpu_time, self.last_cpu_wait = observation.cpu_time, observation.cpu_wait
 
-    def cpu_wait(self, observation: Observation) -> float:
+    def cpu_wait_in_silence(self, observation: Observation) -> float:
         """Seconds of its silence in which it had no processor."""
         return observation.cpu_wait - self.cpu_wait_before + self.pending_cpu_wait
 
@@ -355,7 +358,7 @@
             process.silent_since = now  # no heartbeat is due yet
         process.progress, process.lifecycle = observation.progress, observation.lifecycle
         # Silence counts from the last heartbeat, or from where it was reset: a timer that is only late is not missed.
-        silence = now - process.silent_since - process.observer_delay - process.cpu_wait(observation)
+        silence = now - process.silent_since - process.observer_delay - process.cpu_wait_in_silence(observation)
         process.phi = phi(max(0.0, silence), process.mean_gap, process.gap_deviation)
         process.cause = self._cause(process, observation, silence)
         verdict = self._verdict(now, process, observation)
@@ -373,7 +376,7 @@
         if process.phi < self.policy.suspect:
             not_accepting = Cause.NOT_ACCEPTING if process.last_heartbeat else Cause.STARTING
             return not_accepting if observation.accept_wait >= self.policy.unaccepted else Cause.NONE
-        if process.cpu_wait(observation) > silence:
+        if process.cpu_wait_in_silence(observation) > silence:
             return Cause.STARVED
         return Cause.SPINNING if observation.cpu_time - process.cpu_time_before > 0.5 * silence else Cause.HUNG
 
