--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -38,8 +38,8 @@
     Mutant(
         "a late success is passed on as a second answer",
         "proxy",
-        "if not exchange.answered and how is Outcome.OK and",
-        "if how is Outcome.OK and",
+        "if not exchange.answered and outcome is Outcome.OK and",
+        "if outcome is Outcome.OK and",
     ),
     Mutant(
         "a draining backend counts as up", "discovery", '"terminating": State.DRAINING', '"terminating": State.UP'
@@ -47,8 +47,8 @@
     Mutant(
         "a reset is reported as never ran",
         "backends",
-        "self._pool.finish(attempt, Outcome.BROKEN, None, why)",
-        "self._pool.finish(attempt, Outcome.UNREACHABLE, None, why)",
+        "self._pool.finish(attempt, Outcome.BROKEN, None, reason)",
+        "self._pool.finish(attempt, Outcome.UNREACHABLE, None, reason)",
     ),
     Mutant(
         "a time-out is reported as never ran",
@@ -77,8 +77,8 @@
     Mutant(
         "a failed connect keeps its descriptor",
         "backends",
-        "if held and not connection.connected:",
-        "if held and connection.connected:",
+        "if has_descriptor and not connection.connected:",
+        "if has_descriptor and connection.connected:",
     ),
     Mutant(
         "a failed accept keeps its descriptor",
@@ -101,8 +101,8 @@
     Mutant(
         "an attempt that is given up keeps its connection",
         "backends",
-        "attempt.connection.close()\n        return how_far",
-        "pass\n        return how_far",
+        "attempt.connection.close()\n        return progress",
+        "pass\n        return progress",
     ),
     Mutant(
         "a connection in use is taken again",
@@ -113,8 +113,8 @@
     Mutant(
         "the module is not told that a caller left",
         "callers",
-        "if taken is not None:\n            taken.on_caller_left()",
-        "if taken is not None:\n            pass",
+        "if accepted is not None:\n            accepted.on_caller_left()",
+        "if accepted is not None:\n            pass",
     ),
     Mutant(
         "a backend's start is not read",
@@ -128,8 +128,8 @@
     Mutant(
         "a caller's time is not respected",
         "proxy",
-        "budget = longest if budget is None else min(budget, longest)",
-        "budget = longest",
+        "budget = max_budget if budget is None else min(budget, max_budget)",
+        "budget = max_budget",
     ),
     Mutant(
         "an answer that was cut counts as whole",
@@ -140,14 +140,14 @@
     Mutant(
         "a drain closes the listener at once",
         "proxy",
-        "if emptied is None and not self.callers.listener_state.listens:",
-        "if emptied is None:",
+        "if all_closed is None and not self.callers.listener_state.listens:",
+        "if all_closed is None:",
     ),
     Mutant(
         "a drain does not wait for its answers",
         "proxy",
-        "while emptied is None or not emptied.done():",
-        "while emptied is None:",
+        "while all_closed is None or not all_closed.done():",
+        "while all_closed is None:",
     ),
     Mutant(
         "a drain never ends its connections",
--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -46,10 +46,10 @@
     def on_answer_started(self, attempt: Attempt, response: Response) -> bool:
         """A long answer has begun; whether it is to be passed on, by `answer_piece`, while it comes."""
 
-    def on_answer_data(self, attempt: Attempt, piece: bytes) -> None:
+    def on_answer_data(self, attempt: Attempt, data: bytes) -> None:
         """The next bytes of it."""
 
-    def on_attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
         """The one end of an attempt; with OK comes the answer."""
 
 
@@ -73,11 +73,11 @@
         "stream",
     )
 
-    def __init__(self, owner: object, number: int, server: ServerId, sent: float, repeatable: bool) -> None:
+    def __init__(self, owner: object, number: int, server: ServerId, sent_at: float, repeatable: bool) -> None:
         self.owner = owner
         self.number = number
         self.server = server
-        self.sent_at = sent
+        self.sent_at = sent_at
         self.repeatable = repeatable  # harmless to repeat, so that a reset costs little
         self.expires_at = float("inf")  # when it is given up, before its request is
         self.head = b""  # once it is written
@@ -95,9 +95,9 @@
 
     __slots__ = ("address", "idle", "started_at", "usable")
 
-    def __init__(self, dial: Address, born: float, usable: bool) -> None:
-        self.address = dial
-        self.started_at = born
+    def __init__(self, address: Address, started_at: float, usable: bool) -> None:
+        self.address = address
+        self.started_at = started_at
         self.usable = usable
         self.idle: list[BackendConnection] = []
 
@@ -151,8 +151,8 @@
         self.last_read_at = self._pool.loop.time()
         try:
             response = self._parser.feed(data)
-        except Malformed as fault:
-            self._fail(f"unreadable answer: {fault}")
+        except Malformed as error:
+            self._fail(f"unreadable answer: {error}")
         except Exception:
             log.exception("reading an answer failed")
             self._fail("unreadable answer")
@@ -180,14 +180,14 @@
             or not response.received
         ):
             return  # bytes of a body say that the head is whole
-        held = self._pool.loop.time() - self._answer_started_at
+        elapsed = self._pool.loop.time() - self._answer_started_at
         if response.received <= MAX_BODY:
             if response.length is None:
-                if held <= STREAM_DELAY_UNKNOWN_LENGTH:
+                if elapsed <= STREAM_DELAY_UNKNOWN_LENGTH:
                     return
             elif response.length <= MAX_BODY:
                 return
-            elif held < STREAM_DELAY_KNOWN_LENGTH:
+            elif elapsed < STREAM_DELAY_KNOWN_LENGTH:
                 self._pool.loop.call_later(STREAM_DELAY_KNOWN_LENGTH, self._retry_streaming, response)
                 return
         if not self._pool.sink.on_answer_started(attempt, response):
@@ -195,25 +195,25 @@
         if self.attempt is not attempt:
             return  # the caller has gone meanwhile
         self._streaming_answer = True
-        first, response.body = bytes(response.body), bytearray()
+        received, response.body = bytes(response.body), bytearray()
         response.body_sink = self._forward
-        self._forward(first)
+        self._forward(received)
 
     def _retry_streaming(self, response: Response) -> None:
         if self._parser.response is response:
             self._try_streaming()
 
-    def _forward(self, piece: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self.attempt is not None:
-            self._pool.sink.on_answer_data(self.attempt, piece)
+            self._pool.sink.on_answer_data(self.attempt, data)
 
-    def set_reading_paused(self, held: bool) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Read no further, or read on."""
-        self._reading_paused = held
+        self._reading_paused = paused
         self.last_read_at = self._pool.loop.time()
         if self.transport is None or self.transport.is_closing():
             return
-        if held:
+        if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
@@ -232,10 +232,10 @@
         """Whether the backend has room for more of the request."""
         return not self._write_blocked and self.transport is not None
 
-    def write_body(self, piece: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Write the next bytes of the body."""
-        if self.transport is not None and self.attempt is not None and piece:
-            self._write(chunk(piece) if self.attempt.chunked else piece)
+        if self.transport is not None and self.attempt is not None and data:
+            self._write(chunk(data) if self.attempt.chunked else data)
 
     def end_body(self) -> None:
         """The body is whole."""
@@ -299,18 +299,18 @@
     # ---- the answer ----------------------------------------------------------------------
 
     def _on_answered(self, attempt: Attempt, response: Response) -> None:
-        early = self._request_incomplete
+        answered_early = self._request_incomplete
         self._release()
         if self._parser.has_surplus:
             log.info("more came than belongs to an answer; closing")
-        if response.keep_alive and not early and not response.until_eof and not self._parser.has_surplus:
+        if response.keep_alive and not answered_early and not response.until_eof and not self._parser.has_surplus:
             self._pool.return_to_pool(self)
         else:
             self.close()
-        how, why = classify(response)
-        if early and how is Outcome.OK:
-            how, why = Outcome.BROKEN, "answered before the request was whole"
-        self._pool.finish(attempt, how, response, why)
+        outcome, reason = classify(response)
+        if answered_early and outcome is Outcome.OK:
+            outcome, reason = Outcome.BROKEN, "answered before the request was whole"
+        self._pool.finish(attempt, outcome, response, reason)
 
     # ---- ends ----------------------------------------------------------------------------
 
@@ -324,12 +324,12 @@
         if self._reading_paused:
             self.set_reading_paused(False)
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         """No answer can come of this any more; what else is on the connection is of no use."""
-        self._on_lost(why)
+        self._on_lost(reason)
         self.close()
 
-    def _on_lost(self, why: str) -> None:
+    def _on_lost(self, reason: str) -> None:
         """The connection is of no more use; ends the attempt on it, which may have run."""
         self._pool.remove_from_pool(self)
         attempt = self.attempt
@@ -341,15 +341,15 @@
         ):
             self._pool.on_immediate_reset(self.attempt_started_at - self.idle_since if self.use_count > 1 else 0.0)
         response = self._parser.response
-        unsent = self._request_incomplete
+        request_incomplete = self._request_incomplete
         self._release()
         if response is not None and self._parser.head_done and response.status != 200:
             self._pool.finish(attempt, *classify_head(response))
-        elif unsent:
+        elif request_incomplete:
             # A backend begins a request with its last byte: this one never ran.
-            self._pool.finish(attempt, Outcome.UNREACHABLE, None, f"{why} before the request was whole")
+            self._pool.finish(attempt, Outcome.UNREACHABLE, None, f"{reason} before the request was whole")
         else:
-            self._pool.finish(attempt, Outcome.BROKEN, None, why)
+            self._pool.finish(attempt, Outcome.BROKEN, None, reason)
 
     def check_stalled(self, now: float) -> None:
         """End an answer that began to come and stopped, or that comes in drops.
@@ -368,11 +368,11 @@
 
     def progress(self) -> str:
         """How far the attempt has come, for the log."""
-        used = "a used" if self.use_count > 1 else "a new"
+        connection = "a used" if self.use_count > 1 else "a new"
         response = self._parser.response
         if response is None or not self._parser.head_done:
-            return f"no whole head of an answer on {used} connection"
-        return f"{response.received} of {response.length} bytes of an answer on {used} connection"
+            return f"no whole head of an answer on {connection} connection"
+        return f"{response.received} of {response.length} bytes of an answer on {connection} connection"
 
     def close(self) -> None:
         """Close at once; the attempt on it, if any, has been dealt with."""
@@ -383,8 +383,8 @@
 
 def classify_head(response: Response) -> tuple[Outcome, None, str]:
     """The outcome of an answer other than 200 of which only the head is whole."""
-    how, why = classify(response)
-    return how, None, why
+    outcome, reason = classify(response)
+    return outcome, None, reason
 
 
 def classify(response: Response) -> tuple[Outcome, str]:
@@ -407,15 +407,15 @@
         network: Network,
         sink: AttemptSink,
         descriptors: DescriptorBudget,
-        dial_timeout: float,
-        idle_for: float,
+        connect_timeout: float,
+        idle_timeout: float,
     ) -> None:
         self.loop = loop
         self.network = network
         self.sink = sink
         self._descriptors = descriptors
-        self._connect_timeout = dial_timeout
-        self._idle_timeout = idle_for * IDLE_TIMEOUT_FRACTION if idle_for > 0.0 else 60.0
+        self._connect_timeout = connect_timeout
+        self._idle_timeout = idle_timeout * IDLE_TIMEOUT_FRACTION if idle_timeout > 0.0 else 60.0
         self._backends: dict[ServerId, Backend] = {}
         self._owners: dict[Address, ServerId] = {}  # the last backend named at each address
         self._idle: dict[BackendConnection, None] = {}  # oldest first, over all backends
@@ -429,7 +429,7 @@
 
     # ---- the list ------------------------------------------------------------------------
 
-    def update(self, server: ServerId, dial: Address, born: float, usable: bool) -> ServerId | None:
+    def update(self, server: ServerId, address: Address, started_at: float, usable: bool) -> ServerId | None:
         """Discovery names a backend, or names it anew; returns one that is gone, as its address shows.
 
         Guards against requests to one backend reaching another: an address that a later one has taken over
@@ -437,22 +437,22 @@
         and what is learned of it would be mistaken. Harm: two ids that share one address on purpose are
         taken for a succession, if they started at different times.
         """
-        owner = self._owners.get(dial)
-        if owner is not None and owner != server and self._backends[owner].started_at > born:
+        previous = self._owners.get(address)
+        if previous is not None and previous != server and self._backends[previous].started_at > started_at:
             self.forget(server)
             return server
         backend = self._backends.get(server)
         if backend is None:
-            backend = self._backends[server] = Backend(dial, born, usable)
-        elif dial != backend.address or born != backend.started_at or not usable:
+            backend = self._backends[server] = Backend(address, started_at, usable)
+        elif address != backend.address or started_at != backend.started_at or not usable:
             # Guards against requests into connections to a process that is no more.
             self.drop_idle(server)
             self._release_address(server, backend)
-        backend.address, backend.started_at, backend.usable = dial, born, usable
-        self._owners[dial] = server
-        if owner is not None and owner != server and self._backends[owner].started_at < born:
-            self.forget(owner)
-            return owner
+        backend.address, backend.started_at, backend.usable = address, started_at, usable
+        self._owners[address] = server
+        if previous is not None and previous != server and self._backends[previous].started_at < started_at:
+            self.forget(previous)
+            return previous
         return None
 
     def _release_address(self, server: ServerId, backend: Backend) -> None:
@@ -494,8 +494,8 @@
         now = self.loop.time()
         # Guards against losing a repeat to the next dead connection: one that must not be lost and has been
         # broken once goes out on a new one. Harm: the work of a handshake for each such repeat.
-        fresh = attempt.number > 0 and not attempt.repeatable
-        while backend.idle and not fresh:
+        needs_new_connection = attempt.number > 0 and not attempt.repeatable
+        while backend.idle and not needs_new_connection:
             connection = backend.idle[-1]
             age = now - connection.idle_since
             if age >= self._idle_timeout or not connection.is_reusable():
@@ -510,14 +510,14 @@
         self.connections_opened += 1
         attempt.connect_task = self.loop.create_task(self._connect(backend, attempt))
 
-    def take_over(self, attempt: Attempt, connection: Any, wrote: int, read: int) -> None:
+    def take_over(self, attempt: Attempt, connection: Any, bytes_written: int, bytes_read: int) -> None:
         """Go on with an attempt that another process has sent, on its connection (as `Network.attach` takes it).
 
         Its descriptor is counted already.
         """
         backend = self._backends.get(attempt.server) or Backend(("", 0), 0.0, usable=False)
         protocol = BackendConnection(self, backend)
-        protocol.bytes_written, protocol.bytes_read = wrote, read
+        protocol.bytes_written, protocol.bytes_read = bytes_written, bytes_read
         protocol.assign(attempt)
         self._busy[protocol] = None
         task = self.loop.create_task(self._attach(protocol, attempt, connection))
@@ -527,11 +527,11 @@
     async def _attach(self, protocol: BackendConnection, attempt: Attempt, connection: Any) -> None:
         try:
             await self.network.attach(connection, lambda: protocol)
-        except OSError as fault:
+        except OSError as error:
             if not protocol.connected:
                 connection.close()
                 self.on_closed(protocol)
-            self.finish(attempt, Outcome.BROKEN, None, f"not taken over: {fault}")
+            self.finish(attempt, Outcome.BROKEN, None, f"not taken over: {error}")
         if attempt.ended:  # meanwhile
             protocol.close()
 
@@ -559,22 +559,22 @@
 
     async def _connect(self, backend: Backend, attempt: Attempt) -> None:
         connection = BackendConnection(self, backend)
-        held = False
+        has_descriptor = False
         try:
             async with asyncio.timeout(self._connect_timeout):
-                while not held:
-                    free = asyncio.Event()
-                    held = self._descriptors.acquire_backend(free.set)
-                    if not held:
-                        await free.wait()
+                while not has_descriptor:
+                    descriptor_free = asyncio.Event()
+                    has_descriptor = self._descriptors.acquire_backend(descriptor_free.set)
+                    if not has_descriptor:
+                        await descriptor_free.wait()
                 await self.loop.create_connection(lambda: connection, *backend.address)
-        except (OSError, TimeoutError) as fault:
-            what = "no descriptor free" if not held else str(fault) or "no connection in time"
+        except (OSError, TimeoutError) as error:
+            reason = "no descriptor free" if not has_descriptor else str(error) or "no connection in time"
             attempt.connect_task = None
-            self.finish(attempt, Outcome.UNREACHABLE, None, what)
+            self.finish(attempt, Outcome.UNREACHABLE, None, reason)
             return
         finally:
-            if held and not connection.connected:  # else it is given back when the connection is lost
+            if has_descriptor and not connection.connected:  # else it is given back when the connection is lost
                 self._descriptors.release_backend()
         attempt.connect_task = None
         if attempt.ended:
@@ -597,19 +597,19 @@
         Returns how far it had come.
         """
         attempt.ended = True
-        how_far = attempt.connection.progress() if attempt.connection is not None else "not connected"
+        progress = attempt.connection.progress() if attempt.connection is not None else "not connected"
         if attempt.connect_task is not None:
             attempt.connect_task.cancel()
             attempt.connect_task = None
         if attempt.connection is not None:
             attempt.connection.close()
-        return how_far
+        return progress
 
-    def finish(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
+    def finish(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
         """Tell the one end of an attempt."""
         if not attempt.ended:
             attempt.ended = True
-            self.sink.on_attempt_ended(attempt, how, response, why)
+            self.sink.on_attempt_ended(attempt, outcome, response, reason)
 
     # ---- pools ---------------------------------------------------------------------------
 
@@ -653,13 +653,13 @@
     def sweep(self) -> None:
         """Close what has been idle for long, and end answers that stopped coming."""
         now = self.loop.time()
-        late, self._last_sweep_at = now - self._last_sweep_at > LATE_SWEEP, now
+        was_delayed, self._last_sweep_at = now - self._last_sweep_at > LATE_SWEEP, now
         while self._idle:
             connection = next(iter(self._idle))
             if connection.idle_since > now - self._idle_timeout:
                 break
             self._discard(connection)
-        if late:
+        if was_delayed:
             return  # the process was held up: answers may have come that have not been read
         for connection in list(self._busy):
             connection.check_stalled(now)
--- a/cometusher/budget.py
+++ b/cometusher/budget.py
@@ -62,12 +62,12 @@
         self._acquire()
         return True
 
-    def acquire_backend(self, later: Callable[[], None]) -> bool:
+    def acquire_backend(self, on_available: Callable[[], None]) -> bool:
         """Take one for a connection to a backend, or have `later` called when one may be free."""
         if not self._is_full():
             self._acquire()
             return True
-        self._waiting.append(later)
+        self._waiting.append(on_available)
         if not self.evict_backend():
             self.evict_caller()
         return False
@@ -98,10 +98,10 @@
         self.report_usage(self.used)
         # All of them: one that has given up meanwhile would swallow the only call.
         waiting, self._waiting = self._waiting, []
-        for later in waiting:
-            later()
-        for callback in self.on_free:
-            callback()
+        for on_available in waiting:
+            on_available()
+        for on_free in self.on_free:
+            on_free()
 
 
 class BodyMemoryBudget:
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -58,7 +58,7 @@
     def on_body_complete(self) -> None:
         """The last byte of a body that was passed on while it came has come."""
 
-    def on_answer_blocked(self, held: bool) -> None:
+    def on_answer_blocked(self, blocked: bool) -> None:
         """The caller takes no more for now, or takes more again."""
 
 
@@ -146,8 +146,8 @@
             self.last_request_bytes = b""
         try:
             self._parser.feed(data)
-        except Malformed as fault:
-            self.reject(fault)
+        except Malformed as error:
+            self.reject(error)
         except Exception:
             log.exception("reading a request failed")
             self.reject(Malformed(400, "unreadable"))
@@ -219,12 +219,12 @@
         self._head_complete_at = self._last_read_at
         if request.method not in (b"GET", b"POST"):
             raise Malformed(405, "method not allowed")
-        room = MAX_BODY if request.length is None else request.length
-        if room > MAX_BODY:
-            room = REPLAY_BYTES
-        if not self._callers.memory.reserve(room):
+        reservation = MAX_BODY if request.length is None else request.length
+        if reservation > MAX_BODY:
+            reservation = REPLAY_BYTES
+        if not self._callers.memory.reserve(reservation):
             raise Malformed(503, "no memory for bodies")
-        request.reserved_bytes = room
+        request.reserved_bytes = reservation
         expect = request.header(b"expect")
         if expect is not None and not request.http10:
             if expect.lower() != b"100-continue":
@@ -236,8 +236,8 @@
         if not self._callers.memory.reserve(REPLAY_BYTES - request.reserved_bytes):
             raise Malformed(503, "no memory for bodies")
         request.reserved_bytes = REPLAY_BYTES
-        first, request.body = bytes(request.body), bytearray()
-        request.stream = BodyStream(self, first)
+        received, request.body = bytes(request.body), bytearray()
+        request.stream = BodyStream(self, received)
         self._on_first_request()
         self._complete_request = request
 
@@ -275,17 +275,17 @@
         if request is None:
             return
         self._request = request
-        taken = self._callers.handler.handle_request(self, request)
+        accepted = self._callers.handler.handle_request(self, request)
         if self._request is request:
-            self._accepted = taken
+            self._accepted = accepted
 
-    def _answer_malformed(self, fault: Malformed) -> None:
-        log.info("malformed request: %d %s", fault.status, fault)
-        body = f"{fault}\n".encode()
+    def _answer_malformed(self, error: Malformed) -> None:
+        log.info("malformed request: %d %s", error.status, error)
+        body = f"{error}\n".encode()
         headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(body))]
-        if fault.status == 405:
+        if error.status == 405:
             headers.append((b"allow", b"GET, POST"))
-        self._write(response_head(fault.status, headers, True) + body)
+        self._write(response_head(error.status, headers, True) + body)
         self._linger()
 
     def _linger(self) -> None:
@@ -320,10 +320,10 @@
         if self._transport is not None:
             self._write(response_head(status, headers, close))
 
-    def write_answer_data(self, piece: bytes) -> None:
+    def write_answer_data(self, data: bytes) -> None:
         """Write a piece of the answer that has begun."""
-        if self._transport is not None and piece:
-            self._write(chunk(piece) if self._answer_chunked else piece)
+        if self._transport is not None and data:
+            self._write(chunk(data) if self._answer_chunked else data)
 
     def end_answer(self) -> None:
         """The answer that has begun is whole."""
@@ -342,35 +342,35 @@
         if self._transport is not None:
             self._callers.network.abort(self._transport)
 
-    def answer(self, status: int, headers: Headers, body: bytes | bytearray, noted: bool = False) -> None:
+    def answer(self, status: int, headers: Headers, body: bytes | bytearray, journaled: bool = False) -> None:
         """Write the answer to the request that is handed on; `noted` if that is covered."""
         close = self._must_close()
         if self._transport is not None:
             headers.append((b"content-length", b"%d" % len(body)))
             data = response_head(status, headers, close) + body
-            if noted and self._callers.inflight is not None:
+            if journaled and self._callers.inflight is not None:
                 assert self._request is not None
                 self._callers.inflight.answers(self, self._request, data, close)
             self.bytes_written += len(data)
             self._transport.write(data)
         self._on_answered(close)
 
-    def reject(self, fault: Malformed) -> None:
+    def reject(self, error: Malformed) -> None:
         """Tell a caller that what it sent can't be used, and end the connection.
 
         Guards against callers that send the same again as soon as they are told no: what else they have
         written is dropped, and the next try costs them a connection. Harm: a caller with one odd request
         in a hundred opens a connection for each.
         """
-        passing = self._streaming_answer
+        was_streaming = self._streaming_answer
         self._on_disconnect()
         if self._transport is None:
             return
-        if passing:
-            log.info("malformed in the middle of an answer: %d %s", fault.status, fault)
+        if was_streaming:
+            log.info("malformed in the middle of an answer: %d %s", error.status, error)
             self._transport.abort()
         else:
-            self._answer_malformed(fault)
+            self._answer_malformed(error)
 
     def release_body(self) -> None:
         """The body of the request that is handed on is of no more use."""
@@ -411,25 +411,25 @@
 
     # ---- taken over from another process -------------------------------------------------
 
-    def take_over_request(self, request: Request, rest_lost: bool) -> None:
+    def take_over_request(self, request: Request, body_lost: bool) -> None:
         """A request that another process has read from this connection is in hand here."""
         self.has_carried_request = True
-        self._discarding_body = rest_lost
+        self._discarding_body = body_lost
         self._callers.on_first_request(self)
         self._request = request
 
-    def set_accepted(self, taken: AcceptedRequest) -> None:
+    def set_accepted(self, accepted: AcceptedRequest) -> None:
         """It was handed on."""
         if self._request is not None:
-            self._accepted = taken
+            self._accepted = accepted
 
-    def finish_answer(self, rest: bytes, close: bool) -> None:
+    def finish_answer(self, remaining: bytes, close: bool) -> None:
         """Write what is left of an answer that another process has begun, if anything is."""
         self.has_carried_request = True
         if self._transport is None:
             return
-        if rest:
-            self._write(rest)
+        if remaining:
+            self._write(remaining)
         if close:
             self._linger()
         else:
@@ -462,11 +462,11 @@
         """Nothing more is owed to this caller."""
         if self._callers.inflight is not None:
             self._callers.inflight.leaves(self)
-        taken, self._accepted = self._accepted, None
+        accepted, self._accepted = self._accepted, None
         self._closing = True
         self._streaming_answer = False
-        if taken is not None:
-            taken.on_caller_left()  # first: what its body's loss brings about is nobody's answer any more
+        if accepted is not None:
+            accepted.on_caller_left()  # first: what its body's loss brings about is nobody's answer any more
         self._discard_partial_request()
         if self._complete_request is not None:
             self._release_body_of(self._complete_request)
@@ -493,7 +493,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def enforce_timeouts(self, now: float, idle_for: float) -> None:
+    def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """End what takes too long, whatever it is: heads and bodies in slow drops, answers that nobody takes.
 
         Guards against callers that hold a descriptor and give nothing for it. A request's time is not
@@ -503,20 +503,20 @@
         transport = self._transport
         if transport is None:
             return
-        unread = transport.get_write_buffer_size()
-        if unread > 0:
-            if unread < self._unsent_bytes:
+        unsent = transport.get_write_buffer_size()
+        if unsent > 0:
+            if unsent < self._unsent_bytes:
                 self.state_since = now
             elif age > (STREAM_STALL_TIMEOUT if self._streaming_answer else WRITE_STALL_TIMEOUT):
                 log.info("a caller takes no more of its answer; closing")
                 transport.abort()
-            self._unsent_bytes = unread
+            self._unsent_bytes = unsent
         elif self._closing:
             stalled = now > self._linger_until or now - self._last_read_at > BODY_STALL_TIMEOUT
             if age > LINGER_TIMEOUT and stalled:
                 transport.abort()
         elif self.is_idle:
-            if age > (idle_for if self.has_carried_request else REQUEST_HEAD_TIMEOUT):
+            if age > (idle_timeout if self.has_carried_request else REQUEST_HEAD_TIMEOUT):
                 self.close_if_nothing_unread()
         elif self.is_mid_request and self._is_too_slow(now):
             self.reject(Malformed(408, "the request did not come in time"))
@@ -529,19 +529,21 @@
             return now - self.state_since > REQUEST_HEAD_TIMEOUT
         if self._transport is None or not self._transport.is_reading():
             return False  # held back from here
-        due = MIN_BODY_RATE * (now - self._head_complete_at - BODY_RATE_GRACE)
-        return now - self._last_read_at > BODY_STALL_TIMEOUT or (request.received < due and request.stream is None)
+        min_received = MIN_BODY_RATE * (now - self._head_complete_at - BODY_RATE_GRACE)
+        return now - self._last_read_at > BODY_STALL_TIMEOUT or (
+            request.received < min_received and request.stream is None
+        )
 
     def evict(self, now: float) -> bool:
         """Make room for others, if nothing of worth is on this connection that has carried nothing yet."""
-        least = (
+        min_age = (
             EVICT_LINGERING_AFTER
             if self._closing
             else EVICT_PARTIAL_AFTER
             if self.is_mid_request
             else EVICT_SILENT_AFTER
         )
-        if now - self.state_since <= least:
+        if now - self.state_since <= min_age:
             return False
         if self._transport is not None:
             self._transport.abort()
@@ -613,12 +615,12 @@
             return False
         try:
             connection = self._listener.accept()
-        except (BlockingIOError, InterruptedError, ConnectionAbortedError) as none:
+        except (BlockingIOError, InterruptedError, ConnectionAbortedError) as transient:
             self._descriptors.release_caller()
-            return not isinstance(none, BlockingIOError)  # the next in line may be well
-        except OSError as fault:
+            return not isinstance(transient, BlockingIOError)  # the next in line may be well
+        except OSError as error:
             # Guards against spinning on a listener that stays readable: EMFILE, ENFILE, ENOMEM.
-            log.warning("accept failed: %s", fault)
+            log.warning("accept failed: %s", error)
             self._descriptors.release_caller()
             self._pause_accepting()
             self.loop.call_later(0.05, self._resume_accepting)
@@ -632,8 +634,8 @@
         protocol = CallerConnection(self)
         try:
             await self.network.attach(connection, lambda: protocol)
-        except OSError as fault:
-            log.info("a new connection failed: %s", fault)
+        except OSError as error:
+            log.info("a new connection failed: %s", error)
             if protocol not in self._connections:
                 connection.close()
                 self._descriptors.release_caller()
@@ -663,7 +665,12 @@
             self.inflight.opened(connection)
 
     async def take_over(
-        self, connection: Any, read: int, wrote: int, slot: int, up: Callable[[CallerConnection], None]
+        self,
+        connection: Any,
+        bytes_read: int,
+        bytes_written: int,
+        journal_slot: int,
+        on_connected: Callable[[CallerConnection], None],
     ) -> bool:
         """Take up a connection of another process, of which so much was read and written; False if it is gone.
 
@@ -672,15 +679,15 @@
         """
         protocol = CallerConnection(self)
         protocol.bytes_read, protocol.bytes_written, protocol.journal_slot, protocol.on_connected = (
-            read,
-            wrote,
-            slot,
-            up,
+            bytes_read,
+            bytes_written,
+            journal_slot,
+            on_connected,
         )
         try:
             await self.network.attach(connection, lambda: protocol)
-        except OSError as fault:
-            log.info("a connection could not be taken over: %s", fault)
+        except OSError as error:
+            log.info("a connection could not be taken over: %s", error)
             if protocol not in self._connections:
                 connection.close()
                 self._descriptors.release_caller()
@@ -749,9 +756,9 @@
         """Apply the time limits."""
         now = self.loop.time()
         crowded = len(self._connections) > self._descriptors.caller_limit // 2
-        idle_for = CROWDED_IDLE_TIMEOUT if crowded else IDLE_TIMEOUT
+        idle_timeout = CROWDED_IDLE_TIMEOUT if crowded else IDLE_TIMEOUT
         for connection in list(self._connections):
-            connection.enforce_timeouts(now, idle_for)
+            connection.enforce_timeouts(now, idle_timeout)
         # Guards against a listener that waits for a descriptor while nobody gives one back by himself.
         self._resume_accepting()
 
@@ -761,18 +768,18 @@
 
     # ---- leaving -------------------------------------------------------------------------
 
-    def apply_listener_state(self, posture: ListenerState) -> None:
+    def apply_listener_state(self, state: ListenerState) -> None:
         """Do as the operations say from here on; called at every change, and often."""
-        before, self.listener_state = self.listener_state, posture
-        if before.listens and not posture.listens:
+        previous, self.listener_state = self.listener_state, state
+        if previous.listens and not state.listens:
             self._stop_accepting()
-        elif posture.listens and not before.listens:
+        elif state.listens and not previous.listens:
             self._resume_accepting()
-        if not posture.keeps_idle:
+        if not state.keeps_idle:
             for connection in list(self._idle):
                 if connection.is_idle:
                     connection.close_if_nothing_unread()
-        if not posture.keeps_incomplete:
+        if not state.keeps_incomplete:
             for connection in list(self._connections):
                 if connection.is_partial:
                     connection.close()
--- a/cometusher/http1.py
+++ b/cometusher/http1.py
@@ -62,8 +62,8 @@
 class Malformed(Exception):
     """A message that can't be read; `status` is what a caller is told."""
 
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -256,17 +256,17 @@
     def feed(self, data: bytes) -> None:
         """Read on; calls the sink."""
         while data:
-            before = self.current.received if self.current else 0
+            received_before = self.current.received if self.current else 0
             self._overhead_bytes += len(data)
-            rest = self._feed(self._parser, data)
+            remaining = self._feed(self._parser, data)
             current = self.current
             if current is not None:
                 # Guards against heads, trailers and chunk framing without end, which the parser would keep.
-                self._overhead_bytes -= max(0, current.received - before)
+                self._overhead_bytes -= max(0, current.received - received_before)
                 if self._overhead_bytes > MAX_HEAD + 16 * current.received:
                     raise Malformed(400 if self.head_done else 431, "head too large")
-            data = rest
-            if rest:
+            data = remaining
+            if remaining:
                 self._parser = httptools.HttpRequestParser(self)
 
     def on_message_begin(self) -> None:
@@ -334,13 +334,13 @@
 
     def feed(self, data: bytes) -> Response | None:
         """Read on; returns the answer once it is whole."""
-        body = self.response.received if self.response else 0
+        received_before = self.response.received if self.response else 0
         self._overhead_bytes += len(data)
         try:
             if self._feed(self._parser, data):
                 raise Malformed(502, "unasked upgrade")
             if self.response is not None:
-                self._overhead_bytes -= max(0, self.response.received - body)
+                self._overhead_bytes -= max(0, self.response.received - received_before)
                 if self._overhead_bytes > MAX_HEAD + 16 * self.response.received:
                     raise Malformed(502, "head too large")
         except Malformed:
@@ -356,11 +356,11 @@
         return self._take_answer()
 
     def _take_answer(self) -> Response | None:
-        answer, self._complete_answer = self._complete_answer, None
-        if answer is not None:
+        complete, self._complete_answer = self._complete_answer, None
+        if complete is not None:
             self._interim_count = 0
             self.response = None
-        return answer
+        return complete
 
     def on_message_begin(self) -> None:
         if self._complete_answer is not None:
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -105,13 +105,13 @@
         """Seconds."""
         return self._offset + self._monotonic()
 
-    def to_machine(self, at: float) -> float:
+    def to_machine(self, instant: float) -> float:
         """A moment by the machine's clock, which all processes of a machine share."""
-        return at - self._offset
+        return instant - self._offset
 
-    def from_machine(self, at: float) -> float:
+    def from_machine(self, instant: float) -> float:
         """A moment of the machine's clock by this one."""
-        return at + self._offset
+        return instant + self._offset
 
 
 class Exchange:
@@ -173,9 +173,9 @@
     def on_body_consumed(self) -> None:
         self.proxy.on_body_consumed(self)
 
-    def on_answer_blocked(self, held: bool) -> None:
+    def on_answer_blocked(self, blocked: bool) -> None:
         if self.streaming_attempt is not None and self.streaming_attempt.connection is not None:
-            self.streaming_attempt.connection.set_reading_paused(held)
+            self.streaming_attempt.connection.set_reading_paused(blocked)
 
 
 class Proxy:
@@ -221,16 +221,16 @@
         self._reported_counters: dict[str, int] = {}
         self.identity_headers: Headers = []  # headers on the answer to a readiness check: which process this is
         self._next_report_at = loop.time() + REPORT_INTERVAL
-        known = read_listing({"hosts": []} | config.known, config.zones)
+        listing = read_listing({"hosts": []} | config.known, config.zones)
         self.discovery = Discovery(
             config.discovery,
             config.zones,
-            known.seq,
+            listing.seq,
             settings.discovery is DiscoveryMode.PUSHED,
             self._rng,
             self.on_list,
         )
-        self.on_list(ListKind.STALE, known.entries)
+        self.on_list(ListKind.STALE, listing.entries)
         if config.shared:
             self._start_hot_restart(config.shared)
         if config.returning is not None:
@@ -242,13 +242,13 @@
 
             self.inflight = Hand(self, self.network.cover(config.covered))
 
-    def _start_hot_restart(self, folder: str) -> None:
+    def _start_hot_restart(self, directory: str) -> None:
         from cometusher.hot_restart import Succession
 
         try:
-            self._hot_restart = Succession(self, self.network.share(folder))
-        except OSError as fault:
-            log.warning("nothing is shared with other processes of this proxy: %s", fault)
+            self._hot_restart = Succession(self, self.network.share(directory))
+        except OSError as error:
+            log.warning("nothing is shared with other processes of this proxy: %s", error)
         else:
             self._hot_restart.take_over()
 
@@ -261,7 +261,7 @@
         self._begin_serving()
         self._follow_discovery()
 
-    async def start_on(self, listener: socket.socket, beside: bool = False) -> None:
+    async def start_on(self, listener: socket.socket, address_may_be_taken: bool = False) -> None:
         """Follow discovery, and listen on what is handed in as soon as there is a list, or none to be had.
 
         `beside`: another process may have the operators' address until its end; it is taken then.
@@ -269,7 +269,7 @@
         Guards against refusing what another process of the same listener could have served: one that knows no
         backend yet has nothing to send to. Harm: with discovery silent, the start takes FIRST_LIST longer.
         """
-        self._listen_for_management(beside)
+        self._listen_for_management(address_may_be_taken)
         self._follow_discovery()
         if not self.backends.server_ids() and self.recovery is None:
             with contextlib.suppress(TimeoutError):
@@ -285,7 +285,7 @@
         if self._hot_restart is not None:
             self._hot_restart.serves()
 
-    def _listen_for_management(self, beside: bool = False) -> None:
+    def _listen_for_management(self, address_may_be_taken: bool = False) -> None:
         """Listen where operators call, if they do: at once, or as soon as the process before lets go."""
         if self.config.management is None or self.operations.state is LifecycleState.STOPPING:
             return
@@ -294,7 +294,7 @@
         try:
             listener = self.network.listen(self.config.management)
         except OSError:
-            if not beside:
+            if not address_may_be_taken:
                 raise
             self.loop.call_later(MANAGEMENT_RETRY_DELAY, self._listen_for_management, True)
             return
@@ -305,15 +305,15 @@
         self.discovery.start()
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
-    def reconfigure(self, fresh: Config) -> None:
+    def reconfigure(self, new: Config) -> None:
         """Take over from a new configuration what can change while requests are under way."""
         old = self.config
-        self.config = replace(old, discovery=fresh.discovery, sockets=fresh.sockets, memory_mb=fresh.memory_mb)
-        self.descriptors.resize(fresh.sockets)
-        self.memory.resize(fresh.memory_mb)
-        self.discovery.move(fresh.discovery)
-        log.info("the configuration was read again; discovery is at %s:%d", *fresh.discovery)
-        if (fresh.listen, fresh.settings, fresh.zones) != (old.listen, old.settings, old.zones):
+        self.config = replace(old, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
+        self.descriptors.resize(new.sockets)
+        self.memory.resize(new.memory_mb)
+        self.discovery.move(new.discovery)
+        log.info("the configuration was read again; discovery is at %s:%d", *new.discovery)
+        if (new.listen, new.settings, new.zones) != (old.listen, old.settings, old.zones):
             log.warning("a change of listen or settings waits for the next start")
 
     async def drain(self) -> None:
@@ -323,24 +323,24 @@
         longest time that callers give. Until then those that stay connected are served; what they ask late
         gets an answer before that end, whatever it is. Harm: where that end comes sooner, requests are lost.
         """
-        longest = min(max(self._typical_budgets), DRAIN_MAX_BUDGET)
-        if longest:
-            self._latest_deadline = self.clock.now() + DRAIN_FULL_BUDGET_WINDOW + longest - DRAIN_ANSWER_MARGIN
+        max_budget = min(max(self._typical_budgets), DRAIN_MAX_BUDGET)
+        if max_budget:
+            self._latest_deadline = self.clock.now() + DRAIN_FULL_BUDGET_WINDOW + max_budget - DRAIN_ANSWER_MARGIN
         if self._hot_restart is not None:
             self._hot_restart.stops()
         if self.recovery is not None:
             self.recovery.stops()
-        self.operations.stop(self.loop.time(), DRAIN_FULL_BUDGET_WINDOW + longest - DRAIN_ACCEPT_MARGIN)
-        emptied: asyncio.Task[None] | None = None
-        while emptied is None or not emptied.done():
+        self.operations.stop(self.loop.time(), DRAIN_FULL_BUDGET_WINDOW + max_budget - DRAIN_ACCEPT_MARGIN)
+        all_closed: asyncio.Task[None] | None = None
+        while all_closed is None or not all_closed.done():
             self.apply_listener_state()
-            if emptied is None and not self.callers.listener_state.listens:
+            if all_closed is None and not self.callers.listener_state.listens:
                 self.callers.close_listener()
-                emptied = self.loop.create_task(self.callers.wait_until_empty())
-            if emptied is None:
+                all_closed = self.loop.create_task(self.callers.wait_until_empty())
+            if all_closed is None:
                 await asyncio.sleep(DRAIN_POLL_INTERVAL)
             else:
-                await asyncio.wait([emptied], timeout=DRAIN_POLL_INTERVAL)
+                await asyncio.wait([all_closed], timeout=DRAIN_POLL_INTERVAL)
         if self.management is not None:
             self.management.close()
         await self.discovery.stop()
@@ -351,10 +351,10 @@
         """Do towards callers as the operations say."""
         self.callers.apply_listener_state(self.operations.listener_state(self.loop.time()))
 
-    def set_ejected(self, aside: bool) -> None:
+    def set_ejected(self, ejected: bool) -> None:
         """Leave new connections to others, who accept on the same listener, or take them again; told often."""
-        if aside is not self.operations.ejected:
-            self.operations.ejected = aside
+        if ejected is not self.operations.ejected:
+            self.operations.ejected = ejected
             self.apply_listener_state()
 
     def _sweep(self) -> None:
@@ -370,11 +370,11 @@
             self.management.sweep()
         if self.loop.time() >= self._next_report_at and self.counters != self._reported_counters:
             self._next_report_at = self.loop.time() + REPORT_INTERVAL
-            fresh = {name: n - self._reported_counters.get(name, 0) for name, n in self.counters.items()}
+            increments = {name: n - self._reported_counters.get(name, 0) for name, n in self.counters.items()}
             busy, idle = self.backends.counts()
             log.info(
                 "%s; now: %d requests, %d callers, backends %d busy %d idle, descriptors peak %d, bodies peak %d kB",
-                ", ".join(f"{name} {n}" for name, n in sorted(fresh.items()) if n),
+                ", ".join(f"{name} {n}" for name, n in sorted(increments.items()) if n),
                 len(self._exchanges),
                 self.callers.count(),
                 busy,
@@ -398,31 +398,31 @@
         """Do what operators ask; what a yes promises holds when this returns."""
         now = self.loop.time()
         if call is ManagementCall.READY:
-            verdict = self.operations.readiness()
-            return NOT_YET if verdict.succeeded and self.recovery is not None and not self.recovery.ready else verdict
+            result = self.operations.readiness()
+            return NOT_YET if result.succeeded and self.recovery is not None and not self.recovery.ready else result
         if call is ManagementCall.EVACUATE:
-            verdict = self.operations.evacuate(now)
+            result = self.operations.evacuate(now)
         elif call is ManagementCall.REJOIN:
-            verdict = self.operations.rejoin()
+            result = self.operations.rejoin()
         else:
-            verdict = self._set_ban(host, call is ManagementCall.EXCLUDE)
-        for keeper in (self._hot_restart, self.recovery):
-            if keeper is not None and verdict.succeeded:
-                keeper.ordered()
+            result = self._set_ban(host, call is ManagementCall.EXCLUDE)
+        for component in (self._hot_restart, self.recovery):
+            if component is not None and result.succeeded:
+                component.ordered()
         self.apply_listener_state()
-        return verdict
+        return result
 
-    def _set_ban(self, host: str, out: bool) -> CallResult:
+    def _set_ban(self, host: str, excluded: bool) -> CallResult:
         server = self.servers_by_host.get(host)
         if server is None:
             return UNKNOWN_BACKEND
-        if out is (server in self.balancer.bans):
+        if excluded is (server in self.balancer.bans):
             return ALREADY_DONE
         balancer = self.balancer
-        self._dispatch(None, lambda now: balancer.ban(now, server) if out else balancer.unban(now, server))
+        self._dispatch(None, lambda now: balancer.ban(now, server) if excluded else balancer.unban(now, server))
         # It is restarted while it is out: what is open to it now is of no use then.
         self.backends.drop_idle(server)
-        if not out and server not in balancer.servers:
+        if not excluded and server not in balancer.servers:
             del self.servers_by_host[host]  # discovery has dropped it meanwhile
         return DONE
 
@@ -480,63 +480,65 @@
             self._answer_readiness(caller)
             return None
         try:
-            kind, budget = self.validate(request)
-        except Malformed as fault:
+            class_index, budget = self.validate(request)
+        except Malformed as error:
             self._increment("malformed")
-            caller.reject(fault)
+            caller.reject(error)
             return None
         now = self.clock.now()
-        longest = self.config.settings.classes[kind].deadline
-        budget = longest if budget is None else min(budget, longest)
-        usual = self._typical_budgets[kind]
+        max_budget = self.config.settings.classes[class_index].deadline
+        budget = max_budget if budget is None else min(budget, max_budget)
+        typical = self._typical_budgets[class_index]
         # Smoothed: one caller that claims a long time must not put off the end for all.
-        self._typical_budgets[kind] += (budget - usual) / 32.0 if usual else budget
+        self._typical_budgets[class_index] += (budget - typical) / 32.0 if typical else budget
         stream = request.stream
-        coming = stream is not None and not stream.complete
-        deadline = now + INCOMING_BODY_TIMEOUT if coming else min(now + budget, self._latest_deadline)
-        if self.inflight is not None and self.inflight.unread and not coming:
+        body_incomplete = stream is not None and not stream.complete
+        deadline = now + INCOMING_BODY_TIMEOUT if body_incomplete else min(now + budget, self._latest_deadline)
+        if self.inflight is not None and self.inflight.unread and not body_incomplete:
             deadline -= self.inflight.waited(caller)
-        exchange = self._open_exchange(caller, request, kind, budget, deadline)
+        exchange = self._open_exchange(caller, request, class_index, budget, deadline)
         if stream is not None:
             stream.on_consumed = exchange.on_body_consumed
         tenant = self._tenant_indices.get(request.header(b"x-caller") or b"", len(self._tenant_indices))
         if self.inflight is not None:
-            self._accept_journaled(self.inflight, exchange, kind, tenant, coming)
+            self._accept_journaled(self.inflight, exchange, class_index, tenant, body_incomplete)
         elif self.recovery is not None:
-            self._submit_paced(exchange, kind, tenant, coming)
+            self._submit_paced(exchange, class_index, tenant, body_incomplete)
         else:
-            self._submit(exchange, kind, tenant, coming)
+            self._submit(exchange, class_index, tenant, body_incomplete)
         return exchange
 
-    def _accept_journaled(self, hand: Hand, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
+    def _accept_journaled(
+        self, tracker: Hand, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool
+    ) -> None:
         """A request that is noted, at the latest when it begins to wait."""
-        about = self.config.settings.classes[kind]
-        keyed = about.repeat is Repeat.KEYED and exchange.request.stream is None
-        spot = -1
+        request_class = self.config.settings.classes[class_index]
+        keyed = request_class.repeat is Repeat.KEYED and exchange.request.stream is None
+        free_position = -1
         if keyed:
-            place, spot = hand.meets(exchange, about)
-            if place is not None and hand.follows(
-                exchange, place, lambda: self._submit_paced(exchange, kind, tenant, coming)
+            position, free_position = tracker.meets(exchange, request_class)
+            if position is not None and tracker.follows(
+                exchange, position, lambda: self._submit_paced(exchange, class_index, tenant, body_incomplete)
             ):
                 return
-        self._submit_paced(exchange, kind, tenant, coming)
+        self._submit_paced(exchange, class_index, tenant, body_incomplete)
         if exchange.journal_slot == -1 and not exchange.answered:
-            hand.waits(exchange)
-        if keyed and place is None:
-            hand.found_at(exchange, spot)
+            tracker.waits(exchange)
+        if keyed and position is None:
+            tracker.found_at(exchange, free_position)
 
-    def _submit_paced(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
+    def _submit_paced(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
         """Let a request go on; one that is whole at the pace of a return, if there is one."""
-        if self.recovery is None or coming:
-            self._submit(exchange, kind, tenant, coming)
+        if self.recovery is None or body_incomplete:
+            self._submit(exchange, class_index, tenant, body_incomplete)
         else:
-            self.recovery.admits(exchange, kind, lambda: self._submit(exchange, kind, tenant, False))
+            self.recovery.admits(exchange, class_index, lambda: self._submit(exchange, class_index, tenant, False))
 
     def _tenant_index(self, request: Request) -> int:
         return self._tenant_indices.get(request.header(b"x-caller") or b"", len(self._tenant_indices))
 
     def _open_exchange(
-        self, caller: CallerConnection, request: Request, kind: int, budget: float, deadline: float
+        self, caller: CallerConnection, request: Request, class_index: int, budget: float, deadline: float
     ) -> Exchange:
         """A request is in hand from here on, until it has its answer by the deadline."""
         self._request_count += 1
@@ -544,7 +546,7 @@
         exchange = Exchange(self, caller, request, str(self._request_count), call_id, deadline)
         exchange.budget = budget
         exchange.headers = [h for h in end_to_end(request.headers) if h[0] != b"x-budget"]
-        exchange.repeatable = self.config.settings.classes[kind].repeat is Repeat.SAFE
+        exchange.repeatable = self.config.settings.classes[class_index].repeat is Repeat.SAFE
         self._exchanges[exchange.request_id] = exchange
         self._open_ids.add(exchange.call_id)
         if self._hot_restart is not None:
@@ -553,34 +555,40 @@
         return exchange
 
     def take_over_request(
-        self, caller: CallerConnection, request: Request, deadline: float, rest_lost: bool
+        self, caller: CallerConnection, request: Request, deadline: float, body_lost: bool
     ) -> Exchange:
         """A request that another process has taken from this connection is in hand here."""
-        kind, _ = self.validate(request)
-        caller.take_over_request(request, rest_lost)
-        exchange = self._open_exchange(caller, request, kind, max(0.0, deadline - self.clock.now()), deadline)
-        exchange.journal_slot, exchange.class_index = caller.journal_slot, kind
+        class_index, _ = self.validate(request)
+        caller.take_over_request(request, body_lost)
+        exchange = self._open_exchange(caller, request, class_index, max(0.0, deadline - self.clock.now()), deadline)
+        exchange.journal_slot, exchange.class_index = caller.journal_slot, class_index
         self._increment("inherited")
         caller.set_accepted(exchange)
         return exchange
 
     def resume_attempts(
-        self, exchange: Exchange, past: Sequence[PriorAttempt], joined: Sequence[TakenOverConnection | None]
+        self,
+        exchange: Exchange,
+        prior_attempts: Sequence[PriorAttempt],
+        connections: Sequence[TakenOverConnection | None],
     ) -> None:
         """Go on with it, from the attempts that the other process has made; those that are joined go on here."""
-        for number, (one, connection) in enumerate(zip(past, joined, strict=True)):
-            attempt = Attempt(exchange, number, one.server, one.sent, exchange.repeatable)
+        for number, (prior, connection) in enumerate(zip(prior_attempts, connections, strict=True)):
+            attempt = Attempt(exchange, number, prior.server, prior.sent, exchange.repeatable)
             attempt.journal_index = number
             attempt.ended = connection is None
             exchange.attempts.append(attempt)
             if connection is not None:
                 exchange.open_attempts += 1
                 self.backends.take_over(attempt, *connection)
-        kind, tenant, deadline = exchange.class_index, self._tenant_index(exchange.request), exchange.deadline
+        class_index, tenant, deadline = exchange.class_index, self._tenant_index(exchange.request), exchange.deadline
 
         def ask() -> None:
             self._dispatch(
-                exchange, lambda now: self.balancer.take_over(now, exchange.request_id, kind, tenant, deadline, past)
+                exchange,
+                lambda now: self.balancer.take_over(
+                    now, exchange.request_id, class_index, tenant, deadline, prior_attempts
+                ),
             )
 
         ask()
@@ -597,19 +605,22 @@
         return min(self._rng.random(), limits.max_retry_after) if limits.retry_after else 0.0
 
     def _answer_readiness(self, caller: CallerConnection) -> None:
-        headers, up = list(self.identity_headers), self.callers.listener_state.up
+        headers, is_up = list(self.identity_headers), self.callers.listener_state.up
         if self.recovery is not None:
-            up = up and self.recovery.ready
+            is_up = is_up and self.recovery.ready
             headers.append((b"x-comeback", self.recovery.state.phase.value.encode()))
-        caller.answer(200 if up else 503, headers, b"")
+        caller.answer(200 if is_up else 503, headers, b"")
 
-    def _submit(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
+    def _submit(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
         """Bring a request before the module."""
         if self.recovery is not None:
             self.balancer.preferred = self.recovery.kept()
         deadline = exchange.deadline
         self._dispatch(
-            exchange, lambda now: self.balancer.request(now, exchange.request_id, kind, tenant, deadline, coming)
+            exchange,
+            lambda now: self.balancer.request(
+                now, exchange.request_id, class_index, tenant, deadline, body_incomplete
+            ),
         )
         self.balancer.preferred = None
 
@@ -657,10 +668,10 @@
         if call_id in self._open_ids or (self._hot_restart is not None and self._hot_restart.ids.elsewhere(call_id)):
             raise Malformed(409, "X-Call-Id of an open request")
         name = request.header(b"x-call-class")
-        kind = self._class_indices.get(name or b"")
-        if kind is None:
+        class_index = self._class_indices.get(name or b"")
+        if class_index is None:
             raise Malformed(400, "unknown X-Call-Class" if name else "no X-Call-Class")
-        repeat = self.config.settings.classes[kind].repeat
+        repeat = self.config.settings.classes[class_index].repeat
         if request.method != (b"GET" if repeat is Repeat.SAFE else b"POST"):
             raise Malformed(405, "the method does not fit the class")
         if (request.body or request.stream) and repeat is Repeat.SAFE:
@@ -668,7 +679,7 @@
         if bool(request.header(b"idempotency-key")) is not (repeat is Repeat.KEYED):
             raise Malformed(400, "Idempotency-Key does not fit the class")
         budget = request.header(b"x-budget")
-        return kind, None if budget is None else parse_budget(budget)
+        return class_index, None if budget is None else parse_budget(budget)
 
     def on_caller_left(self, exchange: Exchange) -> None:
         """The caller has gone away."""
@@ -698,9 +709,9 @@
             exchange.timer = None
 
     def _on_deadline(self, exchange: Exchange) -> None:
-        early = exchange.deadline - self.clock.now()
-        if early > 0.0:  # event loop timers are coarse; the module must see the deadline as past
-            exchange.timer = self.loop.call_later(early + 0.001, self._on_deadline, exchange)
+        remaining = exchange.deadline - self.clock.now()
+        if remaining > 0.0:  # event loop timers are coarse; the module must see the deadline as past
+            exchange.timer = self.loop.call_later(remaining + 0.001, self._on_deadline, exchange)
             return
         exchange.timer = None
         if self.recovery is not None and self.recovery.late(exchange):
@@ -711,10 +722,10 @@
             return
         for attempt in list(exchange.attempts):
             if not attempt.ended:
-                how_far = self.backends.cancel(attempt)
+                progress = self.backends.cancel(attempt)
                 # Guards against a machine that has vanished: its other connections are as silent.
                 self.backends.drop_idle(attempt.server)
-                self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by the deadline: {how_far}")
+                self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by the deadline: {progress}")
         if not exchange.answered:
             log.error("request %s was not answered by its deadline", exchange.request_id)
             self._abandon(exchange)
@@ -756,19 +767,19 @@
         log.info("refused: %s", exchange.last_failure or "at the door")
         self._answer(exchange, 503, headers, b"refused\n")
 
-    def _fail(self, exchange: Exchange, why: str) -> None:
+    def _fail(self, exchange: Exchange, reason: str) -> None:
         if exchange.answered:
             return
         self._increment("failed")
-        late = self.clock.now() >= exchange.deadline
-        log.info("failed: %s", why)
-        self._answer(exchange, 504 if late else 502, [(b"content-type", b"text/plain")], b"failed\n")
+        is_past_deadline = self.clock.now() >= exchange.deadline
+        log.info("failed: %s", reason)
+        self._answer(exchange, 504 if is_past_deadline else 502, [(b"content-type", b"text/plain")], b"failed\n")
 
     def _answer(self, exchange: Exchange, status: int, headers: Headers, body: bytes) -> None:
         exchange.answered = True
         if self.inflight is not None:
             self.inflight.note(exchange)
-        exchange.caller.answer(status, headers, body, noted=True)
+        exchange.caller.answer(status, headers, body, journaled=True)
         self._forget_if_settled(exchange)
 
     # ---- attempts ------------------------------------------------------------------------
@@ -801,10 +812,10 @@
         assert isinstance(exchange, Exchange)
         request, stream = exchange.request, attempt.stream
         if stream is not None and not stream.complete:
-            left = exchange.budget  # its time counts from its last byte
+            time_left = exchange.budget  # its time counts from its last byte
         else:
-            left = min(exchange.deadline, attempt.expires_at) - self.clock.now()
-        headers = [*exchange.headers, (b"x-budget", format_budget(max(0.0, left)))]
+            time_left = min(exchange.deadline, attempt.expires_at) - self.clock.now()
+        headers = [*exchange.headers, (b"x-budget", format_budget(max(0.0, time_left)))]
         if attempt.chunked:
             headers.append((b"transfer-encoding", b"chunked"))
         elif stream is not None and request.length is not None:
@@ -826,17 +837,17 @@
             self.on_caller_left(exchange)
         return True
 
-    def _give_up(self, attempt: Attempt, how: Outcome) -> None:
+    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
         """Give an attempt up; the module is told later, as of any end."""
         if not attempt.ended:
             self.backends.cancel(attempt)
-            self.loop.call_soon(self.on_attempt_ended, attempt, how, None, "given up")
+            self.loop.call_soon(self.on_attempt_ended, attempt, outcome, None, "given up")
 
     def _on_attempt_timeout(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            how_far = self.backends.cancel(attempt)
+            progress = self.backends.cancel(attempt)
             self.backends.drop_idle(attempt.server)
-            self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer within the attempt's time: {how_far}")
+            self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer within the attempt's time: {progress}")
 
     def may_start(self, attempt: Attempt) -> bool:
         """Whether an attempt that had to wait for its connection may still be sent."""
@@ -861,45 +872,47 @@
         )
         return True
 
-    def on_answer_data(self, attempt: Attempt, piece: bytes) -> None:
+    def on_answer_data(self, attempt: Attempt, data: bytes) -> None:
         """The next bytes of it."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
-        exchange.caller.write_answer_data(piece)
+        exchange.caller.write_answer_data(data)
 
-    def on_attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None, why: str) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
         """The end of an attempt, told to the module; a first success is passed on."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         exchange.open_attempts -= 1
         latency = self.clock.now() - attempt.sent_at
         if self.traffic_counters is not None:
-            known = self.balancer.servers.get(attempt.server)
-            if known is not None:
-                self.traffic_counters.ended(known.row.zone, how, latency)
-        if self.inflight is not None and how in NEVER_RAN:
+            server = self.balancer.servers.get(attempt.server)
+            if server is not None:
+                self.traffic_counters.ended(server.row.zone, outcome, latency)
+        if self.inflight is not None and outcome in NEVER_RAN:
             self.inflight.never(attempt, exchange)
         if self.recovery is not None:
-            how = self.recovery.ended(attempt, how, response)
-        if how is not Outcome.OK and how is not Outcome.CANCELLED:
-            exchange.last_failure = f"backend {attempt.server:x}: {why}"
-            self._increment(how.value)
+            outcome = self.recovery.ended(attempt, outcome, response)
+        if outcome is not Outcome.OK and outcome is not Outcome.CANCELLED:
+            exchange.last_failure = f"backend {attempt.server:x}: {reason}"
+            self._increment(outcome.value)
         if exchange.streaming_attempt is attempt:
             exchange.streaming_attempt = None
-            if how is Outcome.OK:
+            if outcome is Outcome.OK:
                 self._increment("served")
                 exchange.caller.end_answer()
             else:
                 log.info("cut: %s", exchange.last_failure)
                 exchange.caller.abort_answer()
-        elif not exchange.answered and how is Outcome.OK and response is not None:
+        elif not exchange.answered and outcome is Outcome.OK and response is not None:
             exchange.answered = True
             self._increment("served")
-            exchange.caller.answer(200, _forwarded_headers(response), response.body, noted=True)
-        last = exchange.answered
+            exchange.caller.answer(200, _forwarded_headers(response), response.body, journaled=True)
+        is_answered = exchange.answered
         self._dispatch(
             exchange,
-            lambda now: self.balancer.outcome(now, exchange.request_id, attempt.number, how, latency, last),
+            lambda now: self.balancer.outcome(
+                now, exchange.request_id, attempt.number, outcome, latency, is_answered
+            ),
         )
         self._forget_if_settled(exchange)
 
@@ -908,19 +921,19 @@
     def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
         """The list, a change to it, or the news that a call failed."""
         if self.recovery is not None:
-            heard = self.recovery.hears(kind, entries)
-            if heard is None:
+            accepted = self.recovery.hears(kind, entries)
+            if accepted is None:
                 return
-            entries = heard
+            entries = accepted
         self.apply_list(kind, entries)
 
     def apply_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
         """Apply a list, or a change to it."""
         if kind is not ListKind.BROKEN and kind is not ListKind.PATCH:
-            for gone in set(self.backends.server_ids()) - {entry.row.server for entry in entries}:
-                self.backends.forget(gone)
-            kept = self.balancer.bans
-            self.servers_by_host = {host: server for host, server in self.servers_by_host.items() if server in kept}
+            for removed in set(self.backends.server_ids()) - {entry.row.server for entry in entries}:
+                self.backends.forget(removed)
+            banned = self.balancer.bans
+            self.servers_by_host = {host: server for host, server in self.servers_by_host.items() if server in banned}
         rows = [entry.row for entry in entries]
         for entry in entries:
             row = entry.row
--- a/cometusher/service.py
+++ b/cometusher/service.py
@@ -81,7 +81,7 @@
     if listener is None:
         proxy.start()
     else:
-        await proxy.start_on(listener, beside=parent is not None)
+        await proxy.start_on(listener, address_may_be_taken=parent is not None)
     # What is alive now lives on: full collections need not walk it.
     gc.collect()
     gc.freeze()
--- a/cometusher/stream.py
+++ b/cometusher/stream.py
@@ -29,7 +29,7 @@
     def can_accept(self) -> bool:
         """Whether it has room."""
 
-    def write_body(self, piece: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """The next bytes."""
 
     def end_body(self) -> None:
@@ -57,7 +57,7 @@
         "size",
     )
 
-    def __init__(self, source: BodySource, first: bytes = b"") -> None:
+    def __init__(self, source: BodySource, initial: bytes = b"") -> None:
         self._source = source
         self._pieces: list[bytes] = []
         self._next_piece = 0  # the next of them to be taken
@@ -70,8 +70,8 @@
         self.complete = False  # the last byte has come
         self.consumed = False  # a part is let go: it can't be taken again
         self.on_consumed: Callable[[], None] | None = None
-        if first:
-            self.feed(first)
+        if initial:
+            self.feed(initial)
 
     def feed(self, piece: bytes) -> None:
         """The next bytes have come."""
@@ -100,39 +100,39 @@
         assert self.complete and not self.consumed
         return b"".join(self._pieces)
 
-    def attach(self, taker: BodyReceiver) -> None:
+    def attach(self, receiver: BodyReceiver) -> None:
         """Give it to a taker, from the start."""
         assert not self.consumed
-        self._receiver = taker
+        self._receiver = receiver
         self._next_piece = self._delivered_bytes = 0
         self._waiting_bytes = sum(map(len, self._pieces))
         self.deliver()
 
-    def detach(self, taker: BodyReceiver) -> None:
+    def detach(self, receiver: BodyReceiver) -> None:
         """That one takes no more."""
-        if self._receiver is taker:
+        if self._receiver is receiver:
             self._receiver = None
 
     def deliver(self) -> None:
         """Give what there is, as far as there is room for it."""
-        taker = self._receiver
-        if taker is None:
+        receiver = self._receiver
+        if receiver is None:
             return
-        while self._next_piece < len(self._pieces) and taker.can_accept():
+        while self._next_piece < len(self._pieces) and receiver.can_accept():
             piece = self._pieces[self._next_piece]
             self._next_piece += 1
             self._delivered_bytes += len(piece)
             self._waiting_bytes -= len(piece)
-            taker.write_body(piece)
-            if self._receiver is not taker:
+            receiver.write_body(piece)
+            if self._receiver is not receiver:
                 return  # it broke
         if self._delivered_bytes > REPLAY_BYTES:
             self._discard_delivered()
         if self._waiting_bytes <= MAX_WAITING_BYTES // 2:
             self._resume_source()
-        if self.complete and self._next_piece == len(self._pieces) and self._receiver is taker:
+        if self.complete and self._next_piece == len(self._pieces) and self._receiver is receiver:
             self._receiver = None
-            taker.end_body()
+            receiver.end_body()
 
     def _resume_source(self) -> None:
         if self._source_paused:
@@ -150,10 +150,10 @@
     def discard(self) -> None:
         """Nobody wants it any more: what still comes is read and forgotten."""
         self._discarded = True
-        taker, self._receiver = self._receiver, None
+        receiver, self._receiver = self._receiver, None
         self._pieces.clear()
         self._next_piece = self._waiting_bytes = 0
         self.consumed = True
         self._resume_source()
-        if taker is not None:
-            taker.abort_body()
+        if receiver is not None:
+            receiver.abort_body()
