--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -1,7 +1,8 @@
-"""The centre: owns the balancer, its clock and the table of requests; events in, actions out.
+"""Connects the network code to the balancer: feeds it events and executes the actions that it returns.
 
-Every event goes one way: into the module, and the module's actions are carried out in their order.
-What comes of them returns as later events. Nothing here picks, retries, refuses or sheds.
+Owns the balancer, its clock and the table of open requests. Every event goes into the balancer, whose actions are
+executed in order; their results come back as later events. No code in this module selects a backend, retries,
+refuses or sheds a request: these decisions are the balancer's.
 """
 
 from __future__ import annotations
@@ -75,47 +76,46 @@
 
 log = logging.getLogger(__name__)
 
-TakenOverConnection = tuple[
-    Any, int, int
-]  # a connection, as `Network.attach` takes it; bytes written to it, and read from it
+#: A connection as `Network.attach` takes it, the bytes written to it and the bytes read from it.
+TakenOverConnection = tuple[Any, int, int]
 READY_PATH = b"/up"
-SWEEP_INTERVAL = 0.1  # seconds between looks at idle connections and time limits
-FIRST_LIST_TIMEOUT = 2.0  # seconds that a process with a listener of others waits for its first list
-MANAGEMENT_RETRY_DELAY = 0.1  # seconds between tries at the operators' address, while the process before has it
-REPORT_INTERVAL = 10.0  # seconds between lines of figures in the log
-INCOMING_BODY_TIMEOUT = 3600.0  # seconds until the deadline of a request whose body still comes
-DRAIN_FULL_BUDGET_WINDOW = (
-    0.7  # seconds after the order to stop in which requests come that must have their whole time
+SWEEP_INTERVAL = 0.1  # seconds between checks of idle connections and timeouts
+FIRST_LIST_TIMEOUT = 2.0  # seconds that a process with a passed-in listener waits for its first backend list
+MANAGEMENT_RETRY_DELAY = 0.1  # seconds between attempts to bind the management address while the old process holds it
+REPORT_INTERVAL = 10.0  # seconds between log lines with counters
+INCOMING_BODY_TIMEOUT = 3600.0  # seconds until the deadline of a request whose body is still arriving
+DRAIN_FULL_BUDGET_WINDOW = 0.7  # seconds after the stop order in which new requests still get their full budget
+DRAIN_MAX_BUDGET = 3.0  # seconds: the longest request budget that a drain waits for before the forced end
+DRAIN_ANSWER_MARGIN = 0.2  # seconds before the forced end by which every request is answered
+DRAIN_ACCEPT_MARGIN = (
+    0.7  # seconds before the forced end at which the last request is accepted; most answers take less
 )
-DRAIN_MAX_BUDGET = 3.0  # seconds of a caller's time that the end by force waits for, at most
-DRAIN_ANSWER_MARGIN = 0.2  # seconds before that end by which all is answered
-DRAIN_ACCEPT_MARGIN = 0.7  # ...and by which the last request is taken: most answers take less
-DRAIN_POLL_INTERVAL = 0.05  # seconds between looks at what a drain is due to do
-INTERNAL_HEADERS = frozenset({b"x-load-report", b"x-rejected"})  # between backends and proxies only
+DRAIN_POLL_INTERVAL = 0.05  # seconds between the steps of a drain
+INTERNAL_HEADERS = frozenset({b"x-load-report", b"x-rejected"})  # exchanged between backends and proxies only
 
 
 class Clock:
-    """Unix time that never jumps, so that it compares with the birth of backends and with itself."""
+    """Unix time that never jumps, comparable with the start times of backends and with earlier readings."""
 
     def __init__(self, network: Network) -> None:
         self._monotonic = network.monotonic
         self._offset = network.unix_time() - network.monotonic()
 
     def now(self) -> float:
-        """Seconds."""
+        """Unix time in seconds."""
         return self._offset + self._monotonic()
 
     def to_machine(self, instant: float) -> float:
-        """A moment by the machine's clock, which all processes of a machine share."""
+        """Converts an instant to the machine's monotonic clock, which all processes of the machine share."""
         return instant - self._offset
 
     def from_machine(self, instant: float) -> float:
-        """A moment of the machine's clock by this one."""
+        """Converts an instant of the machine's monotonic clock to this clock."""
         return instant + self._offset
 
 
 class Exchange:
-    """A request that was taken: one final answer is owed, and its attempts end here."""
+    """An accepted request with its attempts; it is owed exactly one final answer."""
 
     __slots__ = (
         "answer_stored_until",
@@ -141,28 +141,34 @@
     )
 
     def __init__(
-        self, proxy: Proxy, caller: CallerConnection, request: Request, rid: str, call_id: bytes, deadline: float
+        self,
+        proxy: Proxy,
+        caller: CallerConnection,
+        request: Request,
+        request_id: str,
+        call_id: bytes,
+        deadline: float,
     ) -> None:
         self.proxy = proxy
         self.caller = caller
         self.request = request
-        self.request_id = rid
+        self.request_id = request_id
         self.call_id = call_id
         self.deadline = deadline
-        self.budget = 0.0  # seconds from its last byte that the caller gives
-        self.streaming_attempt: Attempt | None = None  # whose answer goes on while it comes
+        self.budget = 0.0  # seconds from the request's last byte that the caller allows
+        self.streaming_attempt: Attempt | None = None  # the attempt whose answer is being streamed to the caller
         self.headers: Headers = []
-        self.repeatable = False  # the class is harmless to repeat
+        self.repeatable = False  # requests of its class are safe to repeat
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
-        self.journal_slot = -1  # by which it is known to the book of work in hand...
-        self.class_index = 0  # of one that was taken over: its class
-        self.dedup_key = 0  # ...and what it asks, if that has a key...
-        self.answer_stored_until = 0.0  # ...and until when its answer is kept, by the machine's clock
-        self.open_id_slot = 0  # where other processes of this proxy see that its id is open
+        self.journal_slot = -1  # its slot in the request journal; -1 while it has none
+        self.class_index = 0  # set only for a request that was taken over from another process
+        self.dedup_key = 0  # identifies requests with the same idempotency key; 0 if there is none
+        self.answer_stored_until = 0.0  # when its stored answer expires, by the machine's clock
+        self.open_id_slot = 0  # where other processes of this proxy see that its call id is open
         self.answered = False
         self.timer: asyncio.TimerHandle | None = None
-        self.last_failure = ""  # how the last attempt ended
+        self.last_failure = ""  # how the last failed attempt ended, for the log
 
     def on_caller_left(self) -> None:
         self.proxy.on_caller_left(self)
@@ -179,7 +185,7 @@
 
 
 class Proxy:
-    """One proxy: its parts, and the dispatch between them and the module."""
+    """One proxy process: its components, and the dispatch between them and the balancer."""
 
     def __init__(self, config: Config, network: Network | None = None) -> None:
         loop = asyncio.get_running_loop()
@@ -192,11 +198,11 @@
         self._hot_restart: Succession | None = None
         self.recovery: Return | None = None
         self.inflight: Hand | None = None
-        self.traffic_counters: Counting | None = None  # what its supervisor compares with others'
+        self.traffic_counters: Counting | None = None  # compared by the supervisor with those of other instances
         self.management: Management | None = None
-        self.servers_by_host: dict[str, ServerId] = {}  # backends as discovery names them
+        self.servers_by_host: dict[str, ServerId] = {}  # backends by their name in discovery
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
-        processes = 2 if config.shared else 1  # that are this proxy while one takes over from the other
+        processes = 2 if config.shared else 1  # a hot restart runs two processes for a while
         self.descriptors = DescriptorBudget(config.sockets, processes * reserved)
         self.memory = BodyMemoryBudget(config.memory_mb, IDLE_TWO_PROCESSES_MB if config.shared else IDLE_PROCESS_MB)
         self.callers = Callers(loop, self.network, self, self.descriptors, self.memory)
@@ -209,17 +215,17 @@
             settings.limits.connection_idle,
         )
         self.balancer = Balancer(settings, config.seed)
-        self._rng = Random(config.seed + 1)  # jitter of the proxy's own; the module's stays reproducible
-        self._class_indices = {kind.name.encode(): i for i, kind in enumerate(settings.classes)}
+        self._rng = Random(config.seed + 1)  # for the proxy's own jitter; the balancer's sequence stays reproducible
+        self._class_indices = {request_class.name.encode(): i for i, request_class in enumerate(settings.classes)}
         self._tenant_indices = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
         self._exchanges: dict[str, Exchange] = {}
-        self._open_ids: set[bytes] = set()  # the callers' own ids of all exchanges
-        self._typical_budgets = [0.0 for _ in settings.classes]  # seconds that callers give for an answer
-        self._latest_deadline = float("inf")  # when the last answer is due: the process is about to end
+        self._open_ids: set[bytes] = set()  # X-Call-Id of every open exchange
+        self._typical_budgets = [0.0 for _ in settings.classes]  # smoothed seconds that callers allow, by class
+        self._latest_deadline = float("inf")  # limits all deadlines once the process is about to end
         self._request_count = 0
-        self.counters: dict[str, int] = {}  # since the start
+        self.counters: dict[str, int] = {}  # events since the process started
         self._reported_counters: dict[str, int] = {}
-        self.identity_headers: Headers = []  # headers on the answer to a readiness check: which process this is
+        self.identity_headers: Headers = []  # on answers to readiness checks: identify this process
         self._next_report_at = loop.time() + REPORT_INTERVAL
         listing = read_listing({"hosts": []} | config.known, config.zones)
         self.discovery = Discovery(
@@ -252,22 +258,24 @@
         else:
             self._hot_restart.take_over()
 
-    # ---- life ----------------------------------------------------------------------------
+    # ---- lifecycle ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Listen on the address of the configuration, and follow discovery."""
+        """Listens on the configured address and subscribes to discovery."""
         self._listen_for_management()
         self.callers.listen(self.network.listen(self.config.listen))
         self._begin_serving()
         self._follow_discovery()
 
     async def start_on(self, listener: socket.socket, address_may_be_taken: bool = False) -> None:
-        """Follow discovery, and listen on what is handed in as soon as there is a list, or none to be had.
+        """Follows discovery, and accepts on `listener` once there is a backend list or FIRST_LIST_TIMEOUT has passed.
 
-        `beside`: another process may have the operators' address until its end; it is taken then.
+        With `address_may_be_taken`, another process may hold the management address until it exits; the address is
+        then bound later.
 
-        Guards against refusing what another process of the same listener could have served: one that knows no
-        backend yet has nothing to send to. Harm: with discovery silent, the start takes FIRST_LIST longer.
+        Waiting for the list avoids refusing requests that another process on the same listener could serve, since
+        a process without backends can't send anything. The cost: if discovery is silent, the start takes
+        FIRST_LIST_TIMEOUT longer.
         """
         self._listen_for_management(address_may_be_taken)
         self._follow_discovery()
@@ -286,7 +294,7 @@
             self._hot_restart.serves()
 
     def _listen_for_management(self, address_may_be_taken: bool = False) -> None:
-        """Listen where operators call, if they do: at once, or as soon as the process before lets go."""
+        """Binds the management address, if one is configured: now, or as soon as the old process releases it."""
         if self.config.management is None or self.operations.state is LifecycleState.STOPPING:
             return
         from cometusher.management import Management
@@ -306,22 +314,22 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def reconfigure(self, new: Config) -> None:
-        """Take over from a new configuration what can change while requests are under way."""
+        """Applies those parts of a new configuration that can change while requests are open."""
         old = self.config
         self.config = replace(old, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
         self.descriptors.resize(new.sockets)
         self.memory.resize(new.memory_mb)
         self.discovery.move(new.discovery)
-        log.info("the configuration was read again; discovery is at %s:%d", *new.discovery)
+        log.info("configuration reloaded; discovery is at %s:%d", *new.discovery)
         if (new.listen, new.settings, new.zones) != (old.listen, old.settings, old.zones):
-            log.warning("a change of listen or settings waits for the next start")
+            log.warning("a change of listen, settings or zones waits for the next start")
 
     async def drain(self) -> None:
-        """End in order: everything that was taken is answered, and in time.
+        """Shuts down in order: every accepted request is answered, and before its deadline.
 
-        The end by force comes at the earliest when a request that came in the first moments has had the
-        longest time that callers give. Until then those that stay connected are served; what they ask late
-        gets an answer before that end, whatever it is. Harm: where that end comes sooner, requests are lost.
+        The forced end comes no earlier than when a request that arrived in the first DRAIN_FULL_BUDGET_WINDOW has
+        had the longest budget that callers allow. Until then, callers that stay connected are served; late requests
+        get some answer, if only a failure, before that end. If the process is killed sooner, requests are lost.
         """
         max_budget = min(max(self._typical_budgets), DRAIN_MAX_BUDGET)
         if max_budget:
@@ -348,11 +356,11 @@
             await self.recovery.close()
 
     def apply_listener_state(self) -> None:
-        """Do towards callers as the operations say."""
+        """Applies the listener state that follows from the lifecycle state."""
         self.callers.apply_listener_state(self.operations.listener_state(self.loop.time()))
 
     def set_ejected(self, ejected: bool) -> None:
-        """Leave new connections to others, who accept on the same listener, or take them again; told often."""
+        """Leaves new connections to peers on the same listener while ejected as an outlier; called often."""
         if ejected is not self.operations.ejected:
             self.operations.ejected = ejected
             self.apply_listener_state()
@@ -389,13 +397,13 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that were taken and are not settled."""
+        """Number of accepted requests that are not settled."""
         return len(self._exchanges)
 
     # ---- operators -----------------------------------------------------------------------
 
     def handle_operator_call(self, call: ManagementCall, host: str = "") -> CallResult:
-        """Do what operators ask; what a yes promises holds when this returns."""
+        """Executes an operator's call; a success holds by the time this returns."""
         now = self.loop.time()
         if call is ManagementCall.READY:
             result = self.operations.readiness()
@@ -420,23 +428,23 @@
             return ALREADY_DONE
         balancer = self.balancer
         self._dispatch(None, lambda now: balancer.ban(now, server) if excluded else balancer.unban(now, server))
-        # It is restarted while it is out: what is open to it now is of no use then.
+        # A banned backend is usually restarted meanwhile, which makes its open connections useless.
         self.backends.drop_idle(server)
         if not excluded and server not in balancer.servers:
-            del self.servers_by_host[host]  # discovery has dropped it meanwhile
+            del self.servers_by_host[host]  # discovery removed it during the ban
         return DONE
 
     # ---- dispatch ------------------------------------------------------------------------
 
     def _dispatch(self, exchange: Exchange | None, event: Callable[[float], list[Action]]) -> None:
-        """One event into the module, and its actions in their order."""
+        """Passes one event to the balancer and executes the resulting actions in order."""
         if self._hot_restart is not None:
             self._hot_restart.heed()
         try:
             actions = event(self.clock.now())
         except Exception:
-            # Guards the process: one request fails, the others go on.
-            log.exception("the module failed")
+            # One request fails, the others go on.
+            log.exception("the balancer raised an exception")
             if exchange is not None:
                 self._abandon(exchange)
             return
@@ -444,7 +452,7 @@
             try:
                 self._execute(action)
             except Exception:
-                log.exception("an action failed: %r", action)
+                log.exception("executing an action failed: %r", action)
                 if exchange is not None:
                     self._abandon(exchange)
 
@@ -455,7 +463,7 @@
             self._refuse(action)
         elif isinstance(action, Fail):
             exchange = self._exchanges[action.request]
-            self._fail(exchange, exchange.last_failure or "no backend took it")
+            self._fail(exchange, exchange.last_failure or "no backend accepted it")
         elif isinstance(action, Cancel):
             exchange = self._exchanges[action.request]
             self._give_up(exchange.attempts[action.attempt], Outcome.CANCELLED)
@@ -473,10 +481,10 @@
     # ---- requests ------------------------------------------------------------------------
 
     def handle_request(self, caller: CallerConnection, request: Request) -> Exchange | None:
-        """A whole request has come."""
+        """Accepts a complete request, or one whose body is still being streamed; None if it was answered at once."""
         if request.target == READY_PATH and request.method == b"GET":
             if self._hot_restart is not None:
-                self._hot_restart.heed()  # as before any event, which this is not
+                self._hot_restart.heed()  # _dispatch does so before every event; a readiness check is none
             self._answer_readiness(caller)
             return None
         try:
@@ -489,7 +497,7 @@
         max_budget = self.config.settings.classes[class_index].deadline
         budget = max_budget if budget is None else min(budget, max_budget)
         typical = self._typical_budgets[class_index]
-        # Smoothed: one caller that claims a long time must not put off the end for all.
+        # Smoothed, so that one caller with a long budget can't delay a drain for all.
         self._typical_budgets[class_index] += (budget - typical) / 32.0 if typical else budget
         stream = request.stream
         body_incomplete = stream is not None and not stream.complete
@@ -511,7 +519,7 @@
     def _accept_journaled(
         self, tracker: Hand, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool
     ) -> None:
-        """A request that is noted, at the latest when it begins to wait."""
+        """Submits a request that is recorded in the journal, at the latest when it begins to wait."""
         request_class = self.config.settings.classes[class_index]
         keyed = request_class.repeat is Repeat.KEYED and exchange.request.stream is None
         free_position = -1
@@ -528,7 +536,7 @@
             tracker.found_at(exchange, free_position)
 
     def _submit_paced(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
-        """Let a request go on; one that is whole at the pace of a return, if there is one."""
+        """Submits a request; during recovery after a restart, a complete one is submitted at the recovery's pace."""
         if self.recovery is None or body_incomplete:
             self._submit(exchange, class_index, tenant, body_incomplete)
         else:
@@ -540,7 +548,7 @@
     def _open_exchange(
         self, caller: CallerConnection, request: Request, class_index: int, budget: float, deadline: float
     ) -> Exchange:
-        """A request is in hand from here on, until it has its answer by the deadline."""
+        """Registers a request as in flight until it is answered, by the deadline at the latest."""
         self._request_count += 1
         call_id = request.header(b"x-call-id") or b""
         exchange = Exchange(self, caller, request, str(self._request_count), call_id, deadline)
@@ -557,7 +565,10 @@
     def take_over_request(
         self, caller: CallerConnection, request: Request, deadline: float, body_lost: bool
     ) -> Exchange:
-        """A request that another process has taken from this connection is in hand here."""
+        """Registers a request that another process had accepted on this connection.
+
+        `body_lost` says that the rest of its body will be discarded. Raises Malformed if it doesn't pass `validate`.
+        """
         class_index, _ = self.validate(request)
         caller.take_over_request(request, body_lost)
         exchange = self._open_exchange(caller, request, class_index, max(0.0, deadline - self.clock.now()), deadline)
@@ -572,7 +583,10 @@
         prior_attempts: Sequence[PriorAttempt],
         connections: Sequence[TakenOverConnection | None],
     ) -> None:
-        """Go on with it, from the attempts that the other process has made; those that are joined go on here."""
+        """Resumes a taken-over request after the attempts of the other process.
+
+        An attempt with a connection in `connections` goes on here; one without has ended.
+        """
         for number, (prior, connection) in enumerate(zip(prior_attempts, connections, strict=True)):
             attempt = Attempt(exchange, number, prior.server, prior.sent, exchange.repeatable)
             attempt.journal_index = number
@@ -583,7 +597,7 @@
                 self.backends.take_over(attempt, *connection)
         class_index, tenant, deadline = exchange.class_index, self._tenant_index(exchange.request), exchange.deadline
 
-        def ask() -> None:
+        def submit() -> None:
             self._dispatch(
                 exchange,
                 lambda now: self.balancer.take_over(
@@ -591,16 +605,16 @@
                 ),
             )
 
-        ask()
+        submit()
 
     def serve_stored_answer(self, exchange: Exchange, status: int, headers: Headers, body: bytes) -> None:
-        """Give the answer that another request of its key has had."""
+        """Answers with the stored answer of another request that had the same idempotency key."""
         if not exchange.answered:
             self._increment("served")
             self._answer(exchange, status, headers, body)
 
     def retry_after(self) -> float:
-        """Seconds after which one that is refused for no fault of the backends may come again; 0: none is named."""
+        """Jittered Retry-After in seconds for a refusal that no backend caused; 0 means no header."""
         limits = self.config.settings.limits
         return min(self._rng.random(), limits.max_retry_after) if limits.retry_after else 0.0
 
@@ -612,7 +626,7 @@
         caller.answer(200 if is_up else 503, headers, b"")
 
     def _submit(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
-        """Bring a request before the module."""
+        """Passes a request to the balancer."""
         if self.recovery is not None:
             self.balancer.preferred = self.recovery.kept()
         deadline = exchange.deadline
@@ -625,19 +639,19 @@
         self.balancer.preferred = None
 
     def reject(self, action: Refuse | Fail) -> None:
-        """Refuse or fail a request that the module was not asked for."""
+        """Refuses or fails a request that was never passed to the balancer."""
         if isinstance(action, Refuse):
             self._refuse(action)
         else:
             exchange = self._exchanges[action.request]
             self._fail(exchange, exchange.last_failure)
 
-    def exchange(self, rid: str) -> Exchange | None:
-        """A request that is not settled."""
-        return self._exchanges.get(rid)
+    def exchange(self, request_id: str) -> Exchange | None:
+        """The open exchange with this id, or None once it is settled."""
+        return self._exchanges.get(request_id)
 
     def on_body_complete(self, exchange: Exchange) -> None:
-        """The last byte of a body that is passed on while it comes: the request's time counts from here."""
+        """The last byte of a streamed body has arrived; the request's budget counts from now."""
         if exchange.answered:
             return
         now = self.clock.now()
@@ -652,15 +666,15 @@
         )
 
     def on_body_consumed(self, exchange: Exchange) -> None:
-        """It can't be sent again."""
+        """A part of the body was discarded: the request can't be sent again."""
         self.balancer.on_body_released(exchange.request_id)
 
     def validate(self, request: Request) -> tuple[int, float | None]:
-        """Class and budget of a request.
+        """Returns the class index and the budget in seconds (None without X-Budget) of a request.
 
-        Guards backends, and what is learned of them, against requests that can only go wrong there: an id
-        that another open request has would be a second copy of that one, and a method that does not fit the
-        class would be repeated by other rules than the backend's.
+        Raises Malformed for a request that can only fail at a backend, so that it neither reaches one nor distorts
+        what is learned of it: a call id that is already open would make a second copy of that request, and a
+        method that does not fit the class would be repeated by other rules than the backend's.
         """
         call_id = request.header(b"x-call-id")
         if not call_id:
@@ -682,11 +696,11 @@
         return class_index, None if budget is None else parse_budget(budget)
 
     def on_caller_left(self, exchange: Exchange) -> None:
-        """The caller has gone away."""
+        """The caller has disconnected."""
         if exchange.answered:
             if exchange.streaming_attempt is not None:
                 self._increment("left")
-                self._give_up(exchange.streaming_attempt, Outcome.CANCELLED)  # nobody is there to read the rest
+                self._give_up(exchange.streaming_attempt, Outcome.CANCELLED)  # the rest of the answer has no reader
             return
         self._increment("left")
         if self.recovery is not None:
@@ -698,7 +712,7 @@
         self._forget_if_settled(exchange)
 
     def _set_deadline(self, exchange: Exchange, now: float, deadline: float) -> None:
-        """Set when the caller's time is up, in place of any earlier moment."""
+        """Sets the deadline of a request, replacing an earlier one."""
         self._stop_timer(exchange)
         exchange.deadline = deadline
         exchange.timer = self.loop.call_later(max(0.0, deadline - now), self._on_deadline, exchange)
@@ -710,20 +724,20 @@
 
     def _on_deadline(self, exchange: Exchange) -> None:
         remaining = exchange.deadline - self.clock.now()
-        if remaining > 0.0:  # event loop timers are coarse; the module must see the deadline as past
+        if remaining > 0.0:  # event loop timers are coarse, and the balancer must see the deadline as past
             exchange.timer = self.loop.call_later(remaining + 0.001, self._on_deadline, exchange)
             return
         exchange.timer = None
         if self.recovery is not None and self.recovery.late(exchange):
             return
         if self.inflight is not None and self.inflight.gone(exchange):
-            # What it followed may have run, here or elsewhere.
-            self._fail(exchange, "work of the same key is in hand elsewhere")
+            # The request with the same key that it waited for may have run, here or elsewhere.
+            self._fail(exchange, "a request with the same key is in flight elsewhere")
             return
         for attempt in list(exchange.attempts):
             if not attempt.ended:
                 progress = self.backends.cancel(attempt)
-                # Guards against a machine that has vanished: its other connections are as silent.
+                # If the machine has vanished, its idle connections are dead too.
                 self.backends.drop_idle(attempt.server)
                 self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by the deadline: {progress}")
         if not exchange.answered:
@@ -731,27 +745,27 @@
             self._abandon(exchange)
 
     def _forget_if_settled(self, exchange: Exchange) -> None:
-        """Forget an exchange when nothing of it is left."""
+        """Removes an exchange once it is answered and all its attempts have ended."""
         if exchange.answered and not exchange.open_attempts:
             self._stop_timer(exchange)
             if self._exchanges.pop(exchange.request_id, None) is not None:
                 self._open_ids.discard(exchange.call_id)
                 if self._hot_restart is not None:
                     self._hot_restart.ids.close(exchange.open_id_slot)
-            # An exchange and its attempts name each other: freed at once, they need no collector.
+            # An exchange and its attempts refer to each other; breaking the cycle frees them without the collector.
             exchange.attempts.clear()
 
     def _abandon(self, exchange: Exchange) -> None:
-        """The module or an action failed: the request fails, and nothing more goes out for it."""
+        """Fails a request after an exception in the balancer or in an action, and cancels its attempts."""
         if not exchange.answered:
-            self._fail(exchange, "internal fault")
+            self._fail(exchange, "internal error")
         for attempt in list(exchange.attempts):
             if not attempt.ended:
                 self._give_up(attempt, Outcome.CANCELLED)
         try:
             self.balancer.on_client_gone(self.clock.now(), exchange.request_id)
         except Exception:
-            log.exception("the module failed to let a request go")
+            log.exception("the balancer failed to release a request")
         self._forget_if_settled(exchange)
 
     # ---- final answers -------------------------------------------------------------------
@@ -764,7 +778,7 @@
         if action.retry_after > 0.0:
             headers.append((b"retry-after", b"%.3f" % action.retry_after))
         self._increment("refused")
-        log.info("refused: %s", exchange.last_failure or "at the door")
+        log.info("refused: %s", exchange.last_failure or "by admission control")
         self._answer(exchange, 503, headers, b"refused\n")
 
     def _fail(self, exchange: Exchange, reason: str) -> None:
@@ -801,18 +815,18 @@
         attempt.stream = stream
         attempt.chunked = stream is not None and request.length is None
         if self._detect_caller_left(exchange):
-            if not attempt.ended:  # where nothing may be cancelled
+            if not attempt.ended:  # the balancer did not cancel it
                 self.loop.call_soon(self.backends.finish, attempt, Outcome.VOID, None, "its caller has left")
             return
         self.backends.send(attempt)
 
     def request_head(self, attempt: Attempt) -> bytes:
-        """The head of an attempt's request, as of now."""
+        """The head of an attempt's request, with the time that is left now."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         request, stream = exchange.request, attempt.stream
         if stream is not None and not stream.complete:
-            time_left = exchange.budget  # its time counts from its last byte
+            time_left = exchange.budget  # the budget counts from the request's last byte
         else:
             time_left = min(exchange.deadline, attempt.expires_at) - self.clock.now()
         headers = [*exchange.headers, (b"x-budget", format_budget(max(0.0, time_left)))]
@@ -825,23 +839,23 @@
         return request_head(request.method, request.target, headers)
 
     def _detect_caller_left(self, exchange: Exchange) -> bool:
-        """Whether its caller has left and the event loop has not told so yet; it is dealt with if so.
+        """Whether the caller has disconnected before the event loop reported it; if so, handles the disconnect.
 
-        Guards against sending for nobody: what came in while the loop was busy is read in order, and the end of a
-        connection may stand behind many requests.
+        Avoids attempts for callers that are gone: after a busy period the event loop reads its sockets in order, and
+        the end of a connection may be queued behind many requests.
         """
         if exchange.answered or not exchange.caller.has_disconnected():
             return False
         exchange.caller.disconnect()
-        if not exchange.answered:  # while it is being taken its connection does not know it yet
+        if not exchange.answered:  # during handle_request the connection doesn't know its exchange yet
             self.on_caller_left(exchange)
         return True
 
     def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Give an attempt up; the module is told later, as of any end."""
+        """Cancels an attempt; the balancer is notified in a later event, as of any end."""
         if not attempt.ended:
             self.backends.cancel(attempt)
-            self.loop.call_soon(self.on_attempt_ended, attempt, outcome, None, "given up")
+            self.loop.call_soon(self.on_attempt_ended, attempt, outcome, None, "cancelled")
 
     def _on_attempt_timeout(self, attempt: Attempt) -> None:
         if not attempt.ended:
@@ -850,7 +864,7 @@
             self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer within the attempt's time: {progress}")
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Whether an attempt that had to wait for its connection may still be sent."""
+        """Whether an attempt that waited for its connection may still be sent."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         if exchange.answered or self._detect_caller_left(exchange):
@@ -858,7 +872,10 @@
         return self.balancer.may_start(self.clock.now(), exchange.request_id, attempt.number)
 
     def on_answer_started(self, attempt: Attempt, response: Response) -> bool:
-        """A long answer has begun: it is this request's, from here on whatever comes of it."""
+        """Starts streaming a long answer to the caller; from now on it is the request's only answer.
+
+        Returns False if the request is already answered.
+        """
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         if exchange.answered:
@@ -873,13 +890,13 @@
         return True
 
     def on_answer_data(self, attempt: Attempt, data: bytes) -> None:
-        """The next bytes of it."""
+        """Passes the next bytes of a streamed answer to the caller."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         exchange.caller.write_answer_data(data)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
-        """The end of an attempt, told to the module; a first success is passed on."""
+        """Reports the end of an attempt to the balancer, and answers the caller with the first success."""
         exchange = attempt.owner
         assert isinstance(exchange, Exchange)
         exchange.open_attempts -= 1
@@ -901,7 +918,7 @@
                 self._increment("served")
                 exchange.caller.end_answer()
             else:
-                log.info("cut: %s", exchange.last_failure)
+                log.info("answer aborted: %s", exchange.last_failure)
                 exchange.caller.abort_answer()
         elif not exchange.answered and outcome is Outcome.OK and response is not None:
             exchange.answered = True
@@ -919,7 +936,7 @@
     # ---- discovery -----------------------------------------------------------------------
 
     def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
-        """The list, a change to it, or the news that a call failed."""
+        """Handles a backend list, a change to it, or a failed call, filtered by the recovery if there is one."""
         if self.recovery is not None:
             accepted = self.recovery.hears(kind, entries)
             if accepted is None:
@@ -928,7 +945,7 @@
         self.apply_list(kind, entries)
 
     def apply_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
-        """Apply a list, or a change to it."""
+        """Applies a backend list, or a change to it."""
         if kind is not ListKind.BROKEN and kind is not ListKind.PATCH:
             for removed in set(self.backends.server_ids()) - {entry.row.server for entry in entries}:
                 self.backends.forget(removed)
@@ -945,10 +962,10 @@
                 continue
             displaced = self.backends.update(row.server, entry.dial, row.started, row.state is State.UP)
             if displaced is not None:
-                log.info("backend %x is gone: another has its address", displaced)
+                log.info("backend %x is gone: another backend has its address", displaced)
                 rows.append(ServerRow(displaced, State.GONE))
         if kind is not ListKind.BROKEN and entries:
-            log.info("list: %s of %d backends", kind.value, len(entries))
+            log.info("backend list: %s with %d entries", kind.value, len(entries))
         self._dispatch(None, lambda now: self.balancer.members(now, kind, rows))
 
 
