--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -170,7 +170,7 @@
     Mutant(
         "the listener is not watched again after a shortage",
         "callers",
-        "# Guards against a listener that waits for a descriptor while nobody gives one back by himself.\n"
+        "# Otherwise a paused listener would wait for a descriptor that no connection releases by itself.\n"
         "        self._resume_accepting()",
         "pass",
     ),
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -1,4 +1,4 @@
-"""The side of the callers: the listener, their connections, reading requests and writing answers."""
+"""The caller side: accepts connections, reads requests and writes answers."""
 
 from __future__ import annotations
 
@@ -29,89 +29,85 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ACCEPTS_PER_WAKEUP = 64  # at one wake-up, so that accepting can't starve what is under way
-REQUEST_HEAD_TIMEOUT = 2.3  # seconds for a head, from its first byte or, for the first, from connecting
-BODY_STALL_TIMEOUT = 1.5  # seconds in which nothing comes of a body
-MIN_BODY_RATE = 16 * 1024  # bytes a second of a body, on average...
-BODY_RATE_GRACE = 2.0  # ...after so many seconds
-WRITE_STALL_TIMEOUT = 5.0  # seconds in which a caller takes nothing of an answer
-STREAM_STALL_TIMEOUT = (
-    12.0  # ...and of one that is passed on while it comes: windows of slow readers open in large steps
-)
-IDLE_TIMEOUT = 10.0  # seconds between requests...
-CROWDED_IDLE_TIMEOUT = 2.1  # ...and while callers hold more than half of their descriptors
-EVICT_SILENT_AFTER = 0.15  # seconds after which one that has said nothing makes room for others...
-EVICT_PARTIAL_AFTER = 1.0  # ...and one with a part of its first request
-EVICT_LINGERING_AFTER = 0.1  # ...and one that only lingers
-MAX_EVICTIONS = 16  # of those at once: they come by hundreds
-LINGER_TIMEOUT = 0.5  # seconds in which what a caller still writes is read and dropped
-MAX_LINGER_BYTES = 256 * 1024  # and how much of it
-BODY_LINGER_TIMEOUT = 30.0  # seconds in which the rest of a body that nobody wants is read and dropped
+MAX_ACCEPTS_PER_WAKEUP = 64  # so that accepting can't starve open requests
+REQUEST_HEAD_TIMEOUT = 2.3  # seconds for a head, from its first byte; for a connection's first head, from the accept
+BODY_STALL_TIMEOUT = 1.5  # seconds without a byte of a body
+MIN_BODY_RATE = 16 * 1024  # bytes per second of a body, on average after BODY_RATE_GRACE
+BODY_RATE_GRACE = 2.0  # seconds
+WRITE_STALL_TIMEOUT = 5.0  # seconds in which a caller reads nothing of a buffered answer
+STREAM_STALL_TIMEOUT = 12.0  # seconds, likewise for a streamed answer: slow readers open their windows in large steps
+IDLE_TIMEOUT = 10.0  # seconds between requests
+CROWDED_IDLE_TIMEOUT = 2.1  # seconds between requests while callers hold more than half of their descriptors
+EVICT_SILENT_AFTER = 0.15  # seconds after which a connection that has sent nothing may be evicted
+EVICT_PARTIAL_AFTER = 1.0  # seconds after which a connection with an incomplete first request may be evicted
+EVICT_LINGERING_AFTER = 0.1  # seconds after which a lingering connection may be evicted
+MAX_EVICTIONS = 16  # of such connections at once, as they arrive by the hundred
+LINGER_TIMEOUT = 0.5  # seconds in which input is read and discarded before a close
+MAX_LINGER_BYTES = 256 * 1024  # of discarded input
+BODY_LINGER_TIMEOUT = 30.0  # seconds in which the rest of an unwanted body is read and discarded
 
 
 class AcceptedRequest(Protocol):
-    """A request that was handed on, as its connection sees it."""
+    """An accepted request, as its connection sees it."""
 
     def on_caller_left(self) -> None:
-        """The caller is gone; nothing can be answered any more."""
+        """The caller has disconnected; no answer is possible any more."""
 
     def on_body_complete(self) -> None:
-        """The last byte of a body that was passed on while it came has come."""
+        """The last byte of a streamed body has arrived."""
 
     def on_answer_blocked(self, blocked: bool) -> None:
-        """The caller takes no more for now, or takes more again."""
+        """The caller's write buffer is full, or has room again."""
 
 
 class RequestHandler(Protocol):
-    """Who takes requests."""
+    """Receives requests."""
 
     def handle_request(self, caller: CallerConnection, request: Request) -> AcceptedRequest | None:
-        """A whole request; None if it was answered at once."""
+        """Handles a complete or streamed request; returns None if it was answered at once."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection: one request at a time.
+    """One caller's connection, which carries one request at a time.
 
-    Guards against requests whose end is not where their sender thinks. What comes behind a request before
-    its answer is taken as a sign of that, and both are turned away: a wrong length would otherwise send a cut
-    body on and make a request of the rest. Harm: a caller that writes requests ahead (pipelining, which the
-    protocol does not have) gets an error.
+    Bytes behind a request before its answer are taken as a sign of wrong framing, and both are rejected: with a
+    wrong length, a truncated body would be sent on and its rest read as another request. The cost: a caller that
+    pipelines requests, which the protocol does not provide for, gets an error.
     """
 
     def __init__(self, callers: Callers) -> None:
         self._callers = callers
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(self)
-        self._complete_request: Request | None = None  # not yet handed on
-        self._request: Request | None = None  # handed on and not yet answered
+        self._complete_request: Request | None = None  # read, and not yet passed to the handler
+        self._request: Request | None = None  # passed to the handler, and not yet answered
         self._accepted: AcceptedRequest | None = None
         self._closing = False
-        self._close_after_answer = False  # the answer being passed on ends the connection
-        self._discarded_bytes = 0  # bytes read and dropped while lingering
+        self._close_after_answer = False  # the streamed answer ends the connection
+        self._discarded_bytes = 0  # while lingering
         self._linger_until = 0.0
-        self._last_read_at = 0.0  # when bytes came last
-        self._head_complete_at = 0.0  # when the head of the request being read was whole
-        self._answer_chunked = False  # the answer being passed on
-        self._streaming_answer = False  # an answer has begun and goes on
-        self._unsent_bytes = 0  # bytes that wait to be taken by the caller, when last looked at
-        self._discarding_body = False  # of the request that is handed on a rest comes that nobody wants
-        self.has_carried_request = False  # a whole request has come on it
-        self.state_since = 0.0  # of the present state, for time limits
-        # What covers it, if anything does: see `cometusher.inflight`.
-        self.bytes_read = self.bytes_written = 0  # bytes
+        self._last_read_at = 0.0
+        self._head_complete_at = 0.0  # of the request being read
+        self._answer_chunked = False  # the streamed answer
+        self._streaming_answer = False  # begin_answer was called, end_answer not yet
+        self._unsent_bytes = 0  # size of the write buffer at the last check
+        self._discarding_body = False  # the rest of the current request's body is unwanted
+        self.has_carried_request = False  # at least one complete request has arrived
+        self.state_since = 0.0  # when the present state began, for timeouts
+        # For the request journal, if there is one: see `cometusher.inflight`.
+        self.bytes_read = self.bytes_written = 0
         self.descriptor = self.journal_slot = -1
         self.connection_key = 0
-        self.last_request_bytes = b""  # the request that came last, if it came in one piece
-        self.on_connected: Callable[[CallerConnection], None] | None = (
-            None  # to be done when it is up, before it is read
-        )
-        self._has_peer_ended: Callable[[], bool] | None = None  # made when first asked
-        self._has_unread_data: Callable[[], bool] | None = None  # likewise
+        self.last_request_bytes = b""  # the last request, if it arrived in one read
+        #: Called once, when the connection is up and before anything is read from it.
+        self.on_connected: Callable[[CallerConnection], None] | None = None
+        self._has_peer_ended: Callable[[], bool] | None = None  # created at first use
+        self._has_unread_data: Callable[[], bool] | None = None  # created at first use
 
-    # ---- the transport's calls -----------------------------------------------------------
+    # ---- transport callbacks -----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses of it
         self._transport = transport
         self.state_since = self._callers.loop.time()
         self._callers.on_opened(self)
@@ -121,7 +117,7 @@
 
     @property
     def transport(self) -> asyncio.Transport | None:
-        """Its transport, while it is up."""
+        """The transport while the connection is up, else None."""
         return self._transport
 
     def _write(self, data: bytes) -> None:
@@ -136,7 +132,7 @@
             self._discard_input(len(data))
             return
         if self._request is None and not self.is_mid_request:
-            # The first request's time counts from connecting, or a caller could put it off for good.
+            # The first request's time counts from the accept; otherwise a caller could delay it without limit.
             if self.has_carried_request:
                 self.state_since = self._last_read_at
             self._callers.on_busy(self)
@@ -149,15 +145,15 @@
         except Malformed as error:
             self.reject(error)
         except Exception:
-            log.exception("reading a request failed")
+            log.exception("parsing a request failed")
             self.reject(Malformed(400, "unreadable"))
         else:
             self._submit_request()
             if self.is_idle:
-                self._callers.on_idle(self)  # nothing but line breaks, or answered at once
+                self._callers.on_idle(self)  # only line breaks arrived, or the request was answered at once
 
     def _discard_input(self, count: int) -> None:
-        """Read and drop, so that closing does not destroy the answer on its way; but not without end."""
+        """Discards input, so that a close doesn't reset the connection and destroy the answer; up to a limit."""
         self._discarded_bytes += count
         limit = MAX_STREAM if self._linger_until else MAX_LINGER_BYTES
         if self._discarded_bytes > limit and self._transport is not None and self._transport.is_reading():
@@ -181,15 +177,15 @@
         if self._streaming_answer and self._accepted is not None:
             self._accepted.on_answer_blocked(False)
 
-    # ---- a body that is passed on while it comes -----------------------------------------
+    # ---- streamed request bodies -----------------------------------------
 
     def pause_body(self) -> None:
-        """Read no further."""
+        """Stops reading from the caller."""
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_body(self) -> None:
-        """Read on."""
+        """Resumes reading from the caller."""
         self._last_read_at = self._callers.loop.time()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
@@ -198,17 +194,17 @@
 
     @property
     def is_mid_request(self) -> bool:
-        """Whether a request has begun to come and is not whole."""
+        """Whether a request has begun and is incomplete."""
         return self._parser.current is not None
 
     @property
     def is_partial(self) -> bool:
-        """Whether nothing but a request that is not whole is on this connection."""
+        """Whether the connection carries only an incomplete request, and owes no answer."""
         return self.is_mid_request and self._request is None
 
     @property
     def is_idle(self) -> bool:
-        """Between requests."""
+        """Whether the connection is between requests."""
         return self._request is None and not self._closing and not self.is_mid_request
 
     def on_request_begin(self) -> None:
@@ -258,7 +254,7 @@
         self.has_carried_request = True
 
     def _release_body_of(self, request: Request) -> None:
-        """Let go of a request's body."""
+        """Discards a request's body and releases its memory."""
         self._callers.memory.release(request.reserved_bytes)
         request.reserved_bytes = 0
         request.body = bytearray()
@@ -280,7 +276,7 @@
             self._accepted = accepted
 
     def _answer_malformed(self, error: Malformed) -> None:
-        log.info("malformed request: %d %s", error.status, error)
+        log.info("rejected a request: %d %s", error.status, error)
         body = f"{error}\n".encode()
         headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(body))]
         if error.status == 405:
@@ -289,7 +285,7 @@
         self._linger()
 
     def _linger(self) -> None:
-        # Closing with bytes unread resets the connection, which can destroy the answer under way.
+        # A close with unread bytes resets the connection, which can destroy the answer in transit.
         self._closing = True
         transport = self._transport
         assert transport is not None
@@ -301,7 +297,7 @@
     # ---- answering -----------------------------------------------------------------------
 
     def begin_answer(self, status: int, headers: Headers, length: int | None) -> None:
-        """Write the head of an answer whose body follows in pieces."""
+        """Writes the head of a streamed answer; the body follows by `write_answer_data`."""
         close = self._must_close()
         assert self._request is not None
         self._answer_chunked = length is None and not self._request.http10
@@ -313,7 +309,7 @@
         elif self._answer_chunked:
             headers.append((b"transfer-encoding", b"chunked"))
         else:
-            close = True  # its end is the connection's
+            close = True  # for HTTP/1.0 the end of the connection delimits the body
         self._close_after_answer = close
         if self._callers.inflight is not None:
             self._callers.inflight.passes(self)
@@ -321,19 +317,19 @@
             self._write(response_head(status, headers, close))
 
     def write_answer_data(self, data: bytes) -> None:
-        """Write a piece of the answer that has begun."""
+        """Writes the next bytes of the streamed answer."""
         if self._transport is not None and data:
             self._write(chunk(data) if self._answer_chunked else data)
 
     def end_answer(self) -> None:
-        """The answer that has begun is whole."""
+        """Ends the streamed answer."""
         self._streaming_answer = False
         if self._transport is not None and self._answer_chunked:
             self._write(LAST_CHUNK)
         self._on_answered(self._close_after_answer)
 
     def abort_answer(self) -> None:
-        """The answer that has begun can't be finished: the caller sees that by a reset."""
+        """Resets the connection, as the streamed answer can't be completed."""
         self._streaming_answer = False
         self._finish_request()
         self._closing = True
@@ -343,7 +339,7 @@
             self._callers.network.abort(self._transport)
 
     def answer(self, status: int, headers: Headers, body: bytes | bytearray, journaled: bool = False) -> None:
-        """Write the answer to the request that is handed on; `noted` if that is covered."""
+        """Writes a complete answer to the current request; `journaled` records it in the request journal."""
         close = self._must_close()
         if self._transport is not None:
             headers.append((b"content-length", b"%d" % len(body)))
@@ -356,31 +352,31 @@
         self._on_answered(close)
 
     def reject(self, error: Malformed) -> None:
-        """Tell a caller that what it sent can't be used, and end the connection.
+        """Answers with an error's status and text, and ends the connection.
 
-        Guards against callers that send the same again as soon as they are told no: what else they have
-        written is dropped, and the next try costs them a connection. Harm: a caller with one odd request
-        in a hundred opens a connection for each.
+        Slows callers that repeat a rejected request at once: whatever else they have written is discarded, and the
+        next attempt costs them a connection. The cost: a caller with one malformed request in a hundred opens a new
+        connection for each.
         """
         was_streaming = self._streaming_answer
         self._on_disconnect()
         if self._transport is None:
             return
         if was_streaming:
-            log.info("malformed in the middle of an answer: %d %s", error.status, error)
+            log.info("rejected input during a streamed answer: %d %s", error.status, error)
             self._transport.abort()
         else:
             self._answer_malformed(error)
 
     def release_body(self) -> None:
-        """The body of the request that is handed on is of no more use."""
+        """Discards the current request's body, which is no longer needed."""
         if self._request is not None:
             self._release_body_of(self._request)
 
     def _must_close(self) -> bool:
         assert self._request is not None
         if self._parser.current is self._request or self._discarding_body:
-            return True  # the rest of a body that nobody wants any more
+            return True  # the rest of the body is unwanted
         return (
             not self._request.keep_alive
             or self._callers.listener_state.closes_after_answer
@@ -398,7 +394,7 @@
         self._finish_request()
         self.state_since = self._callers.loop.time()
         if unfinished and self._transport is not None:
-            # Guards the answer: with bytes unread, a close would reset the connection and destroy it.
+            # A close with unread bytes would reset the connection and destroy the answer.
             self._parser.current = None
             self._linger_until = self.state_since + BODY_LINGER_TIMEOUT
             self._linger()
@@ -409,22 +405,22 @@
         elif self.is_idle:
             self._callers.on_idle(self)
 
-    # ---- taken over from another process -------------------------------------------------
+    # ---- takeover from another process -------------------------------------------------
 
     def take_over_request(self, request: Request, body_lost: bool) -> None:
-        """A request that another process has read from this connection is in hand here."""
+        """Makes a request that another process has read from this connection the current one."""
         self.has_carried_request = True
         self._discarding_body = body_lost
         self._callers.on_first_request(self)
         self._request = request
 
     def set_accepted(self, accepted: AcceptedRequest) -> None:
-        """It was handed on."""
+        """Sets the handler's side of the taken-over request."""
         if self._request is not None:
             self._accepted = accepted
 
     def finish_answer(self, remaining: bytes, close: bool) -> None:
-        """Write what is left of an answer that another process has begun, if anything is."""
+        """Writes the remaining bytes of an answer that another process has begun, if there are any."""
         self.has_carried_request = True
         if self._transport is None:
             return
@@ -436,37 +432,37 @@
             self.mark_idle()
 
     def mark_idle(self) -> None:
-        """It is between requests."""
+        """Marks a taken-over connection as between requests."""
         self.has_carried_request = True
         if self._transport is not None and self.is_idle:
             self._callers.on_idle(self)
 
-    # ---- ends ----------------------------------------------------------------------------
+    # ---- closing ----------------------------------------------------------------------------
 
     def has_disconnected(self) -> bool:
-        """Whether the caller has ended the connection, though the event loop may not have told so yet."""
+        """Whether the caller has ended the connection, even if the event loop has not reported it yet."""
         transport = self._transport
         if transport is None or transport.is_closing():
-            return False  # told already, or ended from here
+            return False  # reported already, or closed by this side
         if self._has_peer_ended is None:
             self._has_peer_ended = self._callers.network.peer_ended(transport)
         return self._has_peer_ended()
 
     def disconnect(self) -> None:
-        """The caller has left: drop all of it."""
+        """Handles a caller that has left, and aborts the connection."""
         self._on_disconnect()
         if self._transport is not None:
             self._transport.abort()
 
     def _on_disconnect(self) -> None:
-        """Nothing more is owed to this caller."""
+        """Drops all state of the caller, to whom no answer is owed any more."""
         if self._callers.inflight is not None:
             self._callers.inflight.leaves(self)
         accepted, self._accepted = self._accepted, None
         self._closing = True
         self._streaming_answer = False
         if accepted is not None:
-            accepted.on_caller_left()  # first: what its body's loss brings about is nobody's answer any more
+            accepted.on_caller_left()  # first, so that failures caused by the lost body are not answered
         self._discard_partial_request()
         if self._complete_request is not None:
             self._release_body_of(self._complete_request)
@@ -474,7 +470,7 @@
         self._finish_request()
 
     def close_if_nothing_unread(self) -> bool:
-        """Close an idle connection, unless something has come that was not read yet: it may be a whole request."""
+        """Closes an idle connection unless it has unread input, which may be a complete request."""
         transport = self._transport
         if transport is not None:
             if self._has_unread_data is None:
@@ -485,7 +481,7 @@
         return True
 
     def close(self) -> None:
-        """Close a connection that owes no answer."""
+        """Closes a connection on which no answer is owed."""
         if self._callers.inflight is not None:
             self._callers.inflight.leaves(self)
         self._discard_partial_request()
@@ -494,10 +490,10 @@
             self._transport.close()
 
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
-        """End what takes too long, whatever it is: heads and bodies in slow drops, answers that nobody takes.
+        """Ends whatever takes too long: heads and bodies that arrive slowly, answers that are not read.
 
-        Guards against callers that hold a descriptor and give nothing for it. A request's time is not
-        renewed by its bytes. Harm: a caller on a line too slow for 64 KiB in this time is not served.
+        Protects the descriptors from callers that hold one without progress. Further bytes don't renew a request's
+        time. The cost: a caller on a link too slow for 64 KiB in this time is not served.
         """
         age = now - self.state_since
         transport = self._transport
@@ -508,7 +504,7 @@
             if unsent < self._unsent_bytes:
                 self.state_since = now
             elif age > (STREAM_STALL_TIMEOUT if self._streaming_answer else WRITE_STALL_TIMEOUT):
-                log.info("a caller takes no more of its answer; closing")
+                log.info("a caller stopped reading its answer; closing")
                 transport.abort()
             self._unsent_bytes = unsent
         elif self._closing:
@@ -522,20 +518,20 @@
             self.reject(Malformed(408, "the request did not come in time"))
 
     def _is_too_slow(self, now: float) -> bool:
-        """Whether the request being read comes too slowly: its head by the clock, its body by its progress."""
+        """Whether the request being read is too slow: its head by elapsed time, its body by its rate."""
         request = self._parser.current
         assert request is not None
         if not self._parser.head_done:
             return now - self.state_since > REQUEST_HEAD_TIMEOUT
         if self._transport is None or not self._transport.is_reading():
-            return False  # held back from here
+            return False  # reading is paused by this side
         min_received = MIN_BODY_RATE * (now - self._head_complete_at - BODY_RATE_GRACE)
         return now - self._last_read_at > BODY_STALL_TIMEOUT or (
             request.received < min_received and request.stream is None
         )
 
     def evict(self, now: float) -> bool:
-        """Make room for others, if nothing of worth is on this connection that has carried nothing yet."""
+        """Aborts a silent, incomplete or lingering connection that is old enough; returns whether it did."""
         min_age = (
             EVICT_LINGERING_AFTER
             if self._closing
@@ -551,7 +547,7 @@
 
 
 class Callers:
-    """The listener and all callers' connections."""
+    """The listener and all connections of callers."""
 
     def __init__(
         self,
@@ -566,18 +562,16 @@
         self.handler = handler
         self.memory = memory
         self.listener_state = ListenerState()
-        self.out_of_descriptors = False  # connections wait for a free descriptor
-        self.inflight: Hand | None = None  # notes what is in hand, where that is switched on
+        self.out_of_descriptors = False  # accepting is paused until a descriptor is free
+        self.inflight: Hand | None = None  # the request journal, if enabled
         self.all_closed = asyncio.Event()
         self._draining = False
         self._descriptors = descriptors
         self._listener: Listener | None = None
         self._accepting = False
-        self._connections: dict[CallerConnection, None] = {}  # in the order of their coming: a set's is chance
+        self._connections: dict[CallerConnection, None] = {}  # in order of arrival; a set has no stable order
         self._idle: dict[CallerConnection, None] = {}  # between requests, longest idle first
-        self._evictable: dict[
-            CallerConnection, None
-        ] = {}  # no whole request has come yet, or never will; oldest first
+        self._evictable: dict[CallerConnection, None] = {}  # without a complete request, or lingering; oldest first
         self._tasks: set[asyncio.Task[None]] = set()
         descriptors.evict_caller = self._evict
         descriptors.on_free.append(self._resume_accepting)
@@ -585,13 +579,13 @@
     # ---- the listener --------------------------------------------------------------------
 
     def listen(self, listener: Listener) -> None:
-        """Start to accept."""
+        """Starts to accept connections on `listener`."""
         self._listener = listener
         self._resume_accepting()
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port of the listener."""
         assert self._listener is not None
         return self._listener.port
 
@@ -601,13 +595,13 @@
                 return
 
     def _accept_all(self) -> None:
-        """Take what waits in the backlog: where nobody else holds the listener, its close resets that."""
+        """Accepts the whole backlog: when the last holder of a listener closes it, queued connections are reset."""
         while self._accept_one():
             pass
 
     def _accept_one(self) -> bool:
-        """Take one connection; False if none waits or none can be taken."""
-        # Not the event loop's own listener: at EMFILE that accepts and closes, which loses requests.
+        """Accepts one connection; returns False if none is queued or none can be accepted."""
+        # The event loop's own server is not used: on EMFILE it accepts and closes, which loses requests.
         if self._listener is None:
             return False
         if not self._descriptors.acquire_caller():
@@ -617,9 +611,9 @@
             connection = self._listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError) as transient:
             self._descriptors.release_caller()
-            return not isinstance(transient, BlockingIOError)  # the next in line may be well
+            return not isinstance(transient, BlockingIOError)  # the next one in the queue may succeed
         except OSError as error:
-            # Guards against spinning on a listener that stays readable: EMFILE, ENFILE, ENOMEM.
+            # After EMFILE, ENFILE or ENOMEM the listener stays readable; pausing avoids a busy loop.
             log.warning("accept failed: %s", error)
             self._descriptors.release_caller()
             self._pause_accepting()
@@ -635,7 +629,7 @@
         try:
             await self.network.attach(connection, lambda: protocol)
         except OSError as error:
-            log.info("a new connection failed: %s", error)
+            log.info("attaching a new connection failed: %s", error)
             if protocol not in self._connections:
                 connection.close()
                 self._descriptors.release_caller()
@@ -658,7 +652,7 @@
     # ---- connections ---------------------------------------------------------------------
 
     def on_opened(self, connection: CallerConnection) -> None:
-        """A connection is up."""
+        """Registers a connection that is up."""
         self._connections[connection] = None
         self._evictable[connection] = None
         if self.inflight is not None:
@@ -672,10 +666,10 @@
         journal_slot: int,
         on_connected: Callable[[CallerConnection], None],
     ) -> bool:
-        """Take up a connection of another process, of which so much was read and written; False if it is gone.
+        """Attaches a connection of another process, with its byte counts so far; returns False if it is gone.
 
-        Its descriptor is counted already. `up` is called as soon as it is up, before anything is read from it: what
-        is in hand on it must be known before its caller's next word.
+        Its descriptor is counted already. `on_connected` is called before anything is read from the connection: the
+        requests in flight on it must be known before the caller's next bytes.
         """
         protocol = CallerConnection(self)
         protocol.bytes_read, protocol.bytes_written, protocol.journal_slot, protocol.on_connected = (
@@ -687,14 +681,14 @@
         try:
             await self.network.attach(connection, lambda: protocol)
         except OSError as error:
-            log.info("a connection could not be taken over: %s", error)
+            log.info("taking over a connection failed: %s", error)
             if protocol not in self._connections:
                 connection.close()
                 self._descriptors.release_caller()
         return protocol.on_connected is None
 
     def on_closed(self, connection: CallerConnection) -> None:
-        """A connection is gone, and its descriptor with it."""
+        """Removes a closed connection and releases its descriptor."""
         if self.inflight is not None:
             self.inflight.closed(connection)
         self._idle.pop(connection, None)
@@ -706,15 +700,15 @@
             self.all_closed.set()
 
     def on_first_request(self, connection: CallerConnection) -> None:
-        """Its first whole request has come."""
+        """The first complete request of a connection has arrived."""
         self._evictable.pop(connection, None)
 
     def on_busy(self, connection: CallerConnection) -> None:
-        """A request begins to come."""
+        """A request begins to arrive on an idle connection."""
         self._idle.pop(connection, None)
 
     def on_idle(self, connection: CallerConnection) -> None:
-        """Its request is answered."""
+        """A connection is between requests; closes it if idle connections are not kept."""
         if (
             connection.has_carried_request
             and not self.listener_state.keeps_idle
@@ -728,15 +722,15 @@
                 self.inflight.idle(connection)
 
     def on_lingering(self, connection: CallerConnection) -> None:
-        """It only lingers for its last answer to be read."""
+        """A connection lingers until its last answer is read."""
         self._evictable[connection] = None
 
     def _evict(self) -> bool:
-        """Close what is worth least: those that linger or say nothing, by the handful, before an idle one.
+        """Frees descriptors: closes lingering and silent connections, several at once, before an idle one.
 
-        Guards against crowds of callers that say nothing, which would otherwise push out those that are
-        between two requests. A caller that has just connected is about to speak, and is left alone; harm
-        comes to one that connects well ahead of its first request while others need the room.
+        Otherwise crowds of callers that send nothing would displace those that are between two requests. A caller
+        that has just connected is about to send, and is spared. The cost: a caller that connects long before its
+        first request is cut off while descriptors are scarce.
         """
         now = self.loop.time()
         evicted = 0
@@ -745,7 +739,7 @@
             if evicted >= MAX_EVICTIONS:
                 return True
         if evicted or len(self._evictable) + len(self._tasks) > self._descriptors.caller_limit // 4:
-            return evicted > 0  # the crowd itself will soon make room
+            return evicted > 0  # the silent connections will soon be old enough to evict
         for connection in self._idle:
             if connection.is_idle and connection.close_if_nothing_unread():
                 self._idle.pop(connection, None)
@@ -753,23 +747,23 @@
         return False
 
     def sweep(self) -> None:
-        """Apply the time limits."""
+        """Applies the timeouts to all connections."""
         now = self.loop.time()
         crowded = len(self._connections) > self._descriptors.caller_limit // 2
         idle_timeout = CROWDED_IDLE_TIMEOUT if crowded else IDLE_TIMEOUT
         for connection in list(self._connections):
             connection.enforce_timeouts(now, idle_timeout)
-        # Guards against a listener that waits for a descriptor while nobody gives one back by himself.
+        # Otherwise a paused listener would wait for a descriptor that no connection releases by itself.
         self._resume_accepting()
 
     def count(self) -> int:
-        """Connections that are up."""
+        """Number of connections that are up."""
         return len(self._connections)
 
-    # ---- leaving -------------------------------------------------------------------------
+    # ---- lifecycle -------------------------------------------------------------------------
 
     def apply_listener_state(self, state: ListenerState) -> None:
-        """Do as the operations say from here on; called at every change, and often."""
+        """Applies a listener state; called at every change, and periodically."""
         previous, self.listener_state = self.listener_state, state
         if previous.listens and not state.listens:
             self._stop_accepting()
@@ -795,14 +789,14 @@
             self.out_of_descriptors = False
 
     def close_listener(self) -> None:
-        """Close the listener, for good."""
+        """Closes the listener for good."""
         if self._listener is not None:
-            self._accept_all()  # what has come since it was last looked at
+            self._accept_all()  # connections that were queued since the last accept
             self._listener.close()
             self._listener = None
 
     async def wait_until_empty(self) -> None:
-        """Wait until no connection is left, and none is being taken up."""
+        """Waits until no connection is left and none is being attached."""
         while self._tasks:
             await asyncio.wait(self._tasks)
         self._draining = True
