--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -1,7 +1,7 @@
-"""Connections to backends: pools, attempts, and what their ends mean as an Outcome.
+"""Sends attempts to backends: connection pools, the reading of answers, and the Outcome of each attempt.
 
-An attempt is written once, on one connection, and has exactly one end. Nothing here picks a backend,
-sends an attempt again, or decides how long one may take.
+An attempt is written once, on one connection, and ends exactly once. This module doesn't select backends, doesn't
+repeat attempts, and doesn't decide how long one may take.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which backends may close; a write that crosses that close is lost
-IMMEDIATE_RESET_WINDOW = 0.05  # seconds in which a reset says that the connection was dead before it was written to
-CLOSE_RACES, CLOSE_RACES_WINDOW = 3, 20.0  # so many such resets in so many seconds make idle connections suspect
-MIN_RACE_IDLE_AGE = 0.1  # seconds; a reset of a younger connection, or of a new one, has another cause
-ANSWER_STALL_TIMEOUT = 0.3  # seconds without a byte after which an answer that had begun to come has broken...
-ANSWER_READ_TIMEOUT = 1.0  # ...and seconds from its first byte to its last, for one that is read whole
-STREAM_DELAY_UNKNOWN_LENGTH = 0.35  # seconds after which an answer of unknown length goes on while it comes...
-STREAM_DELAY_KNOWN_LENGTH = 0.03  # ...and the start of one that is said to be long: spoilt ones end before that
-STREAM_STALL_TIMEOUT = 12.0  # seconds without a byte after which an answer that goes on while it comes has broken
-LATE_SWEEP = 0.2  # seconds by which a sweep may be late and still tell silence from not having listened
+IDLE_TIMEOUT_FRACTION = 0.8  # of the backends' own idle timeout; a write that races with their close is lost
+IMMEDIATE_RESET_WINDOW = 0.05  # seconds; a reset within them means that the connection was dead before the write
+CLOSE_RACES, CLOSE_RACES_WINDOW = 3, 20.0  # that many such resets in that many seconds make idle connections suspect
+MIN_RACE_IDLE_AGE = 0.1  # seconds idle; a reset of a connection that was idle for less, or is new, has another cause
+ANSWER_STALL_TIMEOUT = 0.3  # seconds without a byte after which a partial answer is broken
+ANSWER_READ_TIMEOUT = 1.0  # seconds from first to last byte of an answer that is not streamed
+STREAM_DELAY_UNKNOWN_LENGTH = 0.35  # seconds after which an answer of unknown length is streamed
+STREAM_DELAY_KNOWN_LENGTH = 0.03  # seconds, likewise for a long answer of known length; broken ones end earlier
+STREAM_STALL_TIMEOUT = 12.0  # seconds without a byte after which a streamed answer is broken
+LATE_SWEEP = 0.2  # seconds since the last sweep, beyond which silence may only mean that nothing was read
 
 
 class AttemptSink(Protocol):
-    """Who is told of attempts."""
+    """Receives the events of attempts."""
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Whether an attempt that had to wait for its connection may still be sent."""
+        """Whether an attempt that waited for its connection may still be sent."""
 
     def request_head(self, attempt: Attempt) -> bytes:
-        """The head of its request; asked for when it is written, for it tells what time is left."""
+        """The head of an attempt's request; called at the write, as it states the time that is left."""
 
     def on_answer_started(self, attempt: Attempt, response: Response) -> bool:
-        """A long answer has begun; whether it is to be passed on, by `answer_piece`, while it comes."""
+        """A long answer has begun; returns whether to stream it by `on_answer_data`."""
 
     def on_answer_data(self, attempt: Attempt, data: bytes) -> None:
-        """The next bytes of it."""
+        """The next bytes of a streamed answer."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
-        """The one end of an attempt; with OK comes the answer."""
+        """The single end of an attempt; `response` is set for OK."""
 
 
 class Attempt:
-    """One sending of one request to one backend."""
+    """One attempt to send a request to a backend."""
 
     __slots__ = (
         "body",
@@ -78,20 +78,20 @@
         self.number = number
         self.server = server
         self.sent_at = sent_at
-        self.repeatable = repeatable  # harmless to repeat, so that a reset costs little
-        self.expires_at = float("inf")  # when it is given up, before its request is
-        self.head = b""  # once it is written
+        self.repeatable = repeatable  # safe to repeat, so that a reset costs little
+        self.expires_at = float("inf")  # its own deadline, ahead of the request's
+        self.head = b""  # set when it is written
         self.body: bytearray | bytes = b""
-        self.stream: BodyStream | None = None  # the body, where it is passed on while it comes...
-        self.chunked = False  # ...and whether in chunks
+        self.stream: BodyStream | None = None  # the body, if it is streamed
+        self.chunked = False  # whether the streamed body is sent in chunks
         self.connection: BackendConnection | None = None
-        self.connect_task: asyncio.Task[None] | None = None  # connecting
+        self.connect_task: asyncio.Task[None] | None = None
         self.ended = False
-        self.journal_index = -1  # where it is noted, if it is
+        self.journal_index = -1  # its index in the journal's record of the request; -1 if it has none
 
 
 class Backend:
-    """One backend: where it is, since when, and its idle connections, the last used last."""
+    """One backend: its address, start time and idle connections, the most recently used last."""
 
     __slots__ = ("address", "idle", "started_at", "usable")
 
@@ -118,21 +118,21 @@
         self.attempt_started_at = 0.0
         self.last_read_at = 0.0
         self._parser = ResponseParser()
-        self._answer_started_at = 0.0  # when the first byte of the answer came; 0 while there is none
-        self._streaming_answer = False  # the answer goes on while it comes
-        self._reading_paused = False  # nothing is read, for the caller takes no more
-        self._request_incomplete = False  # the last byte of the request is not written
-        self._write_blocked = False  # the backend takes no more of the request
-        self.bytes_read = self.bytes_written = 0  # bytes
+        self._answer_started_at = 0.0  # when the first byte of the answer arrived; 0 before
+        self._streaming_answer = False
+        self._reading_paused = False  # because the caller's write buffer is full
+        self._request_incomplete = False  # the last byte of the request is not written yet
+        self._write_blocked = False  # the write buffer towards the backend is full
+        self.bytes_read = self.bytes_written = 0
         self.descriptor = -1
         self.connection_key = 0
-        self.failure_domain = (0, 0)  # zone and cell of its server, as far as its name is asked for
+        self.failure_domain = (0, 0)  # zone and cell of its server, set with `connection_key`
         self._has_unread_data: Callable[[], bool] = lambda: False
 
-    # ---- the transport's calls -----------------------------------------------------------
+    # ---- transport callbacks -----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's are not its subclasses
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses of it
         self.transport = transport
         self.connected = True
         self._has_unread_data = self._pool.network.pending(transport)
@@ -145,7 +145,7 @@
     def data_received(self, data: bytes) -> None:
         self.bytes_read += len(data)
         if self.attempt is None:
-            log.info("a backend sent %d bytes that nobody asked for; closing", len(data))
+            log.info("a backend sent %d unsolicited bytes; closing", len(data))
             self.close()
             return
         self.last_read_at = self._pool.loop.time()
@@ -154,22 +154,22 @@
         except Malformed as error:
             self._fail(f"unreadable answer: {error}")
         except Exception:
-            log.exception("reading an answer failed")
+            log.exception("parsing an answer failed")
             self._fail("unreadable answer")
         else:
             if response is not None:
                 self._on_answered(self.attempt, response)
             elif self._parser.response is None:
-                self._answer_started_at = 0.0  # 1xx answers don't count: the backend is still at work
+                self._answer_started_at = 0.0  # 1xx answers don't count: the backend is still working
             else:
                 self._answer_started_at = self._answer_started_at or self.last_read_at
                 self._try_streaming()
 
     def _try_streaming(self) -> None:
-        """Let an answer go on while it comes, if it is a long one or comes slowly and may become long.
+        """Starts to stream the answer if it is long, or if it has no known length and arrives slowly.
 
-        Guards against holding back what callers wait for, and against holding long answers in memory. A short
-        one of known length is read whole, for it can be had again elsewhere if it turns out spoilt.
+        Streaming spares callers the wait and keeps long answers out of memory. A short answer of known length is
+        read completely before it is passed on, because the request can be repeated if the answer breaks.
         """
         response, attempt = self._parser.response, self.attempt
         if (
@@ -179,7 +179,7 @@
             or response.status != 200
             or not response.received
         ):
-            return  # bytes of a body say that the head is whole
+            return  # body bytes imply that the head is complete
         elapsed = self._pool.loop.time() - self._answer_started_at
         if response.received <= MAX_BODY:
             if response.length is None:
@@ -193,7 +193,7 @@
         if not self._pool.sink.on_answer_started(attempt, response):
             return
         if self.attempt is not attempt:
-            return  # the caller has gone meanwhile
+            return  # the caller disconnected during the call
         self._streaming_answer = True
         received, response.body = bytes(response.body), bytearray()
         response.body_sink = self._forward
@@ -208,7 +208,7 @@
             self._pool.sink.on_answer_data(self.attempt, data)
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Read no further, or read on."""
+        """Pauses or resumes reading from the backend."""
         self._reading_paused = paused
         self.last_read_at = self._pool.loop.time()
         if self.transport is None or self.transport.is_closing():
@@ -218,7 +218,7 @@
         else:
             self.transport.resume_reading()
 
-    # ---- a body that is passed on while it comes -----------------------------------------
+    # ---- streamed request bodies -----------------------------------------
 
     def pause_writing(self) -> None:
         self._write_blocked = True
@@ -229,16 +229,16 @@
             self.attempt.stream.deliver()
 
     def can_accept(self) -> bool:
-        """Whether the backend has room for more of the request."""
+        """Whether the write buffer has room for more of the request."""
         return not self._write_blocked and self.transport is not None
 
     def write_body(self, data: bytes) -> None:
-        """Write the next bytes of the body."""
+        """Writes the next bytes of the body."""
         if self.transport is not None and self.attempt is not None and data:
             self._write(chunk(data) if self.attempt.chunked else data)
 
     def end_body(self) -> None:
-        """The body is whole."""
+        """Writes the end of the body."""
         self._request_incomplete = False
         if self.transport is not None and self.attempt is not None and self.attempt.chunked:
             self._write(LAST_CHUNK)
@@ -259,7 +259,7 @@
     # ---- the request ---------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request."""
+        """Writes an attempt's request."""
         assert self.transport is not None
         self.assign(attempt)
         attempt.head = self._pool.sink.request_head(attempt)
@@ -273,7 +273,7 @@
             attempt.stream.attach(self)
 
     def assign(self, attempt: Attempt) -> None:
-        """What comes from here on is the answer to this attempt."""
+        """Assigns an attempt: all further input is the answer to it."""
         assert self.attempt is None
         self.attempt = attempt
         attempt.connection = self
@@ -282,18 +282,18 @@
         self._answer_started_at = 0.0
 
     def is_reusable(self) -> bool:
-        """Whether an idle connection is still fit for a request.
+        """Whether an idle connection can carry another request.
 
-        Guards against reading what has come since the last answer (a second copy of it, noise) as the answer
-        to the next request, and against writing into a connection that the backend has ended: the event loop
-        may not have told of either yet. Either shows as something to read.
+        Input since the last answer (a second copy of it, noise) must not become the answer to the next request, and
+        nothing may be written to a connection that the backend has closed. The event loop may not have reported
+        either yet; both make the socket readable.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         return not self._has_unread_data()
 
     def abort_body(self) -> None:
-        """The rest of the body will never come: what is written is of no use to the backend."""
+        """Fails the attempt, as the rest of the request body will never arrive."""
         self._fail("its body is lost")
 
     # ---- the answer ----------------------------------------------------------------------
@@ -302,17 +302,17 @@
         answered_early = self._request_incomplete
         self._release()
         if self._parser.has_surplus:
-            log.info("more came than belongs to an answer; closing")
+            log.info("a backend sent more than the answer; closing")
         if response.keep_alive and not answered_early and not response.until_eof and not self._parser.has_surplus:
             self._pool.return_to_pool(self)
         else:
             self.close()
         outcome, reason = classify(response)
         if answered_early and outcome is Outcome.OK:
-            outcome, reason = Outcome.BROKEN, "answered before the request was whole"
+            outcome, reason = Outcome.BROKEN, "answered before the request was complete"
         self._pool.finish(attempt, outcome, response, reason)
 
-    # ---- ends ----------------------------------------------------------------------------
+    # ---- closing ----------------------------------------------------------------------------
 
     def _release(self) -> None:
         if self.attempt is not None:
@@ -325,12 +325,12 @@
             self.set_reading_paused(False)
 
     def _fail(self, reason: str) -> None:
-        """No answer can come of this any more; what else is on the connection is of no use."""
+        """Ends the attempt, which can get no valid answer any more, and closes the connection."""
         self._on_lost(reason)
         self.close()
 
     def _on_lost(self, reason: str) -> None:
-        """The connection is of no more use; ends the attempt on it, which may have run."""
+        """Handles a connection that is no longer usable: ends its attempt, which may have run."""
         self._pool.remove_from_pool(self)
         attempt = self.attempt
         if attempt is None:
@@ -346,60 +346,60 @@
         if response is not None and self._parser.head_done and response.status != 200:
             self._pool.finish(attempt, *classify_head(response))
         elif request_incomplete:
-            # A backend begins a request with its last byte: this one never ran.
-            self._pool.finish(attempt, Outcome.UNREACHABLE, None, f"{reason} before the request was whole")
+            # A backend runs a request only after its last byte, so this one never ran.
+            self._pool.finish(attempt, Outcome.UNREACHABLE, None, f"{reason} before the request was complete")
         else:
             self._pool.finish(attempt, Outcome.BROKEN, None, reason)
 
     def check_stalled(self, now: float) -> None:
-        """End an answer that began to come and stopped, or that comes in drops.
+        """Fails an attempt whose answer has begun and then stalls, or arrives too slowly.
 
-        Guards against waiting until the deadline for the rest of an answer that never comes, when there
-        is still time to try again: a backend at work on an answer is never silent for so long. Harm: a
-        network that holds back a part of an answer for longer looks like a broken one.
+        This leaves time to retry instead of waiting until the deadline for the rest of an answer that never comes:
+        once an answer has begun, a working backend is never silent for so long. The cost: a network that delays a
+        part of an answer for longer is mistaken for a broken backend.
         """
         if self.attempt is None or not self._answer_started_at or self._reading_paused:
             return
         if self._streaming_answer:
             if now - self.last_read_at > STREAM_STALL_TIMEOUT:
-                self._fail(f"the answer stopped coming: {self.progress()}")
+                self._fail(f"the answer stalled: {self.progress()}")
         elif now - self.last_read_at > ANSWER_STALL_TIMEOUT or now - self._answer_started_at > ANSWER_READ_TIMEOUT:
-            self._fail(f"the answer stopped coming: {self.progress()}")
+            self._fail(f"the answer stalled: {self.progress()}")
 
     def progress(self) -> str:
-        """How far the attempt has come, for the log."""
-        connection = "a used" if self.use_count > 1 else "a new"
+        """Describes the progress of the attempt, for the log."""
+        kind = "a used" if self.use_count > 1 else "a new"
         response = self._parser.response
         if response is None or not self._parser.head_done:
-            return f"no whole head of an answer on {connection} connection"
-        return f"{response.received} of {response.length} bytes of an answer on {connection} connection"
+            return f"no complete answer head on {kind} connection"
+        return f"{response.received} of {response.length} bytes of an answer on {kind} connection"
 
     def close(self) -> None:
-        """Close at once; the attempt on it, if any, has been dealt with."""
+        """Aborts the connection; an attempt on it has been ended by the caller of this method."""
         self._release()
         if self.transport is not None:
             self.transport.abort()
 
 
 def classify_head(response: Response) -> tuple[Outcome, None, str]:
-    """The outcome of an answer other than 200 of which only the head is whole."""
+    """The outcome of an answer other than 200 of which only the head is complete."""
     outcome, reason = classify(response)
     return outcome, None, reason
 
 
 def classify(response: Response) -> tuple[Outcome, str]:
-    """The outcome that a whole answer stands for."""
+    """The outcome of a complete answer, and the reason for the log."""
     if response.status == 200:
         return Outcome.OK, ""
     if response.status in (503, 504) and (b"x-rejected", b"1") in response.headers:
-        return Outcome.FULL, f"turned away with {response.status}"
+        return Outcome.FULL, f"rejected with {response.status}"
     if 400 <= response.status < 500:
         return Outcome.REJECTED, f"status {response.status}"
     return Outcome.ERROR, f"status {response.status}"
 
 
 class Backends:
-    """All backends by id, and every connection to them."""
+    """All backends by id, and all connections to them."""
 
     def __init__(
         self,
@@ -417,25 +417,27 @@
         self._connect_timeout = connect_timeout
         self._idle_timeout = idle_timeout * IDLE_TIMEOUT_FRACTION if idle_timeout > 0.0 else 60.0
         self._backends: dict[ServerId, Backend] = {}
-        self._owners: dict[Address, ServerId] = {}  # the last backend named at each address
-        self._idle: dict[BackendConnection, None] = {}  # oldest first, over all backends
+        self._owners: dict[Address, ServerId] = {}  # the backend last listed at each address
+        self._idle: dict[BackendConnection, None] = {}  # of all backends, longest idle first
         self._busy: dict[BackendConnection, None] = {}
-        self.connections_opened = 0  # connections, since the start
-        self.before_send: Callable[[Attempt], None] | None = None  # told before an attempt is written
+        self.connections_opened = 0  # since the process started
+        self.before_send: Callable[[Attempt], None] | None = None  # called before an attempt is written
         self._takeover_tasks: set[asyncio.Task[None]] = set()
-        self._close_races: deque[tuple[float, float]] = deque(maxlen=CLOSE_RACES)  # when, and how long idle
-        self._last_sweep_at = 0.0  # when the last sweep was
+        self._close_races: deque[tuple[float, float]] = deque(
+            maxlen=CLOSE_RACES
+        )  # time of the reset, seconds idle before
+        self._last_sweep_at = 0.0
         descriptors.evict_backend = self._evict
 
-    # ---- the list ------------------------------------------------------------------------
+    # ---- backend list ------------------------------------------------------------------------
 
     def update(self, server: ServerId, address: Address, started_at: float, usable: bool) -> ServerId | None:
-        """Discovery names a backend, or names it anew; returns one that is gone, as its address shows.
+        """Adds or updates a listed backend; of two backends at one address, removes and returns the older one.
 
-        Guards against requests to one backend reaching another: an address that a later one has taken over
-        says that the earlier one is no more, whether or not discovery has told so yet. Its drains, its warmth
-        and what is learned of it would be mistaken. Harm: two ids that share one address on purpose are
-        taken for a succession, if they started at different times.
+        A backend that started later at the same address shows that the earlier one has ended, whether or not
+        discovery has reported it. Otherwise requests to the one would reach the other, and the drains, the warm-up
+        and the learned state of the old backend would be applied to the new one. The cost: of two ids that share an
+        address on purpose, the older is dropped if they started at different times.
         """
         previous = self._owners.get(address)
         if previous is not None and previous != server and self._backends[previous].started_at > started_at:
@@ -445,7 +447,7 @@
         if backend is None:
             backend = self._backends[server] = Backend(address, started_at, usable)
         elif address != backend.address or started_at != backend.started_at or not usable:
-            # Guards against requests into connections to a process that is no more.
+            # The connections may lead to a process that has ended.
             self.drop_idle(server)
             self._release_address(server, backend)
         backend.address, backend.started_at, backend.usable = address, started_at, usable
@@ -460,24 +462,24 @@
             del self._owners[backend.address]
 
     def forget(self, server: ServerId) -> None:
-        """Discovery no longer names it."""
+        """Removes a backend that discovery no longer lists."""
         self.drop_idle(server)
         backend = self._backends.pop(server, None)
         if backend is not None:
-            backend.usable = False  # connections still in use are closed, not parked
+            backend.usable = False  # connections in use are closed after their attempt, not pooled
             self._release_address(server, backend)
 
     def server_ids(self) -> list[ServerId]:
-        """The ids of all backends."""
+        """Ids of all listed backends."""
         return list(self._backends)
 
     def address_of(self, server: ServerId) -> Address | None:
-        """Where it is."""
+        """The address of a backend, or None if it is unknown."""
         backend = self._backends.get(server)
         return backend.address if backend is not None else None
 
     def drop_idle(self, server: ServerId) -> None:
-        """Close the idle connections to one backend."""
+        """Closes the idle connections to one backend."""
         backend = self._backends.get(server)
         if backend is not None:
             for connection in list(backend.idle):
@@ -486,14 +488,14 @@
     # ---- attempts ------------------------------------------------------------------------
 
     def send(self, attempt: Attempt) -> None:
-        """Begin an attempt; its end is told later, never from within this call."""
+        """Begins an attempt; its end is reported later, never from within this call."""
         backend = self._backends.get(attempt.server)
         if backend is None:
             self.loop.call_soon(self.finish, attempt, Outcome.UNREACHABLE, None, "no such backend")
             return
         now = self.loop.time()
-        # Guards against losing a repeat to the next dead connection: one that must not be lost and has been
-        # broken once goes out on a new one. Harm: the work of a handshake for each such repeat.
+        # A repeat of a request that is not safe to repeat uses a new connection, so that it isn't lost to the next
+        # dead one. The cost: a handshake for each such repeat.
         needs_new_connection = attempt.number > 0 and not attempt.repeatable
         while backend.idle and not needs_new_connection:
             connection = backend.idle[-1]
@@ -511,7 +513,7 @@
         attempt.connect_task = self.loop.create_task(self._connect(backend, attempt))
 
     def take_over(self, attempt: Attempt, connection: Any, bytes_written: int, bytes_read: int) -> None:
-        """Go on with an attempt that another process has sent, on its connection (as `Network.attach` takes it).
+        """Continues an attempt that another process has sent, on its connection (as `Network.attach` takes it).
 
         Its descriptor is counted already.
         """
@@ -531,27 +533,27 @@
             if not protocol.connected:
                 connection.close()
                 self.on_closed(protocol)
-            self.finish(attempt, Outcome.BROKEN, None, f"not taken over: {error}")
-        if attempt.ended:  # meanwhile
+            self.finish(attempt, Outcome.BROKEN, None, f"takeover of its connection failed: {error}")
+        if attempt.ended:  # while the connection was attached
             protocol.close()
 
     def on_immediate_reset(self, age: float) -> None:
-        """A request was reset as soon as it was written, on a connection that had been idle for so long."""
+        """Records a request that was reset right after its write, on a connection idle for `age` seconds."""
         if age >= MIN_RACE_IDLE_AGE:
             self._close_races.append((self.loop.time(), age))
         else:
-            # Guards against taking a backend that resets whatever comes for one that closes early: new
-            # connections would cost it work and help nobody (incident r75d229).
-            # One at a time: where both kinds come, the early closers still show.
+            # A backend that resets every request must not be mistaken for one that closes idle connections early:
+            # new connections would cost it work without any benefit (incident r75d229). Only one record is removed
+            # for each such reset, so that early closes still show where both kinds occur.
             if self._close_races:
                 self._close_races.popleft()
 
     def _trusted_idle_age(self, now: float) -> float:
-        """For how long a connection may have been idle if what is written to it must not be lost.
+        """The longest idle time in seconds of a connection for a request that is not safe to repeat.
 
-        Guards against backends, or what stands before them, that close idle connections long before the
-        stated time: a request that crosses the close may have run. Those that are harmless to repeat go on
-        using old connections, for a new one costs the backend work.
+        Backends, or proxies in front of them, may close idle connections long before the configured time, and a
+        request that races with the close may have run. Requests that are safe to repeat go on using older
+        connections, as a new one costs the backend work.
         """
         if len(self._close_races) < CLOSE_RACES or now - self._close_races[0][0] > CLOSE_RACES_WINDOW:
             return self._idle_timeout
@@ -574,27 +576,27 @@
             self.finish(attempt, Outcome.UNREACHABLE, None, reason)
             return
         finally:
-            if has_descriptor and not connection.connected:  # else it is given back when the connection is lost
+            if has_descriptor and not connection.connected:  # otherwise it is released when the connection is lost
                 self._descriptors.release_backend()
         attempt.connect_task = None
         if attempt.ended:
             connection.close()
             return
         if connection.transport is None:
-            self.finish(attempt, Outcome.UNREACHABLE, None, "lost as soon as it was made")
+            self.finish(attempt, Outcome.UNREACHABLE, None, "connection lost right after it was made")
             return
         if not self.sink.may_start(attempt):
-            # Guards against what has changed while the connection came up: see `Balancer.permits`.
+            # Something has changed while the connection was made: see `Balancer.may_start`.
             self.return_to_pool(connection)
-            self.finish(attempt, Outcome.VOID, None, "no longer wanted when its connection was up")
+            self.finish(attempt, Outcome.VOID, None, "no longer needed when its connection was made")
             return
         self._busy[connection] = None
         connection.send(attempt)
 
     def cancel(self, attempt: Attempt) -> str:
-        """Give an attempt up: its connection is closed, for the answer may still come on it.
+        """Cancels an attempt and closes its connection, on which the answer may still arrive.
 
-        Returns how far it had come.
+        Returns its progress, for the log.
         """
         attempt.ended = True
         progress = attempt.connection.progress() if attempt.connection is not None else "not connected"
@@ -606,7 +608,7 @@
         return progress
 
     def finish(self, attempt: Attempt, outcome: Outcome, response: Response | None, reason: str) -> None:
-        """Tell the one end of an attempt."""
+        """Reports the end of an attempt, once."""
         if not attempt.ended:
             attempt.ended = True
             self.sink.on_attempt_ended(attempt, outcome, response, reason)
@@ -614,7 +616,7 @@
     # ---- pools ---------------------------------------------------------------------------
 
     def return_to_pool(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next attempt, unless its backend has moved on meanwhile."""
+        """Keeps a connection for later attempts, unless its backend has moved, restarted or been removed."""
         backend = connection.backend
         self._busy.pop(connection, None)
         if (
@@ -629,13 +631,13 @@
         self._idle[connection] = None
 
     def remove_from_pool(self, connection: BackendConnection) -> None:
-        """Take a connection out of the pool."""
+        """Removes a connection from the pool."""
         if connection in self._idle:
             del self._idle[connection]
             connection.backend.idle.remove(connection)
 
     def on_closed(self, connection: BackendConnection) -> None:
-        """A connection is gone, and its descriptor with it."""
+        """Removes a closed connection and releases its descriptor."""
         self._busy.pop(connection, None)
         self.remove_from_pool(connection)
         self._descriptors.release_backend()
@@ -651,7 +653,7 @@
         return False
 
     def sweep(self) -> None:
-        """Close what has been idle for long, and end answers that stopped coming."""
+        """Closes connections idle for too long, and fails attempts whose answers stall."""
         now = self.loop.time()
         was_delayed, self._last_sweep_at = now - self._last_sweep_at > LATE_SWEEP, now
         while self._idle:
@@ -660,14 +662,14 @@
                 break
             self._discard(connection)
         if was_delayed:
-            return  # the process was held up: answers may have come that have not been read
+            return  # the process was delayed, and may have unread answers
         for connection in list(self._busy):
             connection.check_stalled(now)
 
     def idle_servers(self) -> dict[ServerId, int]:
-        """Idle connections by the backends that have any."""
+        """Number of idle connections, by backend that has any."""
         return {server: len(backend.idle) for server, backend in self._backends.items() if backend.idle}
 
     def counts(self) -> tuple[int, int]:
-        """Connections in use and idle."""
+        """Numbers of connections in use and idle."""
         return len(self._busy), len(self._idle)
--- a/cometusher/budget.py
+++ b/cometusher/budget.py
@@ -1,23 +1,23 @@
-"""What is scarce in one process: file descriptors, and the memory that request bodies take."""
+"""Budgets of one process: file descriptors, and the memory of request bodies."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, discovery, and some to spare
-MANAGEMENT_DESCRIPTORS = 14  # where operators can call: their connections, and their listener
-IDLE_PROCESS_MB = 28  # that the process takes by itself, with some to spare...
-IDLE_TWO_PROCESSES_MB = 44  # ...and that two do, while one takes over from the other
-TIGHT_FRACTION = 0.8  # of the descriptors, from which one that takes over is made room for
-BACKEND_FRACTION = 0.25  # of the descriptors that callers can't take
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, discovery, and a reserve
+MANAGEMENT_DESCRIPTORS = 14  # connections and listener of the management address
+IDLE_PROCESS_MB = 28  # memory of an idle process, with a reserve
+IDLE_TWO_PROCESSES_MB = 44  # memory of two idle processes during a hot restart, with a reserve
+TIGHT_FRACTION = 0.8  # share of descriptors in use above which the old process makes room for its successor
+BACKEND_FRACTION = 0.25  # share of descriptors that callers can't use
 
 
 class DescriptorBudget:
-    """One budget of descriptors for both sides.
+    """One budget of descriptors for the connections of callers and of backends.
 
-    Guards against EMFILE: past the limit the kernel refuses accepts and connects in ways that lose
-    requests or spin. Callers can't take the last quarter, for a request that was accepted and finds no
-    descriptor to a backend is of no use. Idle connections are closed to make room.
+    Avoids EMFILE: beyond the limit the kernel refuses accepts and connects in ways that lose requests or cause a
+    busy loop. Callers can't use the last quarter, as an accepted request that finds no descriptor for a backend
+    fails. Idle connections are closed to make room.
     """
 
     def __init__(self, sockets: int, reserved: int = RESERVED_DESCRIPTORS) -> None:
@@ -29,12 +29,12 @@
         self.evict_backend: Callable[[], bool] = lambda: False
         self.evict_caller: Callable[[], bool] = lambda: False
         self.on_free: list[Callable[[], None]] = []
-        self.used_by_others: Callable[[], int] = lambda: 0  # in use by other processes of this proxy
-        self.report_usage: Callable[[int], None] = lambda used: None  # lets them know
+        self.used_by_others: Callable[[], int] = lambda: 0  # by other processes of this proxy
+        self.report_usage: Callable[[int], None] = lambda used: None  # to those processes
         self._waiting: list[Callable[[], None]] = []
 
     def resize(self, sockets: int) -> None:
-        """Set the limit; what is in use beyond it goes as it ends."""
+        """Sets the limit; descriptors in use beyond it are released as their connections end."""
         self.limit = max(4, sockets - self._reserved)
         self.caller_limit = max(2, int(self.limit * (1.0 - BACKEND_FRACTION)))
 
@@ -47,14 +47,14 @@
         return self.used + self.used_by_others() >= self.limit
 
     def is_tight(self) -> bool:
-        """Whether hardly any is left for the other processes of this proxy."""
+        """Whether few descriptors are left for the other processes of this proxy."""
         others = self.used_by_others()
         return others > 0 and self.used + others > TIGHT_FRACTION * self.limit
 
     def acquire_caller(self) -> bool:
-        """Take one for a connection that is about to be accepted."""
+        """Acquires one for a connection that is about to be accepted; returns False if none is free."""
         if self.caller_count >= self.caller_limit or self._is_full():
-            # An eviction frees its descriptor when its connection has closed, not at once.
+            # An evicted connection releases its descriptor when it has closed, not at once.
             if self.caller_count >= self.caller_limit or not self.evict_backend():
                 self.evict_caller()
             return False
@@ -63,7 +63,7 @@
         return True
 
     def acquire_backend(self, on_available: Callable[[], None]) -> bool:
-        """Take one for a connection to a backend, or have `later` called when one may be free."""
+        """Acquires one for a connection to a backend; or returns False, and calls `on_available` when one may be free."""
         if not self._is_full():
             self._acquire()
             return True
@@ -73,30 +73,30 @@
         return False
 
     def has_room(self, count: int, callers: int = 0) -> bool:
-        """Whether so many more could be taken, so many of them for callers."""
+        """Whether `count` more are free, of which `callers` are for callers."""
         return (
             self.used + self.used_by_others() + count <= self.limit
             and self.caller_count + callers <= self.caller_limit
         )
 
     def adopt(self, caller: bool) -> None:
-        """Count one that was handed over and is here already."""
+        """Counts one that another process has passed to this one already."""
         self.caller_count += caller
         self._acquire()
 
     def release_caller(self) -> None:
-        """Give back a caller's."""
+        """Releases the descriptor of a caller's connection."""
         self.caller_count -= 1
         self._release()
 
     def release_backend(self) -> None:
-        """Give back a backend's."""
+        """Releases the descriptor of a connection to a backend."""
         self._release()
 
     def _release(self) -> None:
         self.used -= 1
         self.report_usage(self.used)
-        # All of them: one that has given up meanwhile would swallow the only call.
+        # All are called: a single call could go to a waiter that has given up.
         waiting, self._waiting = self._waiting, []
         for on_available in waiting:
             on_available()
@@ -105,11 +105,11 @@
 
 
 class BodyMemoryBudget:
-    """Bytes that request bodies may take, all callers together.
+    """Limits the bytes of all request bodies together.
 
-    Guards against running out of memory by many bodies at once. A body's whole announced length is set
-    aside when its head has come, so that no body that was let in waits for another. What can't be set aside
-    is turned away; in harm's way are callers with large bodies while others hold all the room.
+    Many bodies at once must not exhaust the memory. A body's announced length is reserved as soon as its head has
+    arrived, so that no accepted body waits for another. Requests without a reservation are rejected; this affects
+    callers with large bodies while others hold all the memory.
     """
 
     def __init__(self, memory_mb: int, idle_mb: int = IDLE_PROCESS_MB) -> None:
@@ -117,15 +117,15 @@
         self.resize(memory_mb)
         self.used = 0
         self.peak = 0
-        self.used_by_others: Callable[[], int] = lambda: 0  # held by other processes of this proxy
-        self.report_usage: Callable[[int], None] = lambda used: None  # lets them know
+        self.used_by_others: Callable[[], int] = lambda: 0  # by other processes of this proxy
+        self.report_usage: Callable[[int], None] = lambda used: None  # to those processes
 
     def resize(self, memory_mb: int) -> None:
-        """Set the limit: a third of what the idle process leaves, as a body is copied once to be sent on."""
+        """Sets the limit: a third of what an idle process leaves, as a body is copied once to be sent."""
         self.limit = max(2, (memory_mb - self._idle_mb) // 3) * 1024 * 1024
 
     def reserve(self, count: int) -> bool:
-        """Set bytes aside, if there is room."""
+        """Reserves bytes; returns False if there is no room."""
         if self.used + self.used_by_others() + count > self.limit:
             return False
         self.used += count
@@ -134,6 +134,6 @@
         return True
 
     def release(self, count: int) -> None:
-        """Give them back."""
+        """Releases reserved bytes."""
         self.used -= count
         self.report_usage(self.used)
--- a/cometusher/http1.py
+++ b/cometusher/http1.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 framing in both directions: messages out of bytes (by llhttp), heads into bytes.
+"""HTTP/1.1 framing: parses requests and answers (with llhttp), and formats message heads.
 
-Knows nothing of connections, callers or backends. Every size that a peer chooses is bounded here.
+Independent of connections, callers and backends. Every size that a peer can choose is bounded here.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-MAX_HEAD = 16 * 1024  # bytes of a head, of trailers, and of what frames a body
-MAX_BODY = 64 * 1024  # of a body, either way, that is read whole; a longer one is passed on while it comes
-MAX_STREAM = 40 * 1024 * 1024  # of any body
-MAX_INTERIM_ANSWERS = 8  # 1xx answers ahead of one
+MAX_HEAD = 16 * 1024  # bytes of a head, of trailers, and of the framing of a body
+MAX_BODY = 64 * 1024  # bytes of a body, in either direction, that is buffered; a longer one is streamed
+MAX_STREAM = 40 * 1024 * 1024  # bytes of any body
+MAX_INTERIM_ANSWERS = 8  # 1xx answers before the final one
 
-#: Headers that speak of one connection, or of a framing that is written anew.
+#: Headers that concern a single connection, or framing that is written anew (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -56,11 +56,11 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 _BUDGET = re.compile(rb"(\d{1,15}(?:\.\d{1,9})?)([mu])", re.ASCII)
-_MAX_BUDGET = 3600.0
+_MAX_BUDGET = 3600.0  # seconds
 
 
 class Malformed(Exception):
-    """A message that can't be read; `status` is what a caller is told."""
+    """A message that is invalid or not acceptable; `status` is the HTTP status for the caller."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -68,7 +68,7 @@
 
 
 def parse_budget(value: bytes) -> float:
-    """Seconds in an `X-Budget`."""
+    """Parses an `X-Budget` value into seconds, at most _MAX_BUDGET; raises Malformed."""
     match = _BUDGET.fullmatch(value.strip())
     if match is None:
         raise Malformed(400, "bad X-Budget")
@@ -76,12 +76,12 @@
 
 
 def format_budget(seconds: float) -> bytes:
-    """An `X-Budget` that never says more than there is."""
+    """Formats seconds as an `X-Budget` value, rounded down to a microsecond."""
     return b"%du" % max(0, int(seconds * 1e6))
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """The headers that go on to the other side."""
+    """The headers that are forwarded to the other side: all but those of the connection itself."""
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
@@ -90,7 +90,7 @@
 
 
 def response_head(status: int, headers: Iterable[tuple[bytes, bytes]], close: bool) -> bytes:
-    """The head of an answer."""
+    """Formats the head of an answer."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES.get(status, b"Unknown"))]
     lines += [b"%s: %s" % header for header in headers]
     if close:
@@ -103,12 +103,12 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """A piece of a body as a chunk (RFC 9112, section 7.1)."""
+    """Formats a part of a body as a chunk (RFC 9112, section 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def request_head(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """The head of a request."""
+    """Formats the head of a request."""
     lines = [b"%s %s HTTP/1.1" % (method, target)]
     lines += [b"%s: %s" % header for header in headers]
     lines.append(b"\r\n")
@@ -116,7 +116,7 @@
 
 
 class Request:
-    """A caller's request as it came; header names are in lower case."""
+    """A caller's request as it arrived; header names are in lower case."""
 
     __slots__ = (
         "body",
@@ -135,16 +135,16 @@
         self.method = b""
         self.target = b""
         self.headers: Headers = []
-        self.length: int | None = None  # announced; None where chunked
+        self.length: int | None = None  # from Content-Length; None if chunked
         self.body = bytearray()
         self.received = 0  # bytes of the body
-        self.stream: BodyStream | None = None  # where it is passed on while it comes
-        self.reserved_bytes = 0  # bytes that the memory budget counts for the body
+        self.stream: BodyStream | None = None  # holds the body instead of `body` if it is streamed
+        self.reserved_bytes = 0  # bytes reserved for the body in the memory budget
         self.keep_alive = True
         self.http10 = False
 
     def header(self, name: bytes) -> bytes | None:
-        """The header of this name; one that is repeated is malformed, for another reader may take another."""
+        """The value of a header, or None; raises Malformed if it is repeated, as other readers may use another value."""
         values = [value for key, value in self.headers if key == name]
         if len(values) > 1:
             raise Malformed(400, f"repeated {name.decode()}")
@@ -152,27 +152,27 @@
 
 
 class Response:
-    """A backend's answer as far as it has come."""
+    """A backend's answer, as far as it has arrived."""
 
     __slots__ = ("body", "body_sink", "headers", "keep_alive", "length", "received", "status", "until_eof")
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: Headers = []
-        self.length: int | None = None  # announced; None where chunked or ended by the connection
+        self.length: int | None = None  # from Content-Length; None if chunked or ended by the connection's end
         self.until_eof = False
         self.keep_alive = True
         self.body = bytearray()
         self.received = 0  # bytes of the body
-        self.body_sink: Callable[[bytes], None] | None = None  # where they go, instead of `body`
+        self.body_sink: Callable[[bytes], None] | None = None  # receives the body instead of `body`, if set
 
 
 class _Parser:
-    """What both directions share: the counting of bytes that are not body, and the reading of framing."""
+    """The common part of both parsers: counts the bytes that are not body, and determines the framing."""
 
     def __init__(self) -> None:
-        self._overhead_bytes = 0  # bytes since the message began that were not body
-        self._head_bytes = 0  # bytes of its headers, and what keeping them costs
+        self._overhead_bytes = 0  # bytes since the start of the message that were not body
+        self._head_bytes = 0  # bytes of its headers, and the cost of storing them
         self._headers: Headers = []
         self.head_done = False
 
@@ -183,20 +183,19 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.head_done:
-            return  # a trailer; nothing here needs one
-        # Not by the bytes read so far: a read that ends a head may bring a whole body behind it.
+            return  # a trailer, which is ignored
+        # The bytes read so far are no measure: the read that ends a head may contain a whole body.
         self._head_bytes += len(name) + len(value) + 32
         if self._head_bytes > MAX_HEAD:
             raise Malformed(431, "head too large")
         self._headers.append((name.lower(), value.strip()))
 
     def _framing(self) -> tuple[int | None, bool]:
-        """Announced length and whether the body is chunked.
+        """Returns the announced length, if any, and whether the body is chunked; raises Malformed.
 
-        Guards against messages whose end two readers would see in different places, for what one of them
-        takes as body the other takes as the next message. Stricter than the parser, whatever it lets pass:
-        framing is given once, in one way, in its plain form. Harm: a peer that repeats an equal
-        Content-Length is turned away.
+        Rejects messages whose end two readers could see in different places (request smuggling): what one takes
+        for body, the other takes for the next message. Stricter than the parser: framing must be given exactly
+        once, in one way, in its plain form. The cost: a peer that repeats an equal Content-Length is rejected.
         """
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value for name, value in self._headers if name == b"transfer-encoding"]
@@ -213,7 +212,7 @@
         return int(lengths[0]), False
 
     def _feed(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes) -> bytes:
-        """Parse; returns what came after an offer of another protocol, which is declined."""
+        """Parses `data`; returns what follows a declined upgrade request. Raises Malformed."""
         try:
             parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
@@ -229,39 +228,39 @@
 
 
 class RequestSink(Protocol):
-    """Who is told of requests."""
+    """Receives the events of a request parser."""
 
     def on_request_begin(self) -> None:
-        """The first byte has come."""
+        """The first byte of a request has arrived."""
 
     def on_request_head(self, request: Request) -> None:
-        """The head is whole."""
+        """The head is complete."""
 
     def on_large_body(self, request: Request) -> None:
-        """Its body is longer than MAX_BODY; `stream` is to be set."""
+        """The body is longer than MAX_BODY; sets `request.stream`."""
 
     def on_request(self, request: Request) -> None:
-        """The last byte has come."""
+        """The last byte of the request has arrived."""
 
 
 class RequestParser(_Parser):
-    """Requests out of the bytes of one connection; `feed` raises Malformed."""
+    """Parses the requests of one connection; `feed` raises Malformed."""
 
     def __init__(self, sink: RequestSink) -> None:
         super().__init__()
         self._sink = sink
         self._parser = httptools.HttpRequestParser(self)
-        self.current: Request | None = None  # the one being read
+        self.current: Request | None = None  # the request being read
 
     def feed(self, data: bytes) -> None:
-        """Read on; calls the sink."""
+        """Parses the next bytes and calls the sink."""
         while data:
             received_before = self.current.received if self.current else 0
             self._overhead_bytes += len(data)
             remaining = self._feed(self._parser, data)
             current = self.current
             if current is not None:
-                # Guards against heads, trailers and chunk framing without end, which the parser would keep.
+                # Bounds heads, trailers and chunk framing, which the parser would buffer without limit.
                 self._overhead_bytes -= max(0, current.received - received_before)
                 if self._overhead_bytes > MAX_HEAD + 16 * current.received:
                     raise Malformed(400 if self.head_done else 431, "head too large")
@@ -316,24 +315,23 @@
 
 
 class ResponseParser(_Parser):
-    """Answers out of the bytes of one connection, one for each request; `feed` raises Malformed.
+    """Parses the answers of one connection, one for each request; `feed` raises Malformed.
 
-    Guards against all that a backend may send beside the one answer: what can't be read, or is longer than
-    an answer may be, is Malformed; what follows a whole answer is not read, but noted in `surplus`, for it
-    must never become the answer to the next request. Ought to hold for whatever else a peer adds. Harm: a
-    backend with answers above MAX_BODY can't be used.
+    Invalid input and answers longer than MAX_STREAM are Malformed. Input behind a complete answer is not parsed but
+    recorded in `has_surplus`, as it must never become the answer to the next request. The cost: a backend with
+    answers above MAX_STREAM can't be used.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._parser = httptools.HttpResponseParser(self)
-        self._complete_answer: Response | None = None  # whole, and not yet handed out
+        self._complete_answer: Response | None = None  # complete, and not yet returned by `feed`
         self._interim_count = 0
-        self.response: Response | None = None  # the one being read
-        self.has_surplus = False  # more came than belongs to the answer
+        self.response: Response | None = None  # the answer being read
+        self.has_surplus = False  # more bytes arrived than belong to the answer
 
     def feed(self, data: bytes) -> Response | None:
-        """Read on; returns the answer once it is whole."""
+        """Parses the next bytes; returns the answer once it is complete."""
         received_before = self.response.received if self.response else 0
         self._overhead_bytes += len(data)
         try:
@@ -350,7 +348,7 @@
         return self._take_answer()
 
     def finish(self) -> Response | None:
-        """The peer has ended its side: completes an answer that its end delimits."""
+        """The peer has closed its side: returns an answer that is delimited by the close, else None."""
         if self.response is not None and self.head_done and self.response.until_eof:
             self._complete_answer = self.response
         return self._take_answer()
@@ -390,7 +388,7 @@
             raise Malformed(502, "body too large")
         if response.body_sink is not None:
             response.body_sink(data)
-        elif response.status == 200:  # of others nothing is passed on
+        elif response.status == 200:  # bodies of other answers are not forwarded
             response.body += data
 
     def on_message_complete(self) -> None:
--- a/cometusher/stream.py
+++ b/cometusher/stream.py
@@ -1,7 +1,8 @@
-"""The body of a request that is passed on while it comes, with back-pressure and bounded memory.
+"""Streams a request body from the caller to a backend, with back-pressure and bounded memory.
 
-Pieces wait here between the caller's connection, which feeds them, and an attempt's connection, which takes them.
-The first KEPT bytes stay until more than that has been taken: so long the body can be taken again from its start.
+Pieces are buffered between the caller's connection, which feeds them, and an attempt's connection, which receives
+them. The first REPLAY_BYTES are retained until more than that has been delivered; until then the body can be
+delivered again from its start to another attempt.
 """
 
 from __future__ import annotations
@@ -9,38 +10,38 @@
 from collections.abc import Callable
 from typing import Protocol
 
-REPLAY_BYTES = 256 * 1024  # bytes that stay for a repeat
-MAX_WAITING_BYTES = 64 * 1024  # bytes that wait for an attempt before the caller is read no further
+REPLAY_BYTES = 256 * 1024  # bytes retained for a repeated attempt
+MAX_WAITING_BYTES = 64 * 1024  # undelivered bytes at which reading from the caller pauses
 
 
 class BodySource(Protocol):
-    """The connection that a body comes on."""
+    """The connection from which a body is read."""
 
     def pause_body(self) -> None:
-        """Read no further."""
+        """Stops reading."""
 
     def resume_body(self) -> None:
-        """Read on."""
+        """Resumes reading."""
 
 
 class BodyReceiver(Protocol):
-    """The connection that a body goes to."""
+    """The connection to which a body is written."""
 
     def can_accept(self) -> bool:
-        """Whether it has room."""
+        """Whether the write buffer has room."""
 
     def write_body(self, data: bytes) -> None:
-        """The next bytes."""
+        """Writes the next bytes."""
 
     def end_body(self) -> None:
-        """There are no more."""
+        """Writes the end of the body."""
 
     def abort_body(self) -> None:
-        """The rest will never come."""
+        """The rest of the body will never arrive."""
 
 
 class BodyStream:
-    """One body: from one source, to one taker at a time."""
+    """One body, from one source to one receiver at a time."""
 
     __slots__ = (
         "_delivered_bytes",
@@ -60,21 +61,21 @@
     def __init__(self, source: BodySource, initial: bytes = b"") -> None:
         self._source = source
         self._pieces: list[bytes] = []
-        self._next_piece = 0  # the next of them to be taken
-        self._delivered_bytes = 0  # bytes taken by the present taker
-        self._waiting_bytes = 0  # bytes that have come and are not taken
+        self._next_piece = 0  # index of the next piece to deliver
+        self._delivered_bytes = 0  # bytes delivered to the present receiver
+        self._waiting_bytes = 0  # bytes that have arrived and are not delivered
         self._receiver: BodyReceiver | None = None
-        self._source_paused = False  # the source reads no further
-        self._discarded = False  # nobody wants it any more
-        self.size = 0  # bytes that have come
-        self.complete = False  # the last byte has come
-        self.consumed = False  # a part is let go: it can't be taken again
+        self._source_paused = False  # reading from the source is paused
+        self._discarded = False  # the rest of the body is not needed
+        self.size = 0  # bytes that have arrived
+        self.complete = False  # the last byte has arrived
+        self.consumed = False  # a part was discarded, so it can't be delivered again from its start
         self.on_consumed: Callable[[], None] | None = None
         if initial:
             self.feed(initial)
 
     def feed(self, piece: bytes) -> None:
-        """The next bytes have come."""
+        """The next bytes have arrived."""
         self.size += len(piece)
         if self._discarded:
             return
@@ -86,22 +87,22 @@
             self._source.pause_body()
 
     def finish(self) -> None:
-        """The last byte has come.
+        """The last byte has arrived.
 
-        Guards the end of the connection: a caller that is read no further, though nothing more of this body can
-        come, goes away unnoticed, and an answer that is passed on to it waits for good.
+        Resumes reading from the source: while reading is paused, a caller's disconnect goes unnoticed, and an answer
+        that is streamed to it would wait forever.
         """
         self.complete = True
         self.deliver()
         self._resume_source()
 
     def contents(self) -> bytes:
-        """All of it, where it has come and nothing is let go."""
+        """The whole body; it must be complete, with no part discarded."""
         assert self.complete and not self.consumed
         return b"".join(self._pieces)
 
     def attach(self, receiver: BodyReceiver) -> None:
-        """Give it to a taker, from the start."""
+        """Delivers the body to a receiver, from the start."""
         assert not self.consumed
         self._receiver = receiver
         self._next_piece = self._delivered_bytes = 0
@@ -109,12 +110,12 @@
         self.deliver()
 
     def detach(self, receiver: BodyReceiver) -> None:
-        """That one takes no more."""
+        """Stops the delivery to a receiver."""
         if self._receiver is receiver:
             self._receiver = None
 
     def deliver(self) -> None:
-        """Give what there is, as far as there is room for it."""
+        """Delivers the buffered pieces as far as the receiver has room."""
         receiver = self._receiver
         if receiver is None:
             return
@@ -125,7 +126,7 @@
             self._waiting_bytes -= len(piece)
             receiver.write_body(piece)
             if self._receiver is not receiver:
-                return  # it broke
+                return  # the receiver was detached by a failure
         if self._delivered_bytes > REPLAY_BYTES:
             self._discard_delivered()
         if self._waiting_bytes <= MAX_WAITING_BYTES // 2:
@@ -148,7 +149,7 @@
                 self.on_consumed()
 
     def discard(self) -> None:
-        """Nobody wants it any more: what still comes is read and forgotten."""
+        """Discards the body; what still arrives is read and dropped."""
         self._discarded = True
         receiver, self._receiver = self._receiver, None
         self._pieces.clear()
