--- a/cometusher/budget.py
+++ b/cometusher/budget.py
@@ -63,7 +63,7 @@
         return True
 
     def acquire_backend(self, on_available: Callable[[], None]) -> bool:
-        """Acquires one for a connection to a backend; or returns False, and calls `on_available` when one may be free."""
+        """Acquires one for a connection to a backend, or returns False and later calls `on_available`."""
         if not self._is_full():
             self._acquire()
             return True
--- a/cometusher/http1.py
+++ b/cometusher/http1.py
@@ -144,7 +144,7 @@
         self.http10 = False
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header, or None; raises Malformed if it is repeated, as other readers may use another value."""
+        """The value of a header, or None; raises Malformed if it is repeated, as readers differ in which they use."""
         values = [value for key, value in self.headers if key == name]
         if len(values) > 1:
             raise Malformed(400, f"repeated {name.decode()}")
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -71,8 +71,8 @@
     from cometusher.hot_restart import Succession
     from cometusher.inflight.tracker import Hand
     from cometusher.management import Management
-    from cometusher.recovery import Return
-    from weldroute.outlier_detection import Counting
+    from cometusher.recovery import RecoveryController
+    from weldroute.outlier_detection import TrafficRecorder
 
 log = logging.getLogger(__name__)
 
@@ -196,9 +196,11 @@
         self.config = config
         self.operations = Operations()
         self._hot_restart: Succession | None = None
-        self.recovery: Return | None = None
+        self.recovery: RecoveryController | None = None
         self.inflight: Hand | None = None
-        self.traffic_counters: Counting | None = None  # compared by the supervisor with those of other instances
+        self.traffic_counters: TrafficRecorder | None = (
+            None  # compared by the supervisor with those of other instances
+        )
         self.management: Management | None = None
         self.servers_by_host: dict[str, ServerId] = {}  # backends by their name in discovery
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
@@ -240,9 +242,9 @@
         if config.shared:
             self._start_hot_restart(config.shared)
         if config.returning is not None:
-            from cometusher.recovery import Return
+            from cometusher.recovery import RecoveryController
 
-            self.recovery = Return(self, config.returning)
+            self.recovery = RecoveryController(self, config.returning)
         if config.covered is not None:
             from cometusher.inflight.tracker import Hand
 
@@ -337,7 +339,7 @@
         if self._hot_restart is not None:
             self._hot_restart.stops()
         if self.recovery is not None:
-            self.recovery.stops()
+            self.recovery.stop()
         self.operations.stop(self.loop.time(), DRAIN_FULL_BUDGET_WINDOW + max_budget - DRAIN_ACCEPT_MARGIN)
         all_closed: asyncio.Task[None] | None = None
         while all_closed is None or not all_closed.done():
@@ -369,7 +371,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         self.backends.sweep()
         if self.recovery is not None:
-            self.recovery.look()
+            self.recovery.tick()
         if self._hot_restart is not None:
             self._hot_restart.look()
         self.apply_listener_state()
@@ -416,7 +418,7 @@
             result = self._set_ban(host, call is ManagementCall.EXCLUDE)
         for component in (self._hot_restart, self.recovery):
             if component is not None and result.succeeded:
-                component.ordered()
+                component.on_operator_orders()
         self.apply_listener_state()
         return result
 
@@ -540,7 +542,7 @@
         if self.recovery is None or body_incomplete:
             self._submit(exchange, class_index, tenant, body_incomplete)
         else:
-            self.recovery.admits(exchange, class_index, lambda: self._submit(exchange, class_index, tenant, False))
+            self.recovery.admit(exchange, class_index, lambda: self._submit(exchange, class_index, tenant, False))
 
     def _tenant_index(self, request: Request) -> int:
         return self._tenant_indices.get(request.header(b"x-caller") or b"", len(self._tenant_indices))
@@ -628,7 +630,7 @@
     def _submit(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
         """Passes a request to the balancer."""
         if self.recovery is not None:
-            self.balancer.preferred = self.recovery.kept()
+            self.balancer.preferred = self.recovery.preferred_servers()
         deadline = exchange.deadline
         self._dispatch(
             exchange,
@@ -704,7 +706,7 @@
             return
         self._increment("left")
         if self.recovery is not None:
-            self.recovery.left(exchange)
+            self.recovery.on_caller_gone(exchange)
         if self.inflight is not None:
             self.inflight.gone(exchange)
         exchange.answered = True
@@ -728,7 +730,7 @@
             exchange.timer = self.loop.call_later(remaining + 0.001, self._on_deadline, exchange)
             return
         exchange.timer = None
-        if self.recovery is not None and self.recovery.late(exchange):
+        if self.recovery is not None and self.recovery.on_deadline(exchange):
             return
         if self.inflight is not None and self.inflight.gone(exchange):
             # The request with the same key that it waited for may have run, here or elsewhere.
@@ -904,11 +906,11 @@
         if self.traffic_counters is not None:
             server = self.balancer.servers.get(attempt.server)
             if server is not None:
-                self.traffic_counters.ended(server.row.zone, outcome, latency)
+                self.traffic_counters.on_attempt_ended(server.row.zone, outcome, latency)
         if self.inflight is not None and outcome in NEVER_RAN:
             self.inflight.never(attempt, exchange)
         if self.recovery is not None:
-            outcome = self.recovery.ended(attempt, outcome, response)
+            outcome = self.recovery.on_attempt_ended(attempt, outcome, response)
         if outcome is not Outcome.OK and outcome is not Outcome.CANCELLED:
             exchange.last_failure = f"backend {attempt.server:x}: {reason}"
             self._increment(outcome.value)
@@ -938,7 +940,7 @@
     def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
         """Handles a backend list, a change to it, or a failed call, filtered by the recovery if there is one."""
         if self.recovery is not None:
-            accepted = self.recovery.hears(kind, entries)
+            accepted = self.recovery.on_list(kind, entries)
             if accepted is None:
                 return
             entries = accepted
