--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -25,7 +25,7 @@
 from weldroute.operations import ListenerState
 
 if TYPE_CHECKING:
-    from cometusher.inflight.tracker import Hand
+    from cometusher.inflight.tracker import InflightTracker
 
 log = logging.getLogger(__name__)
 
@@ -316,7 +316,7 @@
             close = True  # its end is the connection's
         self._close_after_answer = close
         if self._callers.inflight is not None:
-            self._callers.inflight.passes(self)
+            self._callers.inflight.on_streaming(self)
         if self._transport is not None:
             self._write(response_head(status, headers, close))
 
@@ -338,7 +338,7 @@
         self._finish_request()
         self._closing = True
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         if self._transport is not None:
             self._callers.network.abort(self._transport)
 
@@ -350,7 +350,7 @@
             data = response_head(status, headers, close) + body
             if noted and self._callers.inflight is not None:
                 assert self._request is not None
-                self._callers.inflight.answers(self, self._request, data, close)
+                self._callers.inflight.on_answer(self, self._request, data, close)
             self.bytes_written += len(data)
             self._transport.write(data)
         self._on_answered(close)
@@ -461,7 +461,7 @@
     def _on_disconnect(self) -> None:
         """Nothing more is owed to this caller."""
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         taken, self._accepted = self._accepted, None
         self._closing = True
         self._streaming_answer = False
@@ -487,7 +487,7 @@
     def close(self) -> None:
         """Close a connection that owes no answer."""
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         self._discard_partial_request()
         self._closing = True
         if self._transport is not None:
@@ -565,7 +565,7 @@
         self.memory = memory
         self.listener_state = ListenerState()
         self.out_of_descriptors = False  # connections wait for a free descriptor
-        self.inflight: Hand | None = None  # notes what is in hand, where that is switched on
+        self.inflight: InflightTracker | None = None  # notes what is in hand, where that is switched on
         self.all_closed = asyncio.Event()
         self._draining = False
         self._descriptors = descriptors
@@ -660,7 +660,7 @@
         self._connections[connection] = None
         self._evictable[connection] = None
         if self.inflight is not None:
-            self.inflight.opened(connection)
+            self.inflight.on_connection_opened(connection)
 
     async def take_over(
         self, connection: Any, read: int, wrote: int, slot: int, up: Callable[[CallerConnection], None]
@@ -689,7 +689,7 @@
     def on_closed(self, connection: CallerConnection) -> None:
         """A connection is gone, and its descriptor with it."""
         if self.inflight is not None:
-            self.inflight.closed(connection)
+            self.inflight.on_connection_closed(connection)
         self._idle.pop(connection, None)
         self._evictable.pop(connection, None)
         if connection in self._connections:
@@ -718,7 +718,7 @@
             self._evictable.pop(connection, None)
             self._idle[connection] = None
             if self.inflight is not None and connection.journal_slot == -1:
-                self.inflight.idle(connection)
+                self.inflight.on_connection_idle(connection)
 
     def on_lingering(self, connection: CallerConnection) -> None:
         """It only lingers for its last answer to be read."""
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -14,7 +14,7 @@
 from weldroute.settings import read_settings
 
 if TYPE_CHECKING:
-    from cometusher.inflight.endpoint import Covered
+    from cometusher.inflight.endpoint import JournalAssignment
     from cometusher.recovery import RecoveryConfig
 
 Address = tuple[str, int]
@@ -41,7 +41,7 @@
     accept_fd: int | None = None  # the listener that this process was started with
     shared: str | None = None  # a folder that processes of this proxy share, where one takes over from another
     returning: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
-    covered: Covered | None = None  # where work in hand is noted, likewise
+    covered: JournalAssignment | None = None  # where work in hand is noted, likewise
 
 
 def read_address(text: Any, name: str) -> Address:
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -28,7 +28,7 @@
 from cometusher.proxy import Proxy
 
 if TYPE_CHECKING:
-    from cometusher.inflight.tracker import Received
+    from cometusher.inflight.tracker import ReceivedOffer
 
 LISTENER, STATUS, LIFELINE = 3, 4, 5
 BEAT = 1.0  # seconds between signs of life
@@ -72,7 +72,7 @@
             proxy.recovery.report = self._tell_comeback
             self._tell_comeback(proxy.recovery.status())
         if proxy.inflight is not None:
-            proxy.inflight.tell = self._tell_declined
+            proxy.inflight.report_declined = self._tell_declined
         if os.environ.get("FLEET_VIGIL") == "1":
             self._turn(proxy)
         self._beat(loop)
@@ -85,7 +85,7 @@
         told = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
         turn(proxy, int(told["row"]), float(told["beat"]))
 
-    def _tell_declined(self, offer: Received) -> None:
+    def _tell_declined(self, offer: ReceivedOffer) -> None:
         self._say(event="declined", process=offer.process, slot=offer.slot, term=offer.term)
 
     def _tell_comeback(self, values: dict[str, Any]) -> None:
@@ -95,7 +95,7 @@
         loop.call_later(BEAT, self._beat, loop)
         assert self._proxy is not None
         tallies = self._proxy.counters
-        hand = {"hand": self._proxy.inflight.figures()} if self._proxy.inflight is not None else {}
+        hand = {"hand": self._proxy.inflight.counters()} if self._proxy.inflight is not None else {}
         counts = {name: tallies.get(name, 0) for name in COUNTED}
         self._say(event="beat", open=self._proxy.open_requests, **counts, **hand)
 
@@ -116,19 +116,19 @@
 
         settings = replace(settings, returning=read_recovery_config(path))
     if os.environ.get("FLEET_TAKEOVER") == "1":
-        from cometusher.inflight.endpoint import read_covered
+        from cometusher.inflight.endpoint import read_assignment
 
-        settings = replace(settings, covered=read_covered(path))
+        settings = replace(settings, covered=read_assignment(path))
     return settings
 
 
 def _be_kept() -> None:
     """Have a keeper, before there is a second thread. Without one, what is in hand dies with this process."""
     from cometusher.inflight import descriptor_holder
-    from cometusher.inflight.endpoint import KEEPER
+    from cometusher.inflight.endpoint import HOLDER_FD
 
     try:
-        descriptor_holder.start(KEEPER)
+        descriptor_holder.start(HOLDER_FD)
     except OSError as fault:
         logging.warning("no keeper, and nothing in hand is covered: %s", fault)
 
--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -21,12 +21,12 @@
 import orjson
 
 from cometusher.fleet.spec import TakeoverSpec
-from cometusher.inflight.descriptor_holder import BATCH
-from cometusher.inflight.endpoint import DOOR, KEEPER, SHELF, Covered, write_covered
-from cometusher.inflight.offer import MAX_MESSAGE, MOST, Offer, close_all, receive, waits
-from cometusher.inflight.tcp_info import look_at, name_of
-from weldroute.request_journal import BUSY, IDLE, Left, Row, Stage
-from weldroute.takeover import Estate, Piece
+from cometusher.inflight.descriptor_holder import BATCH_DESCRIPTORS
+from cometusher.inflight.endpoint import CHANNEL_FD, HOLDER_FD, POOL_FD, JournalAssignment, assignment_values
+from cometusher.inflight.offer import MAX_DESCRIPTORS, MAX_MESSAGE, Offer, close_all, is_waiting, receive
+from cometusher.inflight.tcp_info import connection_id_of, read_counters_at
+from weldroute.request_journal import BUSY, IDLE, ConnectionRecord, OrphanedJournal, Stage
+from weldroute.takeover import RequestRef, TakeoverPlanner
 
 log = logging.getLogger("cometusher.fleet.estate")  # the `subsystem` of its log records
 
@@ -50,7 +50,7 @@
     name: str
     tier: int
     port: int  # that its callers connect to
-    left: Left
+    left: OrphanedJournal
     book: int  # which on the shelf
     shelf: int  # descriptor
     keeper: socket.socket
@@ -61,17 +61,21 @@
     keeper_pidfd: int = -1
     dead: bool = False
     asked: set[int] = field(default_factory=set)  # names of what its keeper is to give; below 0: batches of rows
-    batches: dict[int, list[tuple[Row, int]]] = field(default_factory=dict)  # with the slot, if there is an entry
+    batches: dict[int, list[tuple[ConnectionRecord, int]]] = field(
+        default_factory=dict
+    )  # with the slot, if there is an entry
     until: dict[int, float] = field(default_factory=dict)  # by slot
     parts: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: the caller, attempts
     peers: dict[int, int] = field(default_factory=dict)  # by slot: the name of the caller's connection
     copies: set[int] = field(default_factory=set)  # connections of work that it was offered when it died, by name
-    moved: dict[int, tuple[float, Row]] = field(default_factory=dict)  # to it, by name, and until when that counts
+    moved: dict[int, tuple[float, ConnectionRecord]] = field(
+        default_factory=dict
+    )  # to it, by name, and until when that counts
 
     def pass_on(self) -> dict[int, int]:
         """The descriptors for the process, by the numbers that it has them at."""
         assert self.child_keeper is not None
-        return {SHELF: self.shelf, KEEPER: self.child_keeper.fileno(), DOOR: self.back.fileno()}
+        return {POOL_FD: self.shelf, HOLDER_FD: self.child_keeper.fileno(), CHANNEL_FD: self.back.fileno()}
 
     def passed_on(self) -> None:
         """It has them."""
@@ -87,7 +91,7 @@
         self.spec = spec
         self._loop = loop
         self._heirs = heirs
-        self._estate = Estate(spec.pace, spec.patience)
+        self._estate = TakeoverPlanner(spec.pace, spec.patience)
         self._holdings: dict[int, Holding] = {}
         self._ports: dict[int, set[int]] = {}  # that callers connect to, by tier
         self._shelf = spec.shelf
@@ -110,7 +114,7 @@
         self._count += 1
         self._ports.setdefault(tier, set()).add(port)
         book = self._take_book()
-        left = Left(self._shelf.book(self._view, book), self._shelf.size)
+        left = OrphanedJournal(self._shelf.journal_memory(self._view, book), self._shelf.size)
         keeper, child_keeper = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         door, back = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         for one in (keeper, door, back):
@@ -127,12 +131,12 @@
         if not self._books:
             raise OSError("no book is free")
         book = self._books.popleft()
-        self._memory.madvise(mmap.MADV_REMOVE, self._shelf.at(book), self._shelf.stride)
+        self._memory.madvise(mmap.MADV_REMOVE, self._shelf.journal_offset(book), self._shelf.journal_stride)
         return book
 
     def told(self, holding: Holding) -> dict[str, Any]:
         """What the process is told of it, as a part of its file."""
-        return {"takeover": write_covered(Covered(holding.process, holding.book, self._shelf))}
+        return {"takeover": assignment_values(JournalAssignment(holding.process, holding.book, self._shelf))}
 
     def started(self, holding: Holding) -> None:
         """It has started."""
@@ -145,44 +149,54 @@
             return
         holding.dead = True
         holding.passed_on()
-        given = {piece for piece, claim in self._estate.given() if claim.holder == holding.process}
+        given = {piece for piece, claim in self._estate.assigned() if claim.successor == holding.process}
         self._see_adopted()
         unproven = given & set(self._estate.claims)  # noted by it at most, not adopted: they are in the book before
         holding.copies = {self._holdings[process].peers[slot] for process, slot in unproven}
-        self._estate.reaped(holding.process)
+        self._estate.on_reaped(holding.process)
         self._take_in(holding, unproven)
         self._drain(holding)
         self._go_on()
 
-    def _take_in(self, holding: Holding, unproven: set[Piece]) -> None:
+    def _take_in(self, holding: Holding, unproven: set[RequestRef]) -> None:
         """Ask the keeper for the connections of all that is in the book."""
         asks: list[tuple[int, list[int]]] = []
-        rows: list[tuple[Row, int]] = []
+        rows: list[tuple[ConnectionRecord, int]] = []
         taken = set()  # connections with an entry
         for slot in holding.left.slots():
-            entry = holding.left.read(slot)
+            entry = holding.left.record_at(slot)
             if entry is None:
                 log.warning("%s: an entry of its book can't be read", holding.name)
                 continue
-            if entry.caller < 0:
+            if entry.caller_descriptor < 0:
                 continue  # an answer that is only kept
-            taken.add(entry.caller)
+            taken.add(entry.caller_descriptor)
             if entry.origin is not None and (entry.origin.process, entry.origin.slot) in unproven:
                 continue
             holding.until[slot] = max(entry.deadline, self._loop.time()) + GRACE
-            holding.peers[slot] = entry.peer
+            holding.peers[slot] = entry.caller_connection_id
             if entry.stage is Stage.ANSWERED:
                 # Most likely between two requests: its connection tells.
-                rows.append((Row(entry.caller, entry.peer, entry.read, entry.wrote + entry.length), slot))
+                rows.append(
+                    (
+                        ConnectionRecord(
+                            entry.caller_descriptor,
+                            entry.caller_connection_id,
+                            entry.bytes_read,
+                            entry.bytes_written + entry.answer_length,
+                        ),
+                        slot,
+                    )
+                )
                 continue
-            asks.append((slot, [entry.caller, *(one.connection for one in entry.tries)]))
-        rows += [(row, -1) for row in holding.left.rows([IDLE]) if row.connection not in taken]
+            asks.append((slot, [entry.caller_descriptor, *(one.descriptor for one in entry.attempts)]))
+        rows += [(row, -1) for row in holding.left.connections([IDLE]) if row.descriptor not in taken]
         before = self.counts["left"]
         self.counts["left"] += len(asks)
-        for at in range(0, len(rows), BATCH):
+        for at in range(0, len(rows), BATCH_DESCRIPTORS):
             name = -1 - at
-            holding.batches[name] = rows[at : at + BATCH]
-            asks.append((name, [row.connection for row, _ in rows[at : at + BATCH]]))
+            holding.batches[name] = rows[at : at + BATCH_DESCRIPTORS]
+            asks.append((name, [row.descriptor for row, _ in rows[at : at + BATCH_DESCRIPTORS]]))
         holding.asked = {OTHERS, *(name for name, _ in asks)}
         if asks:
             log.info(
@@ -196,7 +210,7 @@
         try:
             for at in range(0, len(asks), ASKED_AT_ONCE):
                 holding.keeper.send(orjson.dumps(asks[at : at + ASKED_AT_ONCE]))
-            known = taken | {row.connection for row in holding.left.rows([IDLE, BUSY])}
+            known = taken | {row.descriptor for row in holding.left.connections([IDLE, BUSY])}
             ports = sorted(self._ports[holding.tier])  # what was moved to it came to another's
             holding.keeper.send(orjson.dumps({"ports": ports, "known": sorted(known)}))
         except OSError as fault:
@@ -209,7 +223,7 @@
             if holding.keeper.fileno() < 0:
                 return  # what it gave last was all
             try:
-                data, descriptors, _, _ = socket.recv_fds(holding.keeper, MAX_MESSAGE, MOST)
+                data, descriptors, _, _ = socket.recv_fds(holding.keeper, MAX_MESSAGE, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
@@ -258,7 +272,7 @@
         parts = [next(given, None) if there else None for there in have]
         if name >= 0:
             holding.parts[name] = parts
-            self._estate.left(holding.process, [(name, holding.until[name])])
+            self._estate.add_orphans(holding.process, [(name, holding.until[name])])
         else:
             self._sort_out(holding, holding.batches.pop(name), parts)
         self._next(holding)
@@ -282,40 +296,42 @@
                 if name in holding.copies:
                     close_all([number])
                 else:
-                    there.append((holding.moved.get(name, (0.0, Row(0, name, 0, 0)))[1], number))
+                    there.append((holding.moved.get(name, (0.0, ConnectionRecord(0, name, 0, 0)))[1], number))
             if there:
                 self._move(holding, there)
         else:
             holding.asked.discard(OTHERS)
         self._next(holding)
 
-    def _sort_out(self, holding: Holding, rows: list[tuple[Row, int]], parts: list[int | None]) -> None:
+    def _sort_out(self, holding: Holding, rows: list[tuple[ConnectionRecord, int]], parts: list[int | None]) -> None:
         """Connections that should be between two requests: those of which an answer is not out are work."""
         idle = []
         for (row, slot), number in zip(rows, parts, strict=True):
             if number is None:
                 continue
-            seen = look_at(number, row.name)
-            entry = holding.left.read(slot) if slot >= 0 else None
-            if entry is not None and seen is not None and seen.written < row.wrote:
+            seen = read_counters_at(number, row.connection_id)
+            entry = holding.left.record_at(slot) if slot >= 0 else None
+            if entry is not None and seen is not None and seen.written < row.bytes_written:
                 self.counts["left"] += 1
-                holding.parts[slot] = [number, *(None for _ in entry.tries)]
-                holding.peers[slot] = entry.peer
-                self._estate.left(holding.process, [(slot, holding.until[slot])])
-            elif entry is not None and entry.closes:
+                holding.parts[slot] = [number, *(None for _ in entry.attempts)]
+                holding.peers[slot] = entry.caller_connection_id
+                self._estate.add_orphans(holding.process, [(slot, holding.until[slot])])
+            elif entry is not None and entry.closes_connection:
                 close_all([number])
             else:
                 idle.append((row, number))
         if idle:
             self._move(holding, idle)
 
-    def _move(self, holding: Holding, there: list[tuple[Row, int]], but: int = 0, first: int = 0) -> None:
+    def _move(
+        self, holding: Holding, there: list[tuple[ConnectionRecord, int]], but: int = 0, first: int = 0
+    ) -> None:
         """Connections without work go to whoever has the least to do."""
         self._send_on(
             holding.tier,
             Offer(
                 holding.process,
-                rows=[[row.name, row.read, row.wrote] for row, _ in there],
+                rows=[[row.connection_id, row.bytes_read, row.bytes_written] for row, _ in there],
                 descriptors=[number for _, number in there],
             ),
             but,
@@ -324,10 +340,10 @@
 
     def accepted(self, holding: Holding, connections: list[socket.socket], itself: bool = False) -> None:
         """Connections that were accepted for a process, of which nothing was read: it has them, or others do."""
-        rows = [(Row(0, name_of(one), 0, 0), one.detach()) for one in connections]
+        rows = [(ConnectionRecord(0, connection_id_of(one), 0, 0), one.detach()) for one in connections]
         but, first = (0, holding.process) if itself else (holding.process, 0)
-        for at in range(0, len(rows), BATCH):
-            self._move(holding, rows[at : at + BATCH], but, first)
+        for at in range(0, len(rows), BATCH_DESCRIPTORS):
+            self._move(holding, rows[at : at + BATCH_DESCRIPTORS], but, first)
         self._go_on()
 
     def _send_on(self, tier: int, offer: Offer, but: int = 0, first: int = 0) -> None:
@@ -346,7 +362,7 @@
                 offer.send(heir.door)
                 now = self._loop.time()
                 heir.moved = {name: one for name, one in heir.moved.items() if one[0] > now}
-                heir.moved |= {row[0]: (now + MOVED_FOR, Row(0, *row)) for row in offer.rows}
+                heir.moved |= {row[0]: (now + MOVED_FOR, ConnectionRecord(0, *row)) for row in offer.rows}
                 self._moving.setdefault(process, now)
                 self.counts["moved"] += len(offer.descriptors)
                 offer.close()
@@ -365,7 +381,7 @@
             (process, count + sum(until > now for until, _ in self._holdings[process].moved.values()))
             for process, count in self._heirs(tier)
         ]
-        return self._estate.able(now, heirs)
+        return self._estate.available(now, heirs)
 
     def _offer_stranded(self) -> None:
         """Connections without work for which there was nobody: most likely a process is about to be there."""
@@ -387,15 +403,15 @@
             piece, term = (int(values["process"]), int(values["slot"])), int(values["term"])
         except (KeyError, TypeError, ValueError):
             return
-        self.counts["declined"] += self._estate.declined(piece, holding.process, term)
+        self.counts["declined"] += self._estate.on_declined(piece, holding.process, term)
         self._go_on()
 
     def _see_adopted(self) -> None:
-        for piece, claim in self._estate.given():
+        for piece, claim in self._estate.assigned():
             holding = self._holdings[piece[0]]
-            if holding.left.adopted(piece[1]) == claim.term:
+            if holding.left.adopted_term(piece[1]) == claim.term:
                 self.counts["adopted"] += 1
-                self._estate.adopted(piece)
+                self._estate.on_adopted(piece)
                 self._let_go(holding, piece[1])
 
     @staticmethod
@@ -409,17 +425,17 @@
             mine = [piece for piece in self._estate.orphans if self._holdings[piece[0]].tier == tier]
             others = [piece for piece in self._estate.orphans if self._holdings[piece[0]].tier != tier]
             self._estate.orphans = mine
-            given = self._estate.settle(now, self._able(tier))
+            given = self._estate.assign(now, self._able(tier))
             self._estate.orphans += others
             for heir, rows in given.items():
                 for piece, term in rows:
                     self._offer_one(heir, piece, term)
 
-    def _offer_one(self, heir: int, piece: Piece, term: int) -> None:
+    def _offer_one(self, heir: int, piece: RequestRef, term: int) -> None:
         holding = self._holdings[piece[0]]
         parts = holding.parts[piece[1]]
         if parts[0] is None:  # its caller has gone
-            self._estate.adopted(piece)
+            self._estate.on_adopted(piece)
             self._let_go(holding, piece[1])
             return
         holding.left.claim(piece[1], term)
@@ -434,23 +450,23 @@
         try:
             offer.send(self._holdings[heir].door)
         except OSError:
-            self._estate.declined(piece, heir, term)
+            self._estate.on_declined(piece, heir, term)
 
     def _take_back(self) -> None:
         """What slow heirs have not received; and then nobody has."""
         now = self._loop.time()
-        for heir in self._estate.slow(now):
+        for heir in self._estate.slow_successors(now):
             holding = self._holdings.get(heir)
             if holding is not None:
-                if waits(holding.back):
-                    self._estate.shun(now, heir)
+                if is_waiting(holding.back):
+                    self._estate.avoid(now, heir)
                 self._drain(holding)
         for heir, since in list(self._moving.items()):
             holding = self._holdings.get(heir)
-            if holding is None or holding.dead or not waits(holding.back):
+            if holding is None or holding.dead or not is_waiting(holding.back):
                 del self._moving[heir]
             elif now - since > self.spec.patience:
-                self._estate.shun(now, heir)
+                self._estate.avoid(now, heir)
                 self._drain(holding)
 
     def _drain(self, holding: Holding) -> None:
@@ -462,7 +478,7 @@
                 if offer.slot < 0:
                     self._send_on(holding.tier, offer, but=holding.process)
                     continue
-                self.counts["taken_back"] += self._estate.taken_back(piece, holding.process, offer.term)
+                self.counts["taken_back"] += self._estate.on_withdrawn(piece, holding.process, offer.term)
                 offer.close()
 
     # ---- time ----------------------------------------------------------------------------
@@ -471,7 +487,7 @@
         """Hand on what can be, and look again as long as anything is on its way."""
         self._see_adopted()
         self._take_back()
-        for piece in self._estate.over(self._loop.time()):
+        for piece in self._estate.expire(self._loop.time()):
             self.counts["lost"] += 1
             log.warning("%s: a request in hand found no heir", self._holdings[piece[0]].name)
             self._let_go(self._holdings[piece[0]], piece[1])
@@ -489,7 +505,7 @@
     def _forget(self) -> None:
         """Let go of the dead of whom nothing is left."""
         for process, holding in list(self._holdings.items()):
-            if holding.dead and not holding.asked and not self._estate.holds(process):
+            if holding.dead and not holding.asked and not self._estate.has_claims(process):
                 del self._holdings[process]
                 self._end(holding)
 
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -24,7 +24,7 @@
 from weldroute.members import MemberPolicy
 from weldroute.outlier_detection import OutlierPolicy
 from weldroute.recovery import RecoveryPlan
-from weldroute.request_journal import BLOCK, Shelf, Size
+from weldroute.request_journal import BLOCK_SIZE, JournalPool, JournalSize
 from weldroute.snapshots import AgeLimits
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
@@ -153,7 +153,7 @@
 class TakeoverSpec:
     """What is covered of work in hand, and at what pace it is handed on."""
 
-    shelf: Shelf = field(default_factory=Shelf)
+    shelf: JournalPool = field(default_factory=JournalPool)
     rests: float = 10.0  # seconds in which the answers of a dead process can be asked for: the longest window
     pace: int = 32  # pieces that one heir has to adopt at once
     patience: float = 0.25  # seconds until what an heir has not received is taken back
@@ -276,12 +276,12 @@
     """The table `[takeover]`; None where the file has none."""
     if not root.has("takeover"):
         return None
-    table, spec, size = root.table("takeover"), TakeoverSpec(), Size()
+    table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
     entries = table.whole("entries", size.entries, 1, 2**16)
-    kilobytes = table.whole("kilobytes", size.blocks * BLOCK // 1024, 64, 2**20)
-    own = Size(entries, kilobytes * 1024 // BLOCK, max((one.sockets for one in instances), default=1))
+    kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
+    own = JournalSize(entries, kilobytes * 1024 // BLOCK_SIZE, max((one.sockets for one in instances), default=1))
     # As many again: for those that take over from a process, and for what the dead leave.
-    shelf = Shelf(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", Shelf().keys, 64, 2**22))
+    shelf = JournalPool(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", JournalPool().keys, 64, 2**22))
     found = TakeoverSpec(
         shelf,
         table.number("rests", spec.rests, 0.0, 600.0),
--- a/cometusher/inflight/descriptor_holder.py
+++ b/cometusher/inflight/descriptor_holder.py
@@ -27,11 +27,11 @@
 import orjson
 
 from cometusher.inflight.offer import MAX_MESSAGE
-from cometusher.inflight.tcp_info import name_of
+from cometusher.inflight.tcp_info import connection_id_of
 
 CLONE_FILES, CLONE_PARENT = 0x400, 0x8000  # linux/sched.h
-NUMBERS = {"x86_64": 56, "aarch64": 220}  # of clone(2)
-BATCH = 32  # descriptors of one message; the kernel takes 253 (SCM_MAX_FD)
+CLONE_SYSCALLS = {"x86_64": 56, "aarch64": 220}  # of clone(2)
+BATCH_DESCRIPTORS = 32  # descriptors of one message; the kernel takes 253 (SCM_MAX_FD)
 
 
 def start(descriptor: int) -> None:
@@ -39,7 +39,7 @@
     owner = os.pidfd_open(os.getpid())
     if _clone() == 0:
         try:
-            _keep(socket.socket(fileno=descriptor), owner)
+            _run(socket.socket(fileno=descriptor), owner)
         finally:
             os._exit(0)
     # Not closed: there is one table of descriptors.
@@ -47,7 +47,7 @@
 
 def _clone() -> int:
     """As fork, but with one table of descriptors, and as the parent's child. Returns 0 in the new process."""
-    number = NUMBERS.get(platform.machine())
+    number = CLONE_SYSCALLS.get(platform.machine())
     if number is None:
         raise OSError(f"the number of clone(2) on {platform.machine()} is not known")
     library = ctypes.PyDLL(None, use_errno=True)  # keeps hold of the interpreter, as os.fork does
@@ -66,7 +66,7 @@
     return pid
 
 
-def _keep(sock: socket.socket, owner: int) -> None:
+def _run(sock: socket.socket, owner: int) -> None:
     # What the supervisor ends by the instance's group must not end this one.
     os.setpgid(0, 0)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -79,21 +79,21 @@
     poller.register(sock, select.POLLIN)
     poller.register(owner, select.POLLIN)
     if (owner, select.POLLIN) in poller.poll():
-        _free_addresses()
+        _close_listeners()
     while message := sock.recv(MAX_MESSAGE):
         asked = orjson.loads(message)
         if not asked:
             return
         if isinstance(asked, dict):
-            _give_others(sock, set(asked["ports"]), set(asked["known"]))
+            _send_unrecorded(sock, set(asked["ports"]), set(asked["known"]))
             continue
         for name, descriptors in asked:
-            have = [_open(number) for number in descriptors]
+            have = [_is_socket(number) for number in descriptors]
             given = [number for number, there in zip(descriptors, have, strict=True) if there]
             socket.send_fds(sock, [orjson.dumps([name, have])], given)
 
 
-def _free_addresses() -> None:
+def _close_listeners() -> None:
     """Listen no longer: the next process of the instance wants the addresses. The supervisor holds its own copies."""
     for entry in os.listdir("/proc/self/fd"):
         with contextlib.suppress(OSError):
@@ -104,7 +104,7 @@
                 os.close(int(entry))
 
 
-def _give_others(sock: socket.socket, ports: set[int], known: set[int]) -> None:
+def _send_unrecorded(sock: socket.socket, ports: set[int], known: set[int]) -> None:
     """Connections that came to any of these ports and of which nothing is known."""
     found: list[tuple[int, int]] = []
     for entry in os.listdir("/proc/self/fd"):
@@ -113,19 +113,19 @@
             continue
         with contextlib.suppress(OSError):
             one = socket.socket(fileno=os.dup(number))
-            name = name_of(one) if one.family in (socket.AF_INET, socket.AF_INET6) else 0
+            name = connection_id_of(one) if one.family in (socket.AF_INET, socket.AF_INET6) else 0
             if name and one.getsockname()[1] in ports:
                 found.append((number, name))
             one.close()
-    for at in range(0, len(found) + 1, BATCH):
-        part = found[at : at + BATCH]
+    for at in range(0, len(found) + 1, BATCH_DESCRIPTORS):
+        part = found[at : at + BATCH_DESCRIPTORS]
         message = orjson.dumps(["others", [name for _, name in part]])
         if part:
             socket.send_fds(sock, [message], [number for number, _ in part])
     sock.send(orjson.dumps(["others", []]))
 
 
-def _open(descriptor: int) -> bool:
+def _is_socket(descriptor: int) -> bool:
     """Whether a descriptor is a socket: one that was noted may be closed, and its number be anything's by now."""
     try:
         return stat.S_ISSOCK(os.fstat(descriptor).st_mode)
--- a/cometusher/inflight/offer.py
+++ b/cometusher/inflight/offer.py
@@ -17,7 +17,7 @@
 import orjson
 
 MAX_MESSAGE = 64 * 1024
-MOST = 240
+MAX_DESCRIPTORS = 240
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     book: int = 0  # ...and which that is
     rows: list[list[int]] = field(default_factory=list)  # of connections without work: name, read, wrote
     descriptors: list[int] = field(default_factory=list)  # the caller, attempts; or the callers
-    short: bool = False  # not all of them could be received: there was no descriptor left
+    truncated: bool = False  # not all of them could be received: there was no descriptor left
 
     def send(self, door: socket.socket) -> None:
         """Offer it; raises OSError (BlockingIOError where there is no room)."""
@@ -54,19 +54,19 @@
 def receive(door: socket.socket) -> Offer | None:
     """The next offer; None where there is none now. Raises OSError or EOFError."""
     try:
-        data, descriptors, flags, _ = socket.recv_fds(door, MAX_MESSAGE, MOST)
+        data, descriptors, flags, _ = socket.recv_fds(door, MAX_MESSAGE, MAX_DESCRIPTORS)
     except BlockingIOError:
         return None
     if not data:
         raise EOFError
     try:
-        return Offer(**orjson.loads(data), descriptors=descriptors, short=bool(flags & socket.MSG_CTRUNC))
+        return Offer(**orjson.loads(data), descriptors=descriptors, truncated=bool(flags & socket.MSG_CTRUNC))
     except (orjson.JSONDecodeError, TypeError):
         close_all(descriptors)
         return receive(door)
 
 
-def waits(door: socket.socket) -> bool:
+def is_waiting(door: socket.socket) -> bool:
     """Whether an offer waits to be received at this end."""
     poller = select.poll()
     poller.register(door, select.POLLIN)
--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -18,23 +18,33 @@
 from weldroute.operations import LifecycleState
 from weldroute.request_journal import (
     BUSY,
+    CLOSED,
     IDLE,
-    INLINE,
-    NOBODY,
+    INLINE_SIZE,
     NONE,
-    Book,
-    End,
-    Entry,
-    Keys,
-    Left,
+    AttemptEnd,
+    ConnectionRecord,
+    JournalPool,
+    KeyIndex,
     Origin,
+    OrphanedJournal,
     Progress,
-    Row,
-    Shelf,
+    RequestJournal,
+    RequestRecord,
     Stage,
     digest_of,
 )
-from weldroute.takeover import SERVED, Move, Seen, Step, Verdict, follow, inherit, move, weigh
+from weldroute.takeover import (
+    OK_STATUS_PREFIX,
+    ConnectionCounters,
+    FollowStep,
+    IdleConnectionAction,
+    TakeoverAction,
+    assess,
+    decide_follow,
+    decide_idle_connection,
+    decide_takeover,
+)
 
 if TYPE_CHECKING:
     from cometusher.backends import Attempt
@@ -43,57 +53,57 @@
 
 log = logging.getLogger("cometusher.inhand.hand")  # the `subsystem` of its log records
 
-COVERED_BODY = 64 * 1024  # bytes of a body that is noted; of a longer one only that it was there
+MAX_RECORDED_BODY = 64 * 1024  # bytes of a body that is noted; of a longer one only that it was there
 UNCOVERED = -2  # in place of a handle: there was no room for a note
-SPARE = 8  # descriptors that must be free beside those that come with an offer...
-LARGEST = 40  # ...and for one to be received: BATCH connections without work, and those
-FOLLOW = 0.005  # seconds between looks at work of the same key that another has in hand
-LASTS = 60.0  # seconds beyond the time of its answer for which a key is looked for: longer than any deadline
-MOST_FOLLOWING = 256  # requests that wait for such work; more ask for themselves
-AGES = 1.0  # seconds between looks at what is kept
+SPARE_DESCRIPTORS = 8  # descriptors that must be free beside those that come with an offer...
+MAX_OFFER_DESCRIPTORS = 40  # ...and for one to be received: BATCH connections without work, and those
+FOLLOW_INTERVAL = 0.005  # seconds between looks at work of the same key that another has in hand
+KEY_MARGIN = 60.0  # seconds beyond the time of its answer for which a key is looked for: longer than any deadline
+MAX_FOLLOWERS = 256  # requests that wait for such work; more ask for themselves
+EXPIRY_INTERVAL = 1.0  # seconds between looks at what is kept
 WINDOW_MARGIN = 0.9  # the part of a keyed class's window in which its answer is kept
 
 
-Place = tuple[int, int]  # book and slot
+JournalLocation = tuple[int, int]  # book and slot
 
 
 @dataclass(slots=True)
-class Received:
+class ReceivedOffer:
     """What an heir is handed; connections are such as `Network.attach` takes."""
 
-    book: int
+    journal_number: int
     process: int
     slot: int
     term: int
-    left: Left | None  # the book that it stands in
+    source_journal: OrphanedJournal | None  # the book that it stands in
     caller: Any | None
-    tries: list[Any | None]
-    rows: list[tuple[Row, Any]] = field(default_factory=list)  # connections without work
+    attempts: list[Any | None]
+    idle_connections: list[tuple[ConnectionRecord, Any]] = field(default_factory=list)  # connections without work
 
     def close(self) -> None:
         """Let go of all that came with it and is not taken."""
-        for connection in (self.caller, *self.tries, *(one for _, one in self.rows)):
+        for connection in (self.caller, *self.attempts, *(one for _, one in self.idle_connections)):
             if connection is not None:
                 connection.close()
-        self.caller, self.tries, self.rows = None, [], []
+        self.caller, self.attempts, self.idle_connections = None, [], []
 
 
-class Door(Protocol):
+class TakeoverChannel(Protocol):
     """Where the book lies, and where offers come from."""
 
-    shelf: Shelf
+    pool: JournalPool
     process: int
     number: int  # of the book on the shelf
-    keys: Keys
+    keys: KeyIndex
 
     @property
     def memory(self) -> memoryview:
         """This process's own book."""
 
-    def left(self, book: int) -> Left:
+    def journal_of(self, book: int) -> OrphanedJournal:
         """Any book of the shelf; raises ValueError for one that is not there."""
 
-    def watch(self, offered: Callable[[Received], None], room: Callable[[], bool]) -> None:
+    def start_receiving(self, offered: Callable[[ReceivedOffer], None], room: Callable[[], bool]) -> None:
         """Call for each offer from here on, while there is room for one."""
 
 
@@ -103,11 +113,11 @@
 
     exchange: Exchange
     key: int
-    place: Place
-    ask: Callable[[], None]  # go on by itself
+    location: JournalLocation
+    proceed: Callable[[], None]  # go on by itself
 
 
-class Sink:
+class RequestCollector:
     """Reads a request that was noted."""
 
     def __init__(self) -> None:
@@ -124,7 +134,7 @@
         self.request = request
 
 
-def write_request(exchange: Exchange, whole: bool) -> bytes:
+def serialize_request(exchange: Exchange, whole: bool) -> bytes:
     """A request that came in pieces, as it is noted; of one whose body is not at hand, the head."""
     request = exchange.request
     body = bytes(request.body) if whole else b""
@@ -132,19 +142,19 @@
     return request_head(request.method, request.target, headers) + body
 
 
-def read_request(entry: Entry) -> Request | None:
+def parse_request(entry: RequestRecord) -> Request | None:
     """A request as it was noted; None if it can't be read."""
-    sink = Sink()
+    sink = RequestCollector()
     try:
         RequestParser(sink).feed(entry.request)
     except Malformed as fault:
         log.error("a noted request can't be read: %s", fault)
     if sink.request is not None:
-        sink.request.keep_alive = not entry.closes and entry.whole
+        sink.request.keep_alive = not entry.closes_connection and entry.has_body
     return sink.request
 
 
-def key_of(request: Request) -> int:
+def request_digest(request: Request) -> int:
     """A number for what a keyed request asks: its key, whose it is, and all of what is asked."""
     names = dict(request.headers)
     return digest_of(
@@ -156,7 +166,7 @@
     )
 
 
-def read_answer(data: bytes) -> tuple[int, Headers, bytes]:
+def parse_answer(data: bytes) -> tuple[int, Headers, bytes]:
     """Status, headers and body of an answer as it was written here."""
     head, _, body = data.partition(b"\r\n\r\n")
     first, *lines = head.split(b"\r\n")
@@ -164,79 +174,92 @@
     return int(first.split(b" ")[1]), [h for h in headers if h[0] not in (b"connection", b"content-length")], body
 
 
-class Hand:
+class InflightTracker:
     """What one process has in hand, and what it was handed.
 
     A request is noted with its first attempt, just before that is written; one that has to wait for its turn, for a
     connection or for its body is noted when it begins to wait. Before its note nothing is sent for it.
     """
 
-    def __init__(self, proxy: Proxy, door: Door) -> None:
+    def __init__(self, proxy: Proxy, door: TakeoverChannel) -> None:
         self._proxy = proxy
         self._network = proxy.network
-        self._door = door
-        self.book = Book(door.memory, door.shelf.size, door.process)
+        self._channel = door
+        self.journal = RequestJournal(door.memory, door.pool.size, door.process)
         self._owners: dict[int, CallerConnection] = {}  # by descriptor
         self._tasks: set[asyncio.Task[None]] = set()
         self._keyed: dict[int, float] = {}  # keyed requests that may yet be served: until when to keep their answer
         self._followers: dict[str, Follower] = {}
-        self._ages = False  # something is kept, and looked at again
-        self.unread: dict[int, tuple[int, float]] = {}  # by descriptor: moved with bytes up to this, come by then
+        self._expiry_scheduled = False  # something is kept, and looked at again
+        self.unread_on_arrival: dict[
+            int, tuple[int, float]
+        ] = {}  # by descriptor: moved with bytes up to this, come by then
         self.joined = 0  # requests that followed another of their key...
         self.answered = 0  # ...and those that got its answer
-        self.done: dict[str, int] = {}  # inherited, by verdict
+        self.takeovers: dict[str, int] = {}  # inherited, by verdict
         self.moved = 0  # connections without work
         self.declined = 0
-        self.tell: Callable[[Received], None] = lambda offer: None  # has the supervisor told that one is declined
-        self.stage: Callable[[str], None] | None = None  # told of each boundary; for tests
+        self.report_declined: Callable[[ReceivedOffer], None] = lambda offer: (
+            None
+        )  # has the supervisor told that one is declined
+        self.on_stage: Callable[[str], None] | None = None  # told of each boundary; for tests
         self._offset = proxy.clock.from_machine(0.0)
         proxy.callers.inflight = self
-        proxy.backends.before_send = self._sends
+        proxy.backends.before_send = self._on_attempt
 
     def start(self) -> None:
         """Take offers from here on."""
-        self._door.watch(self._offered, lambda: self._proxy.descriptors.has_room(LARGEST, LARGEST - SPARE))
+        self._channel.start_receiving(
+            self._on_offer,
+            lambda: self._proxy.descriptors.has_room(
+                MAX_OFFER_DESCRIPTORS, MAX_OFFER_DESCRIPTORS - SPARE_DESCRIPTORS
+            ),
+        )
 
-    def figures(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """What operators want to know."""
         return {
             "open": self._proxy.open_requests,
-            "covered": self.book.covered,
-            "uncovered": self.book.uncovered,
+            "covered": self.journal.covered,
+            "uncovered": self.journal.uncovered,
             "moved": self.moved,
             "declined": self.declined,
             "joined": self.joined,
             "answered": self.answered,
-            "kept": self.book.kept,
-            **{verdict.replace(" ", "_"): count for verdict, count in self.done.items()},
+            "kept": self.journal.retained,
+            **{verdict.replace(" ", "_"): count for verdict, count in self.takeovers.items()},
         }
 
     # ---- callers' connections ------------------------------------------------------------
 
-    def opened(self, caller: CallerConnection) -> None:
+    def on_connection_opened(self, caller: CallerConnection) -> None:
         """A caller's connection is up."""
         assert caller.transport is not None
         caller.descriptor, caller.connection_key = self._network.named(caller.transport)
         self._owners[caller.descriptor] = caller
         state = IDLE if caller.journal_slot == NONE else BUSY
-        self.book.row(caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, state)
+        self.journal.record_connection(
+            caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, state
+        )
 
-    def idle(self, caller: CallerConnection) -> None:
+    def on_connection_idle(self, caller: CallerConnection) -> None:
         """It is between requests, and has no entry: one that has tells of that by its last answer."""
-        self.book.row(caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, IDLE)
+        self.journal.record_connection(
+            caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, IDLE
+        )
 
-    def leaves(self, caller: CallerConnection) -> None:
+    def on_connection_leaving(self, caller: CallerConnection) -> None:
         """Nothing more is owed on it, or nothing that another could give."""
         if self._owners.get(caller.descriptor) is caller:
-            self.book.row(caller.descriptor, caller.connection_key, 0, 0, BUSY)
+            self.journal.record_connection(caller.descriptor, caller.connection_key, 0, 0, BUSY)
         self._release(caller)
 
-    def closed(self, caller: CallerConnection) -> None:
+    def on_connection_closed(self, caller: CallerConnection) -> None:
         """It is gone. Its descriptor may be another's already."""
         if self._owners.get(caller.descriptor) is caller:
             del self._owners[caller.descriptor]
-            self.unread.pop(caller.descriptor, None)
-            self.book.row(caller.descriptor, 0, 0, 0, NOBODY)
+            self.unread_on_arrival.pop(caller.descriptor, None)
+            self.journal.record_connection(caller.descriptor, 0, 0, 0, CLOSED)
         self._release(caller)
 
     def _release(self, caller: CallerConnection) -> None:
@@ -244,53 +267,56 @@
         slot, caller.journal_slot = caller.journal_slot, NONE
         until = self._keyed.pop(slot, None)
         if until is not None:
-            self._keep(slot, until)
+            self._retain(slot, until)
         elif slot != NONE:
-            self.book.done(slot)
+            self.journal.release(slot)
 
-    def _keep(self, slot: int, until: float) -> None:
-        self.book.keep(slot, until)
-        if not self._ages:
-            self._ages = True
-            self._proxy.loop.call_later(AGES, self._age)
+    def _retain(self, slot: int, until: float) -> None:
+        self.journal.retain_answer(slot, until)
+        if not self._expiry_scheduled:
+            self._expiry_scheduled = True
+            self._proxy.loop.call_later(EXPIRY_INTERVAL, self._expire)
 
-    def _age(self) -> None:
+    def _expire(self) -> None:
         """Let go what was kept for long enough; it is given to nobody meanwhile (`follow`)."""
-        self.book.expire(self._network.monotonic())
-        self._ages = self.book.kept > 0
-        if self._ages:
-            self._proxy.loop.call_later(AGES, self._age)
+        self.journal.expire_answers(self._network.monotonic())
+        self._expiry_scheduled = self.journal.retained > 0
+        if self._expiry_scheduled:
+            self._proxy.loop.call_later(EXPIRY_INTERVAL, self._expire)
 
-    def forget(self, slot: int) -> None:
+    def discard(self, slot: int) -> None:
         """Nothing of this entry is to stay."""
         self._keyed.pop(slot, None)
-        self.book.done(slot)
+        self.journal.release(slot)
 
     # ---- requests ------------------------------------------------------------------------
 
-    def waited(self, caller: CallerConnection) -> float:
+    def unread_wait(self, caller: CallerConnection) -> float:
         """Seconds that a request has waited to be read, if its connection was moved with all of it unread.
 
         Guards against counting its time from here when the process before had stood still for most of it.
         """
-        upto, came = self.unread.pop(caller.descriptor, (0, 0.0))
+        upto, came = self.unread_on_arrival.pop(caller.descriptor, (0, 0.0))
         return self._network.monotonic() - came if caller.bytes_read <= upto else 0.0
 
-    def _came_unread(self, caller: CallerConnection, seen: Seen) -> None:
+    def _note_unread(self, caller: CallerConnection, seen: ConnectionCounters) -> None:
         """A connection was taken up on which something may wait already."""
         if seen.unread:
-            self.unread[caller.descriptor] = seen.read + seen.unread, self._network.monotonic() - seen.quiet
+            self.unread_on_arrival[caller.descriptor] = (
+                seen.read + seen.unread,
+                self._network.monotonic() - seen.last_data_age,
+            )
 
-    def note(self, exchange: Exchange) -> None:
+    def ensure_recorded(self, exchange: Exchange) -> None:
         """A request is in hand from here on, unless it is already."""
         if exchange.journal_slot != NONE:
             return
         caller, request = exchange.caller, exchange.request
         raw = caller.last_request_bytes
-        whole = request.stream is None and (bool(raw) or len(request.body) <= COVERED_BODY)
-        before = self._before(caller)
-        exchange.journal_slot = caller.journal_slot = self.book.take(
-            raw if raw and whole else write_request(exchange, whole),
+        whole = request.stream is None and (bool(raw) or len(request.body) <= MAX_RECORDED_BODY)
+        before = self._previous_record(caller)
+        exchange.journal_slot = caller.journal_slot = self.journal.record_request(
+            raw if raw and whole else serialize_request(exchange, whole),
             self._proxy.clock.to_machine(exchange.deadline),
             self._network.monotonic(),
             caller.descriptor,
@@ -304,93 +330,93 @@
             exchange.answer_stored_until,
         )
         if exchange.journal_slot == NONE:
-            exchange.journal_slot = self._uncovered(caller)
+            exchange.journal_slot = self._mark_uncovered(caller)
         elif exchange.dedup_key:
             self._keyed[exchange.journal_slot] = exchange.answer_stored_until
 
-    def _before(self, caller: CallerConnection) -> int:
+    def _previous_record(self, caller: CallerConnection) -> int:
         """The entry of the connection's last request, to be written over; NONE if there is none, or it stays."""
         before = caller.journal_slot
         until = self._keyed.pop(before, None)
         if until is None:
             return before
-        self._keep(before, until)
+        self._retain(before, until)
         return NONE
 
-    def waits(self, exchange: Exchange) -> None:
+    def record_waiting(self, exchange: Exchange) -> None:
         """Nothing was sent for a request yet, and it is not answered."""
-        self.note(exchange)
-        if self.stage is not None:
-            self.stage("taken")
+        self.ensure_recorded(exchange)
+        if self.on_stage is not None:
+            self.on_stage("taken")
 
-    def meets(self, exchange: Exchange, kind: RequestClass) -> tuple[Place | None, int]:
+    def find_same_key(self, exchange: Exchange, kind: RequestClass) -> tuple[JournalLocation | None, int]:
         """A keyed request comes: where another of its key is in hand or kept, if any; and a spot of the index."""
-        exchange.dedup_key = key = key_of(exchange.request)
+        exchange.dedup_key = key = request_digest(exchange.request)
         now = self._network.monotonic()
         exchange.answer_stored_until = now + WINDOW_MARGIN * kind.window
-        place, spot = self._door.keys.meet(key, now)
+        place, spot = self._channel.keys.lookup(key, now)
         if place is not None:
             progress = self._progress(place, key)
-            if progress is None or follow(progress, now)[0] is Step.ASK:
+            if progress is None or decide_follow(progress, now)[0] is FollowStep.PROCEED:
                 return None, spot
         return place, spot
 
-    def follows(self, exchange: Exchange, place: Place, ask: Callable[[], None]) -> bool:
+    def follow(self, exchange: Exchange, place: JournalLocation, ask: Callable[[], None]) -> bool:
         """Wait for the answer of another of its key, and go on (`ask`) where none comes; False: too many wait."""
-        if len(self._followers) >= MOST_FOLLOWING:
+        if len(self._followers) >= MAX_FOLLOWERS:
             return False
-        self.note(exchange)
+        self.ensure_recorded(exchange)
         self.joined += 1
         self._followers[exchange.request_id] = Follower(exchange, exchange.dedup_key, place, ask)
         if len(self._followers) == 1:
-            self._look()
-        if self.stage is not None:
-            self.stage("joined")
+            self._check_followers()
+        if self.on_stage is not None:
+            self.on_stage("joined")
         return True
 
-    def found_at(self, exchange: Exchange, spot: int = NONE) -> None:
+    def publish_key(self, exchange: Exchange, spot: int = NONE) -> None:
         """Whoever asks for its key from here on finds this request; `spot`: what `meets` said a moment ago."""
         if exchange.journal_slot >= 0:
-            door = self._door
-            slot = self.book.slot(exchange.journal_slot)
-            door.keys.put(exchange.dedup_key, door.number, slot, exchange.answer_stored_until + LASTS, spot)
+            door = self._channel
+            slot = self.journal.slot_of(exchange.journal_slot)
+            door.keys.put(exchange.dedup_key, door.number, slot, exchange.answer_stored_until + KEY_MARGIN, spot)
 
-    def _progress(self, place: Place, key: int) -> Progress | None:
+    def _progress(self, place: JournalLocation, key: int) -> Progress | None:
         try:
-            return self._door.left(place[0]).follow(place[1], key)
+            return self._channel.journal_of(place[0]).progress(place[1], key)
         except ValueError:
             return None  # no such book: a row that two wrote at once
 
-    def _look(self) -> None:
+    def _check_followers(self) -> None:
         """See how far those are that are followed."""
         now = self._network.monotonic()
         for rid, one in list(self._followers.items()):
-            one.place = self._door.keys.find(one.key, now) or one.place  # it may have an heir
-            progress = self._progress(one.place, one.key)
-            step, _ = follow(progress, now)
-            if step is Step.WAIT:
+            one.location = self._channel.keys.find(one.key, now) or one.location  # it may have an heir
+            progress = self._progress(one.location, one.key)
+            step, _ = decide_follow(progress, now)
+            if step is FollowStep.WAIT:
                 continue
             del self._followers[rid]
-            if step is Step.GIVE and progress is not None and progress.answer is not None:
+            if step is FollowStep.DELIVER and progress is not None and progress.answer is not None:
                 self.answered += 1
-                self._proxy.serve_stored_answer(one.exchange, *read_answer(progress.answer))
+                self._proxy.serve_stored_answer(one.exchange, *parse_answer(progress.answer))
             else:
-                self.found_at(one.exchange)
-                one.ask()
+                self.publish_key(one.exchange)
+                one.proceed()
         if self._followers:
-            self._proxy.loop.call_later(FOLLOW, self._look)
+            self._proxy.loop.call_later(FOLLOW_INTERVAL, self._check_followers)
 
-    def gone(self, exchange: Exchange) -> bool:
+    def stop_following(self, exchange: Exchange) -> bool:
         """A request is over, or its time is up; whether it was following another."""
         return self._followers.pop(exchange.request_id, None) is not None
 
-    def whole(self, exchange: Exchange) -> None:
+    def on_body_received(self, exchange: Exchange) -> None:
         """The last byte of its body has come: its time counts from here."""
-        self.book.came(
+        self.journal.record_body_received(
             exchange.journal_slot, self._proxy.clock.to_machine(exchange.deadline), exchange.caller.bytes_read
         )
 
-    def _sends(self, attempt: Attempt) -> None:
+    def _on_attempt(self, attempt: Attempt) -> None:
         """An attempt is about to be written."""
         exchange: Any = attempt.owner
         connection = attempt.connection
@@ -406,11 +432,11 @@
         if exchange.slot == NONE:
             caller = exchange.caller
             raw = caller.raw
-            if raw and len(raw) <= INLINE and length:
+            if raw and len(raw) <= INLINE_SIZE and length:
                 before = caller.slot
                 if before in self._keyed:
-                    before = self._before(caller)
-                slot = self.book.begin(
+                    before = self._previous_record(caller)
+                slot = self.journal.record_sent_request(
                     raw,
                     exchange.deadline - offset,
                     attempt.sent_at - offset,
@@ -434,12 +460,12 @@
                     self._keyed[slot] = exchange.keep_until
                 attempt.journal_index = 0
                 caller.slot = slot
-                exchange.slot = slot if slot != NONE else self._uncovered(caller)
-                if self.stage is not None:
-                    self.stage("sent")
+                exchange.slot = slot if slot != NONE else self._mark_uncovered(caller)
+                if self.on_stage is not None:
+                    self.on_stage("sent")
                 return
-            self.note(exchange)
-        attempt.journal_index = self.book.sends(
+            self.ensure_recorded(exchange)
+        attempt.journal_index = self.journal.record_attempt(
             exchange.slot,
             attempt.server,
             zone,
@@ -451,109 +477,113 @@
             connection.bytes_written,
             connection.bytes_read,
         )
-        if self.stage is not None:
-            self.stage("sent")
+        if self.on_stage is not None:
+            self.on_stage("sent")
 
-    def _uncovered(self, caller: CallerConnection) -> int:
-        self.book.row(caller.descriptor, caller.connection_key, 0, 0, BUSY)
+    def _mark_uncovered(self, caller: CallerConnection) -> int:
+        self.journal.record_connection(caller.descriptor, caller.connection_key, 0, 0, BUSY)
         return UNCOVERED
 
-    def never(self, attempt: Attempt, exchange: Exchange) -> None:
+    def on_attempt_never_ran(self, attempt: Attempt, exchange: Exchange) -> None:
         """An attempt has ended and has certainly not run. Of the others their connections tell."""
-        self.book.ends(exchange.journal_slot, attempt.journal_index, End.NEVER)
+        self.journal.record_attempt_end(exchange.journal_slot, attempt.journal_index, AttemptEnd.NEVER_RAN)
 
-    def passes(self, caller: CallerConnection) -> None:
+    def on_streaming(self, caller: CallerConnection) -> None:
         """A long answer is about to begin."""
-        self.book.passes(caller.journal_slot)
-        if self.stage is not None:
-            self.stage("passing")
+        self.journal.record_streaming(caller.journal_slot)
+        if self.on_stage is not None:
+            self.on_stage("passing")
 
-    def answers(self, caller: CallerConnection, request: Request, answer: bytes, closes: bool) -> None:
+    def on_answer(self, caller: CallerConnection, request: Request, answer: bytes, closes: bool) -> None:
         """An answer is about to be written. What is harmless to repeat (GET) is not kept."""
         slot = caller.journal_slot
         if request.method == b"GET":
-            self.book.answers_briefly(slot, caller.bytes_written, len(answer), closes)
+            self.journal.record_answer_length(slot, caller.bytes_written, len(answer), closes)
         else:
-            self.book.answers(slot, caller.bytes_written, answer, closes)
-            if not answer.startswith(SERVED):
+            self.journal.record_answer(slot, caller.bytes_written, answer, closes)
+            if not answer.startswith(OK_STATUS_PREFIX):
                 self._keyed.pop(slot, None)
-        if self.stage is not None:
-            self.stage("answered")
+        if self.on_stage is not None:
+            self.on_stage("answered")
 
     # ---- the heir ------------------------------------------------------------------------
 
-    def _offered(self, offer: Received) -> None:
-        if offer.left is None and offer.slot < 0:
-            if self.stage is not None:
-                self.stage("moved")
-            for row, connection in offer.rows:
+    def _on_offer(self, offer: ReceivedOffer) -> None:
+        if offer.source_journal is None and offer.slot < 0:
+            if self.on_stage is not None:
+                self.on_stage("moved")
+            for row, connection in offer.idle_connections:
                 # Counted before the next offer is looked at: there may be no room for that one.
                 self._proxy.descriptors.adopt(caller=True)
-                self._start(self._move(row, connection))
-            offer.rows = []
+                self._start(self._resume_idle(row, connection))
+            offer.idle_connections = []
             return
-        if self.stage is not None:
-            self.stage("offered")
+        if self.on_stage is not None:
+            self.on_stage("offered")
         try:
-            taken = offer.left is not None and self._inherit(offer, offer.left)
+            taken = offer.source_journal is not None and self._take_over(offer, offer.source_journal)
         except Exception:
             log.exception("work in hand could not be inherited")
             taken = False
         if not taken:
             self.declined += 1
             offer.close()
-            self.tell(offer)
+            self.report_declined(offer)
 
     def _start(self, work: Any) -> None:
         task = self._proxy.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _inherit(self, offer: Received, left: Left) -> bool:
+    def _take_over(self, offer: ReceivedOffer, left: OrphanedJournal) -> bool:
         """Note the work, adopt it, and act; False where it can't be carried here, and nothing was done."""
-        entry = left.read(offer.slot)
-        request = read_request(entry) if entry is not None else None
+        entry = left.record_at(offer.slot)
+        request = parse_request(entry) if entry is not None else None
         if entry is None or request is None:
             # Nobody can do more than the supervisor, who ends the connection.
             log.error("work in hand of process %d can't be read", offer.process)
             return False
         proxy = self._proxy
-        count = 1 + sum(one is not None for one in offer.tries)
-        if proxy.operations.state is LifecycleState.STOPPING or not proxy.descriptors.has_room(count + SPARE):
+        count = 1 + sum(one is not None for one in offer.attempts)
+        if proxy.operations.state is LifecycleState.STOPPING or not proxy.descriptors.has_room(
+            count + SPARE_DESCRIPTORS
+        ):
             return False
         try:
             kind, _ = proxy.validate(request)
         except Malformed as fault:
             log.warning("work in hand is declined: %s", fault)
             return False
-        caller = self._network.look(offer.caller, entry.peer, False) if offer.caller is not None else None
+        caller = (
+            self._network.look(offer.caller, entry.caller_connection_id, False) if offer.caller is not None else None
+        )
         seen = [
-            self._network.look(connection, one.name, True) if connection is not None else None
-            for one, connection in zip(entry.tries, offer.tries, strict=True)
+            self._network.look(connection, one.connection_id, True) if connection is not None else None
+            for one, connection in zip(entry.attempts, offer.attempts, strict=True)
         ]
-        work = weigh(entry, proxy.config.settings.classes[kind], caller, seen)
-        verdict, why = inherit(work, self._network.monotonic())
+        work = assess(entry, proxy.config.settings.classes[kind], caller, seen)
+        verdict, why = decide_takeover(work, self._network.monotonic())
         if not proxy.memory.reserve(len(request.body)):
             return False
         request.reserved_bytes = len(request.body)
-        slot = self.book.renote(
+        slot = self.journal.copy_record(
             entry,
             Origin(offer.process, offer.slot, offer.term),
-            self._number(offer.caller),
-            [self._number(one) for one in offer.tries],
+            self._descriptor_of(offer.caller),
+            [self._descriptor_of(one) for one in offer.attempts],
         )
-        if self.stage is not None:
-            self.stage("noted")
-        if slot == NONE or left.claimed(offer.slot) != offer.term:
-            self.book.done(slot)
+        if self.on_stage is not None:
+            self.on_stage("noted")
+        if slot == NONE or left.claimed_term(offer.slot) != offer.term:
+            self.journal.release(slot)
             proxy.memory.release(request.reserved_bytes)
             return False
         if entry.key:
-            self._inherit_key(entry, offer, slot)
+            self._take_over_key(entry, offer, slot)
         left.adopt(offer.slot, offer.term)
-        if self.stage is not None:
-            self.stage("adopted")
-        self.done[verdict.value] = self.done.get(verdict.value, 0) + 1
+        if self.on_stage is not None:
+            self.on_stage("adopted")
+        self.takeovers[verdict.value] = self.takeovers.get(verdict.value, 0) + 1
         call_id = (request.header(b"x-call-id") or b"?").decode("latin-1")
         log.info(
             "inherited %s of process %d: %s: %s",
@@ -563,37 +593,37 @@
             why,
             extra={"event": "inherited", "request": call_id},
         )
-        task = Inheritance(self, entry, request, work.tries, verdict, why, slot, caller)
-        task.take(proxy, offer, seen)
+        task = RequestTakeover(self, entry, request, work.attempts, verdict, why, slot, caller)
+        task.claim_connections(proxy, offer, seen)
         self._start(task.run(proxy))
         return True
 
-    def _inherit_key(self, entry: Entry, offer: Received, slot: int) -> None:
+    def _take_over_key(self, entry: RequestRecord, offer: ReceivedOffer, slot: int) -> None:
         """Others that follow this work find it here, unless what they follow is another's."""
-        if entry.answer is None or entry.answer.startswith(SERVED):
-            self._keyed[slot] = entry.until
-        keys, now = self._door.keys, self._network.monotonic()
+        if entry.answer is None or entry.answer.startswith(OK_STATUS_PREFIX):
+            self._keyed[slot] = entry.replay_until
+        keys, now = self._channel.keys, self._network.monotonic()
         place = keys.find(entry.key, now)
-        if place is None or place == (offer.book, offer.slot) or self._progress(place, entry.key) is None:
-            keys.put(entry.key, self._door.number, self.book.slot(slot), now + LASTS)
+        if place is None or place == (offer.journal_number, offer.slot) or self._progress(place, entry.key) is None:
+            keys.put(entry.key, self._channel.number, self.journal.slot_of(slot), now + KEY_MARGIN)
 
     @staticmethod
-    def _number(connection: Any | None) -> int:
+    def _descriptor_of(connection: Any | None) -> int:
         return int(connection.fileno()) if connection is not None else NONE
 
-    async def _move(self, row: Row, connection: Any) -> None:
+    async def _resume_idle(self, row: ConnectionRecord, connection: Any) -> None:
         """Go on with a caller's connection that had no request in hand."""
-        seen = self._network.look(connection, row.name, False)
-        how, why = move(row.read, row.wrote, seen)
-        if how is Move.DROP or seen is None:
+        seen = self._network.look(connection, row.connection_id, False)
+        how, why = decide_idle_connection(row.bytes_read, row.bytes_written, seen)
+        if how is IdleConnectionAction.DROP or seen is None:
             connection.close()
             self._proxy.descriptors.release_caller()
             return
 
         def up(caller: CallerConnection) -> None:
             self.moved += 1
-            self._came_unread(caller, seen)
-            if how is Move.REFUSE:
+            self._note_unread(caller, seen)
+            if how is IdleConnectionAction.REFUSE:
                 log.info("a caller of another process is refused: %s", why)
                 caller.reject(Malformed(503, "its proxy was lost"))
             else:
@@ -603,36 +633,40 @@
 
 
 @dataclass(slots=True)
-class Inheritance:
+class RequestTakeover:
     """One piece of work, from its adoption to the act."""
 
-    hand: Hand
-    entry: Entry
+    tracker: InflightTracker
+    record: RequestRecord
     request: Request
-    tries: tuple[PriorAttempt, ...]
-    verdict: Verdict
-    why: str
+    attempts: tuple[PriorAttempt, ...]
+    action: TakeoverAction
+    reason: str
     slot: int
-    seen: Seen | None  # the caller's connection
+    caller_counters: ConnectionCounters | None  # the caller's connection
     connection: Any | None = None
-    joined: list[TakenOverConnection | None] = field(default_factory=list)
+    joined_connections: list[TakenOverConnection | None] = field(default_factory=list)
 
-    def take(self, proxy: Proxy, offer: Received, seen_tries: list[Seen | None]) -> None:
+    def claim_connections(
+        self, proxy: Proxy, offer: ReceivedOffer, seen_tries: list[ConnectionCounters | None]
+    ) -> None:
         """Take the connections that it needs out of the offer, and close the others."""
         self.connection, offer.caller = offer.caller, None
-        tries, offer.tries = offer.tries, []
-        for one, past, seen in zip(tries, self.tries, seen_tries, strict=True):
-            keep = one is not None and seen is not None and past.joined and self.verdict is Verdict.JOIN
-            self.joined.append((one, seen.written, seen.read) if keep and seen is not None else None)
+        tries, offer.attempts = offer.attempts, []
+        for one, past, seen in zip(tries, self.attempts, seen_tries, strict=True):
+            keep = one is not None and seen is not None and past.joined and self.action is TakeoverAction.JOIN
+            self.joined_connections.append((one, seen.written, seen.read) if keep and seen is not None else None)
             if keep:
                 proxy.descriptors.adopt(caller=False)
             elif one is not None:
                 one.close()
-        ends = self.verdict is Verdict.CUT or (self.verdict is Verdict.NOTHING and not self._keeps())
-        if self.connection is None or self.seen is None or ends:
+        ends = self.action is TakeoverAction.ABORT or (
+            self.action is TakeoverAction.NOTHING and not self._connection_continues()
+        )
+        if self.connection is None or self.caller_counters is None or ends:
             if self.connection is not None:
-                if self.verdict is Verdict.CUT:
-                    self.hand._network.reset(self.connection)
+                if self.action is TakeoverAction.ABORT:
+                    self.tracker._network.reset(self.connection)
                 self.connection.close()
                 self.connection = None
         else:
@@ -641,57 +675,69 @@
     async def run(self, proxy: Proxy) -> None:
         """Take up the caller's connection, and do as the verdict says."""
         there = False
-        if self.connection is not None and self.seen is not None:
+        if self.connection is not None and self.caller_counters is not None:
             there = await proxy.callers.take_over(
-                self.connection, self.seen.read, self.seen.written, self.slot, lambda caller: self._act(proxy, caller)
+                self.connection,
+                self.caller_counters.read,
+                self.caller_counters.written,
+                self.slot,
+                lambda caller: self._act(proxy, caller),
             )
         if not there:
             proxy.memory.release(self.request.reserved_bytes)
-            self.hand.forget(self.slot)
-            for left in filter(None, self.joined):
+            self.tracker.discard(self.slot)
+            for left in filter(None, self.joined_connections):
                 left[0].close()
                 proxy.descriptors.release_backend()
 
-    def _keeps(self) -> bool:
+    def _connection_continues(self) -> bool:
         """Whether the connection of a request that is answered goes on."""
-        return self.seen is not None and not self.seen.ended and not self.entry.closes
+        return (
+            self.caller_counters is not None
+            and not self.caller_counters.closed_by_peer
+            and not self.record.closes_connection
+        )
 
     def _act(self, proxy: Proxy, caller: CallerConnection) -> None:
-        verdict, entry = self.verdict, self.entry
-        over = verdict is Verdict.NOTHING or (verdict is Verdict.REFUSE and entry.stage is Stage.ANSWERED)
-        if over or verdict is Verdict.GIVE:
+        verdict, entry = self.action, self.record
+        over = verdict is TakeoverAction.NOTHING or (
+            verdict is TakeoverAction.REFUSE and entry.stage is Stage.ANSWERED
+        )
+        if over or verdict is TakeoverAction.DELIVER:
             proxy.memory.release(self.request.reserved_bytes)
         if over:
-            self.hand.forget(self.slot)
+            self.tracker.discard(self.slot)
             caller.journal_slot = NONE
-        if verdict is Verdict.GIVE:
-            out = max(0, self.seen.written - entry.wrote) if self.seen is not None else 0
-            caller.finish_answer((entry.answer or b"")[out:], entry.closes)
-        elif verdict is Verdict.NOTHING:
-            if self.seen is not None:
-                self.hand._came_unread(caller, self.seen)
+        if verdict is TakeoverAction.DELIVER:
+            out = (
+                max(0, self.caller_counters.written - entry.bytes_written) if self.caller_counters is not None else 0
+            )
+            caller.finish_answer((entry.answer or b"")[out:], entry.closes_connection)
+        elif verdict is TakeoverAction.NOTHING:
+            if self.caller_counters is not None:
+                self.tracker._note_unread(caller, self.caller_counters)
             caller.mark_idle()
         elif over:
             caller.reject(Malformed(503, "its proxy was lost"))
         else:
-            self._ask(proxy, caller)
+            self._resume_request(proxy, caller)
 
-    def _ask(self, proxy: Proxy, caller: CallerConnection) -> None:
+    def _resume_request(self, proxy: Proxy, caller: CallerConnection) -> None:
         """The work itself goes on, or is refused or failed."""
         clock = proxy.clock
-        deadline = clock.from_machine(self.entry.deadline)
+        deadline = clock.from_machine(self.record.deadline)
         past = [
             PriorAttempt(
                 one.server, clock.from_machine(one.sent), one.maybe_ran, connection is not None, one.zone, one.cell
             )
-            for one, connection in zip(self.tries, self.joined, strict=True)
+            for one, connection in zip(self.attempts, self.joined_connections, strict=True)
         ]
-        exchange = proxy.take_over_request(caller, self.request, deadline, not self.entry.whole)
-        if self.hand.stage is not None:
-            self.hand.stage("acts")
-        if self.verdict in (Verdict.REFUSE, Verdict.FAIL):
-            exchange.last_failure = f"its proxy was lost: {self.why}"
-            refuses = self.verdict is Verdict.REFUSE
+        exchange = proxy.take_over_request(caller, self.request, deadline, not self.record.has_body)
+        if self.tracker.on_stage is not None:
+            self.tracker.on_stage("acts")
+        if self.action in (TakeoverAction.REFUSE, TakeoverAction.FAIL):
+            exchange.last_failure = f"its proxy was lost: {self.reason}"
+            refuses = self.action is TakeoverAction.REFUSE
             proxy.reject(Refuse(exchange.request_id, proxy.retry_after()) if refuses else Fail(exchange.request_id))
             return
-        proxy.resume_attempts(exchange, past, self.joined)
+        proxy.resume_attempts(exchange, past, self.joined_connections)
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -68,7 +68,7 @@
 
 if TYPE_CHECKING:
     from cometusher.hot_restart import Succession
-    from cometusher.inflight.tracker import Hand
+    from cometusher.inflight.tracker import InflightTracker
     from cometusher.management import Management
     from cometusher.recovery import RecoveryController
     from weldroute.outlier_detection import TrafficRecorder
@@ -191,7 +191,7 @@
         self.operations = Operations()
         self._hot_restart: Succession | None = None
         self.recovery: RecoveryController | None = None
-        self.inflight: Hand | None = None
+        self.inflight: InflightTracker | None = None
         self.traffic_counters: TrafficRecorder | None = None  # what its supervisor compares with others'
         self.management: Management | None = None
         self.servers_by_host: dict[str, ServerId] = {}  # backends as discovery names them
@@ -238,9 +238,9 @@
 
             self.recovery = RecoveryController(self, config.returning)
         if config.covered is not None:
-            from cometusher.inflight.tracker import Hand
+            from cometusher.inflight.tracker import InflightTracker
 
-            self.inflight = Hand(self, self.network.cover(config.covered))
+            self.inflight = InflightTracker(self, self.network.cover(config.covered))
 
     def _start_hot_restart(self, folder: str) -> None:
         from cometusher.hot_restart import Succession
@@ -494,8 +494,8 @@
         stream = request.stream
         coming = stream is not None and not stream.complete
         deadline = now + INCOMING_BODY_TIMEOUT if coming else min(now + budget, self._latest_deadline)
-        if self.inflight is not None and self.inflight.unread and not coming:
-            deadline -= self.inflight.waited(caller)
+        if self.inflight is not None and self.inflight.unread_on_arrival and not coming:
+            deadline -= self.inflight.unread_wait(caller)
         exchange = self._open_exchange(caller, request, kind, budget, deadline)
         if stream is not None:
             stream.on_consumed = exchange.on_body_consumed
@@ -508,22 +508,24 @@
             self._submit(exchange, kind, tenant, coming)
         return exchange
 
-    def _accept_journaled(self, hand: Hand, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
+    def _accept_journaled(
+        self, hand: InflightTracker, exchange: Exchange, kind: int, tenant: int, coming: bool
+    ) -> None:
         """A request that is noted, at the latest when it begins to wait."""
         about = self.config.settings.classes[kind]
         keyed = about.repeat is Repeat.KEYED and exchange.request.stream is None
         spot = -1
         if keyed:
-            place, spot = hand.meets(exchange, about)
-            if place is not None and hand.follows(
+            place, spot = hand.find_same_key(exchange, about)
+            if place is not None and hand.follow(
                 exchange, place, lambda: self._submit_paced(exchange, kind, tenant, coming)
             ):
                 return
         self._submit_paced(exchange, kind, tenant, coming)
         if exchange.journal_slot == -1 and not exchange.answered:
-            hand.waits(exchange)
+            hand.record_waiting(exchange)
         if keyed and place is None:
-            hand.found_at(exchange, spot)
+            hand.publish_key(exchange, spot)
 
     def _submit_paced(self, exchange: Exchange, kind: int, tenant: int, coming: bool) -> None:
         """Let a request go on; one that is whole at the pace of a return, if there is one."""
@@ -632,7 +634,7 @@
         now = self.clock.now()
         self._set_deadline(exchange, now, min(now + exchange.budget, self._latest_deadline))
         if self.inflight is not None:
-            self.inflight.whole(exchange)
+            self.inflight.on_body_received(exchange)
         for attempt in exchange.attempts:
             if not attempt.ended:
                 attempt.sent_at = now
@@ -681,7 +683,7 @@
         if self.recovery is not None:
             self.recovery.on_caller_gone(exchange)
         if self.inflight is not None:
-            self.inflight.gone(exchange)
+            self.inflight.stop_following(exchange)
         exchange.answered = True
         self._dispatch(exchange, lambda now: self.balancer.on_client_gone(now, exchange.request_id))
         self._forget_if_settled(exchange)
@@ -705,7 +707,7 @@
         exchange.timer = None
         if self.recovery is not None and self.recovery.on_deadline(exchange):
             return
-        if self.inflight is not None and self.inflight.gone(exchange):
+        if self.inflight is not None and self.inflight.stop_following(exchange):
             # What it followed may have run, here or elsewhere.
             self._fail(exchange, "work of the same key is in hand elsewhere")
             return
@@ -767,7 +769,7 @@
     def _answer(self, exchange: Exchange, status: int, headers: Headers, body: bytes) -> None:
         exchange.answered = True
         if self.inflight is not None:
-            self.inflight.note(exchange)
+            self.inflight.ensure_recorded(exchange)
         exchange.caller.answer(status, headers, body, noted=True)
         self._forget_if_settled(exchange)
 
@@ -878,7 +880,7 @@
             if known is not None:
                 self.traffic_counters.on_attempt_ended(known.row.zone, how, latency)
         if self.inflight is not None and how in NEVER_RAN:
-            self.inflight.never(attempt, exchange)
+            self.inflight.on_attempt_never_ran(attempt, exchange)
         if self.recovery is not None:
             how = self.recovery.on_attempt_ended(attempt, how, response)
         if how is not Outcome.OK and how is not Outcome.CANCELLED:
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -21,11 +21,11 @@
 
 if TYPE_CHECKING:
     from cometusher.handover import Handover
-    from cometusher.inflight.endpoint import Covered
-    from cometusher.inflight.tracker import Door
+    from cometusher.inflight.endpoint import JournalAssignment
+    from cometusher.inflight.tracker import TakeoverChannel
     from cometusher.recovery import RecordSink, RecoveryConfig
     from weldroute.snapshots import Record
-    from weldroute.takeover import Seen
+    from weldroute.takeover import ConnectionCounters
 
 BACKLOG = 4096
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER of socket(7): closing drops what is unsent, and resets
@@ -93,13 +93,13 @@
     def moment(self) -> ClockReading:
         """Now, by the clocks that a record is dated with."""
 
-    def cover(self, covered: Covered) -> Door:
+    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand, and is handed that of others."""
 
     def named(self, transport: asyncio.Transport) -> tuple[int, int]:
         """A connection's descriptor, and a number for it that no other connection has meanwhile."""
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> Seen | None:
+    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """What became of a connection that was handed over; None if it is gone, or is not the one of this name."""
 
     def reset(self, connection: Any) -> None:
@@ -187,24 +187,26 @@
         """Now."""
         return moment()
 
-    def cover(self, covered: Covered) -> Door:
+    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
         """The book and the door that the supervisor has given this process."""
-        from cometusher.inflight.endpoint import SocketDoor
+        from cometusher.inflight.endpoint import SocketTakeoverChannel
 
-        return SocketDoor(self._loop, covered)
+        return SocketTakeoverChannel(self._loop, covered)
 
     def named(self, transport: asyncio.Transport) -> tuple[int, int]:
         """By its two addresses."""
-        from cometusher.inflight.tcp_info import name_by
+        from cometusher.inflight.tcp_info import address_pair_id
 
         sock = transport.get_extra_info("socket")
-        return sock.fileno(), name_by(transport.get_extra_info("sockname"), transport.get_extra_info("peername"))
+        return sock.fileno(), address_pair_id(
+            transport.get_extra_info("sockname"), transport.get_extra_info("peername")
+        )
 
-    def look(self, connection: socket.socket, name: int, opened_here: bool) -> Seen | None:
+    def look(self, connection: socket.socket, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a socket."""
-        from cometusher.inflight.tcp_info import look
+        from cometusher.inflight.tcp_info import read_counters
 
-        return look(connection, name, opened_here)
+        return read_counters(connection, name, opened_here)
 
     def reset(self, connection: socket.socket) -> None:
         """By RST."""
--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -52,9 +52,9 @@
     "Ledger._values": (33, 0),
     "OpenIds._values": (8192, 0),
     "OpenIds._free": (1023, 0),
-    "Hand.done": (8, 0),
-    "Book._free": (1024, 0),
-    "Book._blocks": (2048, 0),
+    "InflightTracker.takeovers": (8, 0),
+    "RequestJournal._free_slots": (1024, 0),
+    "RequestJournal._free_blocks": (2048, 0),
 }
 
 
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -25,11 +25,11 @@
 from cometusher.simulation.loop import MACHINE, VirtualLoop
 from weldroute.handover import OpenIds
 from weldroute.snapshots import ClockReading, Owner, Record, read_record
-from weldroute.takeover import Seen
+from weldroute.takeover import ConnectionCounters
 
 if TYPE_CHECKING:
-    from cometusher.inflight.endpoint import Covered
-    from cometusher.inflight.tracker import Door
+    from cometusher.inflight.endpoint import JournalAssignment
+    from cometusher.inflight.tracker import TakeoverChannel
     from cometusher.recovery import RecordSink, RecoveryConfig
 
 WINDOW = 64 * 1024  # bytes under way and unread in one direction
@@ -361,13 +361,13 @@
         """In place of a descriptor."""
         return self.number
 
-    def seen(self) -> Seen | None:
+    def seen(self) -> ConnectionCounters | None:
         """What the kernel knows of it; None if it is gone."""
         if self._reset or self._gone:
             return None
         unread = sum(map(len, self._inbox))
         quiet = self._loop.time() - self._heard if unread else 0.0
-        return Seen(self.written, self.told, self._eof_came, unread, quiet)
+        return ConnectionCounters(self.written, self.told, self._eof_came, unread, quiet)
 
     def belongs(self, machine: Machine) -> None:
         """A process has accepted it, on a listener that several hold, or was handed it."""
@@ -860,7 +860,7 @@
         epoch: float = 1.6e9,
         memory: Memory | None = None,
         disk: Disk | None = None,
-        covers: Callable[[Covered], Door] | None = None,
+        covers: Callable[[JournalAssignment], TakeoverChannel] | None = None,
     ) -> None:
         self._network = network
         self._memory = memory
@@ -919,7 +919,7 @@
         """Now, by the clock that may step and by the one that does not."""
         return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
-    def cover(self, covered: Covered) -> Door:
+    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand; raises OSError in a world without."""
         if self._covers is None:
             raise _fault(errno.ENOSYS)
@@ -930,7 +930,7 @@
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> Seen | None:
+    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a connection."""
         assert isinstance(connection, VirtualTransport)
         return connection.seen() if connection.number == name else None
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -24,7 +24,7 @@
 from cometusher import config
 from cometusher.backends import BackendConnection
 from cometusher.callers import CallerConnection
-from cometusher.inflight.endpoint import Covered
+from cometusher.inflight.endpoint import JournalAssignment
 from cometusher.proxy import Exchange, Proxy
 from cometusher.recovery import RecoveryConfig
 from cometusher.simulation.container_audit import excess
@@ -135,7 +135,7 @@
     calls: Address  # where operators call
     number: int  # grows with every start
     proxy: Proxy | None = None
-    covered: Covered | None = None  # its book of work in hand
+    covered: JournalAssignment | None = None  # its book of work in hand
 
 
 @dataclass(eq=False)
@@ -1315,7 +1315,7 @@
         timers = len(self.loop.timers_of(door.machine))
         near = [each for each in self.doors if each.tier == door.tier] if self.estates is not None else [door]
         work = sum(self.ledger.open_at(each.name) for each in near)  # heirs have that of others
-        offers = self.estates.estate.pace if self.estates is not None else 0  # that are on their way here
+        offers = self.estates.estate.max_pending if self.estates is not None else 0  # that are on their way here
         if timers > TIMERS + SPARE_TIMERS + offers + 3 * work and not self.ledger.held_up(now, door.name):
             self.ledger.violate(now, "bounded", f"{door.name} has {timers} timers for {work} requests")
         machines = [one.machine for one in (door.process, *door.others) if one is not None and not one.machine.dead]
--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -27,7 +27,7 @@
 
 if FOLDER:
     from cometusher.callers import CallerConnection
-    from cometusher.inflight.tracker import Hand
+    from cometusher.inflight.tracker import InflightTracker
     from cometusher.proxy import Proxy
 
     make = Proxy.__init__
@@ -38,11 +38,11 @@
 
     Proxy.__init__ = made  # type: ignore
     up = CallerConnection.connection_made
-    begin, take, end = Hand.__init__, Proxy.handle_request, Proxy.on_attempt_ended
+    begin, take, end = InflightTracker.__init__, Proxy.handle_request, Proxy.on_attempt_ended
 
     def begun(self: Any, *arguments: Any) -> None:
         begin(self, *arguments)
-        self.stage = reached
+        self.on_stage = reached
 
     def taken(self: Any, caller: Any, request: Any) -> Any:
         if request.target != b"/up":
@@ -60,7 +60,7 @@
         end(self, *arguments)
 
     Proxy.on_attempt_ended = ended  # type: ignore
-    Hand.__init__ = begun  # type: ignore
+    InflightTracker.__init__ = begun  # type: ignore
     Proxy.handle_request = taken  # type: ignore
 
 
--- a/tests/unit/test_offer.py
+++ b/tests/unit/test_offer.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from cometusher.inflight.descriptor_holder import _open
+from cometusher.inflight.descriptor_holder import _is_socket
 from cometusher.inflight.endpoint import _sockets
-from cometusher.inflight.offer import Offer, close_all, receive, waits
+from cometusher.inflight.offer import Offer, close_all, is_waiting, receive
 
 Ends = tuple[socket.socket, socket.socket]
 
@@ -31,11 +31,11 @@
     again = socket.socket(fileno=os.dup(back.fileno()))
     listener = socket.create_server(("127.0.0.1", 0))
     Offer(7, 3, 2, [True, False], book=5, descriptors=[listener.fileno()]).send(door)
-    assert waits(back) and waits(again)
+    assert is_waiting(back) and is_waiting(again)
     taken = receive(again)
-    assert taken is not None and receive(back) is None and not waits(back)
+    assert taken is not None and receive(back) is None and not is_waiting(back)
     assert (taken.process, taken.slot, taken.term, taken.tries, taken.book) == (7, 3, 2, [True, False], 5)
-    assert os.fstat(taken.descriptors[0]).st_ino == os.fstat(listener.fileno()).st_ino and not taken.short
+    assert os.fstat(taken.descriptors[0]).st_ino == os.fstat(listener.fileno()).st_ino and not taken.truncated
     taken.close()
     listener.close()
     again.close()
@@ -52,7 +52,7 @@
         offer = receive(back)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert offer is not None and offer.short and len(offer.descriptors) < 3
+    assert offer is not None and offer.truncated and len(offer.descriptors) < 3
     offer.close()
 
 
@@ -60,7 +60,7 @@
     """A backend's connection that was noted is closed, and its number is a file's or a pipe's by now."""
     one, other = socket.socketpair()
     reading, writing = os.pipe()
-    assert _open(one.fileno()) and not _open(reading) and not _open(99999)
+    assert _is_socket(one.fileno()) and not _is_socket(reading) and not _is_socket(99999)
     found = _sockets([os.dup(one.fileno()), reading])
     assert found[0] is not None and found[1] is None
     with pytest.raises(OSError):
--- a/tests/unit/test_tcp_info.py
+++ b/tests/unit/test_tcp_info.py
@@ -9,7 +9,15 @@
 import pytest
 
 from cometusher.inflight import tcp_info
-from cometusher.inflight.tcp_info import ACKED, ACKED_AT, ESTABLISHED, HEARD, HEARD_AT, look, name_by
+from cometusher.inflight.tcp_info import (
+    BYTE_COUNTERS,
+    BYTE_COUNTERS_OFFSET,
+    ESTABLISHED,
+    LAST_DATA_AGE,
+    LAST_DATA_AGE_OFFSET,
+    address_pair_id,
+    read_counters,
+)
 
 
 class Kernel:
@@ -26,10 +34,10 @@
             self.received, self.unread = self.received + 5, self.unread + 5
 
     def getsockopt(self, *asked: Any) -> bytes:
-        info = bytearray(ACKED_AT + ACKED.size)
+        info = bytearray(BYTE_COUNTERS_OFFSET + BYTE_COUNTERS.size)
         info[0] = ESTABLISHED
-        HEARD.pack_into(info, HEARD_AT, 40)
-        ACKED.pack_into(info, ACKED_AT, self.acked, self.received)
+        LAST_DATA_AGE.pack_into(info, LAST_DATA_AGE_OFFSET, 40)
+        BYTE_COUNTERS.pack_into(info, BYTE_COUNTERS_OFFSET, self.acked, self.received)
         self._arrives()
         return bytes(info)
 
@@ -46,17 +54,17 @@
 
 @pytest.mark.parametrize("arrivals", [0, 1, 3])
 def test_what_arrives_between_two_calls_is_counted_once(arrivals: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tcp_info, "_queue", queue)
+    monkeypatch.setattr(tcp_info, "_queue_length", queue)
     kernel: Any = Kernel(arrivals)
-    seen = look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False)
+    seen = read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False)
     assert seen is not None and (seen.written, seen.read) == (150, 70)
-    assert (seen.unread, seen.quiet) == (5 * arrivals, 0.04 if arrivals else 0.0)
+    assert (seen.unread, seen.last_data_age) == (5 * arrivals, 0.04 if arrivals else 0.0)
 
 
 def test_a_connection_that_never_rests_tells_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tcp_info, "_queue", queue)
+    monkeypatch.setattr(tcp_info, "_queue_length", queue)
     kernel: Any = Kernel(10**6)
-    assert look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False) is None
+    assert read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False) is None
 
 
 def test_of_a_real_connection_all_that_programs_did_is_told() -> None:
@@ -66,5 +74,7 @@
             far.sendall(b"x" * 30)
             near.sendall(b"y" * 20)
             assert far.recv(5) == b"yyyyy"
-            seen = look(far, tcp_info.name_of(far), False)
-            assert seen is not None and (seen.written, seen.read, seen.unread) == (30, 5, 15) and not seen.ended
+            seen = read_counters(far, tcp_info.connection_id_of(far), False)
+            assert (
+                seen is not None and (seen.written, seen.read, seen.unread) == (30, 5, 15) and not seen.closed_by_peer
+            )
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -12,8 +12,8 @@
 from cometusher.simulation.world import Result, play
 from weldroute import takeover
 from weldroute.model import PriorAttempt
-from weldroute.request_journal import Try
-from weldroute.takeover import Seen
+from weldroute.request_journal import AttemptRecord
+from weldroute.takeover import ConnectionCounters
 
 KINDS = ("view", "submit", "pay")
 
@@ -66,24 +66,24 @@
 def test_an_heir_that_believes_notes_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: whatever was sent is taken for what has never run."""
 
-    def never(one: Try, seen: Seen | None, came: bool = True) -> PriorAttempt:
-        return PriorAttempt(one.server, one.at, False, False, one.zone, one.cell)
+    def never(one: AttemptRecord, seen: ConnectionCounters | None, came: bool = True) -> PriorAttempt:
+        return PriorAttempt(one.server, one.sent_at, False, False, one.zone, one.cell)
 
-    monkeypatch.setattr(takeover, "weigh_try", never)
+    monkeypatch.setattr(takeover, "assess_attempt", never)
     assert [text for text in found(range(6)) if "effect twice" in text]
 
 
 def test_an_heir_that_reads_a_connection_before_it_knows_its_work_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: an answer that is out is given again."""
-    act = tracker.Inheritance._act
+    act = tracker.RequestTakeover._act
 
-    def again(self: tracker.Inheritance, proxy: object, caller: object) -> None:
-        if self.entry.answer is not None:
-            self.verdict = takeover.Verdict.GIVE
-            self.seen = Seen(self.entry.wrote, self.entry.read)
+    def again(self: tracker.RequestTakeover, proxy: object, caller: object) -> None:
+        if self.record.answer is not None:
+            self.action = takeover.TakeoverAction.DELIVER
+            self.caller_counters = ConnectionCounters(self.record.bytes_written, self.record.bytes_read)
         act(self, proxy, caller)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(tracker.Inheritance, "_act", again)
+    monkeypatch.setattr(tracker.RequestTakeover, "_act", again)
     assert found(range(12))
 
 
@@ -124,13 +124,13 @@
 def test_what_waited_unread_at_a_stalled_proxy_has_only_the_rest_of_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sent to a proxy that stands still and is killed then: its heir counts its time from when it came."""
     given: list[float] = []  # seconds that what is sent on is given
-    head = tracker.Hand._sends
+    head = tracker.InflightTracker._on_attempt
 
-    def sends(self: tracker.Hand, attempt: Any) -> None:
+    def sends(self: tracker.InflightTracker, attempt: Any) -> None:
         given.append(attempt.owner.deadline - attempt.sent)
         head(self, attempt)
 
-    monkeypatch.setattr(tracker.Hand, "_sends", sends)
+    monkeypatch.setattr(tracker.InflightTracker, "_on_attempt", sends)
     warm = [f"request {n} at {0.3 + 0.01 * n:.2f} view budget 1.5" for n in range(1, 25)]
     late = [f"request {n} at {2.0 + 0.002 * n:.3f} view budget 0.9 again 0" for n in range(25, 45)]
     result = idle_world(*warm, *late, "fault at 1.9 pause proxy/0 for 3", "fault at 2.6 kill proxy/0 for 1")
