--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -25,7 +25,7 @@
 from weldroute.operations import ListenerState
 
 if TYPE_CHECKING:
-    from cometusher.inflight.tracker import Hand
+    from cometusher.inflight.tracker import InflightTracker
 
 log = logging.getLogger(__name__)
 
@@ -312,7 +312,7 @@
             close = True  # for HTTP/1.0 the end of the connection delimits the body
         self._close_after_answer = close
         if self._callers.inflight is not None:
-            self._callers.inflight.passes(self)
+            self._callers.inflight.on_streaming(self)
         if self._transport is not None:
             self._write(response_head(status, headers, close))
 
@@ -334,7 +334,7 @@
         self._finish_request()
         self._closing = True
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         if self._transport is not None:
             self._callers.network.abort(self._transport)
 
@@ -346,7 +346,7 @@
             data = response_head(status, headers, close) + body
             if journaled and self._callers.inflight is not None:
                 assert self._request is not None
-                self._callers.inflight.answers(self, self._request, data, close)
+                self._callers.inflight.on_answer(self, self._request, data, close)
             self.bytes_written += len(data)
             self._transport.write(data)
         self._on_answered(close)
@@ -457,7 +457,7 @@
     def _on_disconnect(self) -> None:
         """Drops all state of the caller, to whom no answer is owed any more."""
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         accepted, self._accepted = self._accepted, None
         self._closing = True
         self._streaming_answer = False
@@ -483,7 +483,7 @@
     def close(self) -> None:
         """Closes a connection on which no answer is owed."""
         if self._callers.inflight is not None:
-            self._callers.inflight.leaves(self)
+            self._callers.inflight.on_connection_leaving(self)
         self._discard_partial_request()
         self._closing = True
         if self._transport is not None:
@@ -563,7 +563,7 @@
         self.memory = memory
         self.listener_state = ListenerState()
         self.out_of_descriptors = False  # accepting is paused until a descriptor is free
-        self.inflight: Hand | None = None  # the request journal, if enabled
+        self.inflight: InflightTracker | None = None  # the request journal, if enabled
         self.all_closed = asyncio.Event()
         self._draining = False
         self._descriptors = descriptors
@@ -656,7 +656,7 @@
         self._connections[connection] = None
         self._evictable[connection] = None
         if self.inflight is not None:
-            self.inflight.opened(connection)
+            self.inflight.on_connection_opened(connection)
 
     async def take_over(
         self,
@@ -690,7 +690,7 @@
     def on_closed(self, connection: CallerConnection) -> None:
         """Removes a closed connection and releases its descriptor."""
         if self.inflight is not None:
-            self.inflight.closed(connection)
+            self.inflight.on_connection_closed(connection)
         self._idle.pop(connection, None)
         self._evictable.pop(connection, None)
         if connection in self._connections:
@@ -719,7 +719,7 @@
             self._evictable.pop(connection, None)
             self._idle[connection] = None
             if self.inflight is not None and connection.journal_slot == -1:
-                self.inflight.idle(connection)
+                self.inflight.on_connection_idle(connection)
 
     def on_lingering(self, connection: CallerConnection) -> None:
         """A connection lingers until its last answer is read."""
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -69,7 +69,7 @@
 
 if TYPE_CHECKING:
     from cometusher.hot_restart import Succession
-    from cometusher.inflight.tracker import Hand
+    from cometusher.inflight.tracker import InflightTracker
     from cometusher.management import Management
     from cometusher.recovery import RecoveryController
     from weldroute.outlier_detection import TrafficRecorder
@@ -197,7 +197,7 @@
         self.operations = Operations()
         self._hot_restart: Succession | None = None
         self.recovery: RecoveryController | None = None
-        self.inflight: Hand | None = None
+        self.inflight: InflightTracker | None = None
         self.traffic_counters: TrafficRecorder | None = (
             None  # compared by the supervisor with those of other instances
         )
@@ -246,9 +246,9 @@
 
             self.recovery = RecoveryController(self, config.returning)
         if config.covered is not None:
-            from cometusher.inflight.tracker import Hand
+            from cometusher.inflight.tracker import InflightTracker
 
-            self.inflight = Hand(self, self.network.cover(config.covered))
+            self.inflight = InflightTracker(self, self.network.cover(config.covered))
 
     def _start_hot_restart(self, directory: str) -> None:
         from cometusher.hot_restart import Succession
@@ -504,8 +504,8 @@
         stream = request.stream
         body_incomplete = stream is not None and not stream.complete
         deadline = now + INCOMING_BODY_TIMEOUT if body_incomplete else min(now + budget, self._latest_deadline)
-        if self.inflight is not None and self.inflight.unread and not body_incomplete:
-            deadline -= self.inflight.waited(caller)
+        if self.inflight is not None and self.inflight.unread_on_arrival and not body_incomplete:
+            deadline -= self.inflight.unread_wait(caller)
         exchange = self._open_exchange(caller, request, class_index, budget, deadline)
         if stream is not None:
             stream.on_consumed = exchange.on_body_consumed
@@ -519,23 +519,23 @@
         return exchange
 
     def _accept_journaled(
-        self, tracker: Hand, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool
+        self, tracker: InflightTracker, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool
     ) -> None:
         """Submits a request that is recorded in the journal, at the latest when it begins to wait."""
         request_class = self.config.settings.classes[class_index]
         keyed = request_class.repeat is Repeat.KEYED and exchange.request.stream is None
         free_position = -1
         if keyed:
-            position, free_position = tracker.meets(exchange, request_class)
-            if position is not None and tracker.follows(
+            position, free_position = tracker.find_same_key(exchange, request_class)
+            if position is not None and tracker.follow(
                 exchange, position, lambda: self._submit_paced(exchange, class_index, tenant, body_incomplete)
             ):
                 return
         self._submit_paced(exchange, class_index, tenant, body_incomplete)
         if exchange.journal_slot == -1 and not exchange.answered:
-            tracker.waits(exchange)
+            tracker.record_waiting(exchange)
         if keyed and position is None:
-            tracker.found_at(exchange, free_position)
+            tracker.publish_key(exchange, free_position)
 
     def _submit_paced(self, exchange: Exchange, class_index: int, tenant: int, body_incomplete: bool) -> None:
         """Submits a request; during recovery after a restart, a complete one is submitted at the recovery's pace."""
@@ -659,7 +659,7 @@
         now = self.clock.now()
         self._set_deadline(exchange, now, min(now + exchange.budget, self._latest_deadline))
         if self.inflight is not None:
-            self.inflight.whole(exchange)
+            self.inflight.on_body_received(exchange)
         for attempt in exchange.attempts:
             if not attempt.ended:
                 attempt.sent_at = now
@@ -708,7 +708,7 @@
         if self.recovery is not None:
             self.recovery.on_caller_gone(exchange)
         if self.inflight is not None:
-            self.inflight.gone(exchange)
+            self.inflight.stop_following(exchange)
         exchange.answered = True
         self._dispatch(exchange, lambda now: self.balancer.on_client_gone(now, exchange.request_id))
         self._forget_if_settled(exchange)
@@ -732,7 +732,7 @@
         exchange.timer = None
         if self.recovery is not None and self.recovery.on_deadline(exchange):
             return
-        if self.inflight is not None and self.inflight.gone(exchange):
+        if self.inflight is not None and self.inflight.stop_following(exchange):
             # The request with the same key that it waited for may have run, here or elsewhere.
             self._fail(exchange, "a request with the same key is in flight elsewhere")
             return
@@ -794,7 +794,7 @@
     def _answer(self, exchange: Exchange, status: int, headers: Headers, body: bytes) -> None:
         exchange.answered = True
         if self.inflight is not None:
-            self.inflight.note(exchange)
+            self.inflight.ensure_recorded(exchange)
         exchange.caller.answer(status, headers, body, journaled=True)
         self._forget_if_settled(exchange)
 
@@ -908,7 +908,7 @@
             if server is not None:
                 self.traffic_counters.on_attempt_ended(server.row.zone, outcome, latency)
         if self.inflight is not None and outcome in NEVER_RAN:
-            self.inflight.never(attempt, exchange)
+            self.inflight.on_attempt_never_ran(attempt, exchange)
         if self.recovery is not None:
             outcome = self.recovery.on_attempt_ended(attempt, outcome, response)
         if outcome is not Outcome.OK and outcome is not Outcome.CANCELLED:
