--- a/weldroute/checks.py
+++ b/weldroute/checks.py
@@ -9,7 +9,9 @@
 
 def check_numbers(policy: Any, allow_zero: bool = False) -> None:
     """Raise ValueError naming the first field of a dataclass that is no number above 0 (of 0 or more, if `zero`)."""
-    for item in fields(policy):
-        value = getattr(policy, item.name)
+    for policy_field in fields(policy):
+        value = getattr(policy, policy_field.name)
         if not math.isfinite(value) or value < 0.0 or (value == 0.0 and not allow_zero):
-            raise ValueError(f"{item.name}: {value!r} is not a number {'of 0 or more' if allow_zero else 'above 0'}")
+            raise ValueError(
+                f"{policy_field.name}: {value!r} is not a number {'of 0 or more' if allow_zero else 'above 0'}"
+            )
--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -152,9 +152,9 @@
     def _expire(self, number: int) -> None:
         ring = self._buckets
         while ring and ring[0][0] <= number - BUCKETS:
-            old = ring.popleft()
-            self._requests -= old[1]
-            self._accepts -= old[2]
+            expired = ring.popleft()
+            self._requests -= expired[1]
+            self._accepts -= expired[2]
         self._failing_buckets = min(self._failing_buckets, len(ring))
 
     def record_refusal(self, now: float) -> None:
@@ -162,13 +162,13 @@
         self._bucket_at(now)[1] += 1
         self._requests += 1
 
-    def record_success(self, now: float, part: float = 1.0) -> None:
+    def record_success(self, now: float, weight: float = 1.0) -> None:
         """Count a call that the server accepted, or a part of one."""
         bucket = self._bucket_at(now)
         bucket[1] += 1
-        bucket[2] += part
+        bucket[2] += weight
         self._requests += 1
-        self._accepts += part
+        self._accepts += weight
         self._failing_buckets = 0
 
     def record_failure(self, now: float) -> None:
@@ -261,11 +261,11 @@
         if self.latency > 0.0:
             fresh = LATENCY_STALE_AFTER / (LATENCY_STALE_AFTER + now - self.seen)
             latency += (self.latency - pooled) * fresh
-        out = self.in_flight
-        if not out:
+        in_flight = self.in_flight
+        if not in_flight:
             return latency
-        age = now - next(iter(out)).sent
-        return max(latency, age) * (len(out) + 1)
+        age = now - next(iter(in_flight)).sent
+        return max(latency, age) * (len(in_flight) + 1)
 
 
 class AdmissionControl:
@@ -320,19 +320,19 @@
 
     def take_slot(self, now: float, class_index: int, tenant: int) -> int:
         """The slot of a request, taking it from its tenant's quota."""
-        over = 0
+        over_share = 0
         if tenant < len(self.settings.tenants):
             # Each instance counts its equal part of the quota; a wrong guess only changes the order.
-            pace = self.settings.tenants[tenant].quota / self.settings.balancers
-            if pace > 0.0:
-                saved = self.quota[tenant] + pace * (now - self.quota_at[tenant])
+            quota_rate = self.settings.tenants[tenant].quota / self.settings.balancers
+            if quota_rate > 0.0:
+                tokens = self.quota[tenant] + quota_rate * (now - self.quota_at[tenant])
                 self.quota_at[tenant] = now
-                saved = min(saved, max(2.0, pace))
-                over = int(saved < 1.0)
-                self.quota[tenant] = saved if over else saved - 1.0
+                tokens = min(tokens, max(2.0, quota_rate))
+                over_share = int(tokens < 1.0)
+                self.quota[tenant] = tokens if over_share else tokens - 1.0
         else:
             tenant = 0
-        return (class_index * self.tenant_count + tenant) * 2 + over
+        return (class_index * self.tenant_count + tenant) * 2 + over_share
 
     def refuses(self, now: float, request: Request, rng: Random) -> bool:
         """Whether to refuse this request at the door, least worth first."""
@@ -340,22 +340,22 @@
         classes = self.settings.classes
         while pending and (pending[0].done or pending[0].arrived + classes[pending[0].class_index].aim < now):
             self.on_late(now, pending.popleft())
-        slot = request.slot
-        self.asked[slot] += 1.0
+        slot_index = request.slot
+        self.asked[slot_index] += 1.0
         if self.since < 0.0 or (not self.queue_length and now - self.paced_at > PACE_WINDOW):
             # Guards against taking a pause, such as a drain, for answers that stopped coming.
             self.since = now
             self.pace = self.recent = 0.0
-        young = self.queued
-        while young and (young[0].counted or young[0].queued_until <= now):
-            self._dequeue(young.popleft())
+        queued = self.queued
+        while queued and (queued[0].counted or queued[0].queued_until <= now):
+            self._dequeue(queued.popleft())
         aim = classes[request.class_index].aim
         self.aim += (aim - self.aim) / 32.0 if self.aim > 0.0 else aim
         wait = self.forecast_wait(now)
         # Guards against a spiral: where calls fail although answers are quick, or nobody waits any more, it is
         # not for load. Refusing more makes no more of them succeed, and those turned away come again.
-        ease = max(1.0 - self.filled / ADMISSION_SLACK_END, ADMISSION_IDLE_SLACK - wait / ADMISSION_WAIT_START, 0.0)
-        self.breaker.k = ADMISSION_K + ADMISSION_K_SLACK * ease
+        slack = max(1.0 - self.filled / ADMISSION_SLACK_END, ADMISSION_IDLE_SLACK - wait / ADMISSION_WAIT_START, 0.0)
+        self.breaker.k = ADMISSION_K + ADMISSION_K_SLACK * slack
         latency_ratio = min(
             max((wait - ADMISSION_WAIT_START) / (ADMISSION_WAIT_END - ADMISSION_WAIT_START), 0.0), 1.0
         )
@@ -363,7 +363,7 @@
         if ratio > 0.0:
             if now >= self.sort_at:
                 self._rank_slots(now, ratio)
-            chance = self.chance[slot]
+            chance = self.chance[slot_index]
             if chance > 0.0 and rng.random() < chance:
                 self.breaker.record_refusal(now)
                 return True
@@ -387,12 +387,12 @@
         Guards against bursts: late answers are evidence only when the queues are long. Those waiting by the
         pace of answers forecast the wait of the next (Little's law) at once.
         """
-        known = now - self.since
-        if known < self.aim:
+        observed = now - self.since
+        if observed < self.aim:
             return 0.0  # answers have had no time to show their pace
         pace = self.pace * max(0.0, 1.0 - (now - self.paced_at) / PACE_WINDOW)
-        if known < 2.0 * PACE_WINDOW:
-            pace /= 1.0 - math.exp(-known / PACE_WINDOW)  # smoothed from nothing
+        if observed < 2.0 * PACE_WINDOW:
+            pace /= 1.0 - math.exp(-observed / PACE_WINDOW)  # smoothed from nothing
         # Guards against refusing what another proxy's callers bring when it goes: there the pace rises with
         # what is asked, and answers take no longer.
         pace = max(pace, self.recent * max(0.0, 1.0 - (now - self.paced_at) / RECENT_PACE_WINDOW))
@@ -436,13 +436,13 @@
         if not served:
             self.breaker.record_failure(now)
             return
-        kind = self.settings.classes[request.class_index]
-        self.filled += ((now - request.arrived) / kind.aim - self.filled) / 16.0
-        if now - request.arrived <= kind.aim:
+        request_class = self.settings.classes[request.class_index]
+        self.filled += ((now - request.arrived) / request_class.aim - self.filled) / 16.0
+        if now - request.arrived <= request_class.aim:
             self.breaker.record_success(now)
             self.served[request.slot] += 1.0
         else:
-            self.breaker.record_success(now, kind.late_worth)
+            self.breaker.record_success(now, request_class.late_worth)
 
     def _decay(self, now: float) -> None:
         keep = max(0.0, 1.0 - min(SHARE_WINDOW, now - self.sort_at) / (2.0 * SHARE_WINDOW))
@@ -455,41 +455,41 @@
         settings, goal = self.settings, self.settings.goal
         self._decay(now)
         self.sort_at = now + RANKING_INTERVAL
-        kinds, tenants = settings.classes, self.tenant_count
+        classes, tenants = settings.classes, self.tenant_count
         slots = range(len(self.asked))
-        worths = [kinds[s // (2 * tenants)].worth * (settings.over_share_worth if s % 2 else 1.0) for s in slots]
+        worth = [classes[s // (2 * tenants)].worth * (settings.over_share_worth if s % 2 else 1.0) for s in slots]
         total = sum(self.asked)
-        offered = sum(w * a for w, a in zip(worths, self.asked, strict=True))
+        offered = sum(w * a for w, a in zip(worth, self.asked, strict=True))
         if total <= 0.0 or offered <= 0.0:
             return
-        by_class = [[0.0, 0.0] for _ in kinds]
+        by_class = [[0.0, 0.0] for _ in classes]
         by_tenant = [[0.0, 0.0] for _ in range(tenants)]
         for s in slots:
-            row = by_class[s // (2 * tenants)]
-            row[0] += worths[s] * self.asked[s]
-            row[1] += worths[s] * self.served[s]
+            entry = by_class[s // (2 * tenants)]
+            entry[0] += worth[s] * self.asked[s]
+            entry[1] += worth[s] * self.served[s]
             if not s % 2:
-                row = by_tenant[s // 2 % tenants]
-                row[0] += worths[s] * self.asked[s]
-                row[1] += worths[s] * self.served[s]
-        value = [goal.whole * w / offered for w in worths]
+                entry = by_tenant[s // 2 % tenants]
+                entry[0] += worth[s] * self.asked[s]
+                entry[1] += worth[s] * self.served[s]
+        value = [goal.whole * w / offered for w in worth]
         # The worst-served class and tenant weigh by themselves: what they get moves the goal twice.
         class_of = [s // (2 * tenants) for s in slots]
         tenant_of = [-1 if s % 2 else s // 2 % tenants for s in slots]
-        for rows, weight, owner in (
+        for stats, weight, owner in (
             (by_class, goal.worst_class, class_of),
             (by_tenant, goal.worst_tenant, tenant_of),
         ):
-            worst = min(range(len(rows)), key=lambda i: rows[i][1] / rows[i][0] if rows[i][0] > 0.0 else 2.0)
-            if weight > 0.0 and len(rows) > 1 and rows[worst][0] > 0.0:
+            worst = min(range(len(stats)), key=lambda i: stats[i][1] / stats[i][0] if stats[i][0] > 0.0 else 2.0)
+            if weight > 0.0 and len(stats) > 1 and stats[worst][0] > 0.0:
                 for s in slots:
                     if owner[s] == worst:
-                        value[s] += weight * worths[s] / rows[worst][0]
-        left = ratio * total
+                        value[s] += weight * worth[s] / stats[worst][0]
+        remaining = ratio * total
         for s in sorted(slots, key=lambda s: (value[s], s)):
-            cut = min(left, self.asked[s])
-            self.chance[s] = cut / self.asked[s] if self.asked[s] > 0.0 else float(left > 0.0)
-            left -= cut
+            refused = min(remaining, self.asked[s])
+            self.chance[s] = refused / self.asked[s] if self.asked[s] > 0.0 else float(remaining > 0.0)
+            remaining -= refused
 
 
 class Attempt:
@@ -558,26 +558,26 @@
 
     __slots__ = ("active", "next_warm_at", "ready", "warm_fraction", "warm_load")
 
-    def __init__(self, used: list[Server] | None = None) -> None:
+    def __init__(self, active: list[Server] | None = None) -> None:
         self.ready: list[Server] = []
-        self.active = used or []
+        self.active = active or []
         self.next_warm_at = float("inf")  # when the next of the cold servers is warm
         self.warm_fraction = 1.0
         self.warm_load = WarmLoad()
 
-    def resize(self, now: float, want: int, rules: Rules) -> None:
+    def resize(self, now: float, wanted: int, rules: Rules) -> None:
         """Use about this many; a size near the present one is kept."""
-        have = len(self.active)
-        if have and have <= len(self.ready) and 0.7 * have <= want <= 1.4 * have:
-            want = have
-        self.active = self.ready[:want]
+        current = len(self.active)
+        if current and current <= len(self.ready) and 0.7 * current <= wanted <= 1.4 * current:
+            wanted = current
+        self.active = self.ready[:wanted]
         self.count_warm(now, rules)
 
     def count_warm(self, now: float, rules: Rules) -> None:
         """Find how many of those in use are warm, and until when that holds."""
-        cold = [t for t in (s.cold_until(rules) for s in self.active) if t > now]
-        self.next_warm_at = min(cold, default=float("inf"))
-        self.warm_fraction = 1.0 - len(cold) / len(self.active) if self.active else 1.0
+        warm_at = [t for t in (s.cold_until(rules) for s in self.active) if t > now]
+        self.next_warm_at = min(warm_at, default=float("inf"))
+        self.warm_fraction = 1.0 - len(warm_at) / len(self.active) if self.active else 1.0
 
 
 class Balancer:
@@ -667,44 +667,44 @@
         self._rebuild_pools(now)
         return []
 
-    def ban(self, now: float, server: ServerId) -> list[Action]:
+    def ban(self, now: float, server_id: ServerId) -> list[Action]:
         """Operators take a server out: nothing goes there until `unban`, whatever the list says."""
-        self.past_bans.pop(server, None)
-        self.first_call_due.pop(server, None)
-        if self.bans.setdefault(server, now) == now:
+        self.past_bans.pop(server_id, None)
+        self.first_call_due.pop(server_id, None)
+        if self.bans.setdefault(server_id, now) == now:
             self._rebuild_pools(now)
         return []
 
-    def unban(self, now: float, server: ServerId) -> list[Action]:
+    def unban(self, now: float, server_id: ServerId) -> list[Action]:
         """Operators let it serve again.
 
         Guards against pushing it over: it was most likely restarted meanwhile, and the list tells that late.
         Harm: one that was not restarted is spared for as long as servers stay cold.
         """
-        since = self.bans.pop(server, None)
+        since = self.bans.pop(server_id, None)
         if since is not None:
             lately = now - self.settings.rules.cold_for
             self.past_bans = {k: span for k, span in self.past_bans.items() if span[1] >= lately}
             self.first_call_due = {k: due for k, due in self.first_call_due.items() if k in self.servers}
-            self.past_bans[server] = (since, now)
+            self.past_bans[server_id] = (since, now)
             # Spread out, and wider where more instances put it back: each first call adds to what it has to bear.
             spread = UNBAN_SPREAD * max(1.0, self.settings.balancers / UNBAN_SPREAD_INSTANCES)
-            self.first_call_due[server] = now + spread * self.rng.random()
-            self.apply_past_ban(now, server)
+            self.first_call_due[server_id] = now + spread * self.rng.random()
+            self.apply_past_ban(now, server_id)
             self._rebuild_pools(now)
         return []
 
-    def apply_past_ban(self, now: float, number: ServerId) -> None:
+    def apply_past_ban(self, now: float, server_id: ServerId) -> None:
         """Apply what a past ban says of a server's start."""
         if not self.past_bans:
             return
-        span, server = self.past_bans.get(number), self.servers.get(number)
+        span, server = self.past_bans.get(server_id), self.servers.get(server_id)
         if span is None or server is None:
             return
         since, back = span
         if server.row.started > since or now > back + self.settings.rules.cold_for:
             server.back = 0.0
-            del self.past_bans[number]
+            del self.past_bans[server_id]
         elif server.back != back:
             server.back = back
             server.breaker = None
@@ -731,11 +731,13 @@
         if settings.zones > 1 and settings.prices.cross_zone > 0.0:
             near = [s for s in ring if s.row.zone == settings.zone]
             far = [s for s in ring if s.row.zone != settings.zone]
-        for circle, part in ((self.near_pool, near), (self.far_pool, far)):
+        for pool, pool_ring in ((self.near_pool, near), (self.far_pool, far)):
             # Multiples of the golden ratio lie evenly whichever instances share a zone.
-            place = settings.me / settings.balancers if part is ring else settings.me * 0.618033988749895 % 1.0
-            enter = int(len(part) * place)
-            circle.ready = part[enter:] + part[:enter]
+            position = (
+                settings.me / settings.balancers if pool_ring is ring else settings.me * 0.618033988749895 % 1.0
+            )
+            start = int(len(pool_ring) * position)
+            pool.ready = pool_ring[start:] + pool_ring[:start]
         self._resize_pools(now)
 
     def _resize_pools(self, now: float) -> None:
@@ -746,25 +748,25 @@
         gives a ready server under WORKING_PACE calls a second; equal slices of the ring keep load even.
         """
         self.resize_at = now + SUBSET_RESIZE_INTERVAL
-        want = max(SUBSET_MIN, int(self.rate / SUBSET_CALL_RATE))
-        self.near_pool.resize(now, want, self.settings.rules)
-        self.far_pool.resize(now, want, self.settings.rules)
+        wanted = max(SUBSET_MIN, int(self.rate / SUBSET_CALL_RATE))
+        self.near_pool.resize(now, wanted, self.settings.rules)
+        self.far_pool.resize(now, wanted, self.settings.rules)
 
-    def _skips_cold(self, now: float, server: Server, circle: ServerPool) -> bool:
+    def _skips_cold(self, now: float, server: Server, pool: ServerPool) -> bool:
         """Whether a cold server is passed over for this call.
 
         Guards against pushing it over: this instance alone gives it at most the part of a warm peer's
         share that it can do for certain, both on average (a draw) and in any short span (a budget).
         """
         rules = self.settings.rules
-        part = capacity_fraction(now - server.started, rules)
-        draws = min(float(MAX_DRAWS), 2.0 / max(circle.warm_fraction, 0.01))
+        fraction = capacity_fraction(now - server.started, rules)
+        draw_factor = min(float(MAX_DRAWS), 2.0 / max(pool.warm_fraction, 0.01))
         if self.usual > 0.0:  # warm ones that are slower than usual have no room to spare for it
-            draws /= min(max(self.pooled / self.usual - COLD_SLOWDOWN_OFFSET, 1.0), COLD_MAX_DRAW_BOOST)
-        demand = self.admitted_rate.per_second(now) / max(1, len(circle.active))
-        own = server.answer_rate.per_second(now) if server.answer_rate is not None else 0.0
-        load = part * allowed_load(part, demand, circle.warm_load.per_server(), own, rules)
-        if self.rng.random() * demand >= load / draws:
+            draw_factor /= min(max(self.pooled / self.usual - COLD_SLOWDOWN_OFFSET, 1.0), COLD_MAX_DRAW_BOOST)
+        demand = self.admitted_rate.per_second(now) / max(1, len(pool.active))
+        own_rate = server.answer_rate.per_second(now) if server.answer_rate is not None else 0.0
+        load = fraction * allowed_load(fraction, demand, pool.warm_load.per_server(), own_rate, rules)
+        if self.rng.random() * demand >= load / draw_factor:
             return True
         if server.cold_seen <= 0.0:
             server.cold_credit = self.rng.random()  # instances must not all begin at the same moment
@@ -800,36 +802,38 @@
         self.rate_at = now
         if now >= self.resize_at:
             self._resize_pools(now)
-        out: list[Action] = []
+        actions: list[Action] = []
         if not self.ready:
             # Guards against a failure that outlives its cause: with nobody to ask (no list yet, all drained, all
             # banned) a refusal says nothing of load, and earns no retries. The door would stay shut for its window.
             request.counted = True
-            self._refuse_or_fail(now, request, out)
-            return out
+            self._refuse_or_fail(now, request, actions)
+            return actions
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
-        entry = self.admission
-        if entry is not None:
-            request.slot = entry.take_slot(now, class_index, tenant)
-            if entry.refuses(now, request, self.rng):
+        admission = self.admission
+        if admission is not None:
+            request.slot = admission.take_slot(now, class_index, tenant)
+            if admission.refuses(now, request, self.rng):
                 request.counted = True
-                self._refuse_or_fail(now, request, out)
-                return out
+                self._refuse_or_fail(now, request, actions)
+                return actions
         self.admitted_rate.add(now)
         self.cold_skipped = sent = False
         if deadline > now:
             if self.preferred is not None:
-                kept = [s for n in self.preferred if (s := self.servers.get(n)) is not None and self._is_available(s)]
-                sent = self._pick_and_send(now, request, kept, True, out)
-            sent = sent or self._pick_and_send(now, request, None, True, out)
+                preferred = [
+                    s for n in self.preferred if (s := self.servers.get(n)) is not None and self._is_available(s)
+                ]
+                sent = self._pick_and_send(now, request, preferred, True, actions)
+            sent = sent or self._pick_and_send(now, request, None, True, actions)
         if not sent:
             # Guards against a spiral: what is kept from cold servers says nothing of load, and if the door refuses
             # more for it, fewer are left to try, of which as large a part is kept from them.
             request.counted = request.counted or self.cold_skipped
-            self._refuse_or_fail(now, request, out)
+            self._refuse_or_fail(now, request, actions)
         elif not receiving:
-            self._schedule_copy(now, request, out)
-        return out
+            self._schedule_copy(now, request, actions)
+        return actions
 
     def take_over(
         self,
@@ -849,23 +853,25 @@
         request = Request(request_id, class_index, tenant, now, deadline)
         request.counted, request.body_released = True, body_released
         self.requests[request_id] = request
-        for one in prior_attempts:
-            server = self.servers.get(one.server) or Server(ServerRow(one.server, State.GONE, one.zone, one.cell))
-            attempt = Attempt(server, one.sent)
-            attempt.open, attempt.maybe_ran = one.joined, one.maybe_ran
+        for prior in prior_attempts:
+            server = self.servers.get(prior.server) or Server(
+                ServerRow(prior.server, State.GONE, prior.zone, prior.cell)
+            )
+            attempt = Attempt(server, prior.sent)
+            attempt.open, attempt.maybe_ran = prior.joined, prior.maybe_ran
             request.attempts.append(attempt)
-            if one.joined:
+            if prior.joined:
                 request.open += 1
                 server.in_flight[attempt] = None
                 server.breaker = server.breaker or Breaker()
             else:
-                attempt.outcome = Outcome.BROKEN if one.maybe_ran else Outcome.UNREACHABLE
-        out: list[Action] = []
+                attempt.outcome = Outcome.BROKEN if prior.maybe_ran else Outcome.UNREACHABLE
+        actions: list[Action] = []
         if request.open:
-            self._schedule_copy(now, request, out)
-        elif not self._try_next_attempt(now, request, out):
-            self._refuse_or_fail(now, request, out)
-        return out
+            self._schedule_copy(now, request, actions)
+        elif not self._try_next_attempt(now, request, actions):
+            self._refuse_or_fail(now, request, actions)
+        return actions
 
     def on_body_complete(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
         """The last byte of a request that went out while it came: its time, and its attempt's, count from here.
@@ -883,18 +889,18 @@
                 attempt.server.in_flight[attempt] = None
         if self.admission is not None and not request.counted:
             self.admission.enqueue(now, request)
-        out: list[Action] = []
+        actions: list[Action] = []
         if not request.body_released:
-            self._schedule_copy(now, request, out)
-        return out
+            self._schedule_copy(now, request, actions)
+        return actions
 
-    def on_body_released(self, rid: RequestId) -> None:
+    def on_body_released(self, request_id: RequestId) -> None:
         """A part of this request's body is let go: it can't be sent again."""
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is not None:
             request.body_released = True
 
-    def _schedule_copy(self, now: float, request: Request, out: list[Action]) -> None:
+    def _schedule_copy(self, now: float, request: Request, actions: list[Action]) -> None:
         """Note when a second copy is due.
 
         Guards against answers that never come: without one a hung attempt takes the request's whole time.
@@ -907,31 +913,33 @@
         self.copy_candidates.append(request)
         if not self.copy_timer_set:
             self.copy_timer_set = True
-            out.append(Timer(request.copy_at, COPY_TIMER))
+            actions.append(Timer(request.copy_at, COPY_TIMER))
 
     def _on_copy_timer(self, now: float) -> list[Action]:
-        out: list[Action] = []
-        unsure = self.copy_candidates
-        calm = self.pooled <= COPY_MAX_SLOWDOWN * self.usual  # else slow work is no sign of an answer that is lost
-        while unsure and (unsure[0].done or unsure[0].copy_at <= now):
-            request = unsure.popleft()
-            if calm and request.open == 1 and self.copy_tokens >= 1.0 and self._retry(now, request, out):
+        actions: list[Action] = []
+        waiting = self.copy_candidates
+        tier_is_fast = (
+            self.pooled <= COPY_MAX_SLOWDOWN * self.usual
+        )  # else slow work is no sign of an answer that is lost
+        while waiting and (waiting[0].done or waiting[0].copy_at <= now):
+            request = waiting.popleft()
+            if tier_is_fast and request.open == 1 and self.copy_tokens >= 1.0 and self._retry(now, request, actions):
                 self.copy_tokens -= 1.0
-        self.copy_timer_set = bool(unsure)
-        if unsure:
-            out.append(Timer(unsure[0].copy_at, COPY_TIMER))
-        return out
+        self.copy_timer_set = bool(waiting)
+        if waiting:
+            actions.append(Timer(waiting[0].copy_at, COPY_TIMER))
+        return actions
 
     def _pick_and_send(
-        self, now: float, request: Request, among: list[Server] | None, first: bool, out: list[Action]
+        self, now: float, request: Request, allowed: list[Server] | None, first: bool, actions: list[Action]
     ) -> bool:
-        server = self._pick(now, request, among, first)
+        server = self._pick(now, request, allowed, first)
         if server is None:
             return False
-        self._start_attempt(now, request, server, out)
+        self._start_attempt(now, request, server, actions)
         return True
 
-    def _start_attempt(self, now: float, request: Request, server: Server, out: list[Action]) -> None:
+    def _start_attempt(self, now: float, request: Request, server: Server, actions: list[Action]) -> None:
         if server.breaker is None:
             server.breaker = Breaker()
         if self.first_call_due:
@@ -943,10 +951,10 @@
             server.in_flight[attempt] = None
         request.attempts.append(attempt)
         request.open += 1
-        out.append(Send(request.id, server.row.server))
+        actions.append(Send(request.id, server.row.server))
 
     def _send_to_same_server(
-        self, now: float, request: Request, among: list[Server] | None, out: list[Action]
+        self, now: float, request: Request, allowed: list[Server] | None, actions: list[Action]
     ) -> bool:
         """Send once more to a server that had the request, where there is no other.
 
@@ -955,11 +963,11 @@
         its own group, so that it knows the key. A few times only, and neither after a time-out nor where that
         server's breaker refuses: there it would be more of what hurts it.
         """
-        last = request.attempts[-1]
-        server = last.server
-        if last.outcome not in (None, Outcome.BROKEN) or not self._is_available(server):
+        last_attempt = request.attempts[-1]
+        server = last_attempt.server
+        if last_attempt.outcome not in (None, Outcome.BROKEN) or not self._is_available(server):
             return False
-        if among is not None and server not in among:
+        if allowed is not None and server not in allowed:
             return False
         if sum(a.server is server for a in request.attempts) >= MAX_ATTEMPTS_PER_SERVER:
             return False
@@ -968,10 +976,10 @@
         timeout = self.settings.classes[request.class_index].aim
         if server.breaker is not None and server.breaker.refuses(now, timeout, self.rng):
             return False
-        self._start_attempt(now, request, server, out)
+        self._start_attempt(now, request, server, actions)
         return True
 
-    def _pick(self, now: float, request: Request, among: list[Server] | None, first: bool) -> Server | None:
+    def _pick(self, now: float, request: Request, allowed: list[Server] | None, first: bool) -> Server | None:
         """Two random ready servers, the better unless its breaker refuses, then the other or one drawn anew.
 
         Where crossings of zones have a price, both are of the own zone and a third is of the others: it is
@@ -979,24 +987,24 @@
         """
         rng = self.rng
         timeout = self.settings.classes[request.class_index].aim
-        circles: tuple[ServerPool, ...]
-        if among is not None:
-            circles = (ServerPool(among),) * 2
+        pools: tuple[ServerPool, ...]
+        if allowed is not None:
+            pools = (ServerPool(allowed),) * 2
         elif not self.near_pool.active or not self.far_pool.active:
-            circles = (self.near_pool if self.near_pool.active else self.far_pool,) * 2
+            pools = (self.near_pool if self.near_pool.active else self.far_pool,) * 2
         else:
-            circles = (self.near_pool, self.near_pool, self.far_pool)
+            pools = (self.near_pool, self.near_pool, self.far_pool)
         skipped: list[Server] = []
         chosen: list[tuple[float, int, Server]] = []
         tried: list[Server] = [a.server for a in request.attempts]
-        for circle in circles:
-            self._draw_candidate(now, circle, first, timeout, tried, chosen, skipped)
+        for pool in pools:
+            self._draw_candidate(now, pool, first, timeout, tried, chosen, skipped)
         if not chosen and skipped:
             chosen.append((0.0, 0, skipped[-1]))
-        if self.first_call_due and first and among is None:
+        if self.first_call_due and first and allowed is None:
             # Guards against leaving it out for long where calls are few: chance alone may not draw it.
-            for number, due in self.first_call_due.items():
-                back = self.servers.get(number)
+            for server_id, due in self.first_call_due.items():
+                back = self.servers.get(server_id)
                 if due <= now and back is not None and self._is_available(back):
                     chosen.append((0.0, -1, back))
                     break
@@ -1007,7 +1015,7 @@
             if not (choice.breaker and choice.breaker.refuses(now, timeout, rng)):
                 return choice
             chosen.remove(best)
-            if redraws and len(circles) > 2:
+            if redraws and len(pools) > 2:
                 # Guards against a single choice: what is left of the candidates may be the one that all come back to.
                 redraws -= 1
                 self._draw_candidate(now, self.far_pool, first, timeout, tried, chosen, skipped)
@@ -1016,7 +1024,7 @@
     def _draw_candidate(
         self,
         now: float,
-        circle: ServerPool,
+        pool: ServerPool,
         first: bool,
         timeout: float,
         tried: list[Server],
@@ -1025,21 +1033,21 @@
     ) -> None:
         """Add one more random ready server of a circle to the candidates, if there is one left."""
         rng, rules = self.rng, self.settings.rules
-        if now >= circle.next_warm_at:
-            circle.count_warm(now, rules)
-        count = len(circle.active)
+        if now >= pool.next_warm_at:
+            pool.count_warm(now, rules)
+        count = len(pool.active)
         index = 0
         for draw in range(MAX_DRAWS // 2 + SEQUENTIAL_PROBES if count else 0):
             # Guards against refusing where few are warm and chance names the cold ones only: then in turn.
-            chance = draw < MAX_DRAWS // 2
-            if not chance and not self.cold_skipped:
+            random_draw = draw < MAX_DRAWS // 2
+            if not random_draw and not self.cold_skipped:
                 return
-            index = int(rng.random() * count) if chance else (index + 1) % count
-            server = circle.active[index]
+            index = int(rng.random() * count) if random_draw else (index + 1) % count
+            server = pool.active[index]
             if server in tried:
                 continue
             cold = server.cold_until(rules) > now
-            if cold and not (chance and first and not self._skips_cold(now, server, circle)):
+            if cold and not (random_draw and first and not self._skips_cold(now, server, pool)):
                 self.cold_skipped = True
                 continue
             link = self.zone_breakers.get(server.row.zone)
@@ -1047,7 +1055,7 @@
                 skipped.append(server)
                 continue
             score = server.score(now, self.pooled)
-            if circle is self.far_pool:
+            if pool is self.far_pool:
                 score += CROSS_ZONE_PENALTY * self.settings.prices.cross_zone * timeout
             tried.append(server)
             chosen.append((score, len(tried), server))
@@ -1058,26 +1066,26 @@
 
         Guards the rule against doing an effect twice.
         """
-        kind = self.settings.classes[request.class_index]
+        request_class = self.settings.classes[request.class_index]
         first = request.first_maybe_ran()
-        if first is None or kind.repeat is Repeat.SAFE:
+        if first is None or request_class.repeat is Repeat.SAFE:
             return None
-        if kind.repeat is Repeat.UNSAFE or now - first.sent >= REPEAT_WINDOW_MARGIN * kind.window:
+        if request_class.repeat is Repeat.UNSAFE or now - first.sent >= REPEAT_WINDOW_MARGIN * request_class.window:
             return []
-        if kind.group is Group.ALL:
+        if request_class.group is Group.ALL:
             return None
-        if kind.group is Group.ZONE:
+        if request_class.group is Group.ZONE:
             return self.zones.get(first.server.row.zone, [])
         return self.cells.get(first.server.row.cell, [])
 
-    def _retry(self, now: float, request: Request, out: list[Action]) -> bool:
+    def _retry(self, now: float, request: Request, actions: list[Action]) -> bool:
         """Try a further attempt within the rules and the retry budget."""
-        if self.retry_tokens < 1.0 or not self._try_next_attempt(now, request, out):
+        if self.retry_tokens < 1.0 or not self._try_next_attempt(now, request, actions):
             return False
         self.retry_tokens -= 1.0
         return True
 
-    def _try_next_attempt(self, now: float, request: Request, out: list[Action]) -> bool:
+    def _try_next_attempt(self, now: float, request: Request, actions: list[Action]) -> bool:
         """Try a further attempt within the rules."""
         limits = self.settings.limits
         if request.done or request.bound or request.body_released or now >= request.deadline:
@@ -1087,12 +1095,12 @@
         if request.open and (request.open > 1 or not limits.second_copies):
             return False
         first = not request.attempts
-        among = self._allowed_servers(now, request)
-        return self._pick_and_send(now, request, among, first, out) or (
-            not first and self._send_to_same_server(now, request, among, out)
+        allowed = self._allowed_servers(now, request)
+        return self._pick_and_send(now, request, allowed, first, actions) or (
+            not first and self._send_to_same_server(now, request, allowed, actions)
         )
 
-    def may_start(self, now: float, request_id: RequestId, number: int) -> bool:
+    def may_start(self, now: float, request_id: RequestId, attempt_index: int) -> bool:
         """Whether an attempt that had to wait for its connection may still begin.
 
         Guards against what has changed meanwhile: its request is answered, its server drains or is gone or banned,
@@ -1101,45 +1109,54 @@
         request = self.requests.get(request_id)
         if request is None or request.done or now >= request.deadline:
             return False
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         if not self._is_available(attempt.server):
             return False
-        kind = self.settings.classes[request.class_index]
-        before = [a for a in request.attempts if a is not attempt and a.maybe_ran]
-        if not before or kind.repeat is Repeat.SAFE:
+        request_class = self.settings.classes[request.class_index]
+        earlier = [a for a in request.attempts if a is not attempt and a.maybe_ran]
+        if not earlier or request_class.repeat is Repeat.SAFE:
             return True
-        return kind.repeat is Repeat.KEYED and now - before[0].sent < REPEAT_WINDOW_MARGIN * kind.window
+        return (
+            request_class.repeat is Repeat.KEYED
+            and now - earlier[0].sent < REPEAT_WINDOW_MARGIN * request_class.window
+        )
 
-    def _refuse_or_fail(self, now: float, request: Request, out: list[Action]) -> None:
+    def _refuse_or_fail(self, now: float, request: Request, actions: list[Action]) -> None:
         """The final answer: refused where that promise holds, else failed."""
-        kind = self.settings.classes[request.class_index]
+        request_class = self.settings.classes[request.class_index]
         harmless = (
-            kind.repeat is Repeat.SAFE
-            or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+            request_class.repeat is Repeat.SAFE
+            or (request_class.repeat is Repeat.KEYED and request_class.group is Group.ALL)
             or request.first_maybe_ran() is None
         )
-        out.append(Refuse(request.id) if harmless else Fail(request.id))
+        actions.append(Refuse(request.id) if harmless else Fail(request.id))
         if self.admission is not None:
             self.admission.on_end(now, request, False)
-        self._finish(request, out)
+        self._finish(request, actions)
 
-    def _finish(self, request: Request, out: list[Action]) -> None:
+    def _finish(self, request: Request, actions: list[Action]) -> None:
         request.done = True
         if request.open and self.settings.limits.cancel and not request.bound:
-            for number, attempt in enumerate(request.attempts):
+            for attempt_index, attempt in enumerate(request.attempts):
                 if attempt.open:
-                    out.append(Cancel(request.id, number))
+                    actions.append(Cancel(request.id, attempt_index))
         if not request.open:
             self.requests.pop(request.id, None)
 
     def outcome(
-        self, now: float, request_id: RequestId, number: int, outcome: Outcome, latency: float, last: bool = False
+        self,
+        now: float,
+        request_id: RequestId,
+        attempt_index: int,
+        outcome: Outcome,
+        latency: float,
+        last: bool = False,
     ) -> list[Action]:
         """An attempt ended; unknown ones are ignored."""
         request = self.requests.get(request_id)
-        if request is None or not 0 <= number < len(request.attempts):
+        if request is None or not 0 <= attempt_index < len(request.attempts):
             return []
-        attempt = request.attempts[number]
+        attempt = request.attempts[attempt_index]
         if not attempt.open:
             return []
         attempt.open = False
@@ -1148,36 +1165,36 @@
         request.open -= 1
         if outcome is not Outcome.OK or not request.bound:
             self._record_outcome(now, attempt, outcome, latency, self.settings.classes[request.class_index].aim)
-        out: list[Action] = []
+        actions: list[Action] = []
         if request.done:
             if not request.open:
                 self.requests.pop(request_id, None)
         elif last or outcome is Outcome.OK:
             if self.admission is not None and not request.bound:
                 self.admission.on_end(now, request, outcome is Outcome.OK)
-            self._finish(request, out)
+            self._finish(request, actions)
         elif not request.open:
             if outcome is Outcome.REJECTED:
                 # Guards what is learned of the tier against callers whose requests nobody can serve.
                 if self.admission is not None:
                     self.admission.exclude(request)
-                self._refuse_or_fail(now, request, out)
-            elif not self._retry(now, request, out):
-                self._refuse_or_fail(now, request, out)
-        return out
+                self._refuse_or_fail(now, request, actions)
+            elif not self._retry(now, request, actions):
+                self._refuse_or_fail(now, request, actions)
+        return actions
 
-    def _record_outcome(self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float) -> None:
+    def _record_outcome(self, now: float, attempt: Attempt, outcome: Outcome, latency: float, timeout: float) -> None:
         server = attempt.server
         server.in_flight.pop(attempt, None)
         breaker = server.breaker
-        if breaker is None or how in (Outcome.VOID, Outcome.REJECTED) or attempt.sent < server.started:
+        if breaker is None or outcome in (Outcome.VOID, Outcome.REJECTED) or attempt.sent < server.started:
             return
         link = None
         if self.settings.zones > 1:
             link = self.zone_breakers.get(server.row.zone)
             if link is None:
                 link = self.zone_breakers[server.row.zone] = Breaker(ZONE_BREAKER_WINDOW)
-        if how is Outcome.OK:
+        if outcome is Outcome.OK:
             breaker.record_success(now)
             if breaker.current <= 0.0 and self.pooled > 0.0:
                 breaker.record_latency(min(latency, self.pooled))  # no baseline from one slow answer alone
@@ -1189,58 +1206,56 @@
             if link is not None:
                 link.record_success(now)
             self._count_answer(now, server, latency <= timeout)
-        elif how is not Outcome.CANCELLED:
+        elif outcome is not Outcome.CANCELLED:
             breaker.record_failure(now)
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.update_latency(now, max(latency, timeout))
-            if link is not None and how in LOST_OUTCOMES:
+            if link is not None and outcome in LOST_OUTCOMES:
                 # Guards against learning a cut link one server at a time: the same ratio over its zone.
                 link.record_failure(now)
 
     def _count_answer(self, now: float, server: Server, in_time: bool) -> None:
         """Count an answer for slow start: what warm servers carry, and what a cold one manages in time."""
-        circle = (
-            self.near_pool if not self.far_pool.active or server.row.zone == self.settings.zone else self.far_pool
-        )
+        pool = self.near_pool if not self.far_pool.active or server.row.zone == self.settings.zone else self.far_pool
         cold = server.cold_until(self.settings.rules) > now
-        circle.warm_load.on_answer(now, 0.0 if cold else circle.warm_fraction * len(circle.active))
+        pool.warm_load.on_answer(now, 0.0 if cold else pool.warm_fraction * len(pool.active))
         if not cold:
             server.answer_rate = None
         elif in_time:
             server.answer_rate = server.answer_rate or SmoothedRate(COLD_RATE_WINDOW)
             server.answer_rate.add(now)
 
-    def on_stream_started(self, now: float, request_id: RequestId, number: int) -> list[Action]:
+    def on_stream_started(self, now: float, request_id: RequestId, attempt_index: int) -> list[Action]:
         """A long answer has begun: the request belongs to this attempt, and is answered by now.
 
         Guards against refusing for callers that read slowly: how long the rest takes is theirs, and says
         nothing of queues.
         """
         request = self.requests.get(request_id)
-        if request is None or request.done or request.bound or not 0 <= number < len(request.attempts):
+        if request is None or request.done or request.bound or not 0 <= attempt_index < len(request.attempts):
             return []
-        begun = request.attempts[number]
+        begun = request.attempts[attempt_index]
         self._record_outcome(now, begun, Outcome.OK, now - begun.sent, self.settings.classes[request.class_index].aim)
         if self.admission is not None:
             self.admission.on_end(now, request, True)
-        out: list[Action] = []
+        actions: list[Action] = []
         if self.settings.limits.cancel:
             for other, attempt in enumerate(request.attempts):
-                if attempt.open and other != number:
-                    out.append(Cancel(request_id, other))
+                if attempt.open and other != attempt_index:
+                    actions.append(Cancel(request_id, other))
         request.bound = True
-        return out
+        return actions
 
     def on_client_gone(self, now: float, request_id: RequestId) -> list[Action]:
         """The client left; no answer is owed any more."""
         request = self.requests.get(request_id)
         if request is None or request.done:
             return []
-        out: list[Action] = []
+        actions: list[Action] = []
         if self.admission is not None and not request.counted:
             self.admission.on_late(now, request)  # whoever leaves this soon gets nothing, as from a late answer
-        self._finish(request, out)
-        return out
+        self._finish(request, actions)
+        return actions
 
     def on_timer(self, now: float, token: int) -> list[Action]:
         """A timer fell due; stale ones are ignored."""
--- a/weldroute/model.py
+++ b/weldroute/model.py
@@ -74,10 +74,10 @@
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID})
 
 
-def _check_number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
-    ok = isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high
+def _check_number(name: str, value: float, minimum: float = 0.0, maximum: float = math.inf) -> None:
+    ok = isinstance(value, (int, float)) and not isinstance(value, bool) and minimum <= value <= maximum
     if not ok or math.isnan(value):
-        raise ValueError(f"{name}: {value!r} is not a number from {low} to {high}")
+        raise ValueError(f"{name}: {value!r} is not a number from {minimum} to {maximum}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -94,13 +94,13 @@
     late_worth: float = 0.0
     streaming: bool = False
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
         for name in ("aim", "deadline", "window", "worth"):
-            _check_number(f"{at}.{name}", getattr(self, name))
-        _check_number(f"{at}.late_worth", self.late_worth, 0.0, 1.0)
+            _check_number(f"{path}.{name}", getattr(self, name))
+        _check_number(f"{path}.late_worth", self.late_worth, 0.0, 1.0)
         if not self.aim or not self.deadline:
-            raise ValueError(f"{at}: aim and deadline must be above 0")
+            raise ValueError(f"{path}: aim and deadline must be above 0")
 
 
 @dataclass(slots=True, frozen=True)
@@ -111,10 +111,10 @@
     share: float = 0.0
     quota: float = 0.0
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _check_number(f"{at}.share", self.share, 0.0, 1.0)
-        _check_number(f"{at}.quota", self.quota)
+        _check_number(f"{path}.share", self.share, 0.0, 1.0)
+        _check_number(f"{path}.quota", self.quota)
 
 
 @dataclass(slots=True, frozen=True)
@@ -131,12 +131,12 @@
     connection_idle: float = 0.0
     streams_per_connection: int = 1
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _check_number(f"{at}.max_attempts", self.max_attempts, 1)
-        _check_number(f"{at}.streams_per_connection", self.streams_per_connection, 1)
+        _check_number(f"{path}.max_attempts", self.max_attempts, 1)
+        _check_number(f"{path}.streams_per_connection", self.streams_per_connection, 1)
         for name in ("max_retry_after", "connect_timeout", "connection_idle"):
-            _check_number(f"{at}.{name}", getattr(self, name))
+            _check_number(f"{path}.{name}", getattr(self, name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -151,11 +151,11 @@
     fall_multiple: float = 2.0
     fall_after: float = 1.0
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
-        _check_number(f"{at}.cold_from", self.cold_from, 0.0, 1.0)
+        _check_number(f"{path}.cold_from", self.cold_from, 0.0, 1.0)
         for item in fields(self):
-            _check_number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{path}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -167,10 +167,10 @@
     worst_class: float = 0.0
     worst_tenant: float = 0.0
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
         for item in fields(self):
-            _check_number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{path}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -184,10 +184,10 @@
     probe: float = 0.0
     late_fail: float = 0.0
 
-    def check(self, at: str) -> None:
+    def check(self, path: str) -> None:
         """Raise ValueError for values that make no sense."""
         for item in fields(self):
-            _check_number(f"{at}.{item.name}", getattr(self, item.name))
+            _check_number(f"{path}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldroute/settings.py
+++ b/weldroute/settings.py
@@ -60,8 +60,8 @@
 }
 
 
-def _named(kind: Any, names: dict[str, str], values: dict[str, Any]) -> Any:
-    return kind(**known_fields(kind, {ours: values.get(theirs) for ours, theirs in names.items()}))
+def _read_section(cls: Any, wire_names: dict[str, str], values: dict[str, Any]) -> Any:
+    return cls(**known_fields(cls, {ours: values.get(theirs) for ours, theirs in wire_names.items()}))
 
 
 def read_settings(wire: dict[str, Any]) -> Settings:
@@ -86,7 +86,7 @@
         for row in wire.get("Services") or ()
     )
     tenants = tuple(
-        _named(Tenant, {"name": "Name", "share": "Share", "quota": "AllowancePerS"}, row)
+        _read_section(Tenant, {"name": "Name", "share": "Share", "quota": "AllowancePerS"}, row)
         for row in wire.get("Orgs") or ()
     )
     values = {
@@ -102,9 +102,9 @@
         "over_share_worth": wire.get("OverShareWorth"),
         "passes_deadline": (wire.get("FamilyInfo") or {}).get("PassesDeadline"),
         "report_fields": tuple((wire.get("Report") or {}).get("Fields") or ()),
-        "limits": _named(Limits, LIMITS, wire.get("Bounds") or {}),
-        "rules": _named(Rules, RULES, wire.get("Rules") or {}),
-        "goal": _named(Goal, GOAL, wire.get("Goal") or {}),
-        "prices": _named(Prices, PRICES, wire.get("Penalties") or {}),
+        "limits": _read_section(Limits, LIMITS, wire.get("Bounds") or {}),
+        "rules": _read_section(Rules, RULES, wire.get("Rules") or {}),
+        "goal": _read_section(Goal, GOAL, wire.get("Goal") or {}),
+        "prices": _read_section(Prices, PRICES, wire.get("Penalties") or {}),
     }
     return Settings(**known_fields(Settings, values))
--- a/weldroute/slow_start.py
+++ b/weldroute/slow_start.py
@@ -75,7 +75,7 @@
     return rules.cold_from + (1.0 - rules.cold_from) * warmed
 
 
-def allowed_load(part: float, demand: float, warm: float | None, own: float, rules: Rules) -> float:
+def allowed_load(fraction: float, demand: float, warm: float | None, own: float, rules: Rules) -> float:
     """Calls a second that would be right for it if it were warm; the `part` of them that it can do is for it now.
 
     `demand` is what is asked for each server, `warm` what a warm one carries, `own` what this one answers in time.
@@ -83,7 +83,7 @@
     if warm is None:
         return demand
     growth = min(MAX_GROWTH, GROWTH_SHARE * rules.fall_multiple)
-    return min(demand, max(WARM_SHARE * rules.fall_multiple * warm, growth * own / part))
+    return min(demand, max(WARM_SHARE * rules.fall_multiple * warm, growth * own / fraction))
 
 
 def refill_credit(credit: float, elapsed: float, load: float, rules: Rules) -> float:
