--- a/weldroute/benchlink.py
+++ b/weldroute/benchlink.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire (JSON lines) and the decision module; it decides nothing."""
+"""Adapter between the simulator's protocol (JSON lines) and the decisions; it decides nothing."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 
 class ProtocolError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the simulator's protocol."""
 
 
 def read_row(row: dict[str, Any]) -> ServerRow:
-    """One entry of a `Register`."""
+    """Convert one entry of a `Register` message."""
     return ServerRow(
         row["Backend"],
         STATES[row.get("Readiness", "U")],
@@ -60,7 +60,7 @@
 
 
 def write_action(instance: int, action: Action) -> dict[str, Any]:
-    """One action as a message of the wire."""
+    """Convert an action to a message of the protocol."""
     if isinstance(action, Send):
         return {
             "m": "Relay",
@@ -87,44 +87,48 @@
 
 
 class SimulatorAdapter:
-    """All instances of one process, and the numbered lists that they share read-only."""
+    """Holds all instances of one process, and the numbered lists that they share read-only."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
         self.unstarted: set[int] = set()
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
-    def _on_members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        kind = LIST_KINDS[e["Mode"]]
+    def _on_members(self, balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        list_kind = LIST_KINDS[event["Mode"]]
         rows: tuple[ServerRow, ...] = ()
-        if kind is not ListKind.BROKEN:
-            if e["List"] not in self.lists:
-                raise ProtocolError(f"unknown list number {e['List']}")
-            rows = self.lists[e["List"]]
-        out = b.members(now, kind, rows)
-        if e["ProxyId"] in self.unstarted:
-            self.unstarted.discard(e["ProxyId"])
-            out += b.start(now)
-        return out
+        if list_kind is not ListKind.BROKEN:
+            if event["List"] not in self.lists:
+                raise ProtocolError(f"unknown list number {event['List']}")
+            rows = self.lists[event["List"]]
+        actions = balancer.members(now, list_kind, rows)
+        if event["ProxyId"] in self.unstarted:
+            self.unstarted.discard(event["ProxyId"])
+            actions += balancer.start(now)
+        return actions
 
     @staticmethod
-    def _on_call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        return b.request(now, e["Ref"], e.get("Kind", 0), e.get("ClientGroup", 0), e.get("Deadline"))
+    def _on_call(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        return balancer.request(
+            now, event["Ref"], event.get("Kind", 0), event.get("ClientGroup", 0), event.get("Deadline")
+        )
 
     @staticmethod
-    def _on_returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        how = OUTCOMES[e["How"]]
-        return b.outcome(now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False))
-
-    def handle(self, now: float, e: dict[str, Any]) -> list[Action]:
-        """Hand one event to its instance; returns the instance's actions."""
-        name = e["m"]
+    def _on_returned(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        outcome = OUTCOMES[event["How"]]
+        return balancer.outcome(
+            now, event["Ref"], event.get("RoundNo", 0), outcome, event.get("CostTime", 0.0), event.get("Last", False)
+        )
+
+    def handle(self, now: float, event: dict[str, Any]) -> list[Action]:
+        """Pass an event to its instance; return the instance's actions. Raises ProtocolError."""
+        name = event["m"]
         if name == "Register":
-            self.lists[e["List"]] = tuple(read_row(row) for row in e.get("Rows") or ())
+            self.lists[event["List"]] = tuple(read_row(row) for row in event.get("Rows") or ())
             return []
-        instance = e["ProxyId"]
+        instance = event["ProxyId"]
         if name == "OpenInstance":
-            self.instances[instance] = Balancer(read_settings(e.get("Settings") or {}), e.get("Entropy", 0))
+            self.instances[instance] = Balancer(read_settings(event.get("Settings") or {}), event.get("Entropy", 0))
             self.unstarted.add(instance)
             return []
         balancer = self.instances.get(instance)
@@ -135,11 +139,11 @@
             self.unstarted.discard(instance)
             return []
         if name == "Members":
-            return self._on_members(balancer, now, e)
+            return self._on_members(balancer, now, event)
         handler = HANDLERS.get(name)
         if handler is None:
             raise ProtocolError(f"unknown message {name!r}")
-        return handler(balancer, now, e)
+        return handler(balancer, now, event)
 
 
 HANDLERS: dict[str, Callable[[Balancer, float, dict[str, Any]], list[Action]]] = {
@@ -154,8 +158,8 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: Any) -> int:
-    """Answer batches until the input ends; returns the exit code."""
-    link = SimulatorAdapter()
+    """Answer batches until the input ends; return the exit code (2 for a protocol error)."""
+    adapter = SimulatorAdapter()
     now: float | None = None
     replies: list[bytes] = []
     event: Any
@@ -179,17 +183,17 @@
                 replies.clear()
                 now = None
                 continue
-        except (ProtocolError, ValueError, KeyError, TypeError) as fault:
-            return _report_error(errors, number, fault)
+        except (ProtocolError, ValueError, KeyError, TypeError) as error:
+            return _report_error(errors, number, error)
         try:
-            actions = link.handle(now, event)
-        except (ProtocolError, KeyError, TypeError) as fault:
-            if isinstance(fault, ProtocolError) or _in_adapter(fault):
-                return _report_error(errors, number, fault)
-            replies.append(_bail_out(event, fault))
+            actions = adapter.handle(now, event)
+        except (ProtocolError, KeyError, TypeError) as error:
+            if isinstance(error, ProtocolError) or _in_adapter(error):
+                return _report_error(errors, number, error)
+            replies.append(_bail_out(event, error))
             continue
-        except Exception as fault:
-            replies.append(_bail_out(event, fault))
+        except Exception as error:
+            replies.append(_bail_out(event, error))
             continue
         if actions:
             instance = event["ProxyId"]
@@ -200,22 +204,22 @@
     return 0
 
 
-def _in_adapter(fault: BaseException) -> bool:
-    """Whether the fault arose in reading the message (a missing or odd field), not in a decision."""
-    trace = fault.__traceback__
+def _in_adapter(error: BaseException) -> bool:
+    """Whether the error was raised while reading the message (a missing or invalid field), not in a decision."""
+    trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
     return trace is not None and trace.tb_frame.f_code.co_filename == __file__
 
 
-def _bail_out(event: dict[str, Any], fault: BaseException) -> bytes:
-    text = f"{type(fault).__name__}: {fault}"
+def _bail_out(event: dict[str, Any], error: BaseException) -> bytes:
+    text = f"{type(error).__name__}: {error}"
     return orjson.dumps({"m": "BailOut", "ProxyId": event.get("ProxyId", 0), "NoteText": text})
 
 
-def _report_error(errors: Any, number: int, fault: BaseException) -> int:
-    what = f"missing field {fault}" if isinstance(fault, KeyError) else str(fault)
-    print(f"benchlink: line {number}: {what}".replace("\n", " "), file=errors)
+def _report_error(errors: Any, number: int, error: BaseException) -> int:
+    text = f"missing field {error}" if isinstance(error, KeyError) else str(error)
+    print(f"benchlink: line {number}: {text}".replace("\n", " "), file=errors)
     return 2
 
 
--- a/weldroute/checks.py
+++ b/weldroute/checks.py
@@ -1,4 +1,4 @@
-"""What the policies of several subsystems ask of their numbers."""
+"""Validates the numbers in the policies of several subsystems."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def check_numbers(policy: Any, allow_zero: bool = False) -> None:
-    """Raise ValueError naming the first field of a dataclass that is no number above 0 (of 0 or more, if `zero`)."""
+    """Raise ValueError for the first field of a dataclass that is not a number above 0 (or 0, if `allow_zero`)."""
     for policy_field in fields(policy):
         value = getattr(policy, policy_field.name)
         if not math.isfinite(value) or value < 0.0 or (value == 0.0 and not allow_zero):
--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -1,9 +1,14 @@
-"""All decisions of the balancer: which server, whether at all, again, or not any more.
+"""Decides which server a request is sent to, whether it is admitted, retried or given up.
 
-Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
-All randomness comes from the seed. The mechanism is that of go-zero PR #5366 with SRE-book throttling:
-each server has a breaker that refuses locally with the larger of an error chance and
-a latency chance; of two random ready servers the one with the lower latency x (in-flight + 1) is taken.
+Pure and sans-I/O: every method takes the current time and returns the actions to carry out; nothing reads a clock.
+All randomness comes from the seed. The mechanism is that of go-zero PR #5366 with the adaptive throttling of the
+SRE book: each server has a breaker that refuses calls locally with the larger of an error ratio and a latency ratio,
+and of two random ready servers (power of two choices) the one with the lower latency x (in-flight + 1) is chosen.
+
+- `Breaker`: the drop probability for one server, one zone or the whole tier.
+- `AdmissionControl`: load shedding at the first tier, least valuable requests first.
+- `ServerPool`: the servers that are drawn from, and the subset of them in use.
+- `Balancer`: the events of one instance; servers, requests, retries, second copies and bans.
 """
 
 from __future__ import annotations
@@ -44,78 +49,79 @@
     refill_credit,
 )
 
-BREAKER_WINDOW = 10.0  # seconds that the error ratio looks back
-BUCKETS = 40
-THROTTLE_K = 1.5  # accepted calls are worth this many requests...
-THROTTLE_K_MIN = 1.1  # ...and this many when every recent bucket fails
-PROTECTED_REQUESTS = 5  # requests that never count against a server
-FORCED_PASS_INTERVAL = 1.0  # seconds between calls that pass whatever the ratio
-LATENCY_ACTIVATION = 3.0  # the latency chance starts at this multiple of the baseline...
-LATENCY_CEILING = 0.95  # ...and is full at this part of the timeout...
-LATENCY_DROP_CAP = 0.3  # ...where it has this value
-
-MAX_DRAWS = 8  # random draws for two candidates, at most
-SEQUENTIAL_PROBES = 8  # servers that are looked at one after the other where no draw has found a candidate
-FAR_REDRAWS = 2  # further candidates from other zones, for those that their breakers refuse
-RETRY_RATIO = 0.2  # further attempts for each request, on average
-RETRY_BURST = 10.0  # further attempts saved up, at most
-COPY_DELAY_MULTIPLE = 5.0  # a second copy goes out when the first is out for this multiple of the tier's latency
-COPY_RATIO = 0.02  # second copies for each request, on average
-COPY_BURST = 1.0  # second copies saved up, at most
-COPY_MAX_SLOWDOWN = 1.3  # none while the tier's latency is over this multiple of its slow-rising baseline
-MAX_ATTEMPTS_PER_SERVER = 3  # attempts of one request at one server, at most
-REPEAT_WINDOW_MARGIN = 0.9  # the part of a keyed class's window in which repeats are sent
-
-LATENCY_STALE_AFTER = 5.0  # seconds after which a silent server's latency counts half, the tier's the other half
-SUBSET_MIN = 10  # servers of the working set, at least
-SUBSET_CALL_RATE = 0.7  # calls a second that each server of the working set should see
-CROSS_ZONE_PENALTY = 5.0  # a crossing of zones weighs its price x this part of the aim, as latency
-ADMITTED_RATE_WINDOW = 2.0  # seconds over which the pace of requests that are let in is smoothed
-SUBSET_RESIZE_INTERVAL = 3.0  # seconds between looks at the size of the working set
+BREAKER_WINDOW = 10.0  # seconds over which a server's error ratio is computed
+BUCKETS = 40  # of that window
+THROTTLE_K = 1.5  # K of adaptive throttling: requests allowed for each accepted one
+THROTTLE_K_MIN = 1.1  # K when every recent bucket failed
+PROTECTED_REQUESTS = 5  # requests in a window that never count against a server
+FORCED_PASS_INTERVAL = 1.0  # seconds between calls that pass whatever the drop probability
+LATENCY_ACTIVATION = 3.0  # multiple of the baseline latency above which the latency ratio is positive
+LATENCY_CEILING = 0.95  # fraction of the timeout at which the latency ratio reaches its cap
+LATENCY_DROP_CAP = 0.3  # largest latency ratio
+
+MAX_DRAWS = 8  # random draws for two candidates
+SEQUENTIAL_PROBES = 8  # servers checked one after the other when no random draw has found a candidate
+FAR_REDRAWS = 2  # further candidates from other zones, to replace those whose breakers refuse
+RETRY_RATIO = 0.2  # retries allowed per request, on average
+RETRY_BURST = 10.0  # retries saved up at most
+COPY_DELAY_MULTIPLE = 5.0  # of the tier's latency: how long the first attempt is out before a second copy is sent
+COPY_RATIO = 0.02  # second copies allowed per request, on average
+COPY_BURST = 1.0  # second copies saved up at most
+COPY_MAX_SLOWDOWN = 1.3  # multiple of its slow-rising baseline above which the tier's latency stops second copies
+MAX_ATTEMPTS_PER_SERVER = 3  # of one request
+REPEAT_WINDOW_MARGIN = 0.9  # fraction of a keyed class's window within which repeats are sent
+
+LATENCY_STALE_AFTER = 5.0  # seconds of silence after which a server's latency counts half, the tier's the other half
+SUBSET_MIN = 10  # least servers of the active subset
+SUBSET_CALL_RATE = 0.7  # calls a second that each server of the active subset should receive
+CROSS_ZONE_PENALTY = 5.0  # latency added to a server of another zone: price x this x the class's aim
+ADMITTED_RATE_WINDOW = 2.0  # seconds over which the rate of admitted requests is smoothed
+SUBSET_RESIZE_INTERVAL = 3.0  # seconds between checks of the active subset's size
 
 # A change counts as known 6 s after discovery could be reached, whatever failed before; a call may take 3 s of that.
 FIRST_SUBSCRIBE_SPREAD = 2.0  # seconds over which the first calls of instances that start together are spread
-SUBSCRIBE_BACKOFF_MIN, SUBSCRIBE_BACKOFF_MAX = (
-    0.5,
-    1.6,
-)  # seconds after a failed call until the next, before jitter of half as much
+# Seconds from a failed call to the next one, before jitter of plus or minus half.
+SUBSCRIBE_BACKOFF_MIN, SUBSCRIBE_BACKOFF_MAX = 0.5, 1.6
 
-UNBAN_SPREAD = 3.0  # seconds after a ban in which a server gets its first call, where...
-UNBAN_SPREAD_INSTANCES = 10  # ...so many instances, or fewer, call it
+UNBAN_SPREAD = 3.0  # seconds after the end of a ban within which an instance sends the server its first call
+UNBAN_SPREAD_INSTANCES = 10  # above this number of instances the spread grows in proportion
 
-COLD_SLOWDOWN_OFFSET = 0.5  # subtracted from the tier's latency over its usual one, it is...
-COLD_MAX_DRAW_BOOST = 1.6  # ...how much more often a cold server is drawn, up to this
+# A cold server is drawn more often while the tier is slow: by its latency over its usual one, minus the offset,
+# from 1 to the largest boost.
+COLD_SLOWDOWN_OFFSET = 0.5
+COLD_MAX_DRAW_BOOST = 1.6
 
-ZONE_BREAKER_WINDOW = 3.0  # seconds that a zone's ratio looks back
+ZONE_BREAKER_WINDOW = 3.0  # seconds over which a zone's error ratio is computed
 LOST_OUTCOMES = (Outcome.UNREACHABLE, Outcome.TIMEOUT, Outcome.BROKEN)
 
-ADMISSION_WINDOW = 5.0  # seconds that the ratio of the whole tier looks back
-ADMISSION_K = 1.2  # its K: at balance 1 / K of what is let in is in time
-ADMISSION_K_SLACK = 2.0  # added to that K when answers come at once, and less of it...
-ADMISSION_SLACK_END = 0.7  # ...until answers take this part of their aim
-ADMISSION_IDLE_SLACK = 0.5  # part of the slack that it has when nobody waits
-ADMISSION_WAIT_START = (
-    0.25  # the wait forecast by those waiting, as a part of the aim, from which the entry refuses...
-)
-ADMISSION_WAIT_END = 0.55  # ...and that at which it refuses all
-RANKING_INTERVAL = 0.25  # seconds between orderings of requests by worth
-QUEUE_HORIZON = 0.5  # those waiting for longer than this part of their aim are stuck, not queued
-PACE_WINDOW = 2.0  # seconds over which the pace of answers is smoothed...
-RECENT_PACE_WINDOW = 0.5  # ...and over which a rise of it shows
-SHARE_WINDOW = 3.0  # seconds over which shares of traffic and service are smoothed
+ADMISSION_WINDOW = 5.0  # seconds over which the tier's ratio is computed
+ADMISSION_K = 1.2  # in equilibrium 1 / K of the admitted requests is answered in time
+ADMISSION_K_SLACK = 2.0  # added to that K when answers are immediate
+ADMISSION_SLACK_END = 0.7  # fraction of their aim that answers take when that slack has fallen to 0
+ADMISSION_IDLE_SLACK = 0.5  # fraction of the slack that is granted when the queue is empty
+ADMISSION_WAIT_START = 0.25  # forecast wait, as a fraction of the aim, above which requests are refused
+ADMISSION_WAIT_END = 0.55  # forecast wait, as a fraction of the aim, at which all requests are refused
+RANKING_INTERVAL = 0.25  # seconds between rankings of the slots by worth
+QUEUE_HORIZON = 0.5  # fraction of the aim after which a waiting request counts as stuck, not as queued
+PACE_WINDOW = 2.0  # seconds over which the rate of answers is smoothed
+RECENT_PACE_WINDOW = 0.5  # seconds over which a rise of that rate is noticed
+SHARE_WINDOW = 3.0  # seconds over which the requests and answers of each slot are smoothed
 
 SUBSCRIBE_TIMER, COPY_TIMER = 1, 2  # timer tokens
 
 
 def _mix_bits(number: int) -> int:
-    """A fixed scramble of an identifier, equal at every instance."""
+    """Return a 32-bit hash of an identifier that is the same at every instance."""
     number = (number ^ (number >> 16)) * 0x45D9F3B & 0xFFFFFFFF
     number = (number ^ (number >> 16)) * 0x45D9F3B & 0xFFFFFFFF
     return number ^ (number >> 16)
 
 
 class Breaker:
-    """The design's chance of refusing a call locally, for one server."""
+    """Computes the probability of refusing a call locally: adaptive throttling by errors and by latency.
+
+    Keeps a sliding window of buckets for the error ratio, and two moving averages of the latency.
+    """
 
     __slots__ = (
         "_accepts",
@@ -133,10 +139,10 @@
         self._bucket_width = window / BUCKETS
         self.k = k
         self._buckets: deque[list[float]] = deque()  # [bucket number, requests, accepts, failures]
-        self._failing_buckets = 0
+        self._failing_buckets = 0  # newest buckets in a row that have failures and no accepts
         self._requests = 0.0
         self._accepts = 0.0
-        self.baseline = self.current = 0.0
+        self.baseline = self.current = 0.0  # seconds; the baseline rises slowly and falls fast
         self.last_pass = float("-inf")
 
     def _bucket_at(self, now: float) -> list[float]:
@@ -158,12 +164,12 @@
         self._failing_buckets = min(self._failing_buckets, len(ring))
 
     def record_refusal(self, now: float) -> None:
-        """Count a call refused here: a request that the server did not accept."""
+        """Count a call that was refused locally: a request that the server did not accept."""
         self._bucket_at(now)[1] += 1
         self._requests += 1
 
     def record_success(self, now: float, weight: float = 1.0) -> None:
-        """Count a call that the server accepted, or a part of one."""
+        """Count an accepted call; `weight` below 1 counts it as accepted in part."""
         bucket = self._bucket_at(now)
         bucket[1] += 1
         bucket[2] += weight
@@ -172,16 +178,16 @@
         self._failing_buckets = 0
 
     def record_failure(self, now: float) -> None:
-        """Count an error, time-out, full refusal or failed connection."""
+        """Count an error, timeout, refusal by a full server or failed connection."""
         bucket = self._bucket_at(now)
         bucket[1] += 1
         self._requests += 1
         if not bucket[2] and not bucket[3]:
-            self._failing_buckets += 1  # newest run of buckets that only failed
+            self._failing_buckets += 1
         bucket[3] += 1
 
     def record_latency(self, latency: float) -> None:
-        """Move both averages by the latency of a success."""
+        """Update both moving averages with the latency of a successful call."""
         if self.current <= 0.0:
             self.baseline = self.current = latency
             return
@@ -190,13 +196,19 @@
         self.current += (latency - self.current) / 4.0
 
     def error_ratio(self, now: float) -> float:
-        """Adaptive throttling over the window; K falls as the newest failing buckets grow."""
+        """Return the drop probability by errors (adaptive throttling, SRE book).
+
+        K falls from `k` to THROTTLE_K_MIN as the newest run of failing buckets grows.
+        """
         self._expire(int(now / self._bucket_width))
         k = self.k - (self.k - THROTTLE_K_MIN) * self._failing_buckets / BUCKETS
         return max(0.0, (self._requests - PROTECTED_REQUESTS - k * self._accepts) / (self._requests + 1))
 
     def latency_ratio(self, timeout: float) -> float:
-        """The capped chance for a current latency far over the baseline; 0 without a usable timeout."""
+        """Return the drop probability for a current latency far above the baseline, capped.
+
+        `timeout` is in seconds; without a usable one the result is 0.
+        """
         threshold = LATENCY_ACTIVATION * self.baseline
         span = LATENCY_CEILING * timeout - threshold
         if timeout <= 0.0 or threshold <= 0.0 or span <= 0.0:
@@ -204,11 +216,11 @@
         return min(max((self.current - threshold) / span * LATENCY_DROP_CAP, 0.0), LATENCY_DROP_CAP)
 
     def drop_probability(self, now: float, timeout: float) -> float:
-        """The larger of the two chances."""
+        """Return the larger of the error ratio and the latency ratio."""
         return max(self.error_ratio(now), self.latency_ratio(timeout))
 
     def refuses(self, now: float, timeout: float, rng: Random) -> bool:
-        """Whether to refuse this call; one call a second passes while calls are dropped."""
+        """Decide whether to refuse this call; one call a second passes even while calls are dropped."""
         chance = self.drop_probability(now, timeout)
         if chance <= 0.0:
             return False
@@ -220,42 +232,42 @@
 
 
 class Server:
-    """What an instance knows of one server of the next tier."""
+    """What an instance knows about one server of the next tier."""
 
     __slots__ = ("answer_rate", "back", "breaker", "cold_credit", "cold_seen", "in_flight", "latency", "row", "seen")
 
     def __init__(self, row: ServerRow) -> None:
         self.row = row
-        self.breaker: Breaker | None = None  # made at the first call: most rows of a big list see none
-        self.in_flight: dict[Attempt, None] = {}  # attempts in flight, oldest first
-        self.latency = 0.0  # the breaker's current latency, failures counted as the time-out
-        self.seen = 0.0
-        self.cold_credit = 0.0
-        self.cold_seen = 0.0
-        self.answer_rate: SmoothedRate | None = None  # in time, while it is cold
-        self.back = 0.0  # when a ban on it ended, until discovery tells of a start since that ban began
+        self.breaker: Breaker | None = None  # created at the first call: most rows of a long list are never called
+        self.in_flight: dict[Attempt, None] = {}  # oldest first
+        self.latency = 0.0  # moving average in seconds, with failures counted as a timeout
+        self.seen = 0.0  # when the latency was last updated
+        self.cold_credit = 0.0  # calls that a cold server may receive now
+        self.cold_seen = 0.0  # when that credit was last refilled
+        self.answer_rate: SmoothedRate | None = None  # answers in time, while it is cold
+        self.back = 0.0  # end of the last ban, until discovery reports a start after that ban began
 
     @property
     def started(self) -> float:
-        """When its process started, as far as is known; 0 for long ago."""
+        """When its process started, as far as is known; 0 for a distant past."""
         return max(self.row.started, self.back)
 
     def cold_until(self, rules: Rules) -> float:
-        """When it will have been up for as long as servers stay cold."""
+        """Return when the server stops being cold; 0 if it started in a distant past."""
         started = self.row.started if self.row.started > self.back else self.back
         return started + rules.cold_for if started > 0.0 else 0.0
 
     def update_latency(self, now: float, latency: float) -> None:
-        """Move the latency that picks follow."""
+        """Update the moving average that servers are scored by."""
         self.latency += (latency - self.latency) / 4.0 if self.latency > 0.0 else latency
         self.seen = now
 
     def score(self, now: float, pooled: float) -> float:
-        """Current latency x (in-flight + 1); lower is better.
+        """Return current latency x (in-flight + 1); lower is better. `pooled` is the latency of the tier.
 
-        Guards against stale averages (a silent server drifts to the tier's latency, so that a recovered
-        one is tried again and one never tried is neither first nor last) and against hung servers (an
-        attempt that is out for longer than the current latency is itself a sample).
+        The latency of a server that has not answered lately drifts to that of the tier, so that a recovered server
+        is tried again and an untried one ranks neither first nor last. Hung servers are avoided because an attempt
+        that has been in flight for longer than the current latency counts as a sample.
         """
         latency = pooled
         if self.latency > 0.0:
@@ -269,11 +281,13 @@
 
 
 class AdmissionControl:
-    """The design's ratio over the whole tier, where clients enter, and whom its refusals fall on.
+    """Sheds load for the whole tier: a throttling ratio over all requests, spent on the least valuable ones.
+
+    Servers that queue accept everything, so that under overload no single breaker sees an error until answers are
+    late. Here an answer after its aim counts only for its remaining worth. Acts only at the first tier, where clients
+    enter: a refusal further down wastes the work already done above.
 
-    Guards against late answers in overload: servers that queue accept everything, so no single breaker
-    sees an error until answers are late. Here an answer after its aim counts only for what it is still
-    worth. Acts only at the first tier: a refusal further down wastes the work already done above.
+    Requests are grouped into slots by (class, tenant, over the tenant's share); each slot has a refusal probability.
     """
 
     __slots__ = (
@@ -302,27 +316,27 @@
         self.breaker = Breaker(ADMISSION_WINDOW, ADMISSION_K)
         self.tenant_count = max(1, len(settings.tenants))
         slots = len(settings.classes) * self.tenant_count * 2
-        self.asked = [0.0] * slots  # recent requests of each (class, tenant, over its share)
-        self.served = [0.0] * slots
-        self.chance = [0.0] * slots
-        self.sort_at = 0.0
-        self.quota = [1.0] * self.tenant_count  # saved-up requests within the share
+        self.asked = [0.0] * slots  # recent requests of each slot
+        self.served = [0.0] * slots  # those of them that were answered in time
+        self.chance = [0.0] * slots  # refusal probability
+        self.sort_at = 0.0  # when the slots are ranked next
+        self.quota = [1.0] * self.tenant_count  # tokens: requests still within the tenant's share
         self.quota_at = [0.0] * self.tenant_count
-        self.pending: deque[Request] = deque()
-        self.filled = 0.0  # the part of their aim that answers take
-        self.queued: deque[Request] = deque()
-        self.queue_length = 0  # requests let in, unanswered and within their horizon
-        self.aim = 0.0  # usual aim of what is asked
-        self.pace = 0.0  # answers a second, smoothed...
-        self.recent = 0.0  # ...and of late
+        self.pending: deque[Request] = deque()  # admitted requests in order of arrival
+        self.filled = 0.0  # moving average of answer time / aim
+        self.queued: deque[Request] = deque()  # those that may still count as queued
+        self.queue_length = 0  # admitted requests that are unanswered and within their queue horizon
+        self.aim = 0.0  # moving average of the requests' aims, seconds
+        self.pace = 0.0  # answers a second, smoothed over PACE_WINDOW
+        self.recent = 0.0  # answers a second, smoothed over RECENT_PACE_WINDOW
         self.paced_at = 0.0
-        self.since = -1.0  # when the first request came
+        self.since = -1.0  # when the first request came, or the first after a pause
 
     def take_slot(self, now: float, class_index: int, tenant: int) -> int:
-        """The slot of a request, taking it from its tenant's quota."""
+        """Return the slot of a request, and charge it to its tenant's quota (a token bucket)."""
         over_share = 0
         if tenant < len(self.settings.tenants):
-            # Each instance counts its equal part of the quota; a wrong guess only changes the order.
+            # Each instance assumes an equal part of the quota; a wrong assumption changes only the order of refusals.
             quota_rate = self.settings.tenants[tenant].quota / self.settings.balancers
             if quota_rate > 0.0:
                 tokens = self.quota[tenant] + quota_rate * (now - self.quota_at[tenant])
@@ -335,7 +349,7 @@
         return (class_index * self.tenant_count + tenant) * 2 + over_share
 
     def refuses(self, now: float, request: Request, rng: Random) -> bool:
-        """Whether to refuse this request at the door, least worth first."""
+        """Decide whether to refuse a request on arrival, the least valuable first; else count it as admitted."""
         pending = self.pending
         classes = self.settings.classes
         while pending and (pending[0].done or pending[0].arrived + classes[pending[0].class_index].aim < now):
@@ -343,7 +357,7 @@
         slot_index = request.slot
         self.asked[slot_index] += 1.0
         if self.since < 0.0 or (not self.queue_length and now - self.paced_at > PACE_WINDOW):
-            # Guards against taking a pause, such as a drain, for answers that stopped coming.
+            # A pause in the requests, such as a drain, must not be taken for answers that stopped coming.
             self.since = now
             self.pace = self.recent = 0.0
         queued = self.queued
@@ -352,8 +366,8 @@
         aim = classes[request.class_index].aim
         self.aim += (aim - self.aim) / 32.0 if self.aim > 0.0 else aim
         wait = self.forecast_wait(now)
-        # Guards against a spiral: where calls fail although answers are quick, or nobody waits any more, it is
-        # not for load. Refusing more makes no more of them succeed, and those turned away come again.
+        # Where calls fail although answers are quick or the queue is empty, load is not the cause: refusing more
+        # would make no more of them succeed, and refused callers try again, so that refusals would cause refusals.
         slack = max(1.0 - self.filled / ADMISSION_SLACK_END, ADMISSION_IDLE_SLACK - wait / ADMISSION_WAIT_START, 0.0)
         self.breaker.k = ADMISSION_K + ADMISSION_K_SLACK * slack
         latency_ratio = min(
@@ -374,7 +388,7 @@
         return False
 
     def enqueue(self, now: float, request: Request) -> None:
-        """Count a request that is let in as one that waits."""
+        """Count an admitted request as waiting in the queue."""
         self.pending.append(request)
         request.queued_until = now + QUEUE_HORIZON * self.settings.classes[request.class_index].aim
         request.queued = True
@@ -382,24 +396,24 @@
         self.queue_length += 1
 
     def forecast_wait(self, now: float) -> float:
-        """The wait that those waiting forecast for the next, as a part of the aim.
+        """Return the wait expected for the next request, as a fraction of the aim.
 
-        Guards against bursts: late answers are evidence only when the queues are long. Those waiting by the
-        pace of answers forecast the wait of the next (Little's law) at once.
+        Late answers show a burst only once the queues are long. Queue length divided by the rate of answers
+        (Little's law) forecasts the wait at once.
         """
         observed = now - self.since
         if observed < self.aim:
-            return 0.0  # answers have had no time to show their pace
+            return 0.0  # no answers are due yet, so their rate is unknown
         pace = self.pace * max(0.0, 1.0 - (now - self.paced_at) / PACE_WINDOW)
         if observed < 2.0 * PACE_WINDOW:
-            pace /= 1.0 - math.exp(-observed / PACE_WINDOW)  # smoothed from nothing
-        # Guards against refusing what another proxy's callers bring when it goes: there the pace rises with
-        # what is asked, and answers take no longer.
+            pace /= 1.0 - math.exp(-observed / PACE_WINDOW)  # corrects the average for its start at 0
+        # The callers of another proxy that went away raise the rate of requests and answers alike, while answers take
+        # no longer; a recent rise counts at once, so that these callers are not refused.
         pace = max(pace, self.recent * max(0.0, 1.0 - (now - self.paced_at) / RECENT_PACE_WINDOW))
         return max(0.0, self.queue_length - PROTECTED_REQUESTS) / max(pace, 1e-3) / self.aim
 
     def _count_once(self, request: Request) -> bool:
-        """Whether this request is still to be counted; it is not again."""
+        """Mark a request as counted; return False if it already was."""
         if request.counted:
             return False
         request.counted = True
@@ -407,16 +421,17 @@
         return True
 
     def _dequeue(self, request: Request) -> None:
-        """Take a request out of those that wait in the queue.
+        """Stop counting a request as queued.
 
-        Guards against a spiral: calls stuck at hung servers or behind a cut link are no sign of load.
+        Requests stuck at hung servers or behind a cut link are no sign of load; counting them would cause refusals
+        that cause further ones.
         """
         if request.queued:
             request.queued = False
             self.queue_length -= 1
 
     def exclude(self, request: Request) -> None:
-        """Leave a request out of the count: its end says nothing of load."""
+        """Leave a request out of the ratio: its end says nothing about load."""
         self._count_once(request)
 
     def on_late(self, now: float, request: Request) -> None:
@@ -425,7 +440,7 @@
             self.breaker.record_success(now, self.settings.classes[request.class_index].late_worth / 2.0)
 
     def on_end(self, now: float, request: Request, served: bool) -> None:
-        """Count a request that got its final answer."""
+        """Count a request that received its final answer; `served` if it was a success."""
         if served:
             gap = now - self.paced_at
             self.pace = self.pace * max(0.0, 1.0 - gap / PACE_WINDOW) + 1.0 / PACE_WINDOW
@@ -451,7 +466,7 @@
         self.sort_at = now
 
     def _rank_slots(self, now: float, ratio: float) -> None:
-        """Spread the ratio over the slots, from the least worth to the goal upward."""
+        """Distribute the refusal ratio over the slots, starting with those that contribute least to the goal."""
         settings, goal = self.settings, self.settings.goal
         self._decay(now)
         self.sort_at = now + RANKING_INTERVAL
@@ -473,7 +488,7 @@
                 entry[0] += worth[s] * self.asked[s]
                 entry[1] += worth[s] * self.served[s]
         value = [goal.whole * w / offered for w in worth]
-        # The worst-served class and tenant weigh by themselves: what they get moves the goal twice.
+        # The worst-served class and tenant have weights of their own, so that serving them counts twice for the goal.
         class_of = [s // (2 * tenants) for s in slots]
         tenant_of = [-1 if s % 2 else s // 2 % tenants for s in slots]
         for stats, weight, owner in (
@@ -506,7 +521,7 @@
 
 
 class Request:
-    """A request that a final answer is owed for, or that still has attempts out."""
+    """A request that still needs a final answer or has open attempts."""
 
     __slots__ = (
         "arrived",
@@ -536,17 +551,17 @@
         self.attempts: list[Attempt] = []
         self.open = 0
         self.done = False
-        self.slot = 0
-        self.counted = False  # by the entry's ratio
-        self.queued_until = 0.0  # when it stops to count as queued
-        self.queued = False  # counted as queued
-        self.receiving = False  # its last byte has not come
+        self.slot = 0  # of admission control
+        self.counted = False  # admission control has counted its end, or never will
+        self.queued_until = 0.0  # when it stops counting as queued
+        self.queued = False  # counts as queued
+        self.receiving = False  # its last byte has not arrived
         self.body_released = False  # its body can't be sent again
-        self.bound = False  # a stream has begun: the request belongs to one attempt
+        self.bound = False  # a streamed answer has begun: the request is bound to that attempt
         self.copy_at = 0.0  # when a second copy is due
 
     def first_maybe_ran(self) -> Attempt | None:
-        """The first attempt that may have run, or may be running."""
+        """Return the first attempt that may have run or may be running."""
         for attempt in self.attempts:
             if attempt.maybe_ran:
                 return attempt
@@ -554,19 +569,19 @@
 
 
 class ServerPool:
-    """Servers that are drawn from alike: all in ring order, the part in use, and how much of it is warm."""
+    """Servers that candidates are drawn from: all ready ones in ring order, and the active subset of them."""
 
     __slots__ = ("active", "next_warm_at", "ready", "warm_fraction", "warm_load")
 
     def __init__(self, active: list[Server] | None = None) -> None:
         self.ready: list[Server] = []
         self.active = active or []
-        self.next_warm_at = float("inf")  # when the next of the cold servers is warm
-        self.warm_fraction = 1.0
+        self.next_warm_at = float("inf")  # when the next cold server becomes warm
+        self.warm_fraction = 1.0  # of the active subset
         self.warm_load = WarmLoad()
 
     def resize(self, now: float, wanted: int, rules: Rules) -> None:
-        """Use about this many; a size near the present one is kept."""
+        """Set the size of the active subset to about `wanted`; a size close to the current one is kept."""
         current = len(self.active)
         if current and current <= len(self.ready) and 0.7 * current <= wanted <= 1.4 * current:
             wanted = current
@@ -574,44 +589,45 @@
         self.count_warm(now, rules)
 
     def count_warm(self, now: float, rules: Rules) -> None:
-        """Find how many of those in use are warm, and until when that holds."""
+        """Recompute which fraction of the active subset is warm, and until when that holds."""
         warm_at = [t for t in (s.cold_until(rules) for s in self.active) if t > now]
         self.next_warm_at = min(warm_at, default=float("inf"))
         self.warm_fraction = 1.0 - len(warm_at) / len(self.active) if self.active else 1.0
 
 
 class Balancer:
-    """One instance: a method for each event, each returning the actions to carry out in order."""
+    """The decisions of one instance: a method for each event, which returns the actions to carry out in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings = settings
         self.rng = Random(seed)
         self.servers: dict[ServerId, Server] = {}
-        self.bans: dict[ServerId, float] = {}  # since when operators want nothing sent there
-        self.first_call_due: dict[ServerId, float] = {}  # those not tried since, and when they are due
-        self.past_bans: dict[ServerId, tuple[float, float]] = {}  # lately banned: from when to when
+        self.bans: dict[ServerId, float] = {}  # banned by operators, and since when
+        self.first_call_due: dict[
+            ServerId, float
+        ] = {}  # servers not called since their ban ended, and when they are due
+        self.past_bans: dict[ServerId, tuple[float, float]] = {}  # start and end of bans that ended lately
         self.ready: list[Server] = []
-        self.preferred: list[ServerId] | None = (
-            None  # first tries go there if they can, while new connections are scarce
-        )
-        self.near_pool = ServerPool()  # where ordinary picks draw both candidates...
-        self.far_pool = ServerPool()  # ...and one more, where zones count
+        # First attempts go to these servers if possible, while new connections are scarce.
+        self.preferred: list[ServerId] | None = None
+        self.near_pool = ServerPool()  # the own zone where crossing zones has a price, else all servers
+        self.far_pool = ServerPool()  # the other zones, where crossing zones has a price
         self.resize_at = 0.0
         self.zones: dict[int, list[Server]] = {}
         self.cells: dict[int, list[Server]] = {}
-        self.zone_breakers: dict[int, Breaker] = {}  # one for each zone: can it be reached?
-        self.pooled = 0.0  # current latency of the tier
+        self.zone_breakers: dict[int, Breaker] = {}  # one per zone: whether it can be reached
+        self.pooled = 0.0  # moving average of the tier's latency, seconds
         self.usual = 0.0  # its slow-rising baseline
         self.requests: dict[RequestId, Request] = {}
         self.retry_tokens = RETRY_BURST / 2
         self.copy_tokens = 1.0
-        self.copy_candidates: deque[Request] = deque()  # those that a second copy may be due for
-        self.copy_timer_set = False  # a timer is set for the first of them
+        self.copy_candidates: deque[Request] = deque()  # requests that may need a second copy, earliest first
+        self.copy_timer_set = False  # for the first of them
         self.rate = 0.0  # requests a second, smoothed
         self.rate_at = 0.0
-        self.admitted_rate = SmoothedRate(ADMITTED_RATE_WINDOW)  # those that the door has let in
-        self.cold_skipped = False  # a cold server was passed over for the present request
+        self.admitted_rate = SmoothedRate(ADMITTED_RATE_WINDOW)  # requests that passed admission control
+        self.cold_skipped = False  # a cold server was passed over for the current request
         self.admission = AdmissionControl(settings) if settings.tier == 0 else None
         self.subscribe_pending = False
         self.backoff = SUBSCRIBE_BACKOFF_MIN
@@ -619,7 +635,7 @@
     # ---- the list of servers -------------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """Call once, after the first list was given."""
+        """Begin; to be called once, after the first list was passed to `members`."""
         if self.settings.discovery is not Discovery.ON_REQUEST:
             return []
         return self._schedule_subscribe(
@@ -633,9 +649,9 @@
         return [Timer(now + delay, SUBSCRIBE_TIMER)]
 
     def members(self, now: float, list_kind: ListKind, rows: Sequence[ServerRow]) -> list[Action]:
-        """A list, a change to it, or the news that a call to discovery failed."""
+        """Apply a list of servers, a change to it, or the failure of a call to discovery."""
         if list_kind is ListKind.BROKEN:
-            # Jittered and doubling: every instance lost the same service at the same time.
+            # Exponential backoff with jitter: every instance lost the same service at the same time.
             delay = min(self.backoff * (0.5 + self.rng.random()), self.settings.rules.ask_within)
             self.backoff = min(2.0 * self.backoff, SUBSCRIBE_BACKOFF_MAX)
             return self._schedule_subscribe(now, delay)
@@ -652,23 +668,23 @@
                 self.servers[row.server] = Server(row)
                 continue
             if row.started > known.row.started:
-                known.breaker = None  # a new process: nothing learned of the old one holds
+                known.breaker = None  # a new process: what was learned about the old one no longer holds
                 known.latency = 0.0
                 known.cold_credit = 0.0
                 known.answer_rate = None
             if row.state is State.GONE:
-                # Where it was still counts: repeats of what it may have run go to its group.
+                # Its zone and cell are kept: repeats of requests that it may have run go to its group.
                 row = ServerRow(row.server, State.GONE, known.row.zone, known.row.cell, started=row.started)
             known.row = row
         for row in rows:
             self.apply_past_ban(now, row.server)
-        # Guards against growing with every machine that was ever replaced: its id never comes back.
+        # The id of a replaced machine never comes back; keeping it would leak memory.
         self.servers = {k: s for k, s in self.servers.items() if s.row.state is not State.GONE or s.in_flight}
         self._rebuild_pools(now)
         return []
 
     def ban(self, now: float, server_id: ServerId) -> list[Action]:
-        """Operators take a server out: nothing goes there until `unban`, whatever the list says."""
+        """Send nothing to a server until `unban`, whatever the list says; ordered by operators."""
         self.past_bans.pop(server_id, None)
         self.first_call_due.pop(server_id, None)
         if self.bans.setdefault(server_id, now) == now:
@@ -676,10 +692,10 @@
         return []
 
     def unban(self, now: float, server_id: ServerId) -> list[Action]:
-        """Operators let it serve again.
+        """End a ban; ordered by operators.
 
-        Guards against pushing it over: it was most likely restarted meanwhile, and the list tells that late.
-        Harm: one that was not restarted is spared for as long as servers stay cold.
+        The server is treated as cold, so that it is not overloaded: it was most likely restarted meanwhile, and the
+        list reports that late. The cost: one that was not restarted gets less load for as long as servers stay cold.
         """
         since = self.bans.pop(server_id, None)
         if since is not None:
@@ -687,7 +703,7 @@
             self.past_bans = {k: span for k, span in self.past_bans.items() if span[1] >= lately}
             self.first_call_due = {k: due for k, due in self.first_call_due.items() if k in self.servers}
             self.past_bans[server_id] = (since, now)
-            # Spread out, and wider where more instances put it back: each first call adds to what it has to bear.
+            # Spread first calls over time, more widely where there are more instances: each of them adds to its load.
             spread = UNBAN_SPREAD * max(1.0, self.settings.balancers / UNBAN_SPREAD_INSTANCES)
             self.first_call_due[server_id] = now + spread * self.rng.random()
             self.apply_past_ban(now, server_id)
@@ -695,7 +711,7 @@
         return []
 
     def apply_past_ban(self, now: float, server_id: ServerId) -> None:
-        """Apply what a past ban says of a server's start."""
+        """Treat a server as started at the end of its ban, until the list reports a start or it would be warm."""
         if not self.past_bans:
             return
         span, server = self.past_bans.get(server_id), self.servers.get(server_id)
@@ -713,18 +729,18 @@
             server.answer_rate = None
 
     def _is_available(self, server: Server) -> bool:
-        """Whether anything may be sent there."""
+        """Whether requests may be sent to a server."""
         return server.row.state is State.UP and server.row.server not in self.bans
 
     def _rebuild_pools(self, now: float) -> None:
-        """Rebuild the lists of ready servers; drained, banned and gone ones leave them at once."""
+        """Rebuild the lists of ready servers; draining, banned and gone ones leave them at once."""
         self.ready = [s for s in self.servers.values() if self._is_available(s)]
         self.zones.clear()
         self.cells.clear()
         for server in self.ready:
             self.zones.setdefault(server.row.zone, []).append(server)
             self.cells.setdefault(server.row.cell, []).append(server)
-        # A ring in scattered order, the same at every instance, entered at this instance's place.
+        # A ring in hashed order, the same at every instance; each instance starts at its own position.
         ring = sorted(self.ready, key=lambda s: (_mix_bits(s.row.server), s.row.server))
         settings = self.settings
         near, far = ring, []
@@ -732,7 +748,7 @@
             near = [s for s in ring if s.row.zone == settings.zone]
             far = [s for s in ring if s.row.zone != settings.zone]
         for pool, pool_ring in ((self.near_pool, near), (self.far_pool, far)):
-            # Multiples of the golden ratio lie evenly whichever instances share a zone.
+            # Multiples of the golden ratio are evenly spaced whichever instances share a zone.
             position = (
                 settings.me / settings.balancers if pool_ring is ring else settings.me * 0.618033988749895 % 1.0
             )
@@ -741,11 +757,11 @@
         self._resize_pools(now)
 
     def _resize_pools(self, now: float) -> None:
-        """Choose how many servers ordinary calls are spread over.
+        """Choose how many servers ordinary calls are spread over (deterministic subsetting).
 
-        Guards against sparse windows: where many callers each make few calls, a breaker per server never
-        leaves its protection, averages go stale and every call opens a connection. Acts when the own pace
-        gives a ready server under WORKING_PACE calls a second; equal slices of the ring keep load even.
+        Where many callers make few calls each, a breaker per server never sees more than its protected requests,
+        averages go stale and every call opens a connection. So where this instance has less than SUBSET_CALL_RATE
+        calls a second for each ready server it uses a subset; equal slices of the ring keep the load even.
         """
         self.resize_at = now + SUBSET_RESIZE_INTERVAL
         wanted = max(SUBSET_MIN, int(self.rate / SUBSET_CALL_RATE))
@@ -753,15 +769,15 @@
         self.far_pool.resize(now, wanted, self.settings.rules)
 
     def _skips_cold(self, now: float, server: Server, pool: ServerPool) -> bool:
-        """Whether a cold server is passed over for this call.
+        """Decide whether a cold server is passed over for this call.
 
-        Guards against pushing it over: this instance alone gives it at most the part of a warm peer's
-        share that it can do for certain, both on average (a draw) and in any short span (a budget).
+        A cold server must not be overloaded: this instance sends it at most the fraction of a warm server's share
+        that it can certainly handle, both on average (by a random draw) and in any short span (by a token bucket).
         """
         rules = self.settings.rules
         fraction = capacity_fraction(now - server.started, rules)
         draw_factor = min(float(MAX_DRAWS), 2.0 / max(pool.warm_fraction, 0.01))
-        if self.usual > 0.0:  # warm ones that are slower than usual have no room to spare for it
+        if self.usual > 0.0:  # warm servers that are slower than usual have no spare capacity
             draw_factor /= min(max(self.pooled / self.usual - COLD_SLOWDOWN_OFFSET, 1.0), COLD_MAX_DRAW_BOOST)
         demand = self.admitted_rate.per_second(now) / max(1, len(pool.active))
         own_rate = server.answer_rate.per_second(now) if server.answer_rate is not None else 0.0
@@ -769,7 +785,7 @@
         if self.rng.random() * demand >= load / draw_factor:
             return True
         if server.cold_seen <= 0.0:
-            server.cold_credit = self.rng.random()  # instances must not all begin at the same moment
+            server.cold_credit = self.rng.random()  # instances must not all begin at the same time
             server.cold_seen = now
         server.cold_credit = refill_credit(server.cold_credit, now - server.cold_seen, load, rules)
         server.cold_seen = now
@@ -786,26 +802,27 @@
         deadline: float | None = None,
         receiving: bool = False,
     ) -> list[Action]:
-        """A new request; exactly one final answer is owed from here on.
+        """Handle a new request; exactly one final answer is owed from here on.
 
-        One whose body is still `coming` goes out while it comes, with a far deadline; `whole` tells of its end.
+        A request whose body is still being received (`receiving`) is sent while it arrives, with a distant deadline;
+        `on_body_complete` reports its end. Raises ValueError for an unknown class.
         """
         if not 0 <= class_index < len(self.settings.classes):
-            raise ValueError(f"kind: no class has index {class_index}")
+            raise ValueError(f"class_index: no class has index {class_index}")
         if deadline is None:
             deadline = now + self.settings.classes[class_index].deadline
         request = Request(request_id, class_index, tenant, now, deadline)
         request.receiving = receiving
         self.requests[request_id] = request
-        # The pace of calls asked, not sent: where all are cold nothing would ever be sent.
+        # The rate counts requests, not calls sent: where all servers are cold, nothing would ever be sent.
         self.rate = self.rate * max(0.0, 1.0 - (now - self.rate_at) / 2.0) + 0.5
         self.rate_at = now
         if now >= self.resize_at:
             self._resize_pools(now)
         actions: list[Action] = []
         if not self.ready:
-            # Guards against a failure that outlives its cause: with nobody to ask (no list yet, all drained, all
-            # banned) a refusal says nothing of load, and earns no retries. The door would stay shut for its window.
+            # Without any ready server (no list yet, all draining, all banned) a refusal says nothing about load and
+            # earns no retries. If it were counted, admission control would go on refusing for its whole window.
             request.counted = True
             self._refuse_or_fail(now, request, actions)
             return actions
@@ -827,8 +844,8 @@
                 sent = self._pick_and_send(now, request, preferred, True, actions)
             sent = sent or self._pick_and_send(now, request, None, True, actions)
         if not sent:
-            # Guards against a spiral: what is kept from cold servers says nothing of load, and if the door refuses
-            # more for it, fewer are left to try, of which as large a part is kept from them.
+            # Requests that are kept away from cold servers say nothing about load. If admission control refused more
+            # because of them, fewer would be left, the same fraction of which would be kept away again.
             request.counted = request.counted or self.cold_skipped
             self._refuse_or_fail(now, request, actions)
         elif not receiving:
@@ -845,10 +862,10 @@
         prior_attempts: Sequence[PriorAttempt],
         body_released: bool = False,
     ) -> list[Action]:
-        """A request that another process took and did not finish: it was let in there, and its attempts count.
+        """Continue a request that another process admitted and did not finish; its prior attempts count.
 
-        Those that are `joined` go on here; without one, it goes on as after an attempt that ended. That costs the
-        retry budget nothing: what a lost process leaves is bounded, and no more load than before.
+        Attempts that are `joined` go on here; without one the request continues as after an attempt that ended. This
+        takes nothing from the retry budget: the requests of a lost process are bounded, and no more load than before.
         """
         request = Request(request_id, class_index, tenant, now, deadline)
         request.counted, request.body_released = True, body_released
@@ -874,9 +891,9 @@
         return actions
 
     def on_body_complete(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
-        """The last byte of a request that went out while it came: its time, and its attempt's, count from here.
+        """Handle the last byte of a request that was sent while it arrived; its time and its attempt's start here.
 
-        Guards what is learned of servers and of load against callers that send slowly.
+        So callers that send slowly don't distort what is learned about servers and load.
         """
         request = self.requests.get(request_id)
         if request is None or request.done or not request.receiving:
@@ -895,16 +912,15 @@
         return actions
 
     def on_body_released(self, request_id: RequestId) -> None:
-        """A part of this request's body is let go: it can't be sent again."""
+        """Note that a part of a request's body was released, so that it can't be sent again."""
         request = self.requests.get(request_id)
         if request is not None:
             request.body_released = True
 
     def _schedule_copy(self, now: float, request: Request, actions: list[Action]) -> None:
-        """Note when a second copy is due.
+        """Schedule a second copy (hedged request).
 
-        Guards against answers that never come: without one a hung attempt takes the request's whole time.
-        Few enough that they don't matter as load.
+        Without one, a hung attempt takes the whole time of its request. Second copies are too few to matter as load.
         """
         if not self.settings.limits.second_copies or self.pooled <= 0.0:
             return
@@ -918,9 +934,8 @@
     def _on_copy_timer(self, now: float) -> list[Action]:
         actions: list[Action] = []
         waiting = self.copy_candidates
-        tier_is_fast = (
-            self.pooled <= COPY_MAX_SLOWDOWN * self.usual
-        )  # else slow work is no sign of an answer that is lost
+        # In a slow tier, a late answer is no sign of a lost one.
+        tier_is_fast = self.pooled <= COPY_MAX_SLOWDOWN * self.usual
         while waiting and (waiting[0].done or waiting[0].copy_at <= now):
             request = waiting.popleft()
             if tier_is_fast and request.open == 1 and self.copy_tokens >= 1.0 and self._retry(now, request, actions):
@@ -956,12 +971,12 @@
     def _send_to_same_server(
         self, now: float, request: Request, allowed: list[Server] | None, actions: list[Action]
     ) -> bool:
-        """Send once more to a server that had the request, where there is no other.
+        """Send a request once more to the server of its last attempt, where there is no other.
 
-        Guards against giving up where a group is small: an answer that was spoilt or lost on its way, or that
-        is long overdue (a second copy, on a connection of its own), says little of the server, and it is in
-        its own group, so that it knows the key. A few times only, and neither after a time-out nor where that
-        server's breaker refuses: there it would be more of what hurts it.
+        Otherwise requests would be given up where a group is small. An answer that was corrupted or lost on its way,
+        or that is long overdue (a second copy, on a connection of its own), says little about the server, which is in
+        its own group and so knows the idempotency key. Limited to MAX_ATTEMPTS_PER_SERVER, and done neither after a
+        timeout nor where the server's breaker refuses: there it would add to the overload.
         """
         last_attempt = request.attempts[-1]
         server = last_attempt.server
@@ -980,10 +995,10 @@
         return True
 
     def _pick(self, now: float, request: Request, allowed: list[Server] | None, first: bool) -> Server | None:
-        """Two random ready servers, the better unless its breaker refuses, then the other or one drawn anew.
+        """Choose the better of two random ready servers; if its breaker refuses, the other or one drawn anew.
 
-        Where crossings of zones have a price, both are of the own zone and a third is of the others: it is
-        taken when it is better by more than the crossing costs. A zone short of servers spills over.
+        Where crossing zones has a price, both are of the own zone and a third one is of the other zones; it is chosen
+        if it is better by more than the crossing costs. A zone short of servers spills over to the others.
         """
         rng = self.rng
         timeout = self.settings.classes[request.class_index].aim
@@ -1002,7 +1017,7 @@
         if not chosen and skipped:
             chosen.append((0.0, 0, skipped[-1]))
         if self.first_call_due and first and allowed is None:
-            # Guards against leaving it out for long where calls are few: chance alone may not draw it.
+            # Where calls are few, random draws might leave a formerly banned server out for long.
             for server_id, due in self.first_call_due.items():
                 back = self.servers.get(server_id)
                 if due <= now and back is not None and self._is_available(back):
@@ -1016,7 +1031,7 @@
                 return choice
             chosen.remove(best)
             if redraws and len(pools) > 2:
-                # Guards against a single choice: what is left of the candidates may be the one that all come back to.
+                # Otherwise the only candidate left might be one that every instance falls back to.
                 redraws -= 1
                 self._draw_candidate(now, self.far_pool, first, timeout, tried, chosen, skipped)
         return None
@@ -1031,14 +1046,14 @@
         chosen: list[tuple[float, int, Server]],
         skipped: list[Server],
     ) -> None:
-        """Add one more random ready server of a circle to the candidates, if there is one left."""
+        """Add one more random ready server of a pool to the candidates (`chosen`), if there is one left."""
         rng, rules = self.rng, self.settings.rules
         if now >= pool.next_warm_at:
             pool.count_warm(now, rules)
         count = len(pool.active)
         index = 0
         for draw in range(MAX_DRAWS // 2 + SEQUENTIAL_PROBES if count else 0):
-            # Guards against refusing where few are warm and chance names the cold ones only: then in turn.
+            # Where few servers are warm, random draws may hit only cold ones: then servers are checked in order.
             random_draw = draw < MAX_DRAWS // 2
             if not random_draw and not self.cold_skipped:
                 return
@@ -1062,9 +1077,9 @@
             return
 
     def _allowed_servers(self, now: float, request: Request) -> list[Server] | None:
-        """Where a further attempt may go by the rules: empty if nowhere, None if anywhere.
+        """Return the servers that a further attempt may be sent to: an empty list for none, None for any.
 
-        Guards the rule against doing an effect twice.
+        Enforces the rule that no effect is applied twice.
         """
         request_class = self.settings.classes[request.class_index]
         first = request.first_maybe_ran()
@@ -1079,14 +1094,14 @@
         return self.cells.get(first.server.row.cell, [])
 
     def _retry(self, now: float, request: Request, actions: list[Action]) -> bool:
-        """Try a further attempt within the rules and the retry budget."""
+        """Start a further attempt within the rules and the retry budget; return whether one was started."""
         if self.retry_tokens < 1.0 or not self._try_next_attempt(now, request, actions):
             return False
         self.retry_tokens -= 1.0
         return True
 
     def _try_next_attempt(self, now: float, request: Request, actions: list[Action]) -> bool:
-        """Try a further attempt within the rules."""
+        """Start a further attempt within the rules; return whether one was started."""
         limits = self.settings.limits
         if request.done or request.bound or request.body_released or now >= request.deadline:
             return False
@@ -1101,10 +1116,10 @@
         )
 
     def may_start(self, now: float, request_id: RequestId, attempt_index: int) -> bool:
-        """Whether an attempt that had to wait for its connection may still begin.
+        """Whether an attempt that had to wait for its connection may still start.
 
-        Guards against what has changed meanwhile: its request is answered, its server drains or is gone or banned,
-        or so much time has passed that a repeat would no longer be recognized as one.
+        It may not if meanwhile its request was answered, its server is draining, gone or banned, or so much time has
+        passed that a repeat would no longer be recognized as one.
         """
         request = self.requests.get(request_id)
         if request is None or request.done or now >= request.deadline:
@@ -1122,7 +1137,7 @@
         )
 
     def _refuse_or_fail(self, now: float, request: Request, actions: list[Action]) -> None:
-        """The final answer: refused where that promise holds, else failed."""
+        """Give the final answer: refused where a repeat is certainly harmless, otherwise failed."""
         request_class = self.settings.classes[request.class_index]
         harmless = (
             request_class.repeat is Repeat.SAFE
@@ -1152,7 +1167,10 @@
         latency: float,
         last: bool = False,
     ) -> list[Action]:
-        """An attempt ended; unknown ones are ignored."""
+        """Handle the end of an attempt; unknown ones are ignored.
+
+        `latency` is in seconds. `last` means that the client was answered: no further attempt is made.
+        """
         request = self.requests.get(request_id)
         if request is None or not 0 <= attempt_index < len(request.attempts):
             return []
@@ -1175,7 +1193,7 @@
             self._finish(request, actions)
         elif not request.open:
             if outcome is Outcome.REJECTED:
-                # Guards what is learned of the tier against callers whose requests nobody can serve.
+                # Requests that no server can handle say nothing about the tier.
                 if self.admission is not None:
                     self.admission.exclude(request)
                 self._refuse_or_fail(now, request, actions)
@@ -1197,7 +1215,7 @@
         if outcome is Outcome.OK:
             breaker.record_success(now)
             if breaker.current <= 0.0 and self.pooled > 0.0:
-                breaker.record_latency(min(latency, self.pooled))  # no baseline from one slow answer alone
+                breaker.record_latency(min(latency, self.pooled))  # one slow first answer must not set the baseline
             breaker.record_latency(latency)
             server.update_latency(now, latency)
             self.pooled += (latency - self.pooled) / 32.0 if self.pooled > 0.0 else latency
@@ -1208,14 +1226,14 @@
             self._count_answer(now, server, latency <= timeout)
         elif outcome is not Outcome.CANCELLED:
             breaker.record_failure(now)
-            # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
+            # A server that fails fast would look quick, so a failure counts as a timeout.
             server.update_latency(now, max(latency, timeout))
             if link is not None and outcome in LOST_OUTCOMES:
-                # Guards against learning a cut link one server at a time: the same ratio over its zone.
+                # A ratio over the whole zone detects a cut link sooner than one server at a time.
                 link.record_failure(now)
 
     def _count_answer(self, now: float, server: Server, in_time: bool) -> None:
-        """Count an answer for slow start: what warm servers carry, and what a cold one manages in time."""
+        """Count an answer for slow start: the load of warm servers, and what a cold one answers in time."""
         pool = self.near_pool if not self.far_pool.active or server.row.zone == self.settings.zone else self.far_pool
         cold = server.cold_until(self.settings.rules) > now
         pool.warm_load.on_answer(now, 0.0 if cold else pool.warm_fraction * len(pool.active))
@@ -1226,10 +1244,10 @@
             server.answer_rate.add(now)
 
     def on_stream_started(self, now: float, request_id: RequestId, attempt_index: int) -> list[Action]:
-        """A long answer has begun: the request belongs to this attempt, and is answered by now.
+        """Handle the start of a streamed answer: the request is bound to this attempt and counts as answered.
 
-        Guards against refusing for callers that read slowly: how long the rest takes is theirs, and says
-        nothing of queues.
+        How long the rest takes depends on the caller: slow readers say nothing about queues and must not cause
+        refusals.
         """
         request = self.requests.get(request_id)
         if request is None or request.done or request.bound or not 0 <= attempt_index < len(request.attempts):
@@ -1247,18 +1265,18 @@
         return actions
 
     def on_client_gone(self, now: float, request_id: RequestId) -> list[Action]:
-        """The client left; no answer is owed any more."""
+        """Handle a client that left: no answer is owed any more."""
         request = self.requests.get(request_id)
         if request is None or request.done:
             return []
         actions: list[Action] = []
         if self.admission is not None and not request.counted:
-            self.admission.on_late(now, request)  # whoever leaves this soon gets nothing, as from a late answer
+            self.admission.on_late(now, request)  # it received nothing, as with a late answer
         self._finish(request, actions)
         return actions
 
     def on_timer(self, now: float, token: int) -> list[Action]:
-        """A timer fell due; stale ones are ignored."""
+        """Handle a timer that is due; stale ones are ignored."""
         if token == SUBSCRIBE_TIMER and self.subscribe_pending:
             self.subscribe_pending = False
             return [Subscribe()]
--- a/weldroute/model.py
+++ b/weldroute/model.py
@@ -1,7 +1,7 @@
-"""Plain types that go into and come out of the decisions: settings, list rows, outcomes, actions.
+"""Plain types of the decision library's interface: settings, list rows, outcomes, actions.
 
-Nothing here decides anything, and nothing here knows a wire format. Times are seconds on the
-caller's clock; identifiers are whatever hashable value the embedding proxy uses.
+Nothing here decides anything or knows a wire format. Times are seconds on the caller's clock; identifiers are
+whatever hashable values the embedding proxy uses.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Repeat(Enum):
-    """How far a class of request may be repeated once it may have run."""
+    """Whether requests of a class may be repeated once they may have run."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -25,7 +25,7 @@
 
 
 class Group(Enum):
-    """Which servers discard the repeat of a keyed request."""
+    """Which servers recognize and discard the repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,14 +33,14 @@
 
 
 class Discovery(Enum):
-    """Whether the list of servers comes unasked or has to be asked for."""
+    """Whether discovery pushes the list of servers or has to be asked for it."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
 
 
 class State(Enum):
-    """What the list says of a server."""
+    """State of a server according to the list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -48,7 +48,7 @@
 
 
 class ListKind(Enum):
-    """What a list message is."""
+    """Meaning of a list message."""
 
     STALE = "stale"
     WHOLE = "whole"
@@ -67,10 +67,10 @@
     BROKEN = "broken"
     CANCELLED = "cancelled"
     VOID = "void"
-    REJECTED = "rejected"  # the server answered that the request itself is at fault
+    REJECTED = "rejected"  # the server answered that the request itself is invalid
 
 
-#: Outcomes that prove that the attempt never ran.
+#: Outcomes that prove that an attempt never ran.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID})
 
 
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request."""
+    """One class of request; `aim`, `deadline` and `window` (that of repeats) are seconds."""
 
     name: str = "request"
     aim: float = 1.0
@@ -95,7 +95,7 @@
     streaming: bool = False
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         for name in ("aim", "deadline", "window", "worth"):
             _check_number(f"{path}.{name}", getattr(self, name))
         _check_number(f"{path}.late_worth", self.late_worth, 0.0, 1.0)
@@ -105,21 +105,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant; `quota` is its share in requests a second over all balancers (0: no quota)."""
+    """One tenant; `quota` is its share in requests a second over all balancers, 0 for none."""
 
     name: str = "tenant"
     share: float = 0.0
     quota: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         _check_number(f"{path}.share", self.share, 0.0, 1.0)
         _check_number(f"{path}.quota", self.quota)
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits; times are seconds."""
 
     cancel: bool = False
     second_copies: bool = False
@@ -132,7 +132,7 @@
     streams_per_connection: int = 1
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         _check_number(f"{path}.max_attempts", self.max_attempts, 1)
         _check_number(f"{path}.streams_per_connection", self.streams_per_connection, 1)
         for name in ("max_retry_after", "connect_timeout", "connection_idle"):
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures behind the four rules."""
+    """Parameters of the four rules; times are seconds."""
 
     drain_grace: float = 0.0
     answer_slack: float = 0.0
@@ -152,7 +152,7 @@
     fall_after: float = 1.0
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         _check_number(f"{path}.cold_from", self.cold_from, 0.0, 1.0)
         for item in fields(self):
             _check_number(f"{path}.{item.name}", getattr(self, item.name))
@@ -160,7 +160,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """Weights of the parts of the operators' goal."""
+    """Weights of the terms of the operators' goal."""
 
     whole: float = 1.0
     worst_window: float = 0.0
@@ -168,14 +168,14 @@
     worst_tenant: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         for item in fields(self):
             _check_number(f"{path}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What the operators charge, in points of the goal, for each unit of a cost."""
+    """Cost of each unit, in points of the goal."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -185,14 +185,14 @@
     late_fail: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise ValueError for values that make no sense."""
+        """Raise ValueError for invalid values; `path` names the object in the message."""
         for item in fields(self):
             _check_number(f"{path}.{item.name}", getattr(self, item.name))
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that an instance is told at its start; `check()` is called by the balancer."""
+    """Configuration of an instance; the balancer calls `check()`."""
 
     classes: tuple[RequestClass, ...] = (RequestClass(),)
     tenants: tuple[Tenant, ...] = ()
@@ -212,11 +212,11 @@
     prices: Prices = field(default_factory=Prices)
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError that names the first invalid field."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
-        for i, row in enumerate(self.classes):
-            row.check(f"classes[{i}]")
+        for i, request_class in enumerate(self.classes):
+            request_class.check(f"classes[{i}]")
         for i, tenant in enumerate(self.tenants):
             tenant.check(f"tenants[{i}]")
         for name, count in (("me", "balancers"), ("tier", "tiers"), ("zone", "zones")):
@@ -230,14 +230,14 @@
 
 
 def known_fields(cls: type, values: Mapping[str, Any]) -> dict[str, Any]:
-    """The entries of `values` that are fields of `kind` and not None; others are ignored."""
-    names = {item.name for item in fields(cls)}
-    return {k: v for k, v in values.items() if k in names and v is not None}
+    """Return the items of `values` that are fields of the dataclass `cls` and not None."""
+    names = {class_field.name for class_field in fields(cls)}
+    return {name: value for name, value in values.items() if name in names and value is not None}
 
 
 @dataclass(slots=True, frozen=True)
 class ServerRow:
-    """One line of the list of servers. `started` is 0 for a distant past."""
+    """One row of the list of servers; `started` is 0 for a distant past."""
 
     server: ServerId
     state: State = State.UP
@@ -249,19 +249,19 @@
 
 @dataclass(slots=True, frozen=True)
 class PriorAttempt:
-    """An attempt that another process made for a request that is taken over from it."""
+    """An attempt that another process made for a request that is taken over from that process."""
 
     server: ServerId
     sent: float
     maybe_ran: bool = True
-    joined: bool = False  # it goes on here
+    joined: bool = False  # it continues in this process
     zone: int = 0
     cell: int = 0
 
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; `timeout` 0 means until the client gives up."""
+    """Start an attempt; `timeout` is in seconds, 0 means until the client gives up."""
 
     request: RequestId
     server: ServerId
@@ -270,7 +270,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless."""
+    """Final answer: refused; a repeat by the client is harmless."""
 
     request: RequestId
     retry_after: float = 0.0
@@ -278,7 +278,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise."""
+    """Final answer: failed; the request may have run."""
 
     request: RequestId
 
@@ -293,7 +293,7 @@
 
 @dataclass(slots=True)
 class Timer:
-    """Call `timer(now, token)` at `at` or soon after."""
+    """Call `on_timer(now, token)` at the time `due` or soon after."""
 
     due: float
     token: int
@@ -301,7 +301,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from here on."""
+    """Subscribe to changes at discovery."""
 
 
 Action = Send | Refuse | Fail | Cancel | Timer | Subscribe
--- a/weldroute/operations.py
+++ b/weldroute/operations.py
@@ -1,20 +1,21 @@
-"""What operators ask of one proxy, and what follows from it: the ways of leaving, and the verdicts on calls.
+"""The lifecycle of one proxy process, and the calls to its management address.
 
-Sans-I/O: every event takes the time, and nothing here reads a clock. There is one state machine for all ways of
-leaving, whoever asks for it: the operators' drain, SIGTERM, or a newer process on the same listener.
+Sans-I/O: every event takes the time, and nothing here reads a clock. One state machine covers all ways of taking a
+process out of service: the operators' drain, SIGTERM, a newer process on the same listener, and ejection.
 
-| state | left by | `/up` | listens | answers end connections | idle kept | unfinished kept |
+| state | left by | `/up` | listens | closes after answer | idle kept | incomplete kept |
 | --- | --- | --- | --- | --- | --- | --- |
-| SERVING | evacuate, yielded, stop | yes | yes | no | yes | yes |
-| EVACUATED | rejoin, stop | no | yes | yes | for EVACUATE_IDLE | yes |
-| YIELDING | resumed, stop | as before | no | yes | yes | yes |
-| ASIDE | its supervisor, stop | as before | no | yes | yes | yes |
-| STOPPING | nothing | no once deaf | for STOP_ACCEPT | from `keep` on | for `keep` | STOP_READ longer |
+| SERVING | evacuate, a newer process, ejection, stop | yes | yes | no | yes | yes |
+| EVACUATED | rejoin, stop | no | yes | yes | for EVACUATE_IDLE_TIMEOUT | yes |
+| YIELDING | the newer process going away, stop | as before | no | yes | yes | yes |
+| EJECTED | its supervisor, stop | as before | no | yes | yes | yes |
+| STOPPING | nothing | while it listens | for STOP_ACCEPT_PERIOD | from `keep` on | for `keep` | + STOP_READ_PERIOD |
 
-ASIDE is a process that fares worse than its siblings: its supervisor accepts for it, and gives it what it may have.
+EJECTED is a process that performs worse than its peers: its supervisor accepts on its behalf and gives it the
+connections that it may have.
 
-A process that stops while its successor serves the same listener stops listening and ends connections with their
-answers from the first moment: their callers have somewhere to go.
+A process that stops while its successor serves the same listener stops listening, and ends connections with their
+answers, at once: its callers can connect to the successor.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-EVACUATE_IDLE_TIMEOUT = 1.4  # seconds in which a connection may bring one more request after a drain began
-STOP_ACCEPT_PERIOD = 0.45  # seconds after the order to stop in which new connections are taken
-STOP_READ_PERIOD = 0.25  # seconds for the rest of a request once no further one is wanted
+EVACUATE_IDLE_TIMEOUT = 1.4  # seconds after the start of a drain in which a connection may send one more request
+STOP_ACCEPT_PERIOD = 0.45  # seconds after the order to stop in which new connections are accepted
+STOP_READ_PERIOD = 0.25  # seconds for the rest of an incomplete request once no further ones are accepted
 
 
 class LifecycleState(Enum):
-    """What this process is doing about its callers."""
+    """State of this process towards its callers."""
 
     SERVING = "serving"
     EVACUATED = "evacuated"
@@ -40,25 +41,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerState:
-    """What holds for callers at one moment."""
+    """How the listener and the callers' connections are handled in a state."""
 
-    up: bool = True  # the answer to the front
+    up: bool = True  # the answer to `/up`
     listens: bool = True
     closes_after_answer: bool = False  # every answer ends its connection
     keeps_idle: bool = True
-    keeps_incomplete: bool = True  # requests of which a part has come
+    keeps_incomplete: bool = True  # requests of which only a part has arrived
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The answer to a call: a status of HTTP, and why."""
+    """The answer to a management call: an HTTP status and a text."""
 
     status: int
     text: str
 
     @property
     def succeeded(self) -> bool:
-        """Whether it was done."""
+        """Whether the status is a success."""
         return 200 <= self.status < 300
 
 
@@ -70,20 +71,20 @@
 
 
 class Operations:
-    """The stance of one proxy process."""
+    """The lifecycle of one proxy process."""
 
     def __init__(self) -> None:
-        self.evacuated = False  # by operators; outlives this process
+        self.evacuated = False  # by operators; the order outlives this process
         self._evacuated_at = 0.0
         self._yielding = False  # a newer process serves the same listener
-        self.ejected = False  # its supervisor accepts on the same listener
+        self.ejected = False  # its supervisor accepts on the same listener instead
         self._stopped_at: float | None = None
         self._keep = 0.0
-        self.serving = False  # it listens, and knows where to send
+        self.serving = False  # it listens and knows its backends
 
     @property
     def state(self) -> LifecycleState:
-        """The state."""
+        """The current state; the first that applies of stopping, yielding, evacuated and ejected."""
         if self._stopped_at is not None:
             return LifecycleState.STOPPING
         if self._yielding:
@@ -93,7 +94,7 @@
         return LifecycleState.EJECTED if self.ejected else LifecycleState.SERVING
 
     def listener_state(self, now: float) -> ListenerState:
-        """What holds at this moment."""
+        """Return how connections are handled at this time."""
         drained = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE_TIMEOUT
         if self._stopped_at is None:
             return ListenerState(
@@ -104,19 +105,19 @@
             )
         since = now - self._stopped_at
         listens = since < STOP_ACCEPT_PERIOD and not self._yielding
-        over = since >= self._keep
+        keep_elapsed = since >= self._keep
         return ListenerState(
             up=listens and not self.evacuated,
             listens=listens,
-            closes_after_answer=over or self._yielding or self.evacuated,
-            keeps_idle=not over and not drained,
+            closes_after_answer=keep_elapsed or self._yielding or self.evacuated,
+            keeps_idle=not keep_elapsed and not drained,
             keeps_incomplete=since < self._keep + STOP_READ_PERIOD,
         )
 
     # ---- events --------------------------------------------------------------------------
 
     def evacuate(self, now: float) -> CallResult:
-        """Operators want this proxy emptied; twice is once."""
+        """Start a drain, ordered by operators; a repeated order has no further effect."""
         if self._stopped_at is not None:
             return STOPPING
         if self.evacuated:
@@ -126,7 +127,7 @@
         return DONE
 
     def rejoin(self) -> CallResult:
-        """Operators want it back, whether or not it is empty yet."""
+        """End a drain, ordered by operators, whether or not the proxy is empty yet."""
         if self._stopped_at is not None:
             return STOPPING
         if not self.evacuated:
@@ -135,17 +136,17 @@
         return DONE
 
     def on_newer_process(self, serves: bool) -> None:
-        """A newer process serves the listener now, or has gone again."""
+        """Note that a newer process serves the listener, or went away again."""
         self._yielding = serves
 
     def stop(self, now: float, keep: float) -> None:
-        """The order to end: those that stay connected are served for `keep` seconds more."""
+        """Stop for good: callers that stay connected are served for `keep` more seconds."""
         if self._stopped_at is None:
             self._stopped_at = now
-            self._keep = max(keep, STOP_ACCEPT_PERIOD)  # what connects until then is to be served
+            self._keep = max(keep, STOP_ACCEPT_PERIOD)  # callers that connect until then must be served
 
     def readiness(self) -> CallResult:
-        """Whether this process can serve."""
+        """Report whether this process can serve."""
         if self._stopped_at is not None:
             return STOPPING
         return DONE if self.serving else NOT_YET
@@ -155,7 +156,7 @@
 
 
 class ManagementCall(Enum):
-    """What can be asked at the second address."""
+    """Calls to the management address."""
 
     READY = "ready"
     EXCLUDE = "exclude"
@@ -175,16 +176,16 @@
 
 
 def route(method: bytes, target: bytes) -> ManagementCall | CallResult:
-    """The call that a request line stands for, or the verdict on one that stands for none."""
+    """Return the call of a request line, or the error result if it has none."""
     found = ROUTES.get(target.partition(b"?")[0])
     if found is None:
         return CallResult(404, "no such call")
-    wanted, call = found
-    return call if method == wanted else CallResult(405, f"the method is {wanted.decode()}")
+    expected, call = found
+    return call if method == expected else CallResult(405, f"the method is {expected.decode()}")
 
 
 def read_backend_id(body: object) -> str | CallResult:
-    """The id that an exclude or include names, out of its JSON body."""
+    """Return the backend id in the JSON body of an exclude or include call, or the error result."""
     if not isinstance(body, dict) or not isinstance(body.get("who"), str) or not body["who"]:
         return CallResult(400, 'the body is not {"who":"ID"}')
     return str(body["who"])
--- a/weldroute/settings.py
+++ b/weldroute/settings.py
@@ -1,6 +1,6 @@
-"""The reader of settings: the platform's object, in the module's own terms; it decides nothing.
+"""Reads the platform's settings object into `Settings`; it decides nothing.
 
-The simulator's first message and a real proxy's configuration carry the same object, and both read it here.
+The simulator's first message and a real proxy's configuration carry the same object, and both are read here.
 """
 
 from __future__ import annotations
@@ -61,11 +61,11 @@
 
 
 def _read_section(cls: Any, wire_names: dict[str, str], values: dict[str, Any]) -> Any:
-    return cls(**known_fields(cls, {ours: values.get(theirs) for ours, theirs in wire_names.items()}))
+    return cls(**known_fields(cls, {field: values.get(key) for field, key in wire_names.items()}))
 
 
 def read_settings(wire: dict[str, Any]) -> Settings:
-    """Settings of the wire in the module's own terms; unknown keys are ignored, absent ones defaulted."""
+    """Return the settings in the object `wire`; unknown keys are ignored, missing ones get their defaults."""
     classes = tuple(
         RequestClass(
             **known_fields(
