--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -17,7 +17,7 @@
 STATED: dict[str, tuple[int, int]] = {
     "Backends._backends": (0, 1),
     "Backends._owners": (0, 1),
-    "Backends._crossings": (3, 0),
+    "Backends._close_races": (3, 0),
     "Balancer.cells": (0, 1),
     "Balancer.cells[]": (0, 1),
     "Balancer.zone_breakers": (0, 1),
@@ -30,14 +30,14 @@
     "Breaker._buckets[]": (4, 0),
     "ServerPool.ready": (0, 1),
     "ServerPool.active": (0, 1),
-    "Descriptors.on_free": (1, 0),
-    "Proxy._kinds": (3, 0),
-    "Proxy._tenants": (2, 0),
-    "Proxy._usual": (3, 0),
+    "DescriptorBudget.on_free": (1, 0),
+    "Proxy._class_indices": (3, 0),
+    "Proxy._tenant_indices": (2, 0),
+    "Proxy._typical_budgets": (3, 0),
     "Balancer.first_call_due": (0, 1),
-    "Proxy.names": (0, 1),
-    "Proxy.tallies": (16, 0),
-    "Proxy._reported": (16, 0),
+    "Proxy.servers_by_host": (0, 1),
+    "Proxy.counters": (16, 0),
+    "Proxy._reported_counters": (16, 0),
     "AdmissionControl.asked": (12, 0),
     "AdmissionControl.chance": (12, 0),
     "AdmissionControl.served": (12, 0),
@@ -46,15 +46,15 @@
     "AdmissionControl.pending": (64, 0),
     "AdmissionControl.queued": (64, 0),
     "Request.attempts": (3, 0),  # until the next request comes
-    "Returning.standing": (5, 0),
-    "Returning.standing[]": (0, 1),
-    "Returning.standing[][]": (3, 0),  # one form
+    "RecoveryConfig.standing": (5, 0),
+    "RecoveryConfig.standing[]": (0, 1),
+    "RecoveryConfig.standing[][]": (3, 0),  # one form
     "Ledger._values": (33, 0),
     "OpenIds._values": (8192, 0),
     "OpenIds._free": (1023, 0),
-    "Hand.done": (8, 0),
-    "Book._free": (1024, 0),
-    "Book._blocks": (2048, 0),
+    "InflightTracker.takeovers": (8, 0),
+    "RequestJournal._free_slots": (1024, 0),
+    "RequestJournal._free_blocks": (2048, 0),
 }
 
 
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -24,13 +24,13 @@
 from cometusher.runtime import Listener
 from cometusher.simulation.loop import MACHINE, VirtualLoop
 from weldroute.handover import OpenIds
-from weldroute.snapshots import Moment, Owner, Record, read_record
-from weldroute.takeover import Seen
+from weldroute.snapshots import ClockReading, Owner, Record, read_record
+from weldroute.takeover import ConnectionCounters
 
 if TYPE_CHECKING:
-    from cometusher.inflight.endpoint import Covered
-    from cometusher.inflight.tracker import Door
-    from cometusher.recovery import Kept, Returning
+    from cometusher.inflight.endpoint import JournalAssignment
+    from cometusher.inflight.tracker import TakeoverChannel
+    from cometusher.recovery import RecordSink, RecoveryConfig
 
 WINDOW = 64 * 1024  # bytes under way and unread in one direction
 HIGH, LOW = 64 * 1024, 16 * 1024  # asyncio's own marks for its write buffer
@@ -361,13 +361,13 @@
         """In place of a descriptor."""
         return self.number
 
-    def seen(self) -> Seen | None:
+    def seen(self) -> ConnectionCounters | None:
         """What the kernel knows of it; None if it is gone."""
         if self._reset or self._gone:
             return None
         unread = sum(map(len, self._inbox))
         quiet = self._loop.time() - self._heard if unread else 0.0
-        return Seen(self.written, self.told, self._eof_came, unread, quiet)
+        return ConnectionCounters(self.written, self.told, self._eof_came, unread, quiet)
 
     def belongs(self, machine: Machine) -> None:
         """A process has accepted it, on a listener that several hold, or was handed it."""
@@ -840,7 +840,7 @@
 
     def put(self, kind: str, body: object) -> None:
         """Have a form written soon."""
-        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).write()
+        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
         self._surroundings.loop.call_later(WRITTEN, self._write, kind, orjson.loads(orjson.dumps(form)))
 
     def _write(self, kind: str, form: dict[str, Any]) -> None:
@@ -860,7 +860,7 @@
         epoch: float = 1.6e9,
         memory: Memory | None = None,
         disk: Disk | None = None,
-        covers: Callable[[Covered], Door] | None = None,
+        covers: Callable[[JournalAssignment], TakeoverChannel] | None = None,
     ) -> None:
         self._network = network
         self._memory = memory
@@ -911,15 +911,15 @@
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
-    def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
+    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
         return self._disk.read(), DiskKeeper(self._disk, returning.owner, self, MACHINE.get())
 
-    def moment(self) -> Moment:
+    def moment(self) -> ClockReading:
         """Now, by the clock that may step and by the one that does not."""
-        return Moment(self.unix_time(), "virtual", self._network.loop.time())
+        return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
-    def cover(self, covered: Covered) -> Door:
+    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand; raises OSError in a world without."""
         if self._covers is None:
             raise _fault(errno.ENOSYS)
@@ -930,7 +930,7 @@
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> Seen | None:
+    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a connection."""
         assert isinstance(connection, VirtualTransport)
         return connection.seen() if connection.number == name else None
--- a/weldroute/recovery.py
+++ b/weldroute/recovery.py
@@ -1,35 +1,35 @@
-"""One instance's return to service: what it knows, how fast it may lean on others, what it lets in. Sans I/O.
-
-Every event is a method that takes the time (seconds, of any clock that never steps back). Phases, and what each event
-makes of them ("-": nothing):
-
-| phase      | a list was kept | discovery tells | an answer   | calm for CALM | the kept list is over |
-| ---------- | --------------- | --------------- | ----------- | ------------- | --------------------- |
-| nothing    | remembered      | confirmed       | -           | -             | -                     |
-| remembered | -               | confirmed       | ramping     | full          | nothing               |
-| confirmed  | -               | -               | ramping     | full          | -                     |
-| ramping    | -               | -               | -           | full          | nothing               |
-| full       | -               | -               | -           | -             | nothing               |
-
-Calm is a time in which nobody had to wait for longer than GRACE and nobody was refused for the return. The last
-column holds as long as discovery has not told anything. In `nothing` requests wait, as long as their time allows:
-nothing has been sent for them, so a refusal is certain to be harmless.
-
-What discovery tells is weighed against what is remembered (`hears`):
-
-| discovery tells         | and remembered is | verdict                                                    |
-| ----------------------- | ----------------- | ---------------------------------------------------------- |
-| anything                | nothing           | take                                                       |
-| a change to a list      | a list            | take                                                       |
-| a list, version no lower | a list           | take                                                       |
-| an empty list           | a list            | wait: taken if nothing else comes within `doubt_for`       |
-| a list, version lower   | a list            | merge what is newer in it; taken whole after `doubt_for`   |
-
-Merged: of each backend the later start counts, and a drain of that start stays a drain; a backend that is not in the
-remembered list has gone since, unless it started after that list was written.
-
-The pace of new connections lasts beyond `full`: until the bucket has been full for SETTLE seconds, so that the
-connections which the return has put off do not come all at once after it.
+"""Recovery of one instance after a restart: which list it uses, how fast it connects, which requests it admits.
+
+Sans I/O. Every event is a method that takes the time (seconds of any monotonic clock). Phases, and the phase that
+each event leads to ("-": no change); the value in quotes is what operators see:
+
+| phase                  | a list was stored | discovery reports | an answer | undisturbed | the stored list expired |
+| ---------------------- | ----------------- | ----------------- | --------- | ----------- | ----------------------- |
+| NO_LIST "nothing"      | STORED            | CONFIRMED         | -         | -           | -                       |
+| STORED "remembered"    | -                 | CONFIRMED         | RAMPING   | FULL        | NO_LIST                 |
+| CONFIRMED "confirmed"  | -                 | -                 | RAMPING   | FULL        | -                       |
+| RAMPING "ramping"      | -                 | -                 | -         | FULL        | NO_LIST                 |
+| FULL "full"            | -                 | -                 | -         | -           | NO_LIST                 |
+
+Undisturbed means that for FULL_SERVICE_AFTER seconds no request was queued for longer than QUEUE_GRACE and none was
+refused because of the recovery. The last column applies as long as discovery has not reported anything. In NO_LIST
+requests are queued as long as their deadline allows: nothing has been sent for them, so refusing them is always safe.
+
+A list from discovery is checked against the stored list (`on_list`):
+
+| discovery reports            | stored  | decision                                                           |
+| ---------------------------- | ------- | ------------------------------------------------------------------ |
+| anything                     | nothing | ACCEPT                                                             |
+| a change to a list           | a list  | ACCEPT                                                             |
+| a list, version not lower    | a list  | ACCEPT                                                             |
+| an empty list                | a list  | WAIT: accepted if nothing else comes within `doubt_for`            |
+| a list, version lower        | a list  | MERGE newer entries; accepted as a whole after `doubt_for`         |
+
+Merge: for each backend the later start counts, and a drain of that start stays a drain; a backend that is missing
+from the stored list has gone since, unless it started after that list was written.
+
+New connections stay rate limited beyond FULL, until the bucket has been full for SETTLE_TIME seconds, so that the
+connections which the recovery has delayed are not opened all at once after it.
 """
 
 from __future__ import annotations
@@ -42,58 +42,58 @@
 
 from weldroute.model import ServerId, ServerRow, State
 
-CALM = 0.3  # seconds
-GRACE = 0.1  # seconds that a request may wait at the door and count as served at once
-SETTLE = 2.0
-MOST_HELD = 512  # requests that wait at the door
-RESERVE = 0.5  # of its aim that a request must have left when it is let in...
-RESERVE_PART = 0.3  # ...but no more than this part of the time that its caller gives
-LEARN = 10.0  # seconds over which the pace of new connections in calm times is smoothed
-LEAST_CALM, MOST_CALM = 0.5, 20.0  # new connections a second of one instance that are believed
-FIRST_RETRIES = 1.0  # further attempts that a returning instance has saved up
+FULL_SERVICE_AFTER = 0.3  # seconds without a delayed or refused request
+QUEUE_GRACE = 0.1  # seconds that a request may be queued and still count as served without delay
+SETTLE_TIME = 2.0  # seconds
+MAX_QUEUED = 512  # requests
+AIM_RESERVE = 0.5  # share of its aim that a request must have left when it is admitted...
+MAX_RESERVE_SHARE = 0.3  # ...but no more than this share of the time until its deadline
+RATE_SMOOTHING_TIME = 10.0  # seconds over which the normal rate of new connections is smoothed
+MIN_NORMAL_RATE, MAX_NORMAL_RATE = 0.5, 20.0  # bounds of the normal rate; new connections per second and instance
+INITIAL_RETRY_TOKENS = 1.0  # retries that a recovering instance may make at first
 
 
 class Phase(Enum):
-    """See the table of the module."""
+    """Phases of a recovery; see the module's first table."""
 
-    NOTHING = "nothing"
-    REMEMBERED = "remembered"
+    NO_LIST = "nothing"
+    STORED = "remembered"
     CONFIRMED = "confirmed"
     RAMPING = "ramping"
     FULL = "full"
 
 
-class Hearing(Enum):
-    """What is made of a list that discovery tells; see the second table of the module."""
+class ListDecision(Enum):
+    """What to do with a list from discovery; see the module's second table."""
 
-    TAKE = "take"
+    ACCEPT = "take"
     MERGE = "merge"
     WAIT = "wait"
 
 
-class Verdict(Enum):
-    """What becomes of a request at the door."""
+class AdmissionVerdict(Enum):
+    """What happens to an arriving request."""
 
     PASS = "pass"
-    HOLD = "hold"
+    QUEUE = "hold"
     REFUSE = "refuse"
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What one instance is told of the return that it is part of."""
+class RecoveryPlan:
+    """Parameters that the supervisor gives an instance for its recovery."""
 
     instances: int = 1  # of the fleet
-    returning: int = 1  # of them that come back together with this one
-    calm: float = 1.0  # new connections a second of one instance, until its own pace is known
-    multiple: float = 3.0  # of calm that the whole fleet may open while it comes back
-    list_for: float = 120.0  # seconds that a remembered list serves
-    doubt_for: float = 10.0  # seconds that a list which contradicts what is remembered must stand
-    tries: float = 40.0  # calls of discovery a second that the whole fleet may try
-    retry_after: float = 1.0  # seconds over which the return of those refused is spread; 0: none is named
+    returning: int = 1  # instances that recover together, this one included
+    calm: float = 1.0  # new connections per second of one instance, until its own normal rate is known
+    multiple: float = 3.0  # times the normal rate that the whole fleet may open during a recovery
+    list_for: float = 120.0  # seconds for which a stored list may be used
+    doubt_for: float = 10.0  # seconds after which a list that contradicts the stored one is accepted
+    tries: float = 40.0  # calls of discovery per second that the whole fleet may make
+    retry_after: float = 1.0  # seconds over which retries of refused requests are spread; 0: no Retry-After is sent
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         for name, least in (("instances", 1), ("returning", 1), ("multiple", 1.0)):
             if not getattr(self, name) >= least:
                 raise ValueError(f"{name}: {getattr(self, name)!r} is not a number of {least} or more")
@@ -102,367 +102,399 @@
             if not math.isfinite(value) or value < 0.0 or (name in ("calm", "tries") and not value):
                 raise ValueError(f"{name}: {value!r} is not a number above 0")
 
-    def share(self, calm: float) -> float:
-        """New connections a second that this instance may open: an equal part of what those that stayed leave."""
-        back = min(self.returning, self.instances)
-        stayed = self.instances - back
-        return calm * max(1.0, (self.multiple * self.instances - stayed) / back)
+    def connection_rate(self, normal_rate: float) -> float:
+        """New connections per second for this instance: an equal share of what the instances that stayed leave."""
+        recovering = min(self.returning, self.instances)
+        stayed = self.instances - recovering
+        return normal_rate * max(1.0, (self.multiple * self.instances - stayed) / recovering)
 
     @property
-    def patience(self) -> float:
-        """Seconds between tries at discovery, at most: all instances together keep to `tries`."""
+    def discovery_interval(self) -> float:
+        """Maximum seconds between calls of discovery: all instances together keep to `tries`."""
         return min(max(self.instances / self.tries, 0.1), 10.0)
 
 
-class Pace:
-    """A token bucket for new connections; holds one, so that instances which begin at once open one each."""
+class ConnectionRateLimiter:
+    """A token bucket for new connections; its size is 1, so instances that start together open one each."""
 
     def __init__(self, now: float, rate: float) -> None:
-        self.rate = rate
+        self.rate = rate  # tokens per second
         self.tokens = 1.0
-        self._at = now
+        self._updated_at = now
         self.full_since = now
 
-    def look(self, now: float) -> float:
-        """Tokens now."""
-        before, self._at = self._at, max(now, self._at)
+    def available(self, now: float) -> float:
+        """Refill the bucket and return its tokens; negative while spent connections are owed."""
+        before, self._updated_at = self._updated_at, max(now, self._updated_at)
         if self.tokens < 1.0:
-            filled = self.tokens + self.rate * (self._at - before)
+            filled = self.tokens + self.rate * (self._updated_at - before)
             self.tokens = 1.0 if filled >= 1.0 - 1e-9 else filled
-            self.full_since = self._at
+            self.full_since = self._updated_at
         return self.tokens
 
     def spend(self, now: float, count: int) -> None:
-        """So many connections were opened. What was not asked here (repeats) is paid for later."""
-        self.look(now)
+        """Count connections that were opened; those opened without asking (retries) are paid for later."""
+        self.available(now)
         if count:
             self.tokens -= count
-            self.full_since = self._at
+            self.full_since = self._updated_at
 
-    def due(self, now: float) -> float:
+    def next_at(self, now: float) -> float:
         """When the next connection may be opened."""
-        missing = 1.0 - self.look(now)
+        missing = 1.0 - self.available(now)
         return now if missing <= 0.0 else now + missing / self.rate
 
 
 @dataclass(slots=True)
-class Held:
-    """A request that waits at the door."""
+class QueuedRequest:
+    """A request that waits for admission."""
 
-    since: float
-    until: float  # it must be let in or refused by then
+    queued_at: float
+    deadline: float  # it must be admitted or refused by then
 
 
 @dataclass(slots=True)
-class Marks:
-    """When each phase was reached, on the instance's own clock; NaN for never. And what it leaned on others for."""
+class Milestones:
+    """When each phase was reached, on the instance's own clock (NaN: never), and counts of the recovery."""
 
-    began: float
-    known: float = math.nan
-    first: float = math.nan
-    full: float = math.nan
-    settled: float = math.nan
-    connects: int = 0  # new connections to backends until it was settled
-    held: int = 0
-    refused: int = 0
-    dropped: int = 0  # remembered servers that were not what was remembered
+    started_at: float
+    list_known_at: float = math.nan
+    first_answer_at: float = math.nan
+    full_service_at: float = math.nan
+    settled_at: float = math.nan
+    connections_opened: int = 0  # new connections to backends until settled
+    requests_queued: int = 0
+    requests_refused: int = 0
+    servers_dropped: int = 0  # servers of the stored list that turned out to be wrong
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """Something that operators want to know."""
+class RecoveryEvent:
+    """An event of the recovery that is logged for operators."""
 
-    event: str
-    text: str
+    name: str
+    description: str
 
 
-class Comeback:
-    """One instance's return."""
+class Recovery:
+    """State machine of one instance's recovery."""
 
-    def __init__(self, now: float, plan: Plan, seed: int, calm: float | None = None) -> None:
+    def __init__(self, now: float, plan: RecoveryPlan, seed: int, normal_rate: float | None = None) -> None:
         plan.check()
         self.plan = plan
         self._rng = Random(seed)
-        self.calm = plan.calm if calm is None else min(max(calm, LEAST_CALM), MOST_CALM)
-        self.pace = Pace(now, plan.share(self.calm))
-        self.paced = True
-        self.phase = Phase.NOTHING
-        self.told = False  # discovery has spoken
-        self.marks = Marks(now)
-        self.steps: list[Step] = []  # not yet taken by who reports them
-        self.remembered_seq = 0
-        self._doubt_until = math.inf  # when what discovery tells is believed after all
-        self._list_until = math.inf
-        self._trouble = now  # when somebody waited too long or was refused, last
-        self._held: dict[Hashable, Held] = {}
-        self._opened = 0
-        self._learned_at = now
-        self._learned_from = 0
-
-    # ---- what is known -------------------------------------------------------------------
-
-    def found(self, now: float, servers: int, age: float | None, seq: int = 0) -> None:
-        """A list was kept, so many seconds ago (None: nobody can tell, and then half of its time is left)."""
-        if self.phase is not Phase.NOTHING or not servers:
+        self.normal_rate = (
+            plan.calm if normal_rate is None else min(max(normal_rate, MIN_NORMAL_RATE), MAX_NORMAL_RATE)
+        )
+        self.rate_limiter = ConnectionRateLimiter(now, plan.connection_rate(self.normal_rate))
+        self.rate_limited = True
+        self.phase = Phase.NO_LIST
+        self.discovery_reported = False
+        self.milestones = Milestones(now)
+        self.events: list[RecoveryEvent] = []  # not yet fetched by `take_events`
+        self.stored_seq = 0
+        self._distrust_until = math.inf  # when a distrusted list from discovery is accepted after all
+        self._list_expires_at = math.inf
+        self._disturbed_at = now  # when a request was last queued for too long or refused
+        self._queue: dict[Hashable, QueuedRequest] = {}
+        self._connections_opened = 0
+        self._rate_updated_at = now
+        self._rate_counted_from = 0
+
+    # ---- lists ---------------------------------------------------------------------------
+
+    def on_stored_list(self, now: float, servers: int, age: float | None, seq: int = 0) -> None:
+        """A stored list was loaded; `age` in seconds (None: unknown, then half of its lifetime is left)."""
+        if self.phase is not Phase.NO_LIST or not servers:
             return
-        self.remembered_seq = seq
+        self.stored_seq = seq
         left = self.plan.list_for * 0.5 if age is None else self.plan.list_for - age
         if left <= 0.0:
             return
-        self._list_until = now + left
-        self._know(now, Phase.REMEMBERED, f"{servers} backends, for {left:.0f} s or until discovery tells")
+        self._list_expires_at = now + left
+        self._on_list_known(now, Phase.STORED, f"{servers} backends, for {left:.0f} s or until discovery reports")
 
-    def hears(self, now: float, whole: bool, servers: int, seq: int) -> Hearing:
-        """Discovery tells a list, or a change (not `whole`), of so many servers; what is to be made of it.
+    def on_list(self, now: float, whole: bool, servers: int, seq: int) -> ListDecision:
+        """Discovery reported a list, or a change (not `whole`), of `servers` entries; return what to do with it.
 
-        Guards against discovery that has lost its own state, or an older copy of it. Harm: where all backends are
-        gone indeed, they are tried for `doubt_for`; each that refuses is dropped at once.
+        Guards against discovery that has lost its state or restored an older copy of it. Drawback: where all backends
+        have really gone, they are tried for `doubt_for`; each that refuses a connection is dropped at once.
         """
-        if self.told or self.phase is Phase.NOTHING:
+        if self.discovery_reported or self.phase is Phase.NO_LIST:
             if servers:
-                self._tells(now, servers)
-            return Hearing.TAKE
+                self._on_discovery_confirmed(now, servers)
+            return ListDecision.ACCEPT
         if not whole:
-            if not self._doubted:
-                self._tells(now, servers)
-            return Hearing.TAKE
-        if servers and seq >= self.remembered_seq:
-            self._tells(now, servers)
-            return Hearing.TAKE
-        if not self._doubted:
-            self._doubt_until = now + self.plan.doubt_for
-            text = f"version {seq}, and {self.remembered_seq} is remembered" if servers else "an empty list"
-            self.steps.append(Step("doubted", f"discovery tells of {text}"))
-        return Hearing.MERGE if servers else Hearing.WAIT
+            if not self._distrusted:
+                self._on_discovery_confirmed(now, servers)
+            return ListDecision.ACCEPT
+        if servers and seq >= self.stored_seq:
+            self._on_discovery_confirmed(now, servers)
+            return ListDecision.ACCEPT
+        if not self._distrusted:
+            self._distrust_until = now + self.plan.doubt_for
+            reported = f"version {seq}, while {self.stored_seq} is stored" if servers else "an empty list"
+            self.events.append(RecoveryEvent("doubted", f"discovery reported {reported}"))
+        return ListDecision.MERGE if servers else ListDecision.WAIT
 
     @property
-    def _doubted(self) -> bool:
-        """What discovery tells is not believed yet: until `believes` says so, or a list that fits has come."""
-        return self._doubt_until < math.inf
+    def _distrusted(self) -> bool:
+        """Whether discovery is distrusted: until `confirm_distrusted` ends it, or a consistent list arrives."""
+        return self._distrust_until < math.inf
 
-    def believes(self, now: float, servers: int) -> bool:
-        """Whether a list that was doubted has stood for long enough, of so many servers; told once."""
-        if now < self._doubt_until:
+    def confirm_distrusted(self, now: float, servers: int) -> bool:
+        """Accept a distrusted list of `servers` entries once `doubt_for` has passed; true only the first time."""
+        if now < self._distrust_until:
             return False
-        self._tells(now, servers)
+        self._on_discovery_confirmed(now, servers)
         return True
 
     @staticmethod
-    def outlives(remembered: ServerRow, told: ServerRow) -> bool:
-        """Whether a remembered row is kept against one of a lower version."""
-        if remembered.started != told.started:
-            return remembered.started > told.started
-        return remembered.state is State.DRAINING and told.state is State.UP
-
-    def _tells(self, now: float, servers: int) -> None:
-        if self.told:
+    def prefers_stored(stored: ServerRow, reported: ServerRow) -> bool:
+        """Whether a stored entry wins over the entry of a list with a lower version."""
+        if stored.started != reported.started:
+            return stored.started > reported.started
+        return stored.state is State.DRAINING and reported.state is State.UP
+
+    def _on_discovery_confirmed(self, now: float, servers: int) -> None:
+        if self.discovery_reported:
             return
-        self.told = True
-        self._list_until = self._doubt_until = math.inf
-        if self.phase in (Phase.NOTHING, Phase.REMEMBERED):
-            self._know(now, Phase.CONFIRMED, f"discovery tells of {servers} backends")
+        self.discovery_reported = True
+        self._list_expires_at = self._distrust_until = math.inf
+        if self.phase in (Phase.NO_LIST, Phase.STORED):
+            self._on_list_known(now, Phase.CONFIRMED, f"discovery reported {servers} backends")
         else:
-            self.steps.append(Step("confirmed", f"discovery tells of {servers} backends"))
+            self.events.append(RecoveryEvent("confirmed", f"discovery reported {servers} backends"))
 
-    def _know(self, now: float, phase: Phase, text: str) -> None:
+    def _on_list_known(self, now: float, phase: Phase, description: str) -> None:
         self.phase = phase
-        if math.isnan(self.marks.known):
-            self.marks.known = now
-        self.steps.append(Step(phase.value, text))
+        if math.isnan(self.milestones.list_known_at):
+            self.milestones.list_known_at = now
+        self.events.append(RecoveryEvent(phase.value, description))
 
-    def doubts(self, server: ServerId, how: str) -> bool:
-        """A server refused a connection, or answered as another: whether it is no longer believed to be there.
+    def on_contradiction(self, server: ServerId, reason: str) -> bool:
+        """A server refused a connection or answered under another identity; return whether to drop it.
 
-        Guards against a list that is out of date: what discovery has told is discovery's to take back, what is only
-        remembered is dropped at the first contradiction.
+        Guards against an outdated list: a server that discovery reported is only removed by discovery, one that is
+        only in the stored list is dropped at the first contradiction.
         """
-        if self.told:
+        if self.discovery_reported:
             return False
-        self.marks.dropped += 1
-        self.steps.append(Step("dropped", f"remembered backend {server:x} {how}"))
+        self.milestones.servers_dropped += 1
+        self.events.append(RecoveryEvent("dropped", f"backend {server:x} of the stored list {reason}"))
         return True
 
     @property
     def ready(self) -> bool:
-        """What a front may be told: whether anything can be served here."""
-        return self.phase is not Phase.NOTHING
-
-    # ---- the door ------------------------------------------------------------------------
-
-    def admit(self, now: float, request: Hashable, until: float, aim: float, free: int) -> Verdict:
-        """Whether a request goes on now. `free` connections to ready servers wait for work; seconds."""
-        if not self.paced and self.phase is not Phase.NOTHING:
-            return Verdict.PASS
-        if not self._held and self._room(now, free):
-            return Verdict.PASS
-        until -= min(RESERVE * aim, RESERVE_PART * (until - now))
-        if len(self._held) >= MOST_HELD or until <= now:
-            self.refused(now)
-            return Verdict.REFUSE
-        self._held[request] = Held(now, until)
-        self.marks.held += 1
-        return Verdict.HOLD
-
-    def _room(self, now: float, free: int) -> bool:
-        if self.phase is Phase.NOTHING:
+        """Whether requests can be served; reported to the front load balancer."""
+        return self.phase is not Phase.NO_LIST
+
+    # ---- admission -----------------------------------------------------------------------
+
+    def admit(
+        self, now: float, request: Hashable, deadline: float, aim: float, idle_connections: int
+    ) -> AdmissionVerdict:
+        """Whether a request is forwarded now. `idle_connections` to ready servers are available; times in seconds."""
+        if not self.rate_limited and self.phase is not Phase.NO_LIST:
+            return AdmissionVerdict.PASS
+        if not self._queue and self._can_forward(now, idle_connections):
+            return AdmissionVerdict.PASS
+        deadline -= min(AIM_RESERVE * aim, MAX_RESERVE_SHARE * (deadline - now))
+        if len(self._queue) >= MAX_QUEUED or deadline <= now:
+            self.on_refused(now)
+            return AdmissionVerdict.REFUSE
+        self._queue[request] = QueuedRequest(now, deadline)
+        self.milestones.requests_queued += 1
+        return AdmissionVerdict.QUEUE
+
+    def _can_forward(self, now: float, idle_connections: int) -> bool:
+        if self.phase is Phase.NO_LIST:
             return False
-        return not self.paced or free > 0 or self.pace.look(now) >= 1.0
+        return not self.rate_limited or idle_connections > 0 or self.rate_limiter.available(now) >= 1.0
 
-    def release(self, now: float, free: int) -> Hashable | None:
-        """The next of those that wait, if its turn has come: it goes on now."""
-        if not self._held or not self._room(now, free):
+    def release_next(self, now: float, idle_connections: int) -> Hashable | None:
+        """Remove and return the oldest queued request if it can be forwarded now."""
+        if not self._queue or not self._can_forward(now, idle_connections):
             return None
-        request = next(iter(self._held))
-        if now - self._held.pop(request).since > GRACE:
-            self._trouble = now
+        request = next(iter(self._queue))
+        if now - self._queue.pop(request).queued_at > QUEUE_GRACE:
+            self._disturbed_at = now
         return request
 
-    def overdue(self, now: float) -> list[Hashable]:
-        """Those that wait and whose time is up: they are refused now."""
-        late = [request for request, held in self._held.items() if held.until <= now]
-        for request in late:
-            del self._held[request]
-            self.refused(now)
-        return late
+    def pop_overdue(self, now: float) -> list[Hashable]:
+        """Remove and return the queued requests whose deadline has passed; they are to be refused now."""
+        overdue = [request for request, queued in self._queue.items() if queued.deadline <= now]
+        for request in overdue:
+            del self._queue[request]
+            self.on_refused(now)
+        return overdue
 
-    def leave(self, request: Hashable) -> bool:
-        """A request that waits goes away; whether it did wait."""
-        return self._held.pop(request, None) is not None
+    def withdraw(self, request: Hashable) -> bool:
+        """Remove a request from the queue; return whether it was queued."""
+        return self._queue.pop(request, None) is not None
 
     @property
-    def held(self) -> int:
-        """Requests that wait."""
-        return len(self._held)
+    def queue_length(self) -> int:
+        """Queued requests."""
+        return len(self._queue)
 
-    def due(self, now: float) -> float:
-        """When to look at those that wait again, if nothing happens before; infinity for never."""
-        if not self._held:
+    def next_wakeup(self, now: float) -> float:
+        """When to check the queue again if no event occurs before; infinity for never."""
+        if not self._queue:
             return math.inf
-        first = min(held.until for held in self._held.values())
-        return first if self.phase is Phase.NOTHING else min(first, self.pace.due(now))
+        first = min(queued.deadline for queued in self._queue.values())
+        return first if self.phase is Phase.NO_LIST else min(first, self.rate_limiter.next_at(now))
 
-    def refused(self, now: float) -> None:
-        """A request was refused for the return."""
-        self.marks.refused += 1
-        self._trouble = now
+    def on_refused(self, now: float) -> None:
+        """A request was refused because of the recovery."""
+        self.milestones.requests_refused += 1
+        self._disturbed_at = now
 
     def retry_after(self) -> float:
-        """Seconds for one that is refused: spread, so that those who are sent away together do not come back so."""
+        """Retry-After in seconds for a refused request, with jitter so that refused callers don't return together."""
         spread = self.plan.retry_after
         return spread * (0.5 + self._rng.random()) if spread else 0.0
 
-    # ---- what was leaned on --------------------------------------------------------------
+    # ---- connections and answers ---------------------------------------------------------
 
-    def opened(self, now: float, total: int) -> None:
-        """So many connections to backends were opened since the start."""
-        fresh, self._opened = total - self._opened, total
-        if self.paced:
-            self.pace.spend(now, fresh)
-            self.marks.connects += fresh
+    def on_connections_opened(self, now: float, total: int) -> None:
+        """Connections to backends were opened; `total` counts from the start of the process."""
+        opened, self._connections_opened = total - self._connections_opened, total
+        if self.rate_limited:
+            self.rate_limiter.spend(now, opened)
+            self.milestones.connections_opened += opened
 
-    def served(self, now: float) -> None:
-        """An answer was passed on."""
-        if self.phase in (Phase.REMEMBERED, Phase.CONFIRMED):
+    def on_answer(self, now: float) -> None:
+        """A backend's answer was forwarded to a caller."""
+        if self.phase in (Phase.STORED, Phase.CONFIRMED):
             self.phase = Phase.RAMPING
-            self.marks.first = now if math.isnan(self.marks.first) else self.marks.first
-            self.steps.append(Step("ramping", f"first answer {now - self.marks.began:.3f} s after the start"))
+            self.milestones.first_answer_at = (
+                now if math.isnan(self.milestones.first_answer_at) else self.milestones.first_answer_at
+            )
+            self.events.append(
+                RecoveryEvent("ramping", f"first answer {now - self.milestones.started_at:.3f} s after the start")
+            )
 
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> bool:
-        """Look at what time alone changes; whether the remembered list is over and must be let go."""
-        if self._held and now - next(iter(self._held.values())).since > GRACE:
-            self._trouble = now
-        if now >= self._list_until:
-            self._list_until = math.inf
-            self.phase = Phase.NOTHING
-            self._trouble = now
-            self.steps.append(Step("nothing", f"discovery is silent, and the list is {self.plan.list_for:g} s old"))
+        """Make the changes that depend on time alone; return whether the stored list has expired."""
+        if self._queue and now - next(iter(self._queue.values())).queued_at > QUEUE_GRACE:
+            self._disturbed_at = now
+        if now >= self._list_expires_at:
+            self._list_expires_at = math.inf
+            self.phase = Phase.NO_LIST
+            self._disturbed_at = now
+            self.events.append(
+                RecoveryEvent("nothing", f"discovery is silent, and the stored list is {self.plan.list_for:g} s old")
+            )
             return True
-        if self.phase in (Phase.REMEMBERED, Phase.CONFIRMED, Phase.RAMPING) and now - self._calm_since() >= CALM:
+        if (
+            self.phase in (Phase.STORED, Phase.CONFIRMED, Phase.RAMPING)
+            and now - self._undisturbed_since() >= FULL_SERVICE_AFTER
+        ):
             self._become_full()
-        if self.paced and self.phase is Phase.FULL and self._settles(now):
-            self.paced = False
-            self.marks.settled = now
-            self.steps.append(Step("settled", f"{self.marks.connects} connections opened at {self.pace.rate:.1f}/s"))
-            self._learned_at, self._learned_from = now, self._opened
-        if not self.paced:
-            self._learn(now)
+        if self.rate_limited and self.phase is Phase.FULL and self._is_settled(now):
+            self.rate_limited = False
+            self.milestones.settled_at = now
+            self.events.append(
+                RecoveryEvent(
+                    "settled",
+                    f"{self.milestones.connections_opened} connections opened at {self.rate_limiter.rate:.1f}/s",
+                )
+            )
+            self._rate_updated_at, self._rate_counted_from = now, self._connections_opened
+        if not self.rate_limited:
+            self._update_normal_rate(now)
         return False
 
-    def _calm_since(self) -> float:
-        """The moment from which on nobody was kept waiting: that is when the service was full."""
-        first = self.marks.first if self.phase is Phase.RAMPING else self.marks.known
-        return max(self._trouble, self.marks.known, first)
+    def _undisturbed_since(self) -> float:
+        """Since when no request has been delayed: full service counts from then, not from when it was noticed."""
+        first = self.milestones.first_answer_at if self.phase is Phase.RAMPING else self.milestones.list_known_at
+        return max(self._disturbed_at, self.milestones.list_known_at, first)
 
     def _become_full(self) -> None:
-        self.marks.full = self._calm_since() if math.isnan(self.marks.full) else self.marks.full
+        self.milestones.full_service_at = (
+            self._undisturbed_since()
+            if math.isnan(self.milestones.full_service_at)
+            else self.milestones.full_service_at
+        )
         self.phase = Phase.FULL
-        marks = self.marks
-        text = f"full service {marks.full - marks.began:.3f} s after the start; {marks.held} waited, "
-        self.steps.append(Step("full", text + f"{marks.refused} refused, {marks.connects} connections opened"))
+        reached = self.milestones
+        summary = (
+            f"full service {reached.full_service_at - reached.started_at:.3f} s after the start; "
+            f"{reached.requests_queued} queued, "
+        )
+        self.events.append(
+            RecoveryEvent(
+                "full",
+                summary + f"{reached.requests_refused} refused, {reached.connections_opened} connections opened",
+            )
+        )
 
-    def _settles(self, now: float) -> bool:
-        return self.pace.look(now) >= 1.0 and now - self.pace.full_since >= SETTLE
+    def _is_settled(self, now: float) -> bool:
+        return self.rate_limiter.available(now) >= 1.0 and now - self.rate_limiter.full_since >= SETTLE_TIME
 
-    def _learn(self, now: float) -> None:
-        """Smooth the pace of new connections while nothing is held back: what calm is for this instance."""
-        passed = now - self._learned_at
+    def _update_normal_rate(self, now: float) -> None:
+        """Smooth this instance's rate of new connections while it is not limited."""
+        passed = now - self._rate_updated_at
         if passed < 1.0:
             return
-        rate = (self._opened - self._learned_from) / passed
-        self._learned_at, self._learned_from = now, self._opened
-        weight = min(1.0, passed / LEARN)
-        self.calm = min(max(self.calm + (rate - self.calm) * weight, LEAST_CALM), MOST_CALM)
-
-    def take_steps(self) -> list[Step]:
-        """What happened since the last call."""
-        steps, self.steps = self.steps, []
-        return steps
-
-    def figures(self) -> dict[str, float | int | str | bool | None]:
-        """The return as plain values; seconds since the start of the process."""
-        marks = self.marks
+        rate = (self._connections_opened - self._rate_counted_from) / passed
+        self._rate_updated_at, self._rate_counted_from = now, self._connections_opened
+        weight = min(1.0, passed / RATE_SMOOTHING_TIME)
+        self.normal_rate = min(
+            max(self.normal_rate + (rate - self.normal_rate) * weight, MIN_NORMAL_RATE), MAX_NORMAL_RATE
+        )
+
+    def take_events(self) -> list[RecoveryEvent]:
+        """Return the events since the last call, and forget them."""
+        events, self.events = self.events, []
+        return events
+
+    def status(self) -> dict[str, float | int | str | bool | None]:
+        """The recovery as plain values; times in seconds since the start of the process."""
+        reached = self.milestones
         times = {
-            name: None if math.isnan(at) else round(at - marks.began, 4)
-            for name, at in (
-                ("known", marks.known),
-                ("first", marks.first),
-                ("full", marks.full),
-                ("settled", marks.settled),
+            name: None if math.isnan(time) else round(time - reached.started_at, 4)
+            for name, time in (
+                ("known", reached.list_known_at),
+                ("first", reached.first_answer_at),
+                ("full", reached.full_service_at),
+                ("settled", reached.settled_at),
             )
         }
         return {
             "phase": self.phase.value,
-            "told": self.told,
+            "told": self.discovery_reported,
             **times,
-            "connects": marks.connects,
-            "held": marks.held,
-            "refused": marks.refused,
-            "dropped": marks.dropped,
-            "waiting": len(self._held),
+            "connects": reached.connections_opened,
+            "held": reached.requests_queued,
+            "refused": reached.requests_refused,
+            "dropped": reached.servers_dropped,
+            "waiting": len(self._queue),
         }
 
 
 @dataclass(slots=True)
-class Waves:
-    """In which order and at what pace those that fell together are started again.
+class StartScheduler:
+    """Order and rate at which instances that failed together are started again.
 
-    The tiers behind come first: an instance of a tier before could serve nothing without them. Each start waits for
-    its place, moved by chance within half a place either way, so that no two fleets beat in step.
+    The rear tiers come first: an instance of a front tier could serve nothing without them. Each start has its slot,
+    shifted at random by up to half a slot either way, so that no two fleets start in step.
     """
 
-    pace: float  # starts a second
+    rate: float  # starts per second
     rng: Random = field(default_factory=Random)
 
-    def spread(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
-        """When to start each of these (name, tier); the listed order counts within a tier.
+    def schedule(self, begin: float, names: list[tuple[str, int]], first: int = 0) -> dict[str, float]:
+        """When to start each instance of `names` (name, tier); the given order counts within a tier.
 
-        The places begin at `begin`, and `first` of them are taken.
+        The slots begin at `begin`; the first `first` of them are taken.
         """
         ordered = sorted(names, key=lambda pair: -pair[1])
-        gap = 1.0 / self.pace
+        interval = 1.0 / self.rate
         return {
-            name: begin + gap * max(0.0, place + self.rng.random() - 0.5)
-            for place, (name, _) in enumerate(ordered, first)
+            name: begin + interval * max(0.0, slot + self.rng.random() - 0.5)
+            for slot, (name, _) in enumerate(ordered, first)
         }
