--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -1,32 +1,34 @@
-"""Which process of a fleet fares worse than its siblings though it lives: by comparison. Sans I/O, without clocks.
-
-Processes of one tier have the same backends, the same discovery and like callers, so what is wrong with the world is
-wrong for all of them, and what only one of them sees is its own: its paths, its pace, its descriptors. Each keeps an
-`Account` of growing counts in shared memory; an observer reads them several times a second and compares each with
-all others together.
-
-How unlikely a difference is, `rarity`, is in the unit of `phi` (`weldroute.failure_detector`), decades: minus the
-decimal logarithm of a bound on the chance that one who fares like its siblings shows it. It is Page's cumulative sum
-(Biometrika 1954) of a log-likelihood ratio, which begins anew at 0 whenever it would fall under it and fades with the
-time constant `window`: what went well before a change speaks for nothing after it. For paths it is that of each
-attempt to a zone, as lost by chance LOSES against by that of siblings; for slowness that of each answer's time, as
-normally distributed logarithms with the siblings' mean and spread, near `slower` times against none. Both need many
-samples or a great difference, and a healthy process at a small rate is not taken for an ill one.
-
-| cause   | evidence                                                                        | counts when            |
-| ------- | ------------------------------------------------------------------------------- | ---------------------- |
-| path    | attempts to backends of a zone get no answer, siblings' do                      | rarity over `unlike`   |
-| slow    | what it sends is answered over `slower` times later than siblings'              | rarity over `unlike`   |
-| behind  | its list of backends is older than half of all have, for `behind` seconds       | at once                |
-| full    | it has no descriptor for new connections, and siblings have                     | at once                |
-
-Nothing counts for all: a zone that nobody reaches, backends that are slow for all, discovery that tells nobody are no
-process's fault, for there is nobody who would do better. It follows from the comparison, and needs no rule.
-
-Who was found so is given a `portion` of the new connections that come for it, the least of PORTIONS: it goes on
-showing how it fares. At each step evidence is gathered from nothing, over a window that is longer as the portion is
-less, and half of `unlike` is enough to keep it there, or to bring it back to the least. With ENOUGH evidence and none
-of that for `steady` seconds the portion rises by a step, and at the last it is let go.
+"""Detects live processes that perform worse than their peers, by comparing their traffic. Sans I/O, no clock.
+
+Processes of one tier have the same backends, the same discovery and similar callers. What is wrong with the
+environment is therefore wrong for all of them, and what only one of them sees is its own problem: its network paths,
+its speed, its file descriptors. Each process keeps growing counts (`TrafficCounters`) in shared memory; an observer
+reads them several times a second and compares each process with all others taken together.
+
+The score of a difference says how unlikely it is, in decades like `phi` (`weldroute.failure_detector`): minus the
+decimal logarithm of a bound on the probability that a process which performs like its peers shows it. It is Page's
+cumulative sum (CUSUM, Biometrika 1954) of a log-likelihood ratio, which is cut off at 0 and decays with the time
+constant `window`, so that good results before a change don't offset bad ones after it. For paths the ratio is that of
+each attempt to a zone: lost with probability LOST_PATH_RATE against that of the peers. For slowness it is that of
+each answer's time, with normally distributed logarithms of the peers' mean and deviation: near `slower` times the
+peers' time against the same time. Both need many samples or a large difference, so a healthy process at a low request
+rate is not taken for an outlier.
+
+| cause   | condition                                                                     | counts when            |
+| ------- | ----------------------------------------------------------------------------- | ---------------------- |
+| path    | attempts to backends of a zone get no answer, those of its peers do           | score over `unlike`    |
+| slow    | its attempts are answered over `slower` times later than those of its peers   | score over `unlike`    |
+| behind  | its list of backends is older than half of all have, for `behind` seconds     | at once                |
+| full    | it has no descriptor for new connections, and its peers have                  | at once                |
+
+What affects all processes counts for none: a zone that no process reaches, backends that are slow for all, discovery
+that reports to nobody. No other process would do better. This follows from the comparison and needs no extra rule.
+
+An outlier receives a share of the new connections that come for it, at first the smallest of TRAFFIC_SHARES, so that
+it keeps showing how it performs. At each step samples are gathered anew, over a window that is longer the smaller the
+share is, and half of `unlike` is enough to keep the process there or to return it to the smallest share. With
+MIN_SAMPLES samples and no such finding for `steady` seconds the share rises by one step; at the last step the process
+is readmitted.
 """
 
 from __future__ import annotations
@@ -41,25 +43,25 @@
 from weldroute.model import Outcome
 
 Key = tuple[str, int]  # a name, and the generation of its process
-ZONES = 4  # that are told apart; the rest of a fleet's are one together
-TRAFFIC_SHARES = (0.1, 0.3, 1.0)  # of its new connections that one gets that was found ill...
-ENOUGH = 6.0  # ...and faded samples that are evidence of how one fares
-LATEST = 9.0  # ...of which one that was found has no more: what it shows now outweighs what it showed then
-PRIOR = 0.02  # no siblings miss less than this: they were lucky
-LOSES = 0.5  # the part of its attempts that a path loses which is looked for
-PATHS_FADE = 0.25  # of the pace at which slowness fades: breakers leave few attempts on a path that is lost
-SPREAD = 0.3  # no spread of logarithms of times is taken to be less
-LEEWAY = 0.1  # under the logarithm of `slower`: from here on an answer speaks for slowness...
-EACH = 1.5  # ...with so many decades at most, or a single late one would be enough
-SOON = 0.1  # seconds: when all become slow, or lose a zone, at once, it shows in what is compared with so much later
-FEW = 2.0  # attempts of siblings to a zone within that are enough to show it
-HOLDS = 1.0  # times the threshold, over which what speaks for slowness does not grow
-LASTS = 0.5  # of the pace at which it fades, at the least: a portion may bring no answers at all
+ZONES = 4  # that are distinguished; a fleet's further zones are counted together
+TRAFFIC_SHARES = (0.1, 0.3, 1.0)  # of its new connections that an outlier receives, step by step
+MIN_SAMPLES = 6.0  # decayed samples from which on conclusions are drawn
+MAX_OUTLIER_SAMPLES = 9.0  # an outlier's samples are capped to this, so that recent ones outweigh earlier ones
+MIN_LOSS_RATE = 0.02  # assumed for peers that lose fewer attempts, for a low rate may be luck
+LOST_PATH_RATE = 0.5  # share of attempts lost on a path that counts as lost
+PATH_DECAY_FACTOR = 0.25  # relative to the decay of slowness: breakers leave few attempts on a lost path
+MIN_LOG_DEVIATION = 0.3  # lower bound of the standard deviation of the logarithms of times
+SLOWNESS_MARGIN = 0.1  # below the logarithm of `slower`; an answer beyond it counts as slow...
+MAX_GAIN_PER_ANSWER = 1.5  # ...with at most so many decades, or a single late answer would be enough
+RECENT_WINDOW = 0.1  # seconds: how fast a change for all processes (slowness, a lost zone) enters the comparison
+MIN_RECENT_ATTEMPTS = 2.0  # attempts of peers to a zone within RECENT_WINDOW that suffice for that
+SUM_LIMIT = 1.0  # times the threshold, up to which cumulative sums grow
+MIN_DECAY_FACTOR = 0.5  # lower bound of the decay's relative speed: a small share may bring no answers at all
 LOG10 = math.log(10.0)
 
 
 class OutlierCause(Enum):
-    """How it is unlike its siblings."""
+    """In which way a process is an outlier."""
 
     PATH = "path"
     SLOW = "slow"
@@ -71,15 +73,15 @@
 class OutlierPolicy:
     """Thresholds; times in seconds."""
 
-    unlike: float = 6.0  # decades
-    slower: float = 3.0  # times
+    unlike: float = 6.0  # score in decades
+    slower: float = 3.0  # times as slow as its peers
     behind: float = 1.5  # for which a list may be older than half of all have
-    window: float = 1.0  # time constant with which counts fade
-    steady: float = 2.0  # of likeness before the next portion
-    retry: float = 10.0  # without evidence, after which the next portion is tried in any case
+    window: float = 1.0  # time constant with which counts decay
+    steady: float = 2.0  # without a finding before the next share
+    retry: float = 10.0  # without samples, after which the next share is tried in any case
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         check_numbers(self)
         if self.slower < 1.5:
             raise ValueError(f"slower: {self.slower!r} is not 1.5 or more")
@@ -90,367 +92,424 @@
     """What a process has counted since its start."""
 
     tier: int = 0
-    answered: Sequence[int] = (0,) * ZONES  # attempts that were answered, by zone...
-    unanswered: Sequence[int] = (0,) * ZONES  # ...and those that got no answer from anybody
-    log_sum: float = 0.0  # sum of the natural logarithms of the times of those that were answered, in seconds...
-    log_square_sum: float = 0.0  # ...and of their squares
-    list_version: int = 0  # of its list
+    answered: Sequence[int] = (0,) * ZONES  # attempts that a backend answered successfully, by zone
+    unanswered: Sequence[int] = (0,) * ZONES  # attempts that got no answer from any backend, by zone
+    log_sum: float = 0.0  # sum of the natural logarithms of the answered attempts' times in seconds
+    log_square_sum: float = 0.0  # sum of the squares of these logarithms
+    list_version: int = 0
     out_of_descriptors: bool = False  # connections wait for a descriptor
 
     @property
     def total_answered(self) -> int:
-        """Attempts that were, in all zones."""
+        """Answered attempts in all zones."""
         return sum(self.answered)
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """How a process is unlike its siblings."""
+    """Why a process is an outlier."""
 
     cause: OutlierCause
-    score: float  # decades; infinite where nothing is left to chance
+    score: float  # decades; infinite where the condition is certain
     description: str
 
 
-CELL_COUNT = 16  # of 64 bits, that a process writes: see `Counting`
-VERSION, FULL, REACHED, MISSED, LOGS, SQUARES = 2, 3, 4, 4 + ZONES, 4 + 2 * ZONES, 5 + 2 * ZONES
-MAX_LIST_VERSION = 2**62  # of a version, which is whatever discovery writes
-MICRO = 1e6
-UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.UNREACHABLE, Outcome.BROKEN})
-MIN_LONG_ATTEMPT, LONG_TIMES = (
-    0.25,
-    8.0,
-)  # seconds, and times what is usual, from which on one that was called off had no answer
+CELL_COUNT = 16  # cells of 64 bits that a process writes: see `TrafficRecorder`
+VERSION_CELL, FULL_CELL, ANSWERED_CELLS, UNANSWERED_CELLS, LOG_SUM_CELL, LOG_SQUARE_SUM_CELL = (
+    2,
+    3,
+    4,
+    4 + ZONES,
+    4 + 2 * ZONES,
+    5 + 2 * ZONES,
+)
+MAX_LIST_VERSION = 2**62  # discovery may send any number; it has to fit into a cell
+FIXED_POINT_SCALE = 1e6  # of logarithms in cells
+NO_ANSWER_OUTCOMES = frozenset({Outcome.TIMEOUT, Outcome.UNREACHABLE, Outcome.BROKEN})
+# A cancelled attempt counts as unanswered if it lasted for so many seconds and so many times the usual time.
+MIN_LONG_ATTEMPT, LONG_ATTEMPT_FACTOR = 0.25, 8.0
 
 
 class Cells(Protocol):
-    """Of 64 bits each."""
+    """Shared memory cells of 64 bits each."""
 
-    def __getitem__(self, at: int) -> int: ...
+    def __getitem__(self, index: int) -> int: ...
 
-    def __setitem__(self, at: int, value: int) -> None: ...
+    def __setitem__(self, index: int, value: int) -> None: ...
 
 
 class TrafficRecorder:
-    """The side of the process: its account in cells of memory, written at the price of a memory write.
+    """The process's side: writes its counters into shared memory cells, each at the price of a memory write.
 
-    The first two cells are not the account's: the observer's cells are there, and the beat.
+    The first two cells are used for other purposes: the heartbeat, and a cell that the observer writes.
     """
 
     def __init__(self, cells: Cells) -> None:
         self._cells = cells
-        self._mean = math.nan  # of the logarithms of late
+        self._mean_log = math.nan  # smoothed mean of the logarithms of times
 
-    def on_attempt_ended(self, zone: int, how: Outcome, seconds: float) -> None:
-        """An attempt has ended after so long.
+    def on_attempt_ended(self, zone: int, outcome: Outcome, seconds: float) -> None:
+        """An attempt has ended after `seconds`.
 
-        What a backend refuses or fails tells that it was reached, and nothing of its pace: it counts nowhere. One
-        that was called off, for another was answered or its time was up, tells nothing unless it had lasted for much
-        longer than is usual.
+        An attempt that a backend refused or failed shows that the backend was reached, and nothing about speed: it is
+        not counted. One that was cancelled, because another was answered or its deadline passed, is counted only if
+        it had lasted much longer than usual.
         """
         cells, zone = self._cells, min(zone, ZONES - 1)
-        if how is Outcome.OK:
+        if outcome is Outcome.OK:
             log = math.log(max(seconds, 1e-6))
-            self._mean = log if math.isnan(self._mean) else self._mean + 0.05 * (log - self._mean)
-            cells[REACHED + zone] += 1
-            cells[LOGS] += int(log * MICRO)
-            cells[SQUARES] += int(log * log * MICRO)
-        elif how in UNANSWERED or (how is Outcome.CANCELLED and self._is_long(seconds)):
-            cells[MISSED + zone] += 1
+            self._mean_log = log if math.isnan(self._mean_log) else self._mean_log + 0.05 * (log - self._mean_log)
+            cells[ANSWERED_CELLS + zone] += 1
+            cells[LOG_SUM_CELL] += int(log * FIXED_POINT_SCALE)
+            cells[LOG_SQUARE_SUM_CELL] += int(log * log * FIXED_POINT_SCALE)
+        elif outcome in NO_ANSWER_OUTCOMES or (outcome is Outcome.CANCELLED and self._is_long(seconds)):
+            cells[UNANSWERED_CELLS + zone] += 1
 
     def _is_long(self, seconds: float) -> bool:
-        usual = 0.0 if math.isnan(self._mean) else LONG_TIMES * math.exp(self._mean)
-        return seconds >= max(MIN_LONG_ATTEMPT, usual)
+        unusual = 0.0 if math.isnan(self._mean_log) else LONG_ATTEMPT_FACTOR * math.exp(self._mean_log)
+        return seconds >= max(MIN_LONG_ATTEMPT, unusual)
 
-    def publish_state(self, version: int, full: bool) -> None:
-        """What it knows and has at this moment."""
-        self._cells[VERSION], self._cells[FULL] = min(max(version, 0), MAX_LIST_VERSION), full
+    def publish_state(self, list_version: int, out_of_descriptors: bool) -> None:
+        """Write the version of its list and whether it has run out of descriptors."""
+        self._cells[VERSION_CELL], self._cells[FULL_CELL] = (
+            min(max(list_version, 0), MAX_LIST_VERSION),
+            out_of_descriptors,
+        )
 
 
 def read_counters(cells: Sequence[int], tier: int) -> TrafficCounters:
-    """A process's account out of its cells; a count that is being written is off by one at most."""
+    """Read a process's counters from its cells; a count that is just being written is off by at most one."""
     return TrafficCounters(
         tier,
-        tuple(cells[REACHED : REACHED + ZONES]),
-        tuple(cells[MISSED : MISSED + ZONES]),
-        cells[LOGS] / MICRO,
-        cells[SQUARES] / MICRO,
-        cells[VERSION],
-        bool(cells[FULL]),
+        tuple(cells[ANSWERED_CELLS : ANSWERED_CELLS + ZONES]),
+        tuple(cells[UNANSWERED_CELLS : UNANSWERED_CELLS + ZONES]),
+        cells[LOG_SUM_CELL] / FIXED_POINT_SCALE,
+        cells[LOG_SQUARE_SUM_CELL] / FIXED_POINT_SCALE,
+        cells[VERSION_CELL],
+        bool(cells[FULL_CELL]),
     )
 
 
-def path_loss_log_ratio(missed: int, reached: int, usual: float) -> float:
-    """What some attempts to a zone speak for a path that loses LOSES of them, where `usual` is; natural units.
+def path_loss_log_ratio(unanswered: int, answered: int, usual_loss: float) -> float:
+    """Log-likelihood ratio (natural) of attempts to a zone: a path that loses LOST_PATH_RATE against the usual loss.
 
-    Nothing, where what is usual is about as bad.
+    0 where the usual loss is about as bad.
     """
-    usual = max(PRIOR, usual)
-    if usual >= LOSES / 2.0:
+    usual_loss = max(MIN_LOSS_RATE, usual_loss)
+    if usual_loss >= LOST_PATH_RATE / 2.0:
         return 0.0
-    return missed * math.log(LOSES / usual) + reached * math.log((1.0 - LOSES) / (1.0 - usual))
+    return unanswered * math.log(LOST_PATH_RATE / usual_loss) + answered * math.log(
+        (1.0 - LOST_PATH_RATE) / (1.0 - usual_loss)
+    )
 
 
 @dataclass(slots=True)
 class DecayingCounters:
-    """Counts of late, each second weighing less than the next."""
+    """Recent counts with exponential decay."""
 
-    reached: list[float] = field(default_factory=lambda: [0.0] * ZONES)
-    missed: list[float] = field(default_factory=lambda: [0.0] * ZONES)
-    logs: float = 0.0
-    squares: float = 0.0
+    answered: list[float] = field(default_factory=lambda: [0.0] * ZONES)
+    unanswered: list[float] = field(default_factory=lambda: [0.0] * ZONES)
+    log_sum: float = 0.0
+    log_square_sum: float = 0.0
 
-    def fade(self, part: float) -> None:
-        """All is worth this part of what it was."""
+    def decay(self, factor: float) -> None:
+        """Multiply all counts by `factor`."""
         for zone in range(ZONES):
-            self.reached[zone] *= part
-            self.missed[zone] *= part
-        self.logs *= part
-        self.squares *= part
+            self.answered[zone] *= factor
+            self.unanswered[zone] *= factor
+        self.log_sum *= factor
+        self.log_square_sum *= factor
 
     def add(self, new: TrafficCounters, old: TrafficCounters) -> None:
-        """What was counted since."""
+        """Add what was counted between two readings."""
         for zone in range(ZONES):
-            self.reached[zone] += max(0, new.answered[zone] - old.answered[zone])
-            self.missed[zone] += max(0, new.unanswered[zone] - old.unanswered[zone])
-        self.logs += new.log_sum - old.log_sum
-        self.squares += new.log_square_sum - old.log_square_sum
+            self.answered[zone] += max(0, new.answered[zone] - old.answered[zone])
+            self.unanswered[zone] += max(0, new.unanswered[zone] - old.unanswered[zone])
+        self.log_sum += new.log_sum - old.log_sum
+        self.log_square_sum += new.log_square_sum - old.log_square_sum
 
-    def join(self, other: DecayingCounters, sign: float = 1.0) -> None:
-        """Add (or take away) another's."""
+    def merge(self, other: DecayingCounters, sign: float = 1.0) -> None:
+        """Add another process's counts, or subtract them (`sign` -1)."""
         for zone in range(ZONES):
-            self.reached[zone] += sign * other.reached[zone]
-            self.missed[zone] += sign * other.missed[zone]
-        self.logs += sign * other.logs
-        self.squares += sign * other.squares
+            self.answered[zone] += sign * other.answered[zone]
+            self.unanswered[zone] += sign * other.unanswered[zone]
+        self.log_sum += sign * other.log_sum
+        self.log_square_sum += sign * other.log_square_sum
 
     @property
-    def count(self) -> float:
-        """Attempts that were answered."""
-        return sum(self.reached)
+    def total_answered(self) -> float:
+        """Answered attempts in all zones."""
+        return sum(self.answered)
 
     @property
     def variance(self) -> float:
-        """Of the logarithms."""
-        count = self.count
+        """Variance of the logarithms of times, at least that of MIN_LOG_DEVIATION."""
+        count = self.total_answered
         if count <= 1.0:
-            return SPREAD * SPREAD
-        mean = self.logs / count
-        return max(SPREAD * SPREAD, self.squares / count - mean * mean)
+            return MIN_LOG_DEVIATION * MIN_LOG_DEVIATION
+        mean = self.log_sum / count
+        return max(MIN_LOG_DEVIATION * MIN_LOG_DEVIATION, self.log_square_sum / count - mean * mean)
 
     @property
     def samples(self) -> float:
-        """Attempts, whatever came of them."""
-        return self.count + sum(self.missed)
+        """Attempts, answered or not."""
+        return self.total_answered + sum(self.unanswered)
 
 
 @dataclass(slots=True)
 class TrackedProcess:
-    """What is known of one process."""
-
-    account: TrafficCounters
-    faded: DecayingCounters = field(default_factory=DecayingCounters)
-    slow: float = 0.0  # Page's sum of what speaks for its being slow; natural units...
-    paths: list[float] = field(default_factory=lambda: [0.0] * ZONES)  # ...and for each zone's path being lost
-    attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)  # at this look: missed, reached
-    judged: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)  # at the look before
-    lately: list[tuple[float, float]] = field(default_factory=lambda: [(0.0, 0.0)] * ZONES)  # fading with SOON
-    fresh: tuple[int, float] = (0, 0.0)  # answers at the last look, and the sum of the logarithms of their times...
-    soon: tuple[float, float] = (0.0, 0.0)  # ...and the same of the last moments, fading with SOON
+    """State of one process; cumulative sums are in natural units."""
+
+    counters: TrafficCounters
+    decaying: DecayingCounters = field(default_factory=DecayingCounters)
+    slow_sum: float = 0.0  # CUSUM for slowness
+    path_sums: list[float] = field(default_factory=lambda: [0.0] * ZONES)  # CUSUM for a lost path, by zone
+    # Attempts (unanswered, answered) by zone: since the last tick, in the tick before, and decaying with RECENT_WINDOW.
+    latest_attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)
+    previous_attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)
+    recent_attempts: list[tuple[float, float]] = field(default_factory=lambda: [(0.0, 0.0)] * ZONES)
+    # Answers and the sum of the logarithms of their times: since the last tick, and decaying with RECENT_WINDOW.
+    latest_answers: tuple[int, float] = (0, 0.0)
+    recent_answers: tuple[float, float] = (0.0, 0.0)
     behind_since: float = math.inf
-    step: int = len(TRAFFIC_SHARES) - 1  # of its portion
-    found: Finding | None = None
-    alike_since: float = math.inf  # with evidence; while it has less than all
-    tried_at: float = 0.0  # when its portion changed last
+    share_step: int = len(TRAFFIC_SHARES) - 1  # index in TRAFFIC_SHARES
+    finding: Finding | None = None
+    normal_since: float = math.inf  # since when it has performed like its peers while it has a reduced share
+    share_changed_at: float = 0.0
 
 
 class OutlierDetector:
-    """All processes of one fleet."""
+    """Compares all processes of one fleet."""
 
     def __init__(self, policy: OutlierPolicy) -> None:
         policy.check()
         self.policy = policy
         self.processes: dict[Key, TrackedProcess] = {}
-        self._looked = -math.inf
+        self._last_tick = -math.inf
 
     def tick(self, now: float, counters: Mapping[Key, TrafficCounters]) -> dict[Key, Finding]:
-        """Compare all that are there; who has less than its whole portion of new connections, and why.
+        """Compare all processes; return those with a reduced share of new connections, and why.
 
-        The work is in proportion to the processes, not to their pairs: each is compared with the sum of all less
-        itself.
+        The cost is linear in the number of processes: each is compared with the sum of all minus itself.
         """
-        passed = max(0.0, now - self._looked)
-        part, soon = math.exp(-passed / self.policy.window), math.exp(-passed / SOON)
-        self._looked = now
+        passed = max(0.0, now - self._last_tick)
+        decay, recent_decay = math.exp(-passed / self.policy.window), math.exp(-passed / RECENT_WINDOW)
+        self._last_tick = now
         for key in set(self.processes) - set(counters):
             del self.processes[key]
-        for key, account in counters.items():
-            one = self.processes.get(key)
-            if one is None:
-                self.processes[key] = TrackedProcess(account)
+        for key, current in counters.items():
+            process = self.processes.get(key)
+            if process is None:
+                self.processes[key] = TrackedProcess(current)
                 continue
-            one.faded.fade(part ** TRAFFIC_SHARES[one.step])
-            kept = part ** max(LASTS, TRAFFIC_SHARES[one.step])
-            one.slow *= kept
-            one.paths = [kept**PATHS_FADE * each for each in one.paths]
-            one.judged = one.attempts
-            one.attempts = [
+            process.decaying.decay(decay ** TRAFFIC_SHARES[process.share_step])
+            sum_decay = decay ** max(MIN_DECAY_FACTOR, TRAFFIC_SHARES[process.share_step])
+            process.slow_sum *= sum_decay
+            process.path_sums = [sum_decay**PATH_DECAY_FACTOR * each for each in process.path_sums]
+            process.previous_attempts = process.latest_attempts
+            process.latest_attempts = [
                 (
-                    max(0, account.unanswered[zone] - one.account.unanswered[zone]),
-                    max(0, account.answered[zone] - one.account.answered[zone]),
+                    max(0, current.unanswered[zone] - process.counters.unanswered[zone]),
+                    max(0, current.answered[zone] - process.counters.answered[zone]),
                 )
                 for zone in range(ZONES)
             ]
-            one.lately = [
-                (old[0] * soon + new[0], old[1] * soon + new[1])
-                for old, new in zip(one.lately, one.attempts, strict=True)
+            process.recent_attempts = [
+                (old[0] * recent_decay + new[0], old[1] * recent_decay + new[1])
+                for old, new in zip(process.recent_attempts, process.latest_attempts, strict=True)
             ]
-            one.faded.add(account, one.account)
-            one.fresh = (
-                max(0, account.total_answered - one.account.total_answered),
-                account.log_sum - one.account.log_sum,
+            process.decaying.add(current, process.counters)
+            process.latest_answers = (
+                max(0, current.total_answered - process.counters.total_answered),
+                current.log_sum - process.counters.log_sum,
             )
-            one.soon = one.soon[0] * soon + one.fresh[0], one.soon[1] * soon + one.fresh[1]
-            if one.found is not None and one.faded.samples > LATEST:
-                one.faded.fade(LATEST / one.faded.samples)
-            one.account = account
-        found: dict[Key, Finding] = {}
-        for tier in {account.tier for account in counters.values()}:
-            keys = [key for key, account in counters.items() if account.tier == tier]
+            process.recent_answers = (
+                process.recent_answers[0] * recent_decay + process.latest_answers[0],
+                process.recent_answers[1] * recent_decay + process.latest_answers[1],
+            )
+            if process.finding is not None and process.decaying.samples > MAX_OUTLIER_SAMPLES:
+                process.decaying.decay(MAX_OUTLIER_SAMPLES / process.decaying.samples)
+            process.counters = current
+        findings: dict[Key, Finding] = {}
+        for tier in {current.tier for current in counters.values()}:
+            keys = [key for key, current in counters.items() if current.tier == tier]
             if len(keys) > 1:
-                found |= self._compare(now, keys)
-        for key, one in self.processes.items():
-            self._portion(now, one, found.get(key))
-        return {key: one.found for key, one in self.processes.items() if one.found is not None}
+                findings |= self._compare(now, keys)
+        for key, process in self.processes.items():
+            self._update_share(now, process, findings.get(key))
+        return {key: process.finding for key, process in self.processes.items() if process.finding is not None}
 
     def traffic_share(self, key: Key) -> float:
-        """The part of the new connections for a process that it gets."""
-        one = self.processes.get(key)
-        return TRAFFIC_SHARES[one.step] if one is not None else 1.0
+        """The share that a process receives of the new connections that come for it."""
+        process = self.processes.get(key)
+        return TRAFFIC_SHARES[process.share_step] if process is not None else 1.0
 
-    # ---- comparing -----------------------------------------------------------------------
+    # ---- comparison ----------------------------------------------------------------------
 
     def _compare(self, now: float, keys: Sequence[Key]) -> dict[Key, Finding]:
-        """Those of one tier that are unlike the rest."""
-        ones = [self.processes[key] for key in keys]
-        total, count, logs = DecayingCounters(), 0.0, 0.0
-        for one in ones:
-            total.join(one.faded)
-            count += one.soon[0]
-            logs += one.soon[1]
-        lately = [
-            (sum(one.lately[zone][0] for one in ones), sum(one.lately[zone][1] for one in ones))
+        """Outliers among the processes of one tier."""
+        processes = [self.processes[key] for key in keys]
+        total, recent_count, recent_log_sum = DecayingCounters(), 0.0, 0.0
+        for process in processes:
+            total.merge(process.decaying)
+            recent_count += process.recent_answers[0]
+            recent_log_sum += process.recent_answers[1]
+        recent_attempts = [
+            (
+                sum(process.recent_attempts[zone][0] for process in processes),
+                sum(process.recent_attempts[zone][1] for process in processes),
+            )
             for zone in range(ZONES)
         ]
-        usual = _middle(one.account.list_version for one in ones)
-        found: dict[Key, Finding] = {}
-        fewer_full = 2 * sum(one.account.out_of_descriptors for one in ones) < len(ones)
-        for key, one in zip(keys, ones, strict=True):
-            one.behind_since = min(one.behind_since, now) if one.account.list_version < usual else math.inf
-            rest = DecayingCounters()
-            rest.join(total)
-            rest.join(one.faded, -1.0)
-            least = self.policy.unlike * (1.0 if one.found is None else 0.5)
-            # In any case: what speaks for either adds up also while something else is found.
-            slow = self._slow(one, rest, count - one.soon[0], logs - one.soon[1], least)
-            others = [(a[0] - b[0], a[1] - b[1]) for a, b in zip(lately, one.lately, strict=True)]
-            path = self._path(one, rest, others, least)
-            finding = self._full(one, fewer_full) or self._behind(now, one, usual) or path or slow
+        usual_version = _upper_median(process.counters.list_version for process in processes)
+        findings: dict[Key, Finding] = {}
+        minority_full = 2 * sum(process.counters.out_of_descriptors for process in processes) < len(processes)
+        for key, process in zip(keys, processes, strict=True):
+            process.behind_since = (
+                min(process.behind_since, now) if process.counters.list_version < usual_version else math.inf
+            )
+            peers = DecayingCounters()
+            peers.merge(total)
+            peers.merge(process.decaying, -1.0)
+            threshold = self.policy.unlike * (1.0 if process.finding is None else 0.5)
+            # Both checks always run: each sum has to be updated even while another finding takes precedence.
+            slow = self._check_speed(
+                process,
+                peers,
+                recent_count - process.recent_answers[0],
+                recent_log_sum - process.recent_answers[1],
+                threshold,
+            )
+            peer_attempts = [
+                (a[0] - b[0], a[1] - b[1]) for a, b in zip(recent_attempts, process.recent_attempts, strict=True)
+            ]
+            path = self._check_paths(process, peers, peer_attempts, threshold)
+            finding = (
+                self._check_descriptors(process, minority_full)
+                or self._check_list(now, process, usual_version)
+                or path
+                or slow
+            )
             if finding is not None:
-                found[key] = finding
-        return found
+                findings[key] = finding
+        return findings
 
     @staticmethod
-    def _full(one: TrackedProcess, fewer: bool) -> Finding | None:
-        if one.account.out_of_descriptors and fewer:
+    def _check_descriptors(process: TrackedProcess, minority_full: bool) -> Finding | None:
+        if process.counters.out_of_descriptors and minority_full:
             return Finding(OutlierCause.FULL, math.inf, "no descriptor is left for new connections")
         return None
 
-    def _behind(self, now: float, one: TrackedProcess, usual: int) -> Finding | None:
-        since = now - one.behind_since
-        if since < self.policy.behind:
+    def _check_list(self, now: float, process: TrackedProcess, usual_version: int) -> Finding | None:
+        behind_for = now - process.behind_since
+        if behind_for < self.policy.behind:
             return None
-        text = f"its list is version {one.account.list_version}, half of all have {usual} for {since:.1f} s"
-        return Finding(OutlierCause.BEHIND, math.inf, text)
-
-    def _path(
-        self, one: TrackedProcess, rest: DecayingCounters, lately: Sequence[tuple[float, float]], least: float
+        description = (
+            f"its list has version {process.counters.list_version}, "
+            f"half of all have had {usual_version} for {behind_for:.1f} s"
+        )
+        return Finding(OutlierCause.BEHIND, math.inf, description)
+
+    def _check_paths(
+        self,
+        process: TrackedProcess,
+        peers: DecayingCounters,
+        recent_attempts: Sequence[tuple[float, float]],
+        threshold: float,
     ) -> Finding | None:
-        """What its attempts of the look before add to what speaks for a lost path; whether that is enough.
+        """Add the attempts of the previous tick to the sums for lost paths; the first that reaches the threshold.
 
-        Of the look before, and beside what siblings have just had (`lately`: missed, reached): where a zone is lost
-        for all, all connections there break within a moment, and one's a little before the rest.
+        The previous tick is compared with what peers have just had (`recent_attempts`: unanswered, answered): where a
+        zone is lost for all, all connections to it break within moments, and one process's a little before the rest.
         """
         finding = None
-        for zone, (missed, reached) in enumerate(one.judged):
-            others = rest.reached[zone] + rest.missed[zone]
-            if others <= 0.0:
-                one.paths[zone] = 0.0
-                continue  # nobody would know better
-            usual = rest.missed[zone] / others
-            just_missed, just_reached = lately[zone]
-            if just_missed + just_reached >= FEW:
-                usual = max(usual, just_missed / (just_missed + just_reached))
-            one.paths[zone] = self._sum(one.paths[zone], path_loss_log_ratio(missed, reached, usual))
-            rarity = one.paths[zone] / LOG10
-            if rarity >= least and finding is None:
-                lost, count = one.faded.missed[zone], one.faded.reached[zone] + one.faded.missed[zone]
-                text = f"zone {zone}: {lost:.0f} of {count:.0f} attempts unanswered, {usual:.2f} of siblings'"
-                finding = Finding(OutlierCause.PATH, rarity, text)
+        for zone, (unanswered, answered) in enumerate(process.previous_attempts):
+            peer_count = peers.answered[zone] + peers.unanswered[zone]
+            if peer_count <= 0.0:
+                process.path_sums[zone] = 0.0
+                continue  # no peer to compare with
+            usual_loss = peers.unanswered[zone] / peer_count
+            recent_unanswered, recent_answered = recent_attempts[zone]
+            if recent_unanswered + recent_answered >= MIN_RECENT_ATTEMPTS:
+                usual_loss = max(usual_loss, recent_unanswered / (recent_unanswered + recent_answered))
+            process.path_sums[zone] = self._cumulate(
+                process.path_sums[zone], path_loss_log_ratio(unanswered, answered, usual_loss)
+            )
+            score = process.path_sums[zone] / LOG10
+            if score >= threshold and finding is None:
+                lost, count = (
+                    process.decaying.unanswered[zone],
+                    process.decaying.answered[zone] + process.decaying.unanswered[zone],
+                )
+                description = (
+                    f"zone {zone}: {lost:.0f} of {count:.0f} attempts unanswered, {usual_loss:.2f} of its peers'"
+                )
+                finding = Finding(OutlierCause.PATH, score, description)
         return finding
 
-    def _sum(self, before: float, more: float) -> float:
-        """Page's: never under 0, nor far over the threshold, or it would outlast what spoke for it."""
-        return min(HOLDS * self.policy.unlike * LOG10, max(0.0, before + more))
-
-    def _slow(
-        self, one: TrackedProcess, rest: DecayingCounters, soon: float, soon_logs: float, least: float
+    def _cumulate(self, total: float, gain: float) -> float:
+        """Page's cumulative sum: never under 0, and limited at the threshold so that it doesn't outlast its reason."""
+        return min(SUM_LIMIT * self.policy.unlike * LOG10, max(0.0, total + gain))
+
+    def _check_speed(
+        self,
+        process: TrackedProcess,
+        peers: DecayingCounters,
+        recent_count: float,
+        recent_log_sum: float,
+        threshold: float,
     ) -> Finding | None:
-        """What its answers of this look add to what speaks for its being slow; whether that is enough.
+        """Add the latest answers to the sum for slowness; a finding if it reaches the threshold.
 
-        `soon`: how many answers siblings have had just now, and the sum of their logarithms.
+        `recent_count`, `recent_log_sum`: recent answers of the peers, and the sum of the logarithms of their times.
         """
-        others = rest.count
-        if others < ENOUGH:
-            one.slow = 0.0
+        peer_count = peers.total_answered
+        if peer_count < MIN_SAMPLES:
+            process.slow_sum = 0.0
             return None
-        count, logs = one.fresh
-        mean, margin = rest.logs / others, math.log(self.policy.slower) - LEEWAY
-        if soon >= ENOUGH:
-            mean = max(mean, soon_logs / soon)
-        gain = 2.0 * margin / rest.variance * (logs - count * (mean + margin))
-        one.slow = self._sum(one.slow, min(gain, count * EACH * LOG10))
-        rarity = one.slow / LOG10
-        if rarity < least or one.faded.count <= 0.0:
+        count, log_sum = process.latest_answers
+        mean, margin = peers.log_sum / peer_count, math.log(self.policy.slower) - SLOWNESS_MARGIN
+        if recent_count >= MIN_SAMPLES:
+            mean = max(mean, recent_log_sum / recent_count)
+        gain = 2.0 * margin / peers.variance * (log_sum - count * (mean + margin))
+        process.slow_sum = self._cumulate(process.slow_sum, min(gain, count * MAX_GAIN_PER_ANSWER * LOG10))
+        score = process.slow_sum / LOG10
+        if score < threshold or process.decaying.total_answered <= 0.0:
             return None
-        times = math.exp(one.faded.logs / one.faded.count - mean)
-        return Finding(OutlierCause.SLOW, rarity, f"lately {times:.1f} times as slow as its siblings")
+        ratio = math.exp(process.decaying.log_sum / process.decaying.total_answered - mean)
+        return Finding(OutlierCause.SLOW, score, f"recently {ratio:.1f} times as slow as its peers")
 
-    # ---- coming back ---------------------------------------------------------------------
+    # ---- traffic shares ------------------------------------------------------------------
 
-    def _portion(self, now: float, one: TrackedProcess, finding: Finding | None) -> None:
+    def _update_share(self, now: float, process: TrackedProcess, finding: Finding | None) -> None:
         if finding is not None:
-            if one.found is None or one.step > 0:
-                self._step(now, one, 0)
-            one.found, one.alike_since = finding, math.inf
+            if process.finding is None or process.share_step > 0:
+                self._set_share(now, process, 0)
+            process.finding, process.normal_since = finding, math.inf
             return
-        if one.found is None:
+        if process.finding is None:
             return
-        if one.faded.samples >= ENOUGH or now - one.tried_at >= self.policy.retry:
-            one.alike_since = min(one.alike_since, now)
-        if now - max(one.alike_since, one.tried_at) >= self.policy.steady:
-            self._step(now, one, one.step + 1)
-            if one.step == len(TRAFFIC_SHARES) - 1:
-                one.found = None
+        if process.decaying.samples >= MIN_SAMPLES or now - process.share_changed_at >= self.policy.retry:
+            process.normal_since = min(process.normal_since, now)
+        if now - max(process.normal_since, process.share_changed_at) >= self.policy.steady:
+            self._set_share(now, process, process.share_step + 1)
+            if process.share_step == len(TRAFFIC_SHARES) - 1:
+                process.finding = None
 
     @staticmethod
-    def _step(now: float, one: TrackedProcess, step: int) -> None:
-        """Another portion, and evidence of its own."""
-        one.step, one.tried_at, one.alike_since, one.faded, one.slow = step, now, math.inf, DecayingCounters(), 0.0
-        one.paths = [0.0] * ZONES
-
-
-def _middle(values: Iterable[int]) -> int:
-    """What at least half of them have, or more: the upper of two middle ones."""
+    def _set_share(now: float, process: TrackedProcess, share_step: int) -> None:
+        """Change a process's share and start to gather samples anew."""
+        process.share_step, process.share_changed_at, process.normal_since, process.decaying, process.slow_sum = (
+            share_step,
+            now,
+            math.inf,
+            DecayingCounters(),
+            0.0,
+        )
+        process.path_sums = [0.0] * ZONES
+
+
+def _upper_median(values: Iterable[int]) -> int:
+    """The upper of the two middle values: at least half of the values are this or more."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2]
