--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -264,7 +264,7 @@
     decaying: DecayingCounters = field(default_factory=DecayingCounters)
     slow_sum: float = 0.0  # CUSUM for slowness
     path_sums: list[float] = field(default_factory=lambda: [0.0] * ZONES)  # CUSUM for a lost path, by zone
-    # Attempts (unanswered, answered) by zone: since the last tick, in the tick before, and decaying with RECENT_WINDOW.
+    # Attempts (unanswered, answered) by zone: in the last tick, in the tick before, and decaying with RECENT_WINDOW.
     latest_attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)
     previous_attempts: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0)] * ZONES)
     recent_attempts: list[tuple[float, float]] = field(default_factory=lambda: [(0.0, 0.0)] * ZONES)
@@ -448,7 +448,7 @@
         return finding
 
     def _cumulate(self, total: float, gain: float) -> float:
-        """Page's cumulative sum: never under 0, and limited at the threshold so that it doesn't outlast its reason."""
+        """Page's cumulative sum: never under 0, and limited near the threshold so that it falls again soon."""
         return min(SUM_LIMIT * self.policy.unlike * LOG10, max(0.0, total + gain))
 
     def _check_speed(
--- a/weldroute/snapshots.py
+++ b/weldroute/snapshots.py
@@ -1,24 +1,24 @@
-"""What a store keeps of a process, and what its next process may believe of it. Sans I/O, without clocks.
-
-A *record* is one form of `weldroute.handover` (or the fleet's own) in an envelope: which kind of form, whose, in
-which epoch of the fleet, the how manieth, and when by two clocks: Unix time, and seconds since boot together with the
-boot's name. The second tells the age as long as the machine has not booted since: no set clock can change it then.
-
-`judge` says what is believed. Order matters: the first that applies is the verdict.
-
-| found                                                  | verdict     | what is taken of it                       |
-| ------------------------------------------------------ | ----------- | ----------------------------------------- |
-| nothing, or neither copy whole                         | nothing     | nothing                                   |
-| a form number above ours                               | newer       | nothing, and nothing is written over it   |
-| another instance's or another fleet's                  | foreign     | nothing                                   |
-| an epoch above the one that the fleet is in            | ahead       | orders only: a supervisor lost its state  |
-| written later than now by a clock that was set back    | undated     | orders, and the list as of unknown age    |
-| older than `list_for`                                  | old         | orders only                               |
-| older than what others of the fleet are known to have  | overtaken   | orders, unless newer ones are at hand     |
-| older than `learned_for`                               | aged        | orders and the list                       |
-| else                                                   | fresh       | all                                       |
-
-Orders (bans, the drain) are never dropped for their age: only operators take them back, or a newer version.
+"""Stored records of a process's state, and how much of them its next process may use. Sans I/O, no clock.
+
+A *record* is one serialized state of `weldroute.handover` (or of the fleet) in an envelope: its kind, its owner, the
+fleet's epoch, a serial number, and the time of writing by two clocks: Unix time, and seconds since boot together with
+the boot's id. The second gives the age as long as the machine has not booted since; setting the clock can't change it.
+
+`assess` decides what is trusted. Order matters: the first row that applies is the verdict.
+
+| found                                               | verdict                  | what is used                            |
+| --------------------------------------------------- | ------------------------ | --------------------------------------- |
+| nothing, or no intact copy                          | NOTHING "nothing"        | nothing                                 |
+| a format version above ours                         | NEWER "newer"            | nothing, and it is not overwritten      |
+| another instance's or another fleet's record        | FOREIGN "foreign"        | nothing                                 |
+| an epoch above the fleet's current one              | AHEAD "ahead"            | orders only: the supervisor lost its state |
+| a time of writing after now: a clock was set back   | UNDATED "undated"        | orders, and the list with unknown age   |
+| older than `list_for`                               | OLD "old"                | orders only                             |
+| older than what other instances are known to have   | SUPERSEDED "overtaken"   | orders, unless newer ones are available |
+| older than `learned_for`                            | AGED "aged"              | orders and the list                     |
+| else                                                | FRESH "fresh"            | all                                     |
+
+Operator orders (bans, the drain) are never dropped for their age: only operators take them back, or a newer version.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from typing import Any
 
 FORMAT_VERSION = 1  # of the envelope
-CLOCK_TOLERANCE = 2.0  # seconds by which two readings of clocks may differ
+CLOCK_TOLERANCE = 2.0  # seconds by which two clock readings may differ
 
 
 class InvalidRecord(Exception):
@@ -38,7 +38,7 @@
 
 
 class Trust(Enum):
-    """See the table of the module."""
+    """Verdict on a record; see the module's table."""
 
     NOTHING = "nothing"
     NEWER = "newer"
@@ -51,7 +51,7 @@
     FRESH = "fresh"
 
 
-#: What each verdict lets a process take: orders of operators, the list, what was learned.
+#: Kinds of state that each verdict allows a process to use: operator orders, the list, learned state.
 USABLE_PARTS: Mapping[Trust, frozenset[str]] = {
     Trust.NOTHING: frozenset(),
     Trust.NEWER: frozenset(),
@@ -67,16 +67,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """Now, by both clocks; seconds."""
+    """One instant by both clocks; seconds."""
 
     unix: float
-    boot: str  # names this boot of the machine
-    since_boot: float  # of a clock that goes on while the machine sleeps, and that nobody can set
+    boot: str  # id of this boot of the machine
+    since_boot: float  # of a clock that goes on while the machine sleeps, and that can't be set
 
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """Whose records these are."""
+    """Instance that a record belongs to."""
 
     fleet: str
     instance: str
@@ -85,17 +85,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One form and its envelope."""
+    """One serialized state and its envelope."""
 
     kind: str
-    serial: int  # grows with each writing of this kind
+    serial: int  # grows with each record of this kind
     owner: Owner
     written_at: ClockReading
     body: Any
     format_version: int = FORMAT_VERSION
 
     def to_dict(self) -> dict[str, Any]:
-        """As plain values."""
+        """The record as plain values, for `read_record`."""
         return {
             "form": self.format_version,
             "kind": self.kind,
@@ -110,46 +110,46 @@
         }
 
 
-def _real(value: Any, what: str) -> float:
+def _as_float(value: Any, name: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise InvalidRecord(f"{what}: {value!r} is not a number")
+        raise InvalidRecord(f"{name}: {value!r} is not a finite number")
     return float(value)
 
 
-def _count(value: Any, what: str) -> int:
+def _as_count(value: Any, name: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise InvalidRecord(f"{what}: {value!r} is not a whole number")
+        raise InvalidRecord(f"{name}: {value!r} is not a whole number of 0 or more")
     return value
 
 
-def _text(value: Any, what: str) -> str:
+def _as_string(value: Any, name: str) -> str:
     if not isinstance(value, str):
-        raise InvalidRecord(f"{what}: {value!r} is not a text")
+        raise InvalidRecord(f"{name}: {value!r} is not a string")
     return value
 
 
 def read_record(value: Any) -> Record:
-    """A record out of plain values; raises Damaged. Of one of a newer form only the number is read."""
+    """Read a record from plain values; of a newer format only the version is read. Raises InvalidRecord."""
     if not isinstance(value, dict):
         raise InvalidRecord("not an object")
-    form = _count(value.get("form"), "form")
-    if form > FORMAT_VERSION:
-        return Record("", 0, Owner("", "", 0), ClockReading(0.0, "", 0.0), None, form)
+    format_version = _as_count(value.get("form"), "form")
+    if format_version > FORMAT_VERSION:
+        return Record("", 0, Owner("", "", 0), ClockReading(0.0, "", 0.0), None, format_version)
     return Record(
-        _text(value.get("kind"), "kind"),
-        _count(value.get("serial"), "serial"),
+        _as_string(value.get("kind"), "kind"),
+        _as_count(value.get("serial"), "serial"),
         Owner(
-            _text(value.get("fleet"), "fleet"),
-            _text(value.get("instance"), "instance"),
-            _count(value.get("epoch"), "epoch"),
+            _as_string(value.get("fleet"), "fleet"),
+            _as_string(value.get("instance"), "instance"),
+            _as_count(value.get("epoch"), "epoch"),
         ),
         ClockReading(
-            _real(value.get("unix"), "unix"),
-            _text(value.get("boot"), "boot"),
-            _real(value.get("since_boot"), "since_boot"),
+            _as_float(value.get("unix"), "unix"),
+            _as_string(value.get("boot"), "boot"),
+            _as_float(value.get("since_boot"), "since_boot"),
         ),
         value.get("body"),
-        form,
+        format_version,
     )
 
 
@@ -162,13 +162,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AgeLimits:
-    """How long what is remembered may be used; seconds."""
+    """How long stored state may be used; seconds."""
 
     list_for: float = 120.0
     learned_for: float = 15.0
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         for name in ("list_for", "learned_for"):
             value = getattr(self, name)
             if not math.isfinite(value) or value < 0.0:
@@ -179,38 +179,38 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownVersions:
-    """What the fleet knows of an instance's records without that instance: the versions that were told last."""
+    """The latest versions of an instance's state that the rest of the fleet knows of."""
 
     list_seq: int = 0  # the highest version of the list that any instance had
-    standing: int = 0  # the version of this instance's orders
+    standing: int = 0  # the version of this instance's operator orders
 
 
 def assess(
     record: Record | None, owner: Owner, now: ClockReading, limits: AgeLimits, known: KnownVersions
 ) -> tuple[Trust, str]:
-    """What to believe of a record, and why, for the log."""
+    """How far to trust a record, and the reason for the log."""
     if record is None:
-        return Trust.NOTHING, "nothing is kept"
+        return Trust.NOTHING, "nothing is stored"
     if record.format_version > FORMAT_VERSION:
-        return Trust.NEWER, f"form {record.format_version}, and {FORMAT_VERSION} is the newest that is read here"
-    theirs = record.owner
-    if (theirs.fleet, theirs.instance) != (owner.fleet, owner.instance):
-        return Trust.FOREIGN, f"of {theirs.fleet}/{theirs.instance}"
-    if theirs.epoch > owner.epoch:
-        return Trust.AHEAD, f"of epoch {theirs.epoch}, and the fleet is in {owner.epoch}"
+        return Trust.NEWER, f"format version {record.format_version}; the newest readable here is {FORMAT_VERSION}"
+    stored_by = record.owner
+    if (stored_by.fleet, stored_by.instance) != (owner.fleet, owner.instance):
+        return Trust.FOREIGN, f"belongs to {stored_by.fleet}/{stored_by.instance}"
+    if stored_by.epoch > owner.epoch:
+        return Trust.AHEAD, f"of epoch {stored_by.epoch}, but the fleet is in {owner.epoch}"
     passed = age(record, now)
     if passed is None:
         return Trust.UNDATED, "written later than now: a clock was set back"
     if passed > limits.list_for:
         return Trust.OLD, f"{passed:.1f} s old"
-    if _overtaken(record, known):
-        return Trust.SUPERSEDED, "the fleet knows of a newer one"
+    if _is_superseded(record, known):
+        return Trust.SUPERSEDED, "the fleet knows of a newer version"
     if passed > limits.learned_for:
         return Trust.AGED, f"{passed:.1f} s old"
     return Trust.FRESH, f"{passed:.1f} s old"
 
 
-def _overtaken(record: Record, known: KnownVersions) -> bool:
+def _is_superseded(record: Record, known: KnownVersions) -> bool:
     body = record.body if isinstance(record.body, dict) else {}
     if record.kind == "list":
         seq = body.get("seq")
@@ -222,5 +222,9 @@
 
 
 def newest_copy(copies: list[Record | None]) -> Record | None:
-    """Of the copies that are whole, the one to believe: a newer form first, then the highest serial."""
-    return max((c for c in copies if c is not None), key=lambda c: (c.format_version, c.serial), default=None)
+    """The copy to use of those that are intact: the newest format version first, then the highest serial."""
+    return max(
+        (copy for copy in copies if copy is not None),
+        key=lambda copy: (copy.format_version, copy.serial),
+        default=None,
+    )
