--- a/cometusher/cluster/frames.py
+++ b/cometusher/cluster/frames.py
@@ -175,7 +175,7 @@
     def _on_hello(self, tag: bytes, content: bytes) -> None:
         covered_nonce = self._local_hello.nonce if self._is_dialler else b""
         if not hmac.compare_digest(tag, _tag(self._key, 0, covered_nonce, content)):
-            raise BadFrame("a hello tagged with another key")
+            raise BadFrame("a hello with another key")
         if content[0] != HELLO_FRAME:
             raise BadFrame("the first frame is not a hello")
         try:
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -1,4 +1,4 @@
-"""Supervisors that stand for machines know of each other: real processes, a faulty relay before each address."""
+"""Clusters of real supervisor processes, one per machine, with a faulty relay before each address."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 class Machines:
-    """Some supervisors of one fleet, each with an instance that does nothing, and the relays."""
+    """Supervisors of one fleet, each with one idle instance, and the relays before them."""
 
     def __init__(self, rigs: list[FleetRig], links: list[Link]) -> None:
         self.rigs = rigs
         self.links = links
-        self.ports = free_ports(len(rigs))  # behind the relays
+        self.ports = free_ports(len(rigs))  # listened on, behind the relays
 
     def prepare(self, i: int, key: str = KEY, fleet: str = "t", **mesh: Any) -> FleetRig:
         rig = self.rigs[i]
@@ -59,11 +59,11 @@
         rig.write()
         return rig
 
-    def launch(self, i: int, **how: Any) -> None:
-        self.prepare(i, **how).launch()
+    def launch(self, i: int, **options: Any) -> None:
+        self.prepare(i, **options).launch()
 
     def view(self, i: int) -> dict[str, Any]:
-        """What a supervisor tells; empty where there is none."""
+        """A supervisor's view of the members; empty if it does not run."""
         try:
             return ask(self.rigs[i].control, "members", PATIENCE)
         except (NoSupervisor, ControlError):
@@ -78,19 +78,19 @@
     def pid(self, i: int) -> int:
         return self.rigs[i].started[-1].pid
 
-    async def come(self, condition: Callable[[], bool], what: str) -> None:
-        async def found() -> bool:
+    async def wait_for(self, condition: Callable[[], bool], description: str) -> None:
+        async def holds() -> bool:
             return await asyncio.to_thread(condition)
 
-        assert await until(found, 2 * PATIENCE), f"never: {what}\n" + "\n".join(
+        assert await until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
             f"{i}: {self.states(i)}\n{rig.logged()[-1500:]}" for i, rig in enumerate(self.rigs)
         )
 
     async def agree(self, **states: str) -> None:
-        """Wait until all that run see the same; those that are not named are alive."""
-        want = {f"m{i}": "alive" for i in range(len(self.rigs))} | states
+        """Wait until all running supervisors see these states, and `alive` for members that are not named."""
+        expected = {f"m{i}": "alive" for i in range(len(self.rigs))} | states
         running = [i for i, rig in enumerate(self.rigs) if rig.started and rig.started[-1].poll() is None]
-        await self.come(lambda: all(self.states(i) == want for i in running), f"{want}")
+        await self.wait_for(lambda: all(self.states(i) == expected for i in running), f"{expected}")
 
 
 @contextlib.asynccontextmanager
@@ -101,26 +101,26 @@
             for _ in range(count)
         ]
         links = [Link(("127.0.0.1", 0), seed) for seed in range(count)]
-        made = Machines(rigs, links)
-        for link, port in zip(links, made.ports, strict=True):
+        cluster = Machines(rigs, links)
+        for link, port in zip(links, cluster.ports, strict=True):
             link.target = ("127.0.0.1", port)
             await link.start()
         try:
             if start:
                 for i in range(count):
-                    made.launch(i)
-                await made.agree()
-            yield made
+                    cluster.launch(i)
+                await cluster.agree()
+            yield cluster
         finally:
             for link in links:
                 await link.stop()
 
 
-def test_a_supervisor_that_is_killed_is_dead_for_all_and_comes_back_without_state() -> None:
+def test_killed_supervisor_is_dead_for_all_and_rejoins_without_state() -> None:
     async def test() -> None:
         async with machines() as m:
             os.kill(m.pid(2), signal.SIGKILL)
-            await m.come(lambda: m.rigs[2].started[-1].poll() is not None, "its end")
+            await m.wait_for(lambda: m.rigs[2].started[-1].poll() is not None, "its exit")
             await m.agree(m2="dead")
             shown = await asyncio.to_thread(m.rigs[0].fleet, "members")
             assert b"m2" in shown.stdout and b"dead" in shown.stdout, shown
@@ -132,7 +132,7 @@
     run(test)
 
 
-def test_one_that_leaves_in_order_has_left() -> None:
+def test_supervisor_that_is_stopped_in_order_has_left() -> None:
     async def test() -> None:
         async with machines() as m:
             done = await asyncio.to_thread(m.rigs[1].fleet, "stop")
@@ -142,14 +142,14 @@
     run(test)
 
 
-def test_one_that_was_stopped_and_goes_on_is_alive_again_and_calls_nobody_dead() -> None:
+def test_paused_supervisor_is_alive_again_and_declares_nobody_dead() -> None:
     async def test() -> None:
         async with machines() as m:
             before = m.rigs[1].logged()
             os.kill(m.pid(1), signal.SIGSTOP)
             try:
-                await m.come(lambda: m.states(0).get("m1") == "dead", "dead for m0")
-                await m.come(lambda: m.states(2).get("m1") == "dead", "dead for m2")
+                await m.wait_for(lambda: m.states(0).get("m1") == "dead", "m1 is dead for m0")
+                await m.wait_for(lambda: m.states(2).get("m1") == "dead", "m1 is dead for m2")
             finally:
                 os.kill(m.pid(1), signal.SIGCONT)
             await m.agree()
@@ -158,13 +158,13 @@
     run(test)
 
 
-def test_whoever_can_dial_others_is_alive_though_nobody_reaches_it() -> None:
-    """Its own address is cut, as behind a wall that lets out and not in: all go by the links that it dialled."""
+def test_member_that_can_only_dial_out_is_alive() -> None:
+    """Its own address is unreachable, as behind a firewall: all messages use the links that it dialled."""
 
     async def test() -> None:
         async with machines() as m:
             os.kill(m.pid(1), signal.SIGKILL)
-            await m.come(lambda: m.rigs[1].started[-1].poll() is not None, "its end")
+            await m.wait_for(lambda: m.rigs[1].started[-1].poll() is not None, "its exit")
             await m.agree(m1="dead")
             await m.links[1].set(Mood("drop"))
             m.launch(1)
@@ -176,18 +176,18 @@
 
 
 @pytest.mark.parametrize("mood", [Mood("drop"), Mood("mute", way="down"), Mood("refuse")])
-def test_all_that_were_cut_off_find_each_other_again(mood: Mood) -> None:
+def test_isolated_members_rejoin_when_the_links_recover(mood: Mood) -> None:
     async def test() -> None:
         async with machines() as m:
             for link in m.links:
                 await link.set(mood)
                 if mood.name == "refuse":
-                    await link.set(Mood("reset"))  # those that are open, too
+                    await link.set(Mood("reset"))  # open connections as well
             for i in range(3):
                 others = {f"m{j}" for j in range(3) if j != i}
-                await m.come(
-                    lambda i=i, others=others: all(m.states(i).get(one) == "dead" for one in others),  # type: ignore[misc]
-                    f"nobody there for m{i}",
+                await m.wait_for(
+                    lambda i=i, others=others: all(m.states(i).get(name) == "dead" for name in others),  # type: ignore[misc]
+                    f"all others are dead for m{i}",
                 )
             for link in m.links:
                 await link.set(Mood())
@@ -196,7 +196,7 @@
     run(test)
 
 
-def test_slow_links_and_narrow_ones_make_nobody_dead_for_good() -> None:
+def test_members_agree_after_slow_and_narrow_links() -> None:
     async def test() -> None:
         async with machines() as m:
             await m.links[0].set(Mood("slow", seconds=0.3, spread=0.5))
@@ -209,28 +209,28 @@
     run(test)
 
 
-def test_strangers_garbage_and_huge_frames_are_counted_and_harm_nobody() -> None:
+def test_invalid_connections_are_counted_and_do_no_harm() -> None:
     async def test() -> None:
         async with machines() as m:
             for data in (b"\xff" * 4, (2**30).to_bytes(4, "big") + b"x" * 64, b"GET / HTTP/1.1\r\n\r\n" * 9, b""):
                 with socket.create_connection(("127.0.0.1", m.links[0].port)) as stranger:
                     stranger.sendall(data)
-            await m.come(lambda: m.view(0)["bad"] >= 3, "strangers are told")
+            await m.wait_for(lambda: m.view(0)["bad"] >= 3, "invalid links are counted")
             await m.agree()
 
     run(test)
 
 
 @pytest.mark.parametrize(("key", "fleet"), [("ab" * 32, "t"), (KEY, "another")])
-def test_one_with_another_key_or_of_another_fleet_stays_alone(key: str, fleet: str) -> None:
+def test_member_with_another_key_or_fleet_stays_alone(key: str, fleet: str) -> None:
     async def test() -> None:
         async with machines(3, start=False) as m:
             for i in range(2):
                 m.launch(i)
             m.launch(2, key=key, fleet=fleet)
-            await m.come(lambda: m.view(0).get("bad", 0) + m.view(2).get("bad", 0) > 0, "a link that is refused")
+            await m.wait_for(lambda: m.view(0).get("bad", 0) + m.view(2).get("bad", 0) > 0, "a refused link")
             both = {"m0": "alive", "m1": "alive"}
-            await m.come(lambda: m.states(0) == both and m.states(1) == both, "the two")
+            await m.wait_for(lambda: m.states(0) == both and m.states(1) == both, "the two members see each other")
             assert m.states(2) == {"m2": "alive"}
             assert KEY not in m.rigs[0].logged() and key not in m.rigs[2].logged()
 
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         ({"secret": "nowhere"}, b"nowhere: No such file"),
         ({"listen": "here:1"}, b"mesh.listen"),
@@ -247,12 +247,12 @@
         ({"periods": 1}, b"did you mean period"),
     ],
 )
-def test_a_table_that_can_not_be_used_names_the_place(change: dict[str, Any], why: bytes) -> None:
+def test_invalid_table_is_refused_with_the_key_at_fault(change: dict[str, Any], reason: bytes) -> None:
     async def test() -> None:
         async with machines(1, start=False) as m:
             m.prepare(0, **change)
             done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
-            assert done.returncode == 2 and why in done.stderr, done.stderr
+            assert done.returncode == 2 and reason in done.stderr, done.stderr
             m.prepare(0)
             (m.rigs[0].folder / "mesh.key").chmod(0o644)
             done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
@@ -261,36 +261,36 @@
     run(test)
 
 
-# ---- one duty, one holder -------------------------------------------------------------------
+# ---- duties with one holder -----------------------------------------------------------------
 
 
 def records(m: Machines) -> list[tuple[float, int, str, str]]:
-    """When, which machine, event and text: of all machines in order (one clock, for it is one machine)."""
+    """Time, machine, event and text of all log records, in order of time: the processes share one clock."""
     found = []
     for i, rig in enumerate(m.rigs):
         for line in rig.logged().splitlines():
-            row = orjson.loads(line)
-            found.append((row["ts"], i, row.get("event", ""), row["text"]))
+            record = orjson.loads(line)
+            found.append((record["ts"], i, record.get("event", ""), record["text"]))
     return sorted(found)
 
 
 def holders(m: Machines) -> list[tuple[int, int]]:
-    """Who began to hold the duty, one after another, with its epoch; and each step was begun by who held it then."""
-    held: list[tuple[int, int]] = []
+    """(machine, epoch) of all holders of the duty, in order; checks that each step was begun by the holder."""
+    history: list[tuple[int, int]] = []
     for _, i, event, text in records(m):
         if event == "lease" and text.startswith("has 'rollout', epoch"):
-            held.append((i, int(text.split()[-1])))
+            history.append((i, int(text.split()[-1])))
         if event == "starting" and "generation 1" not in text:
-            assert held and held[-1][0] == i, (i, text, held)
-    return held
+            assert history and history[-1][0] == i, (i, text, history)
+    return history
 
 
-def orders(m: Machines, which: list[int]) -> list[asyncio.Task[Any]]:
-    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet, "restart")) for i in which]
+def restart_orders(m: Machines, machines: list[int]) -> list[asyncio.Task[Any]]:
+    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet, "restart")) for i in machines]
 
 
-async def rolling(m: Machines, instances: int) -> None:
-    """Three machines, each a grantor, with some instances each."""
+async def launch_grantors(m: Machines, instances: int) -> None:
+    """Start three machines, each a grantor, with `instances` instances each."""
     addresses = [f"127.0.0.1:{link.port}" for link in m.links]
     for i, rig in enumerate(m.rigs):
         rig.add(*(f"i{i}{j}" for j in range(instances)), mode="ok")
@@ -300,53 +300,55 @@
     await m.agree()
 
 
-def test_three_machines_that_roll_out_at_once_do_so_one_after_another() -> None:
+def test_concurrent_rollouts_run_one_machine_at_a_time() -> None:
     async def test() -> None:
         async with machines(start=False) as m:
-            await rolling(m, 3)
-            done = await asyncio.gather(*orders(m, [0, 1, 2]))
-            assert [one.returncode for one in done] == [0, 0, 0], done
-            held = holders(m)
-            # On a busy machine one may lose it in between, and have it again.
-            assert {i for i, _ in held} == {0, 1, 2} and [e for _, e in held] == sorted(e for _, e in held)
+            await launch_grantors(m, 3)
+            done = await asyncio.gather(*restart_orders(m, [0, 1, 2]))
+            assert [process.returncode for process in done] == [0, 0, 0], done
+            history = holders(m)
+            # On a busy machine a holder may lose the duty in between and acquire it again.
+            assert {i for i, _ in history} == {0, 1, 2} and [epoch for _, epoch in history] == sorted(
+                epoch for _, epoch in history
+            )
             shown = await asyncio.to_thread(m.rigs[0].fleet, "leases")
             assert b"rollout: not held here" in shown.stdout, shown
 
     run(test)
 
 
-def test_a_holder_that_is_stopped_loses_the_duty_and_begins_nothing_when_it_goes_on() -> None:
-    """Until it has it again: the other's roll-out is under way by then, and goes on undisturbed."""
+def test_paused_holder_loses_the_duty_and_begins_no_step_when_it_resumes() -> None:
+    """It begins steps only once it holds the duty again; the roll-out of the other machine goes on meanwhile."""
 
     async def test() -> None:
         async with machines(start=False) as m:
-            await rolling(m, 6)
-            first = orders(m, [1])
-            await m.come(lambda: [i for i, _ in holders(m)] == [1], "the first holds it")
+            await launch_grantors(m, 6)
+            first = restart_orders(m, [1])
+            await m.wait_for(lambda: [i for i, _ in holders(m)] == [1], "the first machine holds the duty")
             os.kill(m.pid(1), signal.SIGSTOP)
             try:
-                second = orders(m, [2])
-                await m.come(lambda: [i for i, _ in holders(m)][-1:] == [2], "the second holds it")
+                second = restart_orders(m, [2])
+                await m.wait_for(lambda: [i for i, _ in holders(m)][-1:] == [2], "the second machine holds the duty")
             finally:
                 os.kill(m.pid(1), signal.SIGCONT)
             done = await asyncio.gather(*first, *second)
-            assert [one.returncode for one in done] == [0, 0], done
-            held = holders(m)
-            assert [i for i, _ in held][:2] == [1, 2] and held[-1][0] == 1
-            assert [epoch for _, epoch in held] == sorted(epoch for _, epoch in held)
+            assert [process.returncode for process in done] == [0, 0], done
+            history = holders(m)
+            assert [i for i, _ in history][:2] == [1, 2] and history[-1][0] == 1
+            assert [epoch for _, epoch in history] == sorted(epoch for _, epoch in history)
 
     run(test)
 
 
-def test_without_a_majority_nobody_rolls_out_and_with_it_again_it_goes_on() -> None:
+def test_rollout_waits_for_a_majority_of_grantors() -> None:
     async def test() -> None:
         async with machines(start=False) as m:
-            await rolling(m, 2)
+            await launch_grantors(m, 2)
             for i in (0, 2):
                 os.kill(m.pid(i), signal.SIGKILL)
-                await m.come(lambda i=i: m.rigs[i].started[-1].poll() is not None, "its end")  # type: ignore[misc]
-            restart = orders(m, [1])
-            await m.come(lambda: any(row["wishes"] for row in m.leases(1)), "it is asked for")
+                await m.wait_for(lambda i=i: m.rigs[i].started[-1].poll() is not None, "its exit")  # type: ignore[misc]
+            restart = restart_orders(m, [1])
+            await m.wait_for(lambda: any(row["wishes"] for row in m.leases(1)), "the duty is wanted")
             await m.agree(m0="dead", m2="dead")
             assert holders(m) == []
             m.rigs[0].launch()
@@ -356,11 +358,11 @@
     run(test)
 
 
-# ---- bans that hold at all ------------------------------------------------------------------
+# ---- bans in the whole fleet ----------------------------------------------------------------
 
 
 class Serving:
-    """Three machines with a proxy each, and three backends that say who they are."""
+    """Three machines with a proxy each, and three backends that answer with their names."""
 
     def __init__(self, m: Machines) -> None:
         self.m = m
@@ -379,7 +381,7 @@
             self.m.launch(i)
         await self.m.agree()
         for i in range(3):
-            await self.m.come(lambda i=i: self.m.rigs[i].states() == {"ready"}, "ready")  # type: ignore[misc]
+            await self.m.wait_for(lambda i=i: self.m.rigs[i].states() == {"ready"}, "ready")  # type: ignore[misc]
 
     async def stop(self) -> None:
         await self.hosts.stop()
@@ -387,7 +389,7 @@
             await backend.stop()
 
     async def served_by(self, i: int, times: int = 24) -> set[bytes]:
-        """Who answers so many requests at a machine."""
+        """The names of the backends that answer `times` requests to a machine."""
         found = set()
         for _ in range(times):
             self.count += 1
@@ -400,19 +402,19 @@
             found.add(seen.body)
         return found
 
-    async def order(self, i: int, what: str, host: str) -> None:
-        done = await asyncio.to_thread(self.m.rigs[i].fleet, what, host)
+    async def order(self, i: int, command: str, host: str) -> None:
+        done = await asyncio.to_thread(self.m.rigs[i].fleet, command, host)
         assert done.returncode == 0, done.stderr
 
     async def carried_out(self, *machines: int) -> None:
-        """Wait until all instances of these have carried out all that holds there, which is the same for all."""
+        """Wait until these machines have the same bans and all their instances have carried them out."""
 
         def same() -> bool:
-            told = [ask(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
-            held = [[(row["key"], row["value"], row["by"]) for row in one["bans"]] for one in told]
-            return all(one == held[0] for one in held) and not any(one["pending"] for one in told)
+            views = [ask(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
+            bans = [[(row["key"], row["value"], row["by"]) for row in view["bans"]] for view in views]
+            return all(entries == bans[0] for entries in bans) and not any(view["pending"] for view in views)
 
-        await self.m.come(same, "all have carried it out")
+        await self.m.wait_for(same, "all machines have carried out the bans")
 
 
 @contextlib.asynccontextmanager
@@ -426,7 +428,7 @@
             await s.stop()
 
 
-def test_a_ban_that_is_given_to_one_machine_holds_at_all_and_is_lifted_by_another() -> None:
+def test_ban_on_one_machine_holds_on_all_and_is_lifted_by_another() -> None:
     async def test() -> None:
         async with serving() as (_, s):
             await s.order(0, "ban", "s-2")
@@ -435,7 +437,7 @@
                 assert await s.served_by(i) <= {b"s-1", b"s-3"}
             await s.order(1, "unban", "s-2")
             await s.carried_out(0, 1, 2)
-            for i in range(3):  # with what a server that comes back is spared
+            for i in range(3):  # slow start after the ban sends it fewer requests
                 while b"s-2" not in await s.served_by(i):
                     await asyncio.sleep(0.1)
             shown = await asyncio.to_thread(s.m.rigs[2].fleet, "bans")
@@ -444,8 +446,8 @@
     run(test)
 
 
-def test_a_ban_reaches_a_machine_that_was_away_and_processes_that_start_anew() -> None:
-    """One supervisor was stopped while it was given, another lost all that it knew."""
+def test_ban_reaches_a_paused_machine_and_restarted_processes() -> None:
+    """One supervisor was paused when the bans were given, another restarts without state."""
 
     async def test() -> None:
         async with serving() as (m, s):
@@ -460,23 +462,23 @@
             await s.carried_out(0, 1, 2)
             assert await s.served_by(2) == {b"s-1"}
             os.kill(m.pid(1), signal.SIGKILL)
-            await m.come(lambda: m.rigs[1].started[-1].poll() is not None, "its end")
+            await m.wait_for(lambda: m.rigs[1].started[-1].poll() is not None, "its exit")
             m.rigs[1].launch()
-            await m.come(lambda: m.rigs[1].states() == {"ready"}, "ready")
+            await m.wait_for(lambda: m.rigs[1].states() == {"ready"}, "ready")
             await s.carried_out(0, 1, 2)
             assert await s.served_by(1) == {b"s-1"}
             pid = m.rigs[2].pids()["i2"]
             os.kill(pid, signal.SIGKILL)
-            await m.come(lambda: m.rigs[2].pids().get("i2") not in (None, pid), "another process")
-            await m.come(lambda: m.rigs[2].states() == {"ready"}, "ready")
+            await m.wait_for(lambda: m.rigs[2].pids().get("i2") not in (None, pid), "a new process")
+            await m.wait_for(lambda: m.rigs[2].states() == {"ready"}, "ready")
             await s.carried_out(0, 1, 2)
             assert await s.served_by(2) == {b"s-1"}
 
     run(test)
 
 
-def test_on_and_off_on_two_sides_of_a_cut_end_as_what_was_said_last() -> None:
-    """Two supervisors are stopped by turns, so that neither hears the other."""
+def test_conflicting_bans_on_two_sides_of_a_partition_end_as_the_later_one() -> None:
+    """Two sides are paused in turns, so that neither receives the other's messages."""
 
     async def test() -> None:
         async with serving() as (m, s):
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -1,4 +1,4 @@
-"""Never two holders of a duty at one moment, in drawn worlds: clocks that differ, losses, pauses, starts anew."""
+"""Leases: one holder of a duty at a time, with clock drift, message loss, pauses and restarts."""
 
 from __future__ import annotations
 
@@ -25,41 +25,41 @@
 )
 
 POLICY = LeasePolicy()
-D = "duty"
+DUTY = "duty"
 
 
-# ---- one by one ---------------------------------------------------------------------------
+# ---- single grantors and proposers ---------------------------------------------------------
 
 
-def test_a_grantor_that_has_just_started_answers_nobody_until_what_it_forgot_has_ended() -> None:
+def test_restarted_grantor_answers_nobody_until_its_earlier_leases_have_expired() -> None:
     grantor = Grantor(POLICY, 100.0)
-    assert grantor.on_request(100.0 + POLICY.restart_wait - 0.01, Prepare(D, (1, "a"))) is None
-    assert grantor.on_request(100.0 + POLICY.restart_wait, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
+    assert grantor.on_request(100.0 + POLICY.restart_wait - 0.01, Prepare(DUTY, (1, "a"))) is None
+    assert grantor.on_request(100.0 + POLICY.restart_wait, Prepare(DUTY, (1, "a"))) == Promise(DUTY, (1, "a"), None)
     assert POLICY.holding_time < POLICY.length < POLICY.restart_wait
 
 
-def test_a_grantor_gives_one_lease_at_a_time_and_tells_of_it() -> None:
+def test_grantor_grants_one_lease_at_a_time_and_reports_it() -> None:
     grantor, now = Grantor(POLICY, 0.0), 100.0
-    one = Lease("a", (1, "a"))
-    assert grantor.on_request(now, Prepare(D, (1, "a"))) == Promise(D, (1, "a"), None)
-    assert grantor.on_request(now, Propose(D, (1, "a"), one)) == Accepted(D, (1, "a"))
-    assert grantor.on_request(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
-    assert grantor.on_request(now, Propose(D, (1, "a"), one)) == Rejected(D, (1, "a"), (2, "b"))
-    assert grantor.on_request(now + POLICY.length, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
+    lease = Lease("a", (1, "a"))
+    assert grantor.on_request(now, Prepare(DUTY, (1, "a"))) == Promise(DUTY, (1, "a"), None)
+    assert grantor.on_request(now, Propose(DUTY, (1, "a"), lease)) == Accepted(DUTY, (1, "a"))
+    assert grantor.on_request(now, Prepare(DUTY, (2, "b"))) == Promise(DUTY, (2, "b"), lease)
+    assert grantor.on_request(now, Propose(DUTY, (1, "a"), lease)) == Rejected(DUTY, (1, "a"), (2, "b"))
+    assert grantor.on_request(now + POLICY.length, Prepare(DUTY, (3, "b"))) == Promise(DUTY, (3, "b"), None)
     assert grantor.on_request(now, Prepare("another", (1, "a"))) == Promise("another", (1, "a"), None)
 
 
-def test_what_is_released_is_free_and_nobody_releases_anothers() -> None:
+def test_released_duty_is_free_and_only_its_lease_releases_it() -> None:
     grantor, now = Grantor(POLICY, 0.0), 100.0
-    one = Lease("a", (1, "a"))
-    grantor.on_request(now, Propose(D, (1, "a"), one))
-    grantor.on_request(now, Released(D, Lease("a", (0, "a"))))
-    assert grantor.on_request(now, Prepare(D, (2, "b"))) == Promise(D, (2, "b"), one)
-    assert grantor.on_request(now, Released(D, one)) is None
-    assert grantor.on_request(now, Prepare(D, (3, "b"))) == Promise(D, (3, "b"), None)
+    lease = Lease("a", (1, "a"))
+    grantor.on_request(now, Propose(DUTY, (1, "a"), lease))
+    grantor.on_request(now, Released(DUTY, Lease("a", (0, "a"))))
+    assert grantor.on_request(now, Prepare(DUTY, (2, "b"))) == Promise(DUTY, (2, "b"), lease)
+    assert grantor.on_request(now, Released(DUTY, lease)) is None
+    assert grantor.on_request(now, Prepare(DUTY, (3, "b"))) == Promise(DUTY, (3, "b"), None)
 
 
-def test_a_grantor_keeps_so_many_duties_and_forgets_none_that_could_matter() -> None:
+def test_grantor_bounds_its_duties_and_evicts_only_those_that_expired() -> None:
     grantor = Grantor(POLICY, 0.0, max_duties=2)
     for i in range(2):
         grantor.on_request(100.0, Propose(f"d{i}", (1, "a"), Lease("a", (1, "a"))))
@@ -68,76 +68,76 @@
     assert grantor.on_request(late, Prepare("d2", (1, "b"))) == Promise("d2", (1, "b"), None)
 
 
-class Table:
-    """Three grantors that answer at once, for one asker."""
+class GrantorGroup:
+    """Three grantors that answer a proposer at once."""
 
     def __init__(self, policy: LeasePolicy = POLICY) -> None:
         self.grantors = {name: Grantor(policy, -100.0) for name in "xyz"}
-        self.away: set[str] = set()
+        self.unreachable: set[str] = set()
 
-    def settle(self, asker: Proposer, now: float) -> None:
-        due: list[Request] = asker.tick(now)
-        while due:
-            request, *due = due
+    def exchange(self, proposer: Proposer, now: float) -> None:
+        pending: list[Request] = proposer.tick(now)
+        while pending:
+            request, *pending = pending
             for name, grantor in self.grantors.items():
-                answer = grantor.on_request(now, request) if name not in self.away else None
+                answer = grantor.on_request(now, request) if name not in self.unreachable else None
                 if answer is not None:
-                    due += asker.on_answer(now, name, answer)
+                    pending += proposer.on_answer(now, name, answer)
 
 
-def test_a_holder_renews_in_time_with_the_same_epoch_and_stops_by_its_own_clock() -> None:
-    table, asker = Table(), Proposer(POLICY, D, "a", "xyz")
+def test_holder_renews_with_the_same_epoch_and_stops_by_its_own_clock() -> None:
+    group, proposer = GrantorGroup(), Proposer(POLICY, DUTY, "a", "xyz")
     now, epochs = 0.0, set()
     while now < 20.0:
-        table.settle(asker, now)
-        epochs.add(asker.current_epoch(now))
+        group.exchange(proposer, now)
+        epochs.add(proposer.current_epoch(now))
         now += 0.05
     assert epochs == {(1, "a")}
-    table.away = {"x", "y"}
-    last = now
-    while asker.current_epoch(now) is not None:
-        table.settle(asker, now)
+    group.unreachable = {"x", "y"}
+    cut_off = now
+    while proposer.current_epoch(now) is not None:
+        group.exchange(proposer, now)
         now += 0.05
-    assert now - last <= POLICY.holding_time + 0.05
-    other = Proposer(POLICY, D, "b", "xyz")
-    table.away = set()
-    table.settle(other, now)
-    assert other.current_epoch(now) is None, "grantors hold on for longer than the holder believes"
-    now = last + POLICY.length + 0.1 + POLICY.pause
+    assert now - cut_off <= POLICY.holding_time + 0.05
+    other = Proposer(POLICY, DUTY, "b", "xyz")
+    group.unreachable = set()
+    group.exchange(other, now)
+    assert other.current_epoch(now) is None, "a lease lasts longer at the grantors than at its holder"
+    now = cut_off + POLICY.length + 0.1 + POLICY.pause
     other.tick(now)
-    while other.current_epoch(now) is None and now < last + 10.0:
-        table.settle(other, now)
+    while other.current_epoch(now) is None and now < cut_off + 10.0:
+        group.exchange(other, now)
         now += 0.05
     epoch = other.current_epoch(now)
     assert epoch is not None and epoch > (1, "a")
 
 
-def test_one_that_wakes_after_its_time_does_nothing_and_what_was_under_way_to_it_counts_from_before() -> None:
-    asker = Proposer(POLICY, D, "a", "xyz")
-    asker.tick(0.0)
+def test_lease_counts_from_the_proposal_even_if_the_answer_is_read_after_a_pause() -> None:
+    proposer = Proposer(POLICY, DUTY, "a", "xyz")
+    proposer.tick(0.0)
     for name in "xy":
-        asker.on_answer(0.0, name, Promise(D, (1, "a"), None))
-    for name in "xy":  # heard after it was stopped for a minute
-        asker.on_answer(60.0, name, Accepted(D, (1, "a")))
-    assert asker.current_epoch(60.0) is None
+        proposer.on_answer(0.0, name, Promise(DUTY, (1, "a"), None))
+    for name in "xy":  # read after a pause of a minute
+        proposer.on_answer(60.0, name, Accepted(DUTY, (1, "a")))
+    assert proposer.current_epoch(60.0) is None
 
 
-def test_an_epoch_that_others_acted_with_is_never_won_again() -> None:
-    table, asker = Table(), Proposer(POLICY, D, "a", "xyz")
-    asker.observe_epoch((41, "q"))
-    table.settle(asker, 0.0)
-    assert asker.current_epoch(0.0) == (42, "a")
+def test_observed_epoch_is_never_won_again() -> None:
+    group, proposer = GrantorGroup(), Proposer(POLICY, DUTY, "a", "xyz")
+    proposer.observe_epoch((41, "q"))
+    group.exchange(proposer, 0.0)
+    assert proposer.current_epoch(0.0) == (42, "a")
 
 
-def test_one_that_has_released_holds_nothing_and_another_has_it_at_once() -> None:
-    table, asker, other = Table(), Proposer(POLICY, D, "a", "xyz"), Proposer(POLICY, D, "b", "xyz")
-    table.settle(asker, 0.0)
-    (released,) = asker.release(1.0)
-    assert asker.current_epoch(1.0) is None and asker.tick(50.0) == []
-    for grantor in table.grantors.values():
+def test_released_duty_can_be_acquired_at_once() -> None:
+    group, proposer, other = GrantorGroup(), Proposer(POLICY, DUTY, "a", "xyz"), Proposer(POLICY, DUTY, "b", "xyz")
+    group.exchange(proposer, 0.0)
+    (released,) = proposer.release(1.0)
+    assert proposer.current_epoch(1.0) is None and proposer.tick(50.0) == []
+    for grantor in group.grantors.values():
         grantor.on_request(1.0, released)
     other.observe_epoch((1, "a"))
-    table.settle(other, 1.0)
+    group.exchange(other, 1.0)
     assert other.current_epoch(1.0) == (2, "b")
 
 
@@ -151,48 +151,48 @@
         ("patience", float("nan")),
     ],
 )
-def test_a_policy_that_makes_no_sense_is_refused(name: str, value: float) -> None:
+def test_invalid_policy_is_refused(name: str, value: float) -> None:
     with pytest.raises(ValueError, match=name if name != "margin" else "length"):
         Grantor(replace(POLICY, **{name: value}), 0.0)
 
 
-# ---- drawn worlds -------------------------------------------------------------------------
+# ---- random worlds --------------------------------------------------------------------------
 
 
 @dataclass
 class World:
-    """Grantors and askers whose clocks go differently, messages that are late or lost, pauses and starts anew."""
+    """Grantors and proposers with clock drift, message delay and loss, pauses and restarts."""
 
     seed: int
     policy: LeasePolicy = POLICY
-    fresh: Callable[[LeasePolicy, float], Grantor] = Grantor
+    new_grantor: Callable[[LeasePolicy, float], Grantor] = Grantor
     rng: Random = field(init=False)
     now: float = 0.0  # true time
-    two: float = -1.0  # when there were two holders
-    held: int = 0  # looks at which there was one
+    two_holders_at: float = -1.0  # when there were two holders; negative: never
+    held_steps: int = 0  # steps in which there was a holder
     epochs: list[tuple[int, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.rng = rng = Random(self.seed)
         names = [f"g{i}" for i in range(rng.choice((3, 3, 5)))]
-        askers = [f"a{i}" for i in range(rng.choice((2, 3)))]
-        self.rates = {name: 1.0 + POLICY.drift * rng.uniform(-1.0, 1.0) for name in (*names, *askers)}
+        proposers = [f"a{i}" for i in range(rng.choice((2, 3)))]
+        self.rates = {name: 1.0 + POLICY.drift * rng.uniform(-1.0, 1.0) for name in (*names, *proposers)}
         self.offsets = {name: rng.uniform(0.0, 1e5) for name in self.rates}
         self.grantors = {name: Grantor(self.policy, self.clock(name) - 100.0) for name in names}
-        self.askers = {name: Proposer(self.policy, D, name, names, rng.random()) for name in askers}
-        self.paused = dict.fromkeys(askers, 0.0)  # until then
+        self.proposers = {name: Proposer(self.policy, DUTY, name, names, rng.random()) for name in proposers}
+        self.paused_until = dict.fromkeys(proposers, 0.0)
         self.started = dict.fromkeys(names, 0.0)
-        self.under_way: list[tuple[float, str, str, Request | Answer]] = []
+        self.in_flight: list[tuple[float, str, str, Request | Answer]] = []
         self.loss = rng.choice((0.0, 0.1, 0.3))
         self.delay = rng.choice((0.01, 0.05, 0.5))
 
     def clock(self, name: str) -> float:
-        """A machine's own."""
+        """The time on a machine's own clock."""
         return self.offsets[name] + self.rates[name] * self.now
 
     def send(self, sender: str, to: str, content: Request | Answer) -> None:
         if self.rng.random() >= self.loss:
-            self.under_way.append((self.now + self.rng.expovariate(1.0 / self.delay), sender, to, content))
+            self.in_flight.append((self.now + self.rng.expovariate(1.0 / self.delay), sender, to, content))
 
     def send_all(self, name: str, requests: list[Request]) -> None:
         for request in requests:
@@ -200,90 +200,98 @@
                 self.send(name, grantor, request)
 
     def deliver(self) -> None:
-        due = [one for one in self.under_way if one[0] <= self.now and self.paused.get(one[2], 0.0) <= self.now]
-        self.under_way = [one for one in self.under_way if one not in due]
-        for _, sender, to, content in sorted(due, key=lambda one: one[0]):
+        due = [
+            message
+            for message in self.in_flight
+            if message[0] <= self.now and self.paused_until.get(message[2], 0.0) <= self.now
+        ]
+        self.in_flight = [message for message in self.in_flight if message not in due]
+        for _, sender, to, content in sorted(due, key=lambda message: message[0]):
             if isinstance(content, Prepare | Propose | Released):
                 answer = self.grantors[to].on_request(self.clock(to), content)
                 if answer is not None:
                     self.send(to, sender, answer)
             else:
-                self.send_all(to, self.askers[to].on_answer(self.clock(to), sender, content))
+                self.send_all(to, self.proposers[to].on_answer(self.clock(to), sender, content))
 
-    def faults(self) -> None:
+    def inject_faults(self) -> None:
         rng = self.rng
         if rng.random() < 0.004:
-            self.paused[rng.choice(list(self.askers))] = self.now + self.policy.length * rng.choice((0.1, 1.0, 3.0))
+            self.paused_until[rng.choice(list(self.proposers))] = self.now + self.policy.length * rng.choice(
+                (0.1, 1.0, 3.0)
+            )
         if rng.random() < 0.004:
             name = rng.choice(list(self.grantors))
-            self.grantors[name] = self.fresh(self.policy, self.clock(name))
+            self.grantors[name] = self.new_grantor(self.policy, self.clock(name))
 
     def run(self, seconds: float) -> None:
         while self.now < seconds:
             self.now += 0.05
-            self.faults()
+            self.inject_faults()
             self.deliver()
-            for name, asker in self.askers.items():
-                if self.paused[name] <= self.now:
-                    self.send_all(name, asker.tick(self.clock(name)))
-            # One that is paused is looked at too: what it believes when it wakes is what it would act on.
-            epochs = [asker.current_epoch(self.clock(name)) for name, asker in self.askers.items()]
+            for name, proposer in self.proposers.items():
+                if self.paused_until[name] <= self.now:
+                    self.send_all(name, proposer.tick(self.clock(name)))
+            # Paused proposers are checked too: they would act on what they believe when they resume.
+            epochs = [proposer.current_epoch(self.clock(name)) for name, proposer in self.proposers.items()]
             holders = [epoch for epoch in epochs if epoch is not None]
-            self.held += bool(holders)
-            if len(holders) > 1 and self.two < 0.0:
-                self.two = self.now
+            self.held_steps += bool(holders)
+            if len(holders) > 1 and self.two_holders_at < 0.0:
+                self.two_holders_at = self.now
             self.epochs += [epoch for epoch in holders if self.epochs[-1:] != [epoch]]
 
 
 @pytest.mark.parametrize("first", range(0, 200, 25))
-def test_in_drawn_worlds_there_are_never_two_holders(first: int) -> None:
+def test_random_worlds_never_have_two_holders(first: int) -> None:
     worlds = [World(seed) for seed in range(first, first + 25)]
     for world in worlds:
         world.run(40.0)
-    assert [(world.seed, world.two) for world in worlds if world.two >= 0.0] == []
-    calm = [world for world in worlds if world.delay < 0.5 and world.loss < 0.3]
-    assert sum(world.held for world in calm) > 0.5 * len(calm) * 800, "and mostly there is one"
+    assert [(world.seed, world.two_holders_at) for world in worlds if world.two_holders_at >= 0.0] == []
+    mild = [world for world in worlds if world.delay < 0.5 and world.loss < 0.3]
+    assert sum(world.held_steps for world in mild) > 0.5 * len(mild) * 800, "most of the time there is a holder"
 
 
-def test_without_starts_anew_epochs_only_grow() -> None:
-    class Kept(World):
-        def faults(self) -> None:
+def test_epochs_only_grow_while_no_grantor_restarts() -> None:
+    class WithoutRestarts(World):
+        def inject_faults(self) -> None:
             if self.rng.random() < 0.01:
-                self.paused[self.rng.choice(list(self.askers))] = self.now + 4.0
+                self.paused_until[self.rng.choice(list(self.proposers))] = self.now + 4.0
 
     for seed in range(60):
-        world = Kept(seed)
+        world = WithoutRestarts(seed)
         world.run(40.0)
         assert world.epochs == sorted(world.epochs), seed
 
 
-def planted(policy: LeasePolicy = POLICY, fresh: Callable[[LeasePolicy, float], Grantor] = Grantor) -> bool:
-    """Whether a defect shows within some worlds."""
+def defect_shows(
+    policy: LeasePolicy = POLICY, new_grantor: Callable[[LeasePolicy, float], Grantor] = Grantor
+) -> bool:
+    """Whether a planted defect leads to two holders in one of 400 worlds."""
     for seed in range(400):
-        world = World(seed, policy, fresh)
+        world = World(seed, policy, new_grantor)
         world.run(13.0 * policy.length)
-        if world.two >= 0.0:
+        if world.two_holders_at >= 0.0:
             return True
     return False
 
 
-def test_a_grantor_that_does_not_wait_after_its_start_is_found() -> None:
-    assert planted(fresh=lambda policy, now: Grantor(policy, now - policy.restart_wait))
+def test_detects_grantor_that_answers_right_after_a_restart() -> None:
+    assert defect_shows(new_grantor=lambda policy, now: Grantor(policy, now - policy.restart_wait))
 
 
-def test_a_holder_that_leaves_no_room_for_drift_is_found() -> None:
-    assert planted(replace(POLICY, length=20.0, drift=0.0, margin=0.0))
+def test_detects_holder_without_allowance_for_drift() -> None:
+    assert defect_shows(replace(POLICY, length=20.0, drift=0.0, margin=0.0))
 
 
-def test_a_holder_that_counts_from_the_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    hear = Proposer.on_answer
+def test_detects_holder_that_counts_from_the_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    on_answer = Proposer.on_answer
 
-    def late(self: Proposer, now: float, grantor: str, answer: Answer) -> list[Request]:
-        before = self._held_until
-        found = hear(self, now, grantor, answer)
-        if self._held_until != before and isinstance(answer, Accepted):
+    def count_from_answer(self: Proposer, now: float, grantor: str, answer: Answer) -> list[Request]:
+        previous = self._held_until
+        requests = on_answer(self, now, grantor, answer)
+        if self._held_until != previous and isinstance(answer, Accepted):
             self._held_until = now + self._policy.holding_time
-        return found
+        return requests
 
-    monkeypatch.setattr(leases.Proposer, "on_answer", late)
-    assert planted()
+    monkeypatch.setattr(leases.Proposer, "on_answer", count_from_answer)
+    assert defect_shows()
