--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -374,7 +374,9 @@
                 world.pause(address, rng.choice((0.2, 1.0, 5.0, 20.0)))
             elif fault == "cut":
                 direction = rng.randrange(3)
-                world.cut = lambda sender, to, a=address, d=direction: (d < 2 and sender == a) or (d > 0 and to == a)  # type: ignore[misc]
+                world.cut = lambda source, target, a=address, d=direction: (
+                    (d < 2 and source == a) or (d > 0 and target == a)
+                )  # type: ignore[misc]
             else:
                 world.loss = rng.choice((0.0, 0.1))
             world.run(rng.uniform(0.5, 8.0))
