--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -150,7 +150,7 @@
     except Malformed as fault:
         log.error("a noted request can't be read: %s", fault)
     if sink.request is not None:
-        sink.request.keep_alive = not entry.closes_connection and entry.has_body
+        sink.request.keep_alive = not entry.closes_connection and entry.body_stored
     return sink.request
 
 
@@ -732,7 +732,7 @@
             )
             for one, connection in zip(self.attempts, self.joined_connections, strict=True)
         ]
-        exchange = proxy.take_over_request(caller, self.request, deadline, not self.record.has_body)
+        exchange = proxy.take_over_request(caller, self.request, deadline, not self.record.body_stored)
         if self.tracker.on_stage is not None:
             self.tracker.on_stage("acts")
         if self.action in (TakeoverAction.REFUSE, TakeoverAction.FAIL):
--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -300,7 +300,7 @@
             caller.leave()
             os.kill(pid, signal.SIGKILL)
             await rig.come(lambda: _more(rig, "adopted", 0), "an heir")
-            await rig.come(lambda: "its caller has gone" in rig.fleet.log(), "the verdict")
+            await rig.come(lambda: "the caller has disconnected" in rig.fleet.log(), "the verdict")
             await rig.come(lambda: _nothing_open(rig), "nothing in hand")
             assert rig.times(rid) == 0
 
--- a/tests/unit/test_request_journal.py
+++ b/tests/unit/test_request_journal.py
@@ -91,7 +91,7 @@
     )
     assert (entry.deadline, entry.received_at, entry.request) == (20.5, 10.25, REQUEST)
     assert (
-        entry.has_body
+        entry.body_stored
         and not entry.closes_connection
         and entry.origin is None
         and entry.attempts == ()
@@ -154,7 +154,7 @@
     book, left, _ = made()
     first = take(book, REQUEST * 100)
     book.record_answer(first, 0, b"x" * 3 * BLOCK_SIZE)
-    second = book.record_request(b"next", 20.5, 10.25, 9, 77, 400, True, False, before=first)
+    second = book.record_request(b"next", 20.5, 10.25, 9, 77, 400, True, False, previous=first)
     assert RequestJournal.slot_of(first) == RequestJournal.slot_of(second) and read(left, second).request == b"next"
     assert read(left, second).answer is None and book.used == 1
     book.release(first)
@@ -302,7 +302,7 @@
 
 def test_of_a_key_whose_request_was_not_answered_nothing_is_kept() -> None:
     book, left, _ = made()
-    handle = book.record_request(REQUEST, 20.5, 10.25, 9, 77, 300, True, False, key=100, until=14.0)
+    handle = book.record_request(REQUEST, 20.5, 10.25, 9, 77, 300, True, False, key=100, replay_until=14.0)
     assert read(left, handle).replay_until == 14.0
     book.retain_answer(handle, 14.0)
     assert book.retained == 0 and book.used == 0 and left.progress(RequestJournal.slot_of(handle), 100) is None
@@ -310,7 +310,7 @@
 
 def test_an_answer_tells_until_when_it_may_be_given_again_also_in_an_heirs_book() -> None:
     book, left, _ = made()
-    handle = book.record_request(REQUEST, 20.5, 10.25, 9, 77, 300, True, False, key=100, until=14.0)
+    handle = book.record_request(REQUEST, 20.5, 10.25, 9, 77, 300, True, False, key=100, replay_until=14.0)
     book.record_answer(handle, 0, b"answer")
     heir, heirs, _ = made()
     entry = read(left, handle)
--- a/tests/unit/test_takeover.py
+++ b/tests/unit/test_takeover.py
@@ -157,9 +157,9 @@
 
 
 def test_nothing_runs_before_its_last_byte_has_come() -> None:
-    assert assess_attempt(noted(0), ConnectionCounters(5000, 500), came=False).maybe_ran is False
-    assert assess_attempt(noted(0), None, came=False).maybe_ran is False
-    assert assess_attempt(noted(0), ConnectionCounters(5000, 500), came=True).maybe_ran is True
+    assert assess_attempt(noted(0), ConnectionCounters(5000, 500), body_received=False).maybe_ran is False
+    assert assess_attempt(noted(0), None, body_received=False).maybe_ran is False
+    assert assess_attempt(noted(0), ConnectionCounters(5000, 500), body_received=True).maybe_ran is True
 
 
 def entry(stage: Stage, answer: bytes | None = None, closes: bool = False, length: int = 10) -> RequestRecord:
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -66,7 +66,7 @@
 def test_an_heir_that_believes_notes_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: whatever was sent is taken for what has never run."""
 
-    def never(one: AttemptRecord, seen: ConnectionCounters | None, came: bool = True) -> PriorAttempt:
+    def never(one: AttemptRecord, seen: ConnectionCounters | None, body_received: bool = True) -> PriorAttempt:
         return PriorAttempt(one.server, one.sent_at, False, False, one.zone, one.cell)
 
     monkeypatch.setattr(takeover, "assess_attempt", never)
--- a/weldroute/request_journal.py
+++ b/weldroute/request_journal.py
@@ -1,25 +1,31 @@
-"""The book of work in hand: what a process notes of each request that it took, so that another can finish it.
+"""The journal of in-flight requests: what a process records of each request, so that another process can finish it.
 
-Sans-I/O: a buffer that outlives the process, written by it alone and at the price of a memory write; where the buffer
-lies is the caller's matter. Nobody else writes but in two places of an entry: the supervisor its claim (who the heir
-is), the heir its word that it has adopted the work.
+Sans I/O: the journal is a buffer that outlives the process. Only that process writes it, at the cost of a memory
+write; where the buffer lies is the caller's concern. Others write only two cells of a record: the supervisor its
+claim (which successor it has named), and that successor the confirmation that it has adopted the request.
 
-Layout, in little-endian cells of 64 bits: a head, then the entries, each of CELLS cells and room for a small request
-and a small answer behind them, then a row for each descriptor that a caller's connection may have, then for each
-block the block that follows it, then the blocks, which longer messages take. A caller's connection has one entry for
-all its requests: what was answered last tells how far it is between two of them. An entry is there when its serial is
-not 0; that is written last and taken away first, so one that was torn by the writer's death is not there. All else of
-it is written before the act that it tells of. Numbers of connections (descriptors) are believed only if the
-connection still has the name that was noted.
+Layout, in little-endian cells of 64 bits:
 
-All books of a fleet lie on one *shelf*, which every process of it can read, with an index of the keys of keyed
-requests in front: by it a process finds work of the same key that another has in hand, or has lately answered, and
-follows it by reading memory alone. Readers of a book that is being written take nothing but what fits its check sum.
+1. a header;
+2. the request records, each of RECORD_CELLS cells, followed by room for a small request and a small answer;
+3. a connection row for each descriptor that a caller's connection may have;
+4. for each block, the number of the block that follows it;
+5. the blocks, which hold longer messages.
 
-A row tells of a caller's connection that has no entry: how much was read from it and written to it. While it says
-IDLE, nothing has been sent for whatever was read since.
+A caller's connection has one record for all its requests: between two of them, the last answer tells how far the
+connection is. A record exists when its serial is not 0. The serial is written last and cleared first, so a record
+that was torn by the writer's death does not exist. Everything else of a record is written before the action that it
+describes. Descriptor numbers are trusted only if the connection still has the id that was recorded.
 
-Bounded: where no entry or no block is free the request is not covered, which is counted.
+All journals of a fleet lie in one *pool* of shared memory, which each of its processes can read. An index of the keys
+of keyed requests precedes the journals. By it a process finds a request of the same key that is in flight elsewhere,
+or was lately answered, and follows it by reading memory alone. Readers of a journal that is being written accept only
+what matches its checksum.
+
+A connection row describes a caller's connection that has no record: how much was read from it and written to it.
+While its state is IDLE, nothing has been sent for whatever was read since.
+
+Memory is bounded: where no record or no block is free the request is not covered, which is counted.
 """
 
 from __future__ import annotations
@@ -38,16 +44,16 @@
 LAYOUT_VERSION = 2
 PAGE_SIZE = 4096  # bytes
 BLOCK_SIZE = 2048  # bytes
-INLINE_SIZE = 1536  # bytes of a request, and of an answer, that lie in the entry itself
-HEADER_CELLS = 8  # cells
-RECORD_CELLS = 64  # of an entry
-RECORD_STRIDE = RECORD_CELLS + 2 * INLINE_SIZE // 8  # cells from one entry to the next
-MAX_ATTEMPTS = 4  # attempts that are noted of one request; settings allow fewer
+INLINE_SIZE = 1536  # bytes of a request, and of an answer, that are stored in the record itself
+HEADER_CELLS = 8
+RECORD_CELLS = 64
+RECORD_STRIDE = RECORD_CELLS + 2 * INLINE_SIZE // 8  # cells from one record to the next
+MAX_ATTEMPTS = 4  # attempts that are recorded of one request; settings allow fewer
 ATTEMPT_CELLS = 10
-NONE, IN_RECORD = -1, -2  # in place of a block: nothing is noted; it lies in the entry
+NONE, IN_RECORD = -1, -2  # in place of a block: nothing is stored; the bytes are in the record
 
-# Cells of an entry: attempts, the first of them last, then the rest. What is written in one go ends with what makes
-# it hold: the first attempt may be written together with the request.
+# Cells of a record: the attempts, the first of them last, then the rest. What is written in one call ends with the
+# cell that makes it valid: the first attempt may be written together with the request.
 FIRST_ATTEMPT = ATTEMPT_CELLS * (MAX_ATTEMPTS - 1)
 (
     CALLER_DESCRIPTOR,
@@ -75,34 +81,34 @@
     STAGE,
     SERIAL,
 ) = range(51, 62)
-REPLAY_UNTIL = 62  # of a keyed request: when its answer is of no use any more; written before the rest
-CONNECTION_CELLS = 4  # cells: name, read, wrote, state
-CLOSED, IDLE, BUSY = range(3)  # states of a row
+REPLAY_UNTIL = 62  # of a keyed request: when its answer may not be replayed any more; written before the rest
+CONNECTION_CELLS = 4  # connection id, bytes read, bytes written, state
+CLOSED, IDLE, BUSY = range(3)  # states of a connection row
 
 _ROW_LAYOUT = struct.Struct("<4q")
-_RECORD_LAYOUT = struct.Struct("<22q")  # CALLER to SERIAL
-_SENT_RECORD_LAYOUT = struct.Struct("<32q")  # the first attempt, and those
+_RECORD_LAYOUT = struct.Struct("<22q")  # CALLER_DESCRIPTOR to SERIAL
+_SENT_RECORD_LAYOUT = struct.Struct("<32q")  # the first attempt, then CALLER_DESCRIPTOR to SERIAL
 _ATTEMPT_LAYOUT = struct.Struct("<10q")
-_ANSWER_LAYOUT = struct.Struct("<5q")  # WROTE to STAGE
+_ANSWER_LAYOUT = struct.Struct("<5q")  # BYTES_WRITTEN to STAGE
 _SLOT_MASK = 0xFFFF  # the part of a handle that is the slot; the rest is the serial
 
-# Flags: the body is here whole; the connection ends with the answer; the last byte has come.
+# Flags: the whole body is stored; the connection closes after the answer; the last byte of the body has arrived.
 BODY_STORED, CLOSES_CONNECTION, BODY_RECEIVED = 1, 2, 4
 _FLAGS_STORED, _FLAGS_STORED_CLOSES = BODY_STORED | BODY_RECEIVED, BODY_STORED | BODY_RECEIVED | CLOSES_CONNECTION
 NS_PER_SECOND = 1e9
 
 
 class Stage(IntEnum):
-    """How far a piece of work is."""
+    """How far a request has come."""
 
     RECEIVED = 1
-    SENT = 2  # a part of it may have gone out to a backend
-    STREAMING = 3  # a part of a long answer may be out
-    ANSWERED = 4  # the answer, or at least its length, is noted; a part of it may be out
+    SENT = 2  # part of it may have been sent to a backend
+    STREAMING = 3  # part of a long answer may have been sent to the caller
+    ANSWERED = 4  # the answer, or at least its length, is recorded; part of it may have been sent
 
 
 class AttemptEnd(IntEnum):
-    """How an attempt ended, as far as an heir must know."""
+    """How an attempt ended, as far as a successor must know."""
 
     OPEN = 0
     NEVER_RAN = 1  # it certainly did not run
@@ -111,23 +117,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
-    """One attempt. Counts are of its connection, from before it, in bytes."""
+    """One attempt. Byte counts are those of its connection before the attempt."""
 
     server: ServerId
     zone: int
     cell: int
     sent_at: float  # seconds, of the machine's clock
     end: AttemptEnd
-    descriptor: int  # descriptor
-    connection_id: int  # of the connection
+    descriptor: int
+    connection_id: int
     request_length: int  # bytes of the request as it is written; 0 where that is not known yet
-    bytes_written: int  # to the backend, before
-    bytes_read: int  # from it, before
+    bytes_written: int  # to the backend
+    bytes_read: int  # from the backend
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Whose work it was before: a process, the slot in its book, and the term in which it was handed on."""
+    """Where a request was taken over from: a process, the slot in its journal, and the term of the claim."""
 
     process: int
     slot: int
@@ -136,41 +142,42 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """One piece of work, as it is read."""
+    """One request, as it is read from a journal."""
 
     slot: int
     stage: Stage
-    caller_descriptor: int  # descriptor
-    caller_connection_id: int  # name of the caller's connection
+    caller_descriptor: int
+    caller_connection_id: int
     deadline: float  # seconds, of the machine's clock
-    received_at: float
+    received_at: float  # seconds, of the machine's clock
     request: bytes  # head and body as they came
-    has_body: bool  # the body is here, or there is none...
-    body_received: bool  # ...or has come whole to the one before
-    closes_connection: bool  # the connection ends with the answer
-    bytes_read: int  # bytes from the caller, this request's among them
-    bytes_written: int  # bytes to the caller before the answer
-    answer_length: int  # bytes of the answer...
-    answer: bytes | None  # ...if it was kept
+    body_stored: bool  # the body is stored, or there is none
+    body_received: bool  # the last byte of the body had arrived at the writer
+    closes_connection: bool  # the connection closes after the answer
+    bytes_read: int  # from the caller, this request's bytes included
+    bytes_written: int  # to the caller before the answer
+    answer_length: int  # bytes
+    answer: bytes | None  # None where only its length was recorded
     attempts: tuple[AttemptRecord, ...]
     origin: Origin | None
     key: int = 0
-    replay_until: float = 0.0  # seconds, of the machine's clock: to then the answer to a key may be given again
+    replay_until: float = 0.0  # seconds, of the machine's clock: until then the answer to a key may be replayed
 
 
 def digest_of(*parts: bytes | bytearray) -> int:
-    """63 bits for a key in its place (tenant, class, what is asked); never 0. Only the last part may hold a NUL."""
+    """63 bits for a key and its context (tenant, class, request); never 0. Only the last part may hold a NUL."""
     return int.from_bytes(hashlib.blake2b(b"\0".join(parts), digest_size=8).digest(), "big") >> 1 or 1
 
 
 class KeyIndex:
-    """Where work of a key is: rows that any process writes and any reads, without a lock.
+    """Where the request of a key is recorded: rows that any process writes and any process reads, without a lock.
 
-    A row is a digest, the place (book and slot), until when it counts, and the three of them folded, so that one that
-    two wrote at once is no row. What is lost so, or pushed out by later keys, is not found: it is then as without.
+    A row is a digest, the location (journal and slot), its expiry, and the XOR of the three, so that a row that two
+    processes wrote at once is recognized as invalid. A row that is lost this way, or replaced by later keys, is not
+    found: the request is then handled as if there were no index.
     """
 
-    ROW_CELLS, WAYS = 4, 4  # cells of a row; rows in which a digest may stand
+    ROW_CELLS, WAYS = 4, 4  # cells of a row; rows in which a digest may be stored
 
     def __init__(self, memory: memoryview, count: int) -> None:
         self._bytes = memory
@@ -180,52 +187,53 @@
         self._set_layout = struct.Struct(f"<{self._set_cells}q")
 
     def _locate(self, digest: int) -> tuple[int, bool]:
-        """The cell where a digest's row begins, or where it would; and whether it is there."""
+        """The cell where a digest's row begins or would begin, and whether the row is there."""
         begin = digest % self._sets * self._set_cells
-        row = self._set_layout.unpack_from(self._bytes, 8 * begin)
-        if digest in row:
+        row_set = self._set_layout.unpack_from(self._bytes, 8 * begin)
+        if digest in row_set:
             for i in range(0, self._set_cells, self.ROW_CELLS):
-                if row[i] == digest:
+                if row_set[i] == digest:
                     return begin + i, True
-        ends = row[2 :: self.ROW_CELLS]  # of one that two wrote at once it is one of theirs: it passes as well
-        return begin + ends.index(min(ends)) * self.ROW_CELLS, False
+        # In a row that two processes wrote at once the expiry is one of theirs, so such a row ages out as well.
+        expiries = row_set[2 :: self.ROW_CELLS]
+        return begin + expiries.index(min(expiries)) * self.ROW_CELLS, False
 
-    def put(self, digest: int, book: int, slot: int, until: float, spot: int = NONE) -> None:
-        """Work of this key is there until then (seconds, of the machine's clock); `spot`: what `meet` has said."""
-        at = spot if spot != NONE else self._locate(digest)[0]
-        place, end = book << 32 | slot, int(until * NS_PER_SECOND)
-        self._cells[at + 3] = 0
-        _ROW_LAYOUT.pack_into(self._bytes, 8 * at, digest, place, end, digest ^ place ^ end)
+    def put(self, digest: int, journal: int, slot: int, expires_at: float, row: int = NONE) -> None:
+        """Store a key's location until `expires_at` (seconds, of the machine's clock); `row`: as returned by `lookup`."""
+        cell = row if row != NONE else self._locate(digest)[0]
+        location, expiry = journal << 32 | slot, int(expires_at * NS_PER_SECOND)
+        self._cells[cell + 3] = 0
+        _ROW_LAYOUT.pack_into(self._bytes, 8 * cell, digest, location, expiry, digest ^ location ^ expiry)
 
     def lookup(self, digest: int, now: float) -> tuple[tuple[int, int] | None, int]:
-        """The book and slot where a key is said to be; and the spot where `put` would note it, for a moment."""
-        at, there = self._locate(digest)
-        if there:
-            _, place, end, fold = _ROW_LAYOUT.unpack_from(self._bytes, 8 * at)
-            if end > now * NS_PER_SECOND and digest ^ place ^ end == fold:
-                return (place >> 32, place & 0xFFFFFFFF), at
-        return None, at
+        """The journal and slot of a key, if any, and the row for `put`, which is valid only for a moment."""
+        cell, found = self._locate(digest)
+        if found:
+            _, location, expiry, checksum = _ROW_LAYOUT.unpack_from(self._bytes, 8 * cell)
+            if expiry > now * NS_PER_SECOND and digest ^ location ^ expiry == checksum:
+                return (location >> 32, location & 0xFFFFFFFF), cell
+        return None, cell
 
     def find(self, digest: int, now: float) -> tuple[int, int] | None:
-        """The book and slot where it is said to be."""
+        """The journal and slot of a key, if any."""
         return self.lookup(digest, now)[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a piece of work is, as one who asks for the same follows it."""
+    """How far a request is, for another request of the same key that follows it."""
 
     stage: Stage
     deadline: float  # seconds, of the machine's clock
     answer: bytes | None
-    replay_until: float = math.inf  # seconds, of the machine's clock: to then an answer may be given again
+    replay_until: float = math.inf  # seconds, of the machine's clock: until then the answer may be replayed
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRecord:
-    """A caller's connection between requests, as it was noted."""
+    """A caller's connection between two requests, as it was recorded."""
 
-    descriptor: int  # descriptor
+    descriptor: int
     connection_id: int
     bytes_read: int
     bytes_written: int
@@ -233,7 +241,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalSize:
-    """How much a book holds."""
+    """The capacity of a journal."""
 
     entries: int = 1024
     blocks: int = 2048
@@ -241,7 +249,7 @@
 
     @property
     def bytes(self) -> int:
-        """Of its buffer, of which what is never used costs no memory."""
+        """Size of the buffer; parts that are never used cost no memory."""
         return (
             8 * (HEADER_CELLS + self.entries * RECORD_STRIDE + self.descriptors * CONNECTION_CELLS + self.blocks)
             + self.blocks * BLOCK_SIZE
@@ -250,40 +258,40 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalPool:
-    """How a fleet's shared memory is laid out: the index of keys, then the books, each on pages of its own."""
+    """The layout of a fleet's shared memory: the key index, then the journals, each on pages of its own."""
 
     size: JournalSize = field(default_factory=JournalSize)
-    books: int = 64
+    books: int = 64  # number of journals
     keys: int = 16384  # rows of the index
 
     @property
     def index_bytes(self) -> int:
-        """Bytes before the first book."""
+        """Bytes before the first journal."""
         return _round_up_to_page(8 * self.keys * KeyIndex.ROW_CELLS)
 
     @property
     def journal_stride(self) -> int:
-        """Bytes from one book to the next."""
+        """Bytes from one journal to the next."""
         return _round_up_to_page(self.size.bytes)
 
     @property
     def bytes(self) -> int:
-        """Of it all."""
+        """Size of the whole shared memory."""
         return self.index_bytes + self.books * self.journal_stride
 
     def key_index(self, memory: memoryview) -> KeyIndex:
         """The index of keys."""
         return KeyIndex(memory[: 8 * self.keys * KeyIndex.ROW_CELLS], self.keys)
 
-    def journal_offset(self, book: int) -> int:
-        """Where a book begins."""
-        return self.index_bytes + book * self.journal_stride
+    def journal_offset(self, journal: int) -> int:
+        """The byte at which a journal begins."""
+        return self.index_bytes + journal * self.journal_stride
 
-    def journal_memory(self, memory: memoryview, book: int) -> memoryview:
-        """The buffer of a book; raises ValueError for one that is not there."""
-        if not 0 <= book < self.books:
-            raise ValueError(f"book {book} of {self.books}")
-        return memory[self.journal_offset(book) : self.journal_offset(book) + self.size.bytes]
+    def journal_memory(self, memory: memoryview, journal: int) -> memoryview:
+        """The buffer of a journal; raises ValueError for a number outside the pool."""
+        if not 0 <= journal < self.books:
+            raise ValueError(f"journal {journal} is outside the pool of {self.books}")
+        return memory[self.journal_offset(journal) : self.journal_offset(journal) + self.size.bytes]
 
 
 def _round_up_to_page(count: int) -> int:
@@ -291,25 +299,24 @@
 
 
 class JournalMemory:
-    """The buffer, seen as cells and as blocks."""
+    """A journal's buffer, seen as cells and as blocks."""
 
     def __init__(self, memory: memoryview, size: JournalSize) -> None:
         self.memory = memory
         self.cells = memory.cast("q")
         self.size = size
         self.connections_cell = HEADER_CELLS + size.entries * RECORD_STRIDE
-        self.next_block_cell = (
-            self.connections_cell + size.descriptors * CONNECTION_CELLS
-        )  # the cell that tells which block follows the first
+        # Cell i from here on holds the number of the block that follows block i.
+        self.next_block_cell = self.connections_cell + size.descriptors * CONNECTION_CELLS
         self.blocks_offset = 8 * (self.next_block_cell + size.blocks)
 
     @staticmethod
     def record_cell(slot: int) -> int:
-        """The first cell of an entry."""
+        """The first cell of a record."""
         return HEADER_CELLS + slot * RECORD_STRIDE
 
     def gather(self, inline: int, first: int, length: int) -> bytes | None:
-        """Bytes out of the entry (from byte `inline`) or a chain of blocks; None where that makes no sense."""
+        """Read bytes from the record (at byte `inline`) or from a chain of blocks; None if the chain is invalid."""
         if first == IN_RECORD:
             return bytes(self.memory[inline : inline + length]) if 0 <= length <= INLINE_SIZE else None
         parts: list[bytes] = []
@@ -317,8 +324,8 @@
         while length > 0:
             if not 0 <= block < self.size.blocks or len(parts) > self.size.blocks:
                 return None
-            at = self.blocks_offset + block * BLOCK_SIZE
-            parts.append(bytes(self.memory[at : at + min(length, BLOCK_SIZE)]))
+            offset = self.blocks_offset + block * BLOCK_SIZE
+            parts.append(bytes(self.memory[offset : offset + min(length, BLOCK_SIZE)]))
             length -= BLOCK_SIZE
             block = self.cells[self.next_block_cell + block]
         return b"".join(parts) if first >= 0 else None
@@ -330,50 +337,54 @@
 
 
 class RequestJournal:
-    """The writer's side. A request is known by a *handle*; of one that is over, or never was, nothing is written."""
+    """The writer's side of a journal.
+
+    A request is known by a *handle*. With the handle of a request that is over, or was never recorded, nothing is
+    written.
+    """
 
     def __init__(self, memory: memoryview, size: JournalSize, process: int) -> None:
         if size.entries > _SLOT_MASK:
             raise ValueError(f"{size.entries} entries are more than {_SLOT_MASK}")
-        pages = self._pages = JournalMemory(memory, size)
+        layout = self._layout = JournalMemory(memory, size)
         self._memory = memory
-        self._cells = pages.cells
+        self._cells = layout.cells
         # Last in, first out: as few pages of memory as possible are ever touched.
         self._free_slots = list(range(size.entries - 1, -1, -1))
         self._free_blocks = list(range(size.blocks - 1, -1, -1))
-        self._blocks_by_slot: dict[int, list[int]] = {}  # blocks by slot, of those that have any
+        self._blocks_by_slot: dict[int, list[int]] = {}  # for slots that have any
         self._retained: deque[tuple[float, int]] = deque()  # answers of keys: until when, and their handles
         self._serial = 0
-        self.covered = 0  # requests noted since the start...
-        self.uncovered = 0  # ...and those that found no room
+        self.covered = 0  # requests recorded since the start
+        self.uncovered = 0  # requests that found no room
         cells = self._cells
         cells[1], cells[2], cells[3], cells[4] = process, size.entries, size.blocks, size.descriptors
         cells[0] = LAYOUT_VERSION
 
     @property
     def used(self) -> int:
-        """Entries that are not free."""
-        return self._pages.size.entries - len(self._free_slots)
+        """Records that are not free."""
+        return self._layout.size.entries - len(self._free_slots)
 
     @property
     def retained(self) -> int:
-        """Answers that are kept for whoever asks for their key again."""
+        """Answers that are retained for repeats of their key."""
         return len(self._retained)
 
     @staticmethod
     def slot_of(handle: int) -> int:
-        """Where a request is noted."""
+        """The slot of a request's record."""
         return handle & _SLOT_MASK
 
     def _record_cell(self, handle: int) -> int:
-        """The first cell of a request's entry; NONE if it is not there any more."""
-        at = HEADER_CELLS + (handle & _SLOT_MASK) * RECORD_STRIDE
-        return at if handle >= 0 and self._cells[at + SERIAL] == handle >> 16 else NONE
+        """The first cell of a request's record; NONE if the request is over."""
+        cell = HEADER_CELLS + (handle & _SLOT_MASK) * RECORD_STRIDE
+        return cell if handle >= 0 and self._cells[cell + SERIAL] == handle >> 16 else NONE
 
-    # ---- room ----------------------------------------------------------------------------
+    # ---- allocation ----------------------------------------------------------------------
 
     def _store(self, slot: int, inline: int, data: bytes) -> int:
-        """Put bytes into the entry (at byte `inline`) or into blocks; returns the first, or NONE without room."""
+        """Write bytes into the record (at byte `inline`) or into blocks; returns the first, or NONE without room."""
         length = len(data)
         if length <= INLINE_SIZE:
             self._memory[inline : inline + length] = data
@@ -383,23 +394,23 @@
             self.release(self._retained.popleft()[1])
         if count > len(self._free_blocks):
             return NONE
-        taken = [self._free_blocks.pop() for _ in range(count)]
-        self._blocks_by_slot.setdefault(slot, []).extend(taken)
-        for i, block in enumerate(taken):
-            piece = data[i * BLOCK_SIZE : (i + 1) * BLOCK_SIZE]
-            at = self._pages.blocks_offset + block * BLOCK_SIZE
-            self._memory[at : at + len(piece)] = piece
+        blocks = [self._free_blocks.pop() for _ in range(count)]
+        self._blocks_by_slot.setdefault(slot, []).extend(blocks)
+        for i, block in enumerate(blocks):
+            part = data[i * BLOCK_SIZE : (i + 1) * BLOCK_SIZE]
+            offset = self._layout.blocks_offset + block * BLOCK_SIZE
+            self._memory[offset : offset + len(part)] = part
             if i:
-                self._cells[self._pages.next_block_cell + taken[i - 1]] = block
-        return taken[0]
+                self._cells[self._layout.next_block_cell + blocks[i - 1]] = block
+        return blocks[0]
 
-    def _allocate_slot(self, before: int) -> int:
-        """The entry of the request before, if there is one, or a free one; NONE, and counted, where there is none.
+    def _allocate_slot(self, previous: int) -> int:
+        """Reuse the previous request's slot, if there is one, or take a free one; NONE, and counted, without room.
 
-        Guards what is in hand against what is only kept.
+        Guards in-flight requests against a shortage of slots: retained answers are dropped first.
         """
-        if before >= 0:
-            slot = before & _SLOT_MASK
+        if previous >= 0:
+            slot = previous & _SLOT_MASK
             self._cells[HEADER_CELLS + slot * RECORD_STRIDE + SERIAL] = 0
             if slot in self._blocks_by_slot:
                 self._free_blocks += reversed(self._blocks_by_slot.pop(slot))
@@ -417,50 +428,50 @@
         self,
         request: bytes,
         deadline: float,
-        taken: float,
-        caller: int,
-        peer: int,
-        read: int,
-        whole: bool,
-        closes: bool,
+        received_at: float,
+        caller_descriptor: int,
+        caller_connection_id: int,
+        bytes_read: int,
+        body_stored: bool,
+        closes_connection: bool,
         origin: Origin | None = None,
         key: int = 0,
-        before: int = NONE,
-        until: float = 0.0,
+        previous: int = NONE,
+        replay_until: float = 0.0,
     ) -> int:
-        """Note a request; returns its handle, or NONE where it is not covered. `key`: a digest, or 0.
+        """Record a request; returns its handle, or NONE where it is not covered. `key`: a digest, or 0.
 
-        `before`: the handle of the request before on the same connection, which is over; its place is taken.
-        `until`: to when the answer to its key may be given again (seconds, of the machine's clock).
+        `previous`: the handle of the same connection's previous request, which is over; its slot is reused.
+        `replay_until`: until when the answer to its key may be replayed (seconds, of the machine's clock).
         """
-        slot = self._allocate_slot(before)
+        slot = self._allocate_slot(previous)
         if slot < 0:
             return NONE
-        at = HEADER_CELLS + slot * RECORD_STRIDE
-        first = self._store(slot, 8 * (at + RECORD_CELLS), request)
+        cell = HEADER_CELLS + slot * RECORD_STRIDE
+        first = self._store(slot, 8 * (cell + RECORD_CELLS), request)
         if first == NONE:
             self._free_slots.append(slot)
             self.uncovered += 1
             return NONE
-        process, theirs, term = (0, 0, 0) if origin is None else (origin.process, origin.slot, origin.term)
+        process, origin_slot, term = (0, 0, 0) if origin is None else (origin.process, origin.slot, origin.term)
         self._serial = serial = self._serial + 1
         if key:
-            self._cells[at + REPLAY_UNTIL] = int(until * NS_PER_SECOND)
+            self._cells[cell + REPLAY_UNTIL] = int(replay_until * NS_PER_SECOND)
         _RECORD_LAYOUT.pack_into(
             self._memory,
-            8 * (at + CALLER_DESCRIPTOR),
-            caller,
-            peer,
+            8 * (cell + CALLER_DESCRIPTOR),
+            caller_descriptor,
+            caller_connection_id,
             int(deadline * NS_PER_SECOND),
-            int(taken * NS_PER_SECOND),
+            int(received_at * NS_PER_SECOND),
             len(request),
             first,
             zlib.adler32(request),
-            (BODY_STORED | BODY_RECEIVED) * whole + CLOSES_CONNECTION * closes,
+            (BODY_STORED | BODY_RECEIVED) * body_stored + CLOSES_CONNECTION * closes_connection,
             process,
-            theirs,
+            origin_slot,
             term,
-            read,
+            bytes_read,
             key,
             0,
             0,
@@ -479,59 +490,59 @@
         self,
         request: bytes,
         deadline: float,
-        taken: float,
-        caller: int,
-        peer: int,
-        read: int,
-        closes: bool,
-        before: int,
+        received_at: float,
+        caller_descriptor: int,
+        caller_connection_id: int,
+        bytes_read: int,
+        closes_connection: bool,
+        previous: int,
         server: ServerId,
         zone: int,
         cell: int,
-        connection: int,
-        name: int,
-        length: int,
-        wrote: int,
-        got: int,
+        descriptor: int,
+        connection_id: int,
+        request_length: int,
+        backend_bytes_written: int,
+        backend_bytes_read: int,
         key: int = 0,
-        until: float = 0.0,
+        replay_until: float = 0.0,
     ) -> int:
-        """`take` and `sends` in one write, for most requests: small, here whole, sent at once."""
-        slot = self._allocate_slot(before)
+        """`record_request` and `record_attempt` in one write, for most requests: small, complete, sent at once."""
+        slot = self._allocate_slot(previous)
         if slot < 0:
             return NONE
-        at = 8 * (HEADER_CELLS + slot * RECORD_STRIDE)
-        inline = at + 8 * RECORD_CELLS
+        offset = 8 * (HEADER_CELLS + slot * RECORD_STRIDE)
+        inline = offset + 8 * RECORD_CELLS
         self._memory[inline : inline + len(request)] = request
         self._serial = serial = self._serial + 1
-        now = int(taken * NS_PER_SECOND)
+        now = int(received_at * NS_PER_SECOND)
         if key:
-            self._cells[(at >> 3) + REPLAY_UNTIL] = int(until * NS_PER_SECOND)
+            self._cells[(offset >> 3) + REPLAY_UNTIL] = int(replay_until * NS_PER_SECOND)
         _SENT_RECORD_LAYOUT.pack_into(
             self._memory,
-            at + 8 * FIRST_ATTEMPT,
+            offset + 8 * FIRST_ATTEMPT,
             server,
             zone,
             cell,
             now,
             0,
-            connection,
-            name,
-            length,
-            wrote,
-            got,
-            caller,
-            peer,
+            descriptor,
+            connection_id,
+            request_length,
+            backend_bytes_written,
+            backend_bytes_read,
+            caller_descriptor,
+            caller_connection_id,
             int(deadline * NS_PER_SECOND),
             now,
             len(request),
             IN_RECORD,
             zlib.adler32(request),
-            _FLAGS_STORED_CLOSES if closes else _FLAGS_STORED,
+            _FLAGS_STORED_CLOSES if closes_connection else _FLAGS_STORED,
             0,
             0,
             0,
-            read,
+            bytes_read,
             key,
             0,
             0,
@@ -546,16 +557,16 @@
         self.covered += 1
         return serial << 16 | slot
 
-    def record_body_received(self, handle: int, deadline: float, read: int) -> None:
-        """The last byte of a body that is passed on while it comes: nothing can have run before. Its time is anew.
+    def record_body_received(self, handle: int, deadline: float, bytes_read: int) -> None:
+        """Record the arrival of the last byte of a streamed body; before it no attempt can have run.
 
-        `read` counts from here on, or the body itself would look like what came behind the request.
+        The deadline and `bytes_read` count from here on; otherwise the body would look like bytes after the request.
         """
-        at = self._record_cell(handle)
-        if at >= 0:
-            self._cells[at + DEADLINE] = int(deadline * NS_PER_SECOND)
-            self._cells[at + BYTES_READ] = read
-            self._cells[at + FLAGS] |= BODY_RECEIVED
+        cell = self._record_cell(handle)
+        if cell >= 0:
+            self._cells[cell + DEADLINE] = int(deadline * NS_PER_SECOND)
+            self._cells[cell + BYTES_READ] = bytes_read
+            self._cells[cell + FLAGS] |= BODY_RECEIVED
 
     def record_attempt(
         self,
@@ -563,266 +574,284 @@
         server: ServerId,
         zone: int,
         cell: int,
-        sent: float,
-        connection: int,
-        name: int,
-        length: int,
-        wrote: int,
-        read: int,
+        sent_at: float,
+        descriptor: int,
+        connection_id: int,
+        request_length: int,
+        bytes_written: int,
+        bytes_read: int,
         end: AttemptEnd = AttemptEnd.OPEN,
     ) -> int:
-        """An attempt is about to be written (see `Try`); returns its place, or NONE."""
-        at = self._record_cell(handle)
-        if at < 0:
+        """Record an attempt that is about to be written (see `AttemptRecord`); returns its index, or NONE."""
+        first_cell = self._record_cell(handle)
+        if first_cell < 0:
             return NONE
         cells = self._cells
-        place = cells[at + ATTEMPT_COUNT]
-        if place >= MAX_ATTEMPTS:
+        index = cells[first_cell + ATTEMPT_COUNT]
+        if index >= MAX_ATTEMPTS:
             return NONE
         _ATTEMPT_LAYOUT.pack_into(
             self._memory,
-            8 * (at + FIRST_ATTEMPT - place * ATTEMPT_CELLS),
+            8 * (first_cell + FIRST_ATTEMPT - index * ATTEMPT_CELLS),
             server,
             zone,
             cell,
-            int(sent * NS_PER_SECOND),
+            int(sent_at * NS_PER_SECOND),
             end,
-            connection,
-            name,
-            length,
-            wrote,
-            read,
+            descriptor,
+            connection_id,
+            request_length,
+            bytes_written,
+            bytes_read,
         )
-        cells[at + ATTEMPT_COUNT] = place + 1
-        if cells[at + STAGE] == _RECEIVED:
-            cells[at + STAGE] = _SENT
-        return place
-
-    def record_attempt_end(self, handle: int, place: int, end: AttemptEnd) -> None:
-        """An attempt has ended; its connection may carry others from here on."""
-        at = self._record_cell(handle)
-        if at >= 0 and place >= 0:
-            self._cells[at + FIRST_ATTEMPT - place * ATTEMPT_CELLS + 4] = end
-
-    def record_answer_length(self, handle: int, wrote: int, length: int, closes: bool) -> None:
-        """`answers`, of which only the length is noted."""
-        at = HEADER_CELLS + (handle & _SLOT_MASK) * RECORD_STRIDE
+        cells[first_cell + ATTEMPT_COUNT] = index + 1
+        if cells[first_cell + STAGE] == _RECEIVED:
+            cells[first_cell + STAGE] = _SENT
+        return index
+
+    def record_attempt_end(self, handle: int, index: int, end: AttemptEnd) -> None:
+        """Record that an attempt has ended; its connection may carry others from here on."""
+        cell = self._record_cell(handle)
+        if cell >= 0 and index >= 0:
+            self._cells[cell + FIRST_ATTEMPT - index * ATTEMPT_CELLS + 4] = end
+
+    def record_answer_length(self, handle: int, bytes_written: int, length: int, closes_connection: bool) -> None:
+        """Like `record_answer`, without the answer itself."""
+        cell = HEADER_CELLS + (handle & _SLOT_MASK) * RECORD_STRIDE
         cells = self._cells
-        if handle >= 0 and cells[at + SERIAL] == handle >> 16:
-            if closes:
-                cells[at + FLAGS] |= CLOSES_CONNECTION
-            _ANSWER_LAYOUT.pack_into(self._memory, 8 * (at + BYTES_WRITTEN), wrote, length, NONE, 0, _ANSWERED)
+        if handle >= 0 and cells[cell + SERIAL] == handle >> 16:
+            if closes_connection:
+                cells[cell + FLAGS] |= CLOSES_CONNECTION
+            _ANSWER_LAYOUT.pack_into(
+                self._memory, 8 * (cell + BYTES_WRITTEN), bytes_written, length, NONE, 0, _ANSWERED
+            )
 
     def record_streaming(self, handle: int) -> None:
-        """A long answer is about to begin."""
-        at = self._record_cell(handle)
-        if at >= 0:
-            self._cells[at + STAGE] = _STREAMING
-
-    def record_answer(self, handle: int, wrote: int, answer: bytes, closes: bool = False) -> None:
-        """An answer is about to be written, behind so many bytes on the caller's connection."""
-        at = self._record_cell(handle)
-        if at < 0:
+        """Record that a long answer is about to begin."""
+        cell = self._record_cell(handle)
+        if cell >= 0:
+            self._cells[cell + STAGE] = _STREAMING
+
+    def record_answer(self, handle: int, bytes_written: int, answer: bytes, closes_connection: bool = False) -> None:
+        """Record an answer that is about to be written to the caller, after `bytes_written` earlier bytes."""
+        cell = self._record_cell(handle)
+        if cell < 0:
             return
-        first = self._store(handle & _SLOT_MASK, 8 * (at + RECORD_CELLS) + INLINE_SIZE, answer)
-        if closes:
-            self._cells[at + FLAGS] |= CLOSES_CONNECTION
+        first = self._store(handle & _SLOT_MASK, 8 * (cell + RECORD_CELLS) + INLINE_SIZE, answer)
+        if closes_connection:
+            self._cells[cell + FLAGS] |= CLOSES_CONNECTION
         _ANSWER_LAYOUT.pack_into(
-            self._memory, 8 * (at + BYTES_WRITTEN), wrote, len(answer), first, zlib.adler32(answer), _ANSWERED
+            self._memory,
+            8 * (cell + BYTES_WRITTEN),
+            bytes_written,
+            len(answer),
+            first,
+            zlib.adler32(answer),
+            _ANSWERED,
         )
 
-    def copy_record(self, entry: RequestRecord, origin: Origin, caller: int, tries: list[int]) -> int:
-        """Note work of another's book with all that is known of it; `tries` are the attempts' descriptors here."""
+    def copy_record(
+        self, record: RequestRecord, origin: Origin, caller_descriptor: int, attempt_descriptors: list[int]
+    ) -> int:
+        """Record a request of another journal with all that is known of it; descriptors are this process's own."""
         handle = self.record_request(
-            entry.request,
-            entry.deadline,
-            entry.received_at,
-            caller,
-            entry.caller_connection_id,
-            entry.bytes_read,
-            entry.has_body,
-            entry.closes_connection,
+            record.request,
+            record.deadline,
+            record.received_at,
+            caller_descriptor,
+            record.caller_connection_id,
+            record.bytes_read,
+            record.body_stored,
+            record.closes_connection,
             origin,
-            entry.key,
+            record.key,
             NONE,
-            entry.replay_until,
+            record.replay_until,
         )
-        if entry.body_received and not entry.has_body:
-            self.record_body_received(handle, entry.deadline, entry.bytes_read)
-        for one, connection in zip(entry.attempts, tries, strict=True):
+        if record.body_received and not record.body_stored:
+            self.record_body_received(handle, record.deadline, record.bytes_read)
+        for attempt, descriptor in zip(record.attempts, attempt_descriptors, strict=True):
             self.record_attempt(
                 handle,
-                one.server,
-                one.zone,
-                one.cell,
-                one.sent_at,
-                connection,
-                one.connection_id,
-                one.request_length,
-                one.bytes_written,
-                one.bytes_read,
-                one.end,
+                attempt.server,
+                attempt.zone,
+                attempt.cell,
+                attempt.sent_at,
+                descriptor,
+                attempt.connection_id,
+                attempt.request_length,
+                attempt.bytes_written,
+                attempt.bytes_read,
+                attempt.end,
             )
-        if entry.stage is Stage.STREAMING:
+        if record.stage is Stage.STREAMING:
             self.record_streaming(handle)
-        elif entry.stage is Stage.ANSWERED:
-            if entry.answer is not None:
-                self.record_answer(handle, entry.bytes_written, entry.answer, entry.closes_connection)
+        elif record.stage is Stage.ANSWERED:
+            if record.answer is not None:
+                self.record_answer(handle, record.bytes_written, record.answer, record.closes_connection)
             else:
-                self.record_answer_length(handle, entry.bytes_written, entry.answer_length, entry.closes_connection)
+                self.record_answer_length(
+                    handle, record.bytes_written, record.answer_length, record.closes_connection
+                )
         return handle
 
-    def record_connection(self, connection: int, name: int, read: int, wrote: int, state: int) -> None:
-        """A caller's connection has no entry: between requests (IDLE), in the middle of what is none, or gone."""
-        if 0 <= connection < self._pages.size.descriptors:
+    def record_connection(
+        self, descriptor: int, connection_id: int, bytes_read: int, bytes_written: int, state: int
+    ) -> None:
+        """Record a caller's connection without a request record: idle, busy with an uncovered request, or closed."""
+        if 0 <= descriptor < self._layout.size.descriptors:
             _ROW_LAYOUT.pack_into(
                 self._memory,
-                8 * (self._pages.connections_cell + connection * CONNECTION_CELLS),
-                name,
-                read,
-                wrote,
+                8 * (self._layout.connections_cell + descriptor * CONNECTION_CELLS),
+                connection_id,
+                bytes_read,
+                bytes_written,
                 state,
             )
 
     def release(self, handle: int) -> None:
-        """Nothing of this request, nor of its connection, is in hand any more."""
-        at = self._record_cell(handle)
-        if at >= 0:
-            self._cells[at + SERIAL] = 0
+        """Free the record of a request that is over and whose connection is not in use any more."""
+        cell = self._record_cell(handle)
+        if cell >= 0:
+            self._cells[cell + SERIAL] = 0
             slot = handle & _SLOT_MASK
             if slot in self._blocks_by_slot:
                 self._free_blocks += reversed(self._blocks_by_slot.pop(slot))
             self._free_slots.append(slot)
 
     def retain_answer(self, handle: int, until: float) -> None:
-        """The request is over; its answer stays to be found by its key until then, or until there is need of room."""
-        at = self._record_cell(handle)
-        if at < 0:
+        """Keep the answer of a finished request for repeats of its key, until then or until its room is needed."""
+        cell = self._record_cell(handle)
+        if cell < 0:
             return
-        if self._cells[at + STAGE] != _ANSWERED:
+        if self._cells[cell + STAGE] != _ANSWERED:
             self.release(handle)
             return
-        self._cells[at + CALLER_DESCRIPTOR] = NONE
+        self._cells[cell + CALLER_DESCRIPTOR] = NONE
         self._retained.append((until, handle))
 
     def expire_answers(self, now: float) -> None:
-        """Forget the answers that were kept long enough. None of them is given again after its time in any case."""
+        """Release answers that were retained long enough; after its time an answer is not replayed in any case."""
         while self._retained and self._retained[0][0] <= now:
             self.release(self._retained.popleft()[1])
 
 
 class OrphanedJournal:
-    """The book of a process that is no more, or of another, as others read it."""
+    """The reader's side of a journal: that of a dead process, or of a live one whose requests are followed."""
 
     def __init__(self, memory: memoryview, size: JournalSize) -> None:
-        self._pages = JournalMemory(memory, size)
+        self._layout = JournalMemory(memory, size)
         self._size = size
 
     @property
     def is_valid(self) -> bool:
-        """Whether its writer has come so far as to begin it."""
-        size, cells = self._size, self._pages.cells
+        """Whether its writer has initialized it."""
+        size, cells = self._size, self._layout.cells
         return cells[0] == LAYOUT_VERSION and list(cells[2:5]) == [size.entries, size.blocks, size.descriptors]
 
     def slots(self) -> Iterator[int]:
-        """Entries that are there."""
+        """Slots that hold a record."""
         if self.is_valid:
-            cells = self._pages.cells
+            cells = self._layout.cells
             yield from (slot for slot in range(self._size.entries) if cells[JournalMemory.record_cell(slot) + SERIAL])
 
     def connections(self, states: Collection[int]) -> Iterator[ConnectionRecord]:
-        """Callers' connections without an entry, in some states."""
+        """Connection rows in one of these states."""
         if self.is_valid:
-            cells = self._pages.cells
-            for connection in range(self._size.descriptors):
-                at = self._pages.connections_cell + connection * CONNECTION_CELLS
-                if cells[at + 3] in states:
-                    yield ConnectionRecord(connection, *cells[at : at + 3])
+            cells = self._layout.cells
+            for descriptor in range(self._size.descriptors):
+                cell = self._layout.connections_cell + descriptor * CONNECTION_CELLS
+                if cells[cell + 3] in states:
+                    yield ConnectionRecord(descriptor, *cells[cell : cell + 3])
 
     def record_at(self, slot: int) -> RequestRecord | None:
-        """One entry; None where it is not there, or makes no sense."""
-        pages = self._pages
-        at = JournalMemory.record_cell(slot)
-        cells = pages.cells
-        if not self.is_valid or not cells[at + SERIAL] or cells[at + STAGE] not in Stage.__members__.values():
+        """Read a record; None where there is none, or where it is invalid."""
+        layout = self._layout
+        cell = JournalMemory.record_cell(slot)
+        cells = layout.cells
+        if not self.is_valid or not cells[cell + SERIAL] or cells[cell + STAGE] not in Stage.__members__.values():
             return None
-        request = pages.gather(8 * (at + RECORD_CELLS), cells[at + REQUEST_BLOCK], cells[at + REQUEST_LENGTH])
-        if request is None or zlib.adler32(request) != cells[at + REQUEST_CHECKSUM]:
+        request = layout.gather(8 * (cell + RECORD_CELLS), cells[cell + REQUEST_BLOCK], cells[cell + REQUEST_LENGTH])
+        if request is None or zlib.adler32(request) != cells[cell + REQUEST_CHECKSUM]:
             return None
-        stage = Stage(cells[at + STAGE])
-        answer = self._answer(at) if stage is Stage.ANSWERED else None
-        tries = tuple(
-            self._attempt_at(at + FIRST_ATTEMPT - i * ATTEMPT_CELLS)
-            for i in range(min(cells[at + ATTEMPT_COUNT], MAX_ATTEMPTS))
+        stage = Stage(cells[cell + STAGE])
+        answer = self._answer(cell) if stage is Stage.ANSWERED else None
+        attempts = tuple(
+            self._attempt_at(cell + FIRST_ATTEMPT - i * ATTEMPT_CELLS)
+            for i in range(min(cells[cell + ATTEMPT_COUNT], MAX_ATTEMPTS))
         )
-        origin = Origin(*cells[at + ORIGIN_PROCESS : at + ORIGIN_TERM + 1]) if cells[at + ORIGIN_PROCESS] else None
-        flags = cells[at + FLAGS]
+        origin = (
+            Origin(*cells[cell + ORIGIN_PROCESS : cell + ORIGIN_TERM + 1]) if cells[cell + ORIGIN_PROCESS] else None
+        )
+        flags = cells[cell + FLAGS]
         return RequestRecord(
             slot,
             stage,
-            cells[at + CALLER_DESCRIPTOR],
-            cells[at + CALLER_CONNECTION_ID],
-            cells[at + DEADLINE] / NS_PER_SECOND,
-            cells[at + RECEIVED_AT] / NS_PER_SECOND,
+            cells[cell + CALLER_DESCRIPTOR],
+            cells[cell + CALLER_CONNECTION_ID],
+            cells[cell + DEADLINE] / NS_PER_SECOND,
+            cells[cell + RECEIVED_AT] / NS_PER_SECOND,
             request,
             bool(flags & BODY_STORED),
             bool(flags & BODY_RECEIVED),
             bool(flags & CLOSES_CONNECTION),
-            cells[at + BYTES_READ],
-            cells[at + BYTES_WRITTEN],
-            cells[at + ANSWER_LENGTH],
+            cells[cell + BYTES_READ],
+            cells[cell + BYTES_WRITTEN],
+            cells[cell + ANSWER_LENGTH],
             answer,
-            tries,
+            attempts,
             origin,
-            cells[at + KEY_DIGEST],
-            cells[at + REPLAY_UNTIL] / NS_PER_SECOND if cells[at + KEY_DIGEST] else 0.0,
+            cells[cell + KEY_DIGEST],
+            cells[cell + REPLAY_UNTIL] / NS_PER_SECOND if cells[cell + KEY_DIGEST] else 0.0,
         )
 
-    def _attempt_at(self, at: int) -> AttemptRecord:
-        server, zone, cell, began, end, connection, name, length, wrote, read = self._pages.cells[
-            at : at + ATTEMPT_CELLS
+    def _attempt_at(self, begin: int) -> AttemptRecord:
+        server, zone, cell, sent_at, end, descriptor, connection_id, length, written, read = self._layout.cells[
+            begin : begin + ATTEMPT_CELLS
         ]
-        known = AttemptEnd(end) if end in AttemptEnd.__members__.values() else AttemptEnd.MAYBE_RAN
-        return AttemptRecord(server, zone, cell, began / NS_PER_SECOND, known, connection, name, length, wrote, read)
+        known_end = AttemptEnd(end) if end in AttemptEnd.__members__.values() else AttemptEnd.MAYBE_RAN
+        return AttemptRecord(
+            server, zone, cell, sent_at / NS_PER_SECOND, known_end, descriptor, connection_id, length, written, read
+        )
 
     def progress(self, slot: int, key: int) -> Progress | None:
-        """How far the work of a key is; None if it is not there (any more)."""
+        """How far the request of a key is; None if it is not (or no longer) in this slot."""
         if not self.is_valid or not 0 <= slot < self._size.entries:
             return None
-        cells, at = self._pages.cells, JournalMemory.record_cell(slot)
-        serial = cells[at + SERIAL]
-        if not serial or cells[at + KEY_DIGEST] != key or cells[at + STAGE] not in Stage.__members__.values():
+        cells, cell = self._layout.cells, JournalMemory.record_cell(slot)
+        serial = cells[cell + SERIAL]
+        if not serial or cells[cell + KEY_DIGEST] != key or cells[cell + STAGE] not in Stage.__members__.values():
             return None
-        stage = Stage(cells[at + STAGE])
+        stage = Stage(cells[cell + STAGE])
         answer = None
         if stage is Stage.ANSWERED:
-            answer = self._answer(at)
-        found = Progress(
-            stage, cells[at + DEADLINE] / NS_PER_SECOND, answer, cells[at + REPLAY_UNTIL] / NS_PER_SECOND
+            answer = self._answer(cell)
+        progress = Progress(
+            stage, cells[cell + DEADLINE] / NS_PER_SECOND, answer, cells[cell + REPLAY_UNTIL] / NS_PER_SECOND
         )
-        return found if cells[at + SERIAL] == serial and cells[at + KEY_DIGEST] == key else None
+        return progress if cells[cell + SERIAL] == serial and cells[cell + KEY_DIGEST] == key else None
 
-    def _answer(self, at: int) -> bytes | None:
-        cells = self._pages.cells
-        answer = self._pages.gather(
-            8 * (at + RECORD_CELLS) + INLINE_SIZE, cells[at + ANSWER_BLOCK], cells[at + ANSWER_LENGTH]
+    def _answer(self, cell: int) -> bytes | None:
+        cells = self._layout.cells
+        answer = self._layout.gather(
+            8 * (cell + RECORD_CELLS) + INLINE_SIZE, cells[cell + ANSWER_BLOCK], cells[cell + ANSWER_LENGTH]
         )
-        return answer if answer is not None and zlib.adler32(answer) == cells[at + ANSWER_CHECKSUM] else None
+        return answer if answer is not None and zlib.adler32(answer) == cells[cell + ANSWER_CHECKSUM] else None
 
-    # ---- the claim -----------------------------------------------------------------------
+    # ---- claims --------------------------------------------------------------------------
 
     def claim(self, slot: int, term: int) -> None:
-        """The supervisor names an heir, in this term."""
-        self._pages.cells[JournalMemory.record_cell(slot) + CLAIM_TERM] = term
+        """The supervisor names a successor in this term."""
+        self._layout.cells[JournalMemory.record_cell(slot) + CLAIM_TERM] = term
 
     def claimed_term(self, slot: int) -> int:
-        """The term in which an heir was named last."""
-        return self._pages.cells[JournalMemory.record_cell(slot) + CLAIM_TERM]
+        """The term in which a successor was last named."""
+        return self._layout.cells[JournalMemory.record_cell(slot) + CLAIM_TERM]
 
     def adopt(self, slot: int, term: int) -> None:
-        """The heir of this term has the work in its own book; from here on it is there."""
-        self._pages.cells[JournalMemory.record_cell(slot) + ADOPTED_TERM] = term
+        """The successor of this term has the request in its own journal, and moves it there by this write."""
+        self._layout.cells[JournalMemory.record_cell(slot) + ADOPTED_TERM] = term
 
     def adopted_term(self, slot: int) -> int:
-        """The term of the heir that has said so."""
-        return self._pages.cells[JournalMemory.record_cell(slot) + ADOPTED_TERM]
+        """The term in which a successor has adopted the request."""
+        return self._layout.cells[JournalMemory.record_cell(slot) + ADOPTED_TERM]
--- a/weldroute/takeover.py
+++ b/weldroute/takeover.py
@@ -1,41 +1,44 @@
-"""Work in hand that outlives its proxy: what an heir does with it, and who the one heir is. Sans I/O, without clocks.
+"""Decides how another process finishes the in-flight requests of a dead one, and which process that is.
 
-What was noted of a piece of work (`weldroute.request_journal`) is weighed against the kernel's own account of its
-connections (`Seen`): how many bytes went out and how many were read. Notes are written before the act that they tell
-of, and the account is exact, so that together they leave no moment in which it is open what has happened:
+Sans I/O and without clocks. The process that takes a request over is its *successor*.
 
-- an attempt of which less than the whole request went out has never run: a backend begins with the last byte; nor has
-  one whose last byte has not come from the caller;
-- an attempt of whose answer nothing was read goes on in the heir, which reads the answer (*join*);
-- of an answer that was kept the rest is given, from the first byte that has not gone out; one of which only the
-  length was noted counts as sent, as long as nothing of it is out.
+A dead process's journal (`weldroute.request_journal`) is compared with the kernel's byte counters of its connections
+(`ConnectionCounters`): how many bytes were sent and how many were read. Journal entries are written before the action
+that they describe, and the counters are exact, so that together they always determine what has happened:
 
-What an heir does; the first row that applies counts. `never` means that no attempt can have run.
+- An attempt of which less than the whole request was sent has never run, because a backend starts with the last byte.
+  Nor has one whose last byte had not arrived from the caller.
+- An attempt of whose answer nothing was read continues in the successor, which reads the answer (*join*).
+- The rest of a stored answer is delivered, from the first byte that was not sent. An answer of which only the length
+  was recorded counts as a sent request as long as none of it has been sent to the caller.
 
-| stage    | class        | besides                              | verdict                                          |
+What a successor does; the first row that applies counts. `never` means that no attempt can have run.
+
+| stage    | class        | further conditions                   | action                                           |
 | -------- | ------------ | ------------------------------------ | ------------------------------------------------ |
-| any      | any          | the caller has gone                  | nothing                                          |
-| answered | any          | all of it is out, and more was read  | refuse what was read: it has certainly not run   |
-| answered | any          | every byte of it is out              | nothing; the connection goes on                  |
-| answered | any          |                                      | give what is left of the answer                  |
-| passing  | any          | or a part out of one that was not kept | cut, so that the caller can tell               |
+| any      | any          | the caller has disconnected          | nothing                                          |
+| answered | any          | all of it is sent, and more was read | refuse what was read: it has certainly not run   |
+| answered | any          | every byte of it is sent             | nothing; the connection continues                |
+| answered | any          |                                      | deliver the rest of the answer                   |
+| streaming | any         | or part of an unstored answer is sent | abort, so that the caller notices               |
 | sent     | any          | an attempt can be joined, time left  | join                                             |
-| taken, or never | any   | time and body left                   | send                                             |
-| taken, or never | any   | no time, or no body                  | refuse                                           |
+| received, or never | any | time and body available             | send                                             |
+| received, or never | any | no time, or no body                 | refuse                                           |
 | sent     | safe         | time left                            | send                                             |
 | sent     | safe         | no time                              | refuse                                           |
 | sent     | keyed        | time, body, within the window        | send, to the group that knows the key            |
-| sent     | keyed by all | else, within the window              | refuse                                           |
-| sent     | keyed        | else                                 | fail                                             |
+| sent     | keyed by all | otherwise, within the window         | refuse                                           |
+| sent     | keyed        | otherwise                            | fail                                             |
 | sent     | unsafe       |                                      | fail                                             |
 
-The claim, within one machine. A supervisor names the heir, and only for work of a process that it has *reaped*: one
-that was merely stopped may wake and go on. It names an heir by a message that only that heir can receive; what has
-not been received it can take back, and then nobody has received it. Who has received one notes the work in its own
-book, and by one write to the book of the one before (*adopts*) the work is there, and no longer here; it acts after
-that. So at every moment the work is in one book: of an heir that dies before that write it is named anew, of one that
-dies after it the work is found in its own book. What an heir has received and neither adopts nor declines waits for
-its end: the supervisor can't tell whether it is about to.
+Claims, within one machine. A supervisor names the successor, and only for requests of a process that it has *reaped*:
+a process that was merely stopped may continue. It names a successor by a message that only this successor can
+receive. A message that was not received can be withdrawn, and then nobody has received it. A successor that has
+received one records the request in its own journal, and moves it there by one write to the previous journal
+(*adopts* it); it acts only after that. So at every moment the request is in one journal: if a successor dies before
+that write, another one is named; if it dies after it, the request is found in its own journal. A request that a
+successor has received and neither adopts nor declines waits for that process to end: the supervisor cannot know
+whether it is about to adopt it.
 """
 
 from __future__ import annotations
@@ -48,14 +51,14 @@
 from weldroute.model import Group, PriorAttempt, Repeat, RequestClass
 from weldroute.request_journal import AttemptEnd, AttemptRecord, Progress, RequestRecord, Stage
 
-AVOID_SECONDS = 0.5  # seconds in which one that has not received what it was offered is offered nothing more
-MIN_TIME_LEFT = 0.05  # seconds: with less an heir's attempt can't be answered in time
-WINDOW_MARGIN = 0.9  # the part of a keyed class's window in which an heir sends
+AVOID_SECONDS = 0.5  # for which a successor that has not received its offers is offered nothing more
+MIN_TIME_LEFT = 0.05  # seconds: with less time left, an attempt of a successor cannot be answered in time
+WINDOW_MARGIN = 0.9  # part of a keyed class's window in which a successor sends
 OK_STATUS_PREFIX = b"HTTP/1.1 200 "
 
 
 class TakeoverAction(Enum):
-    """What an heir does."""
+    """What a successor does with a request."""
 
     JOIN = "join"
     SEND = "send"
@@ -69,17 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCounters:
-    """The kernel's account of a connection."""
+    """The kernel's byte counters of a connection."""
 
     written: int  # bytes that programs wrote to it
     read: int  # bytes that programs read from it
-    closed_by_peer: bool = False  # the far side has ended it
-    unread: int = 0  # bytes that came and were not read yet...
-    last_data_age: float = 0.0  # ...and how many seconds ago the last of them came
+    closed_by_peer: bool = False
+    unread: int = 0  # bytes that have arrived and were not read yet
+    last_data_age: float = 0.0  # seconds since the last unread byte arrived
 
 
 class IdleConnectionAction(Enum):
-    """What becomes of a caller's connection that had no request in hand."""
+    """What a successor does with a caller's connection that had no in-flight request."""
 
     KEEP = "keep"
     REFUSE = "refuse"
@@ -87,123 +90,134 @@
 
 
 def decide_idle_connection(
-    read: int, wrote: int, seen: ConnectionCounters | None
+    recorded_read: int, recorded_written: int, counters: ConnectionCounters | None
 ) -> tuple[IdleConnectionAction, str]:
-    """What an heir does with a caller's connection on which nothing was noted since so much was read and written.
+    """Decide about a caller's connection without a request; `recorded_*` are its journal's byte counts.
 
-    What the dead owner read and had no time to note has certainly not been sent: it is refused, and the connection
-    ends, for the heir can't know how much of a request that was.
+    Bytes that the dead owner read and did not record have certainly not been sent on. The request is refused and the
+    connection closed, because the successor cannot know how much of a request those bytes were.
     """
-    if seen is None or seen.closed_by_peer:
-        return IdleConnectionAction.DROP, "its caller has gone"
-    if seen.written != wrote:
-        return IdleConnectionAction.DROP, "something was answered"
-    if seen.read != read:
-        return IdleConnectionAction.REFUSE, "what was read of it is lost, and has certainly not run"
+    if counters is None or counters.closed_by_peer:
+        return IdleConnectionAction.DROP, "the caller has disconnected"
+    if counters.written != recorded_written:
+        return IdleConnectionAction.DROP, "bytes were sent to the caller that the journal does not have"
+    if counters.read != recorded_read:
+        return IdleConnectionAction.REFUSE, "bytes read from the caller are lost, and have certainly not run"
     return IdleConnectionAction.KEEP, "nothing was lost"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAssessment:
-    """A piece of work, weighed."""
+    """An orphaned request, as its journal and its connections' counters describe it."""
 
     request_class: RequestClass
     stage: Stage
     deadline: float  # seconds, of the machine's clock
-    body_available: bool = True  # at hand whole, or there is none
-    caller_connected: bool = True  # its connection is at hand
-    unsent: int = 0  # bytes of the noted answer that have not gone out
-    read_ahead: bool = False  # more was read from the caller behind this request
+    body_available: bool = True  # the whole body is stored, or there is none
+    caller_connected: bool = True  # the caller's connection is available
+    unsent: int = 0  # bytes of the recorded answer that have not been sent
+    read_ahead: bool = False  # more bytes were read from the caller after this request
     attempts: tuple[PriorAttempt, ...] = ()
 
     @property
     def never_ran(self) -> bool:
-        """Whether it has certainly not run."""
-        return not any(one.maybe_ran for one in self.attempts)
+        """Whether no backend can have run the request."""
+        return not any(attempt.maybe_ran for attempt in self.attempts)
 
 
-def assess_attempt(one: AttemptRecord, seen: ConnectionCounters | None, came: bool = True) -> PriorAttempt:
-    """An attempt, by its note and the account of its connection, if that is at hand.
+def assess_attempt(
+    attempt: AttemptRecord, counters: ConnectionCounters | None, body_received: bool = True
+) -> PriorAttempt:
+    """Derive an attempt's state from its record and from its connection's counters, if that connection is available.
 
-    `came`: the last byte of the request has come from the caller.
+    `body_received`: the last byte of the request has arrived from the caller.
     """
-    maybe, joins = came and one.end is not AttemptEnd.NEVER_RAN, False
-    if maybe and one.end is AttemptEnd.OPEN and seen is not None:
-        out = seen.written - one.bytes_written
-        maybe = out >= one.request_length if one.request_length else out > 0
-        joins = maybe and 0 < one.request_length <= out and seen.read == one.bytes_read
-    return PriorAttempt(one.server, one.sent_at, maybe, joins, one.zone, one.cell)
+    maybe_ran, joinable = body_received and attempt.end is not AttemptEnd.NEVER_RAN, False
+    if maybe_ran and attempt.end is AttemptEnd.OPEN and counters is not None:
+        sent = counters.written - attempt.bytes_written
+        maybe_ran = sent >= attempt.request_length if attempt.request_length else sent > 0
+        joinable = maybe_ran and 0 < attempt.request_length <= sent and counters.read == attempt.bytes_read
+    return PriorAttempt(attempt.server, attempt.sent_at, maybe_ran, joinable, attempt.zone, attempt.cell)
 
 
 def assess(
-    entry: RequestRecord,
-    kind: RequestClass,
+    record: RequestRecord,
+    request_class: RequestClass,
     caller: ConnectionCounters | None,
-    tries: Sequence[ConnectionCounters | None],
+    attempts: Sequence[ConnectionCounters | None],
 ) -> RequestAssessment:
-    """What was noted of a piece of work against what its connections tell."""
-    left, stage = 0, entry.stage
-    there = caller is not None and not caller.closed_by_peer
+    """Compare a request's record with the counters of its caller's and its attempts' connections."""
+    unsent, stage = 0, record.stage
+    connected = caller is not None and not caller.closed_by_peer
     if stage is Stage.ANSWERED and caller is not None:
-        out = caller.written - entry.bytes_written
-        there = there and out <= entry.answer_length  # else something else was answered since
-        left = max(0, entry.answer_length - max(0, out))
-        if left and entry.answer is None:
-            # Its length is all that is known: with nothing out it is as if it had never come.
-            stage, left = (Stage.SENT, 0) if out <= 0 else (Stage.STREAMING, 0)
-    pasts = tuple(
-        assess_attempt(one, seen, entry.body_received) for one, seen in zip(entry.attempts, tries, strict=True)
+        sent = caller.written - record.bytes_written
+        connected = connected and sent <= record.answer_length  # else a later request was answered
+        unsent = max(0, record.answer_length - max(0, sent))
+        if unsent and record.answer is None:
+            # Only its length is known: as long as nothing was sent, the answer counts as never received.
+            stage, unsent = (Stage.SENT, 0) if sent <= 0 else (Stage.STREAMING, 0)
+    prior_attempts = tuple(
+        assess_attempt(attempt, counters, record.body_received)
+        for attempt, counters in zip(record.attempts, attempts, strict=True)
+    )
+    read_ahead = caller is not None and caller.read > record.bytes_read
+    return RequestAssessment(
+        request_class, stage, record.deadline, record.body_stored, connected, unsent, read_ahead, prior_attempts
     )
-    more = caller is not None and caller.read > entry.bytes_read
-    return RequestAssessment(kind, stage, entry.deadline, entry.has_body, there, left, more, pasts)
-
-
-def decide_takeover(work: RequestAssessment, now: float) -> tuple[TakeoverAction, str]:
-    """What an heir does with a piece of work, and why, for the record; see the table of the module."""
-    if not work.caller_connected:
-        return TakeoverAction.NOTHING, "its caller has gone"
-    if work.stage is Stage.ANSWERED:
-        if work.unsent:
-            return TakeoverAction.DELIVER, f"{work.unsent} bytes of its answer are left"
-        if work.read_ahead:
-            return TakeoverAction.REFUSE, "what was read behind it is lost, and has certainly not run"
-        return TakeoverAction.NOTHING, "it is answered"
-    if work.stage is Stage.STREAMING:
-        return TakeoverAction.ABORT, "a part of its answer is out"
-    time = work.deadline - now >= MIN_TIME_LEFT
-    if time and any(one.joined for one in work.attempts):
-        return TakeoverAction.JOIN, "nothing of its backend's answer was read"
-    if work.never_ran:
-        if time and work.body_available:
-            return TakeoverAction.SEND, "it has certainly not run"
-        return TakeoverAction.REFUSE, "it has certainly not run, and " + (
-            "its body is lost" if time else "its time is up"
+
+
+def decide_takeover(request: RequestAssessment, now: float) -> tuple[TakeoverAction, str]:
+    """What a successor does with a request, and the reason for the log; see the table of the module."""
+    if not request.caller_connected:
+        return TakeoverAction.NOTHING, "the caller has disconnected"
+    if request.stage is Stage.ANSWERED:
+        if request.unsent:
+            return TakeoverAction.DELIVER, f"{request.unsent} bytes of the answer are unsent"
+        if request.read_ahead:
+            return TakeoverAction.REFUSE, "bytes read after the request are lost, and have certainly not run"
+        return TakeoverAction.NOTHING, "the request is answered"
+    if request.stage is Stage.STREAMING:
+        return TakeoverAction.ABORT, "part of the answer is sent"
+    time_left = request.deadline - now >= MIN_TIME_LEFT
+    if time_left and any(attempt.joined for attempt in request.attempts):
+        return TakeoverAction.JOIN, "nothing of the backend's answer was read"
+    if request.never_ran:
+        if time_left and request.body_available:
+            return TakeoverAction.SEND, "the request has certainly not run"
+        return TakeoverAction.REFUSE, "the request has certainly not run, and " + (
+            "its body is lost" if time_left else "its deadline has passed"
         )
-    return _decide_sent(work, now, time)
+    return _decide_sent(request, now, time_left)
 
 
-def _decide_sent(work: RequestAssessment, now: float, time: bool) -> tuple[TakeoverAction, str]:
-    repeat = work.request_class.repeat
+def _decide_sent(request: RequestAssessment, now: float, time_left: bool) -> tuple[TakeoverAction, str]:
+    repeat = request.request_class.repeat
     if repeat is Repeat.SAFE:
         return (
-            (TakeoverAction.SEND, "harmless to repeat")
-            if time
-            else (TakeoverAction.REFUSE, "harmless, and its time is up")
+            (TakeoverAction.SEND, "safe to repeat")
+            if time_left
+            else (TakeoverAction.REFUSE, "safe to repeat, and its deadline has passed")
         )
     if repeat is Repeat.UNSAFE:
-        return TakeoverAction.FAIL, "it may have run"
-    first = min((one.sent for one in work.attempts if one.maybe_ran), default=-math.inf)
-    within = now - first < WINDOW_MARGIN * work.request_class.window
-    if time and work.body_available and within:
-        return TakeoverAction.SEND_TO_GROUP, "its group knows the key"
-    why = "its time is up" if not time else "its body is lost" if not work.body_available else "its window is over"
-    if work.request_class.group is Group.ALL and within:
-        return TakeoverAction.REFUSE, f"whoever gets it again knows the key, and {why}"
-    return TakeoverAction.FAIL, f"it may have run, and {why}"
+        return TakeoverAction.FAIL, "the request may have run"
+    first_sent = min((attempt.sent for attempt in request.attempts if attempt.maybe_ran), default=-math.inf)
+    in_window = now - first_sent < WINDOW_MARGIN * request.request_class.window
+    if time_left and request.body_available and in_window:
+        return TakeoverAction.SEND_TO_GROUP, "the group of servers knows the key"
+    reason = (
+        "its deadline has passed"
+        if not time_left
+        else "its body is lost"
+        if not request.body_available
+        else "its window is over"
+    )
+    if request.request_class.group is Group.ALL and in_window:
+        return TakeoverAction.REFUSE, f"every server knows the key, and {reason}"
+    return TakeoverAction.FAIL, f"the request may have run, and {reason}"
 
 
 class FollowStep(Enum):
-    """What one who follows the work of a key does now."""
+    """What a request that waits for another request of the same key does next."""
 
     WAIT = "wait"
     DELIVER = "give"
@@ -211,152 +225,162 @@
 
 
 def decide_follow(progress: Progress | None, now: float) -> tuple[FollowStep, str]:
-    """What one does who was asked for the same as another has in hand, or had; for times, see `Progress`.
+    """What a request does while a request of the same key is, or was, in flight elsewhere; see `Progress` for times.
 
-    Only an answer that was served is passed on. Where there is none to be had it asks for itself: its group knows the
-    key, within the window that holds for any repeat.
+    Only a 200 answer is passed on. Without one the request is sent to a backend itself: its group of servers knows
+    the key, within the window that holds for any repeat.
     """
     if progress is None:
-        return FollowStep.PROCEED, "it is nowhere in hand"
+        return FollowStep.PROCEED, "no such request is in flight"
     if progress.stage is Stage.ANSWERED:
         if now >= progress.replay_until:
             return FollowStep.PROCEED, "its window is over"
         served = progress.answer is not None and progress.answer.startswith(OK_STATUS_PREFIX)
-        return (FollowStep.DELIVER, "it is answered") if served else (FollowStep.PROCEED, "it was not served")
+        return (
+            (FollowStep.DELIVER, "the request is answered")
+            if served
+            else (FollowStep.PROCEED, "the request was not served")
+        )
     if progress.stage is Stage.STREAMING:
-        return FollowStep.PROCEED, "its answer is too long to be kept"
+        return FollowStep.PROCEED, "the answer is too long to be stored"
     if now >= progress.deadline:
-        return FollowStep.PROCEED, "its time was up"
-    return FollowStep.WAIT, "it is in hand"
+        return FollowStep.PROCEED, "the request's deadline has passed"
+    return FollowStep.WAIT, "the request is in flight"
 
 
-# ---- the claim ----------------------------------------------------------------------------
+# ---- claims -------------------------------------------------------------------------------
 
-RequestRef = tuple[int, int]  # of work: a process, and the slot in its book
+RequestRef = tuple[int, int]  # a process, and the request's slot in its journal
 
 
 @dataclass(slots=True)
 class Claim:
-    """Who is to have a piece of work."""
+    """Which process is to take an orphaned request over."""
 
-    expires_at: float  # when it is of no use to anybody any more
-    successor: int = 0  # a process, by a number that is never used again; 0: nobody
-    term: int = 0  # grows with each naming
-    assigned_at: float = -math.inf  # of the naming
-    declined_by: set[int] = field(default_factory=set)  # heirs that can't carry it
+    expires_at: float  # when a takeover is of no use any more
+    successor: int = 0  # a process, by a number that is never used again; 0: none
+    term: int = 0  # grows each time that a successor is named
+    assigned_at: float = -math.inf  # when the successor was named
+    declined_by: set[int] = field(default_factory=set)  # successors that cannot take it
 
 
 @dataclass(slots=True)
 class TakeoverPlanner:
-    """The supervisor's side of all claims: who inherits, how much at a time, and only from the reaped."""
+    """The supervisor's side of all claims: assigns requests of reaped processes to successors, a few at a time."""
 
-    max_pending: int = 32  # pieces of work that one heir is given at once
-    adoption_timeout: float = 0.25  # seconds until work that an heir has not adopted is taken back, if it can be
+    max_pending: int = 32  # requests that one successor is given at once
+    adoption_timeout: float = 0.25  # seconds until an unadopted request is withdrawn, if that is possible
     claims: dict[RequestRef, Claim] = field(default_factory=dict)
-    orphans: list[RequestRef] = field(default_factory=list)  # work that waits for an heir, most urgent first
-    avoided_until: dict[int, float] = field(
-        default_factory=dict
-    )  # heirs that were slow, and until when they are left out
-
-    def add_orphans(self, process: int, work: Iterable[tuple[int, float]]) -> None:
-        """A process is reaped, and leaves these slots of its book; with each, until when an heir is of use."""
-        for slot, until in work:
-            self.claims[process, slot] = Claim(until)
+    orphans: list[RequestRef] = field(default_factory=list)  # requests without a successor, most urgent first
+    avoided_until: dict[int, float] = field(default_factory=dict)  # slow successors: until when they get no offers
+
+    def add_orphans(self, process: int, requests: Iterable[tuple[int, float]]) -> None:
+        """Add requests of a reaped process: slots of its journal, each with the time until which it is of use."""
+        for slot, expires_at in requests:
+            self.claims[process, slot] = Claim(expires_at)
             self.orphans.append((process, slot))
         self._sort()
 
     def _sort(self) -> None:
-        self.orphans.sort(key=lambda piece: (self.claims[piece].expires_at, piece))
+        self.orphans.sort(key=lambda request: (self.claims[request].expires_at, request))
 
     def on_reaped(self, process: int) -> list[RequestRef]:
-        """An heir is no more: what it was given and has not adopted (see `adopted`) waits again."""
-        back = [piece for piece, claim in self.claims.items() if claim.successor == process]
-        for piece in back:
-            self._unassign(piece)
-        return back
-
-    def _unassign(self, piece: RequestRef) -> None:
-        claim = self.claims[piece]
+        """A successor has died: requests that it was given and has not adopted (see `on_adopted`) wait again."""
+        returned = [request for request, claim in self.claims.items() if claim.successor == process]
+        for request in returned:
+            self._unassign(request)
+        return returned
+
+    def _unassign(self, request: RequestRef) -> None:
+        claim = self.claims[request]
         claim.successor, claim.assigned_at = 0, -math.inf
-        self.orphans.append(piece)
+        self.orphans.append(request)
         self._sort()
 
-    def assign(self, now: float, heirs: Iterable[tuple[int, int]]) -> dict[int, list[tuple[RequestRef, int]]]:
-        """Name heirs, out of (process, requests that it has in hand): by heir, the work and its term.
+    def assign(self, now: float, candidates: Iterable[tuple[int, int]]) -> dict[int, list[tuple[RequestRef, int]]]:
+        """Assign requests to candidates (process, in-flight requests); returns requests and terms by successor.
 
-        The one with the least in hand is given the next, and none has more than `pace` to adopt at once, so that
-        heirs are not pushed over by what they inherit; what is left waits for the next call. What an heir has
-        declined goes to another; where all have, it is offered again at the next call.
+        The candidate with the fewest in-flight requests gets the next one, and none has more than `max_pending` to
+        adopt at once, so that takeovers do not overload successors; the rest waits for the next call. A request that
+        one successor has declined goes to another; when all have declined it, it is offered again at the next call.
         """
-        load = dict(heirs)
-        room = {heir: self.max_pending - self._assigned_count(heir) for heir in load}
-        given: dict[int, list[tuple[RequestRef, int]]] = {}
+        load = dict(candidates)
+        room = {candidate: self.max_pending - self._assigned_count(candidate) for candidate in load}
+        assigned: dict[int, list[tuple[RequestRef, int]]] = {}
         waiting: list[RequestRef] = []
-        for piece in self.orphans:
-            claim = self.claims[piece]
-            able = [heir for heir in load if room[heir] > 0 and heir not in claim.declined_by and heir != piece[0]]
-            if not able:
+        for request in self.orphans:
+            claim = self.claims[request]
+            eligible = [
+                candidate
+                for candidate in load
+                if room[candidate] > 0 and candidate not in claim.declined_by and candidate != request[0]
+            ]
+            if not eligible:
                 if claim.declined_by.issuperset(load):
                     claim.declined_by.clear()
-                waiting.append(piece)
+                waiting.append(request)
                 continue
-            heir = min(able, key=lambda process: (load[process], process))
-            claim.successor, claim.term, claim.assigned_at = heir, claim.term + 1, now
-            given.setdefault(heir, []).append((piece, claim.term))
-            load[heir] += 1
-            room[heir] -= 1
+            successor = min(eligible, key=lambda process: (load[process], process))
+            claim.successor, claim.term, claim.assigned_at = successor, claim.term + 1, now
+            assigned.setdefault(successor, []).append((request, claim.term))
+            load[successor] += 1
+            room[successor] -= 1
         self.orphans = waiting
-        return given
+        return assigned
 
-    def _assigned_count(self, heir: int) -> int:
-        return sum(claim.successor == heir for claim in self.claims.values())
+    def _assigned_count(self, successor: int) -> int:
+        return sum(claim.successor == successor for claim in self.claims.values())
 
     def assigned(self) -> list[tuple[RequestRef, Claim]]:
-        """Work that was handed on and is not known to be adopted."""
-        return [(piece, claim) for piece, claim in self.claims.items() if claim.successor]
-
-    def on_adopted(self, piece: RequestRef) -> None:
-        """The heir has it in its own book, or it is over."""
-        self.claims.pop(piece, None)
-        if piece in self.orphans:
-            self.orphans.remove(piece)
-
-    def on_declined(self, piece: RequestRef, heir: int, term: int) -> bool:
-        """An heir can't carry it; whether that was its own to say."""
-        claim = self.claims.get(piece)
-        if claim is None or (claim.successor, claim.term) != (heir, term):
+        """Requests that have a successor and are not known to be adopted."""
+        return [(request, claim) for request, claim in self.claims.items() if claim.successor]
+
+    def on_adopted(self, request: RequestRef) -> None:
+        """The successor has the request in its own journal, or the request is over."""
+        self.claims.pop(request, None)
+        if request in self.orphans:
+            self.orphans.remove(request)
+
+    def on_declined(self, request: RequestRef, successor: int, term: int) -> bool:
+        """A successor cannot take the request; returns whether the request was still assigned to it in this term."""
+        claim = self.claims.get(request)
+        if claim is None or (claim.successor, claim.term) != (successor, term):
             return False
-        claim.declined_by.add(heir)
-        self._unassign(piece)
+        claim.declined_by.add(successor)
+        self._unassign(request)
         return True
 
     def slow_successors(self, now: float) -> set[int]:
-        """Heirs with work that they have not adopted in time: what they have not received is to be taken back."""
+        """Successors that have not adopted requests in time: their unreceived offers are to be withdrawn."""
         return {claim.successor for _, claim in self.assigned() if now - claim.assigned_at > self.adoption_timeout}
 
-    def avoid(self, now: float, heir: int) -> None:
-        """It has not received in time what it was offered: most likely it stands still.
+    def avoid(self, now: float, successor: int) -> None:
+        """A successor has not received an offer in time and has most likely stalled: offer it nothing for a while.
 
-        Guards what is handed on against going from one stalled heir to the next, each at the cost of `patience`.
+        Guards orphaned requests against going from one stalled successor to the next, at the cost of
+        `adoption_timeout` each time.
         """
-        self.avoided_until[heir] = now + AVOID_SECONDS
-
-    def available(self, now: float, heirs: Iterable[tuple[int, int]]) -> list[tuple[int, int]]:
-        """Those of (process, requests in hand) that are worth an offer now, the least at work first."""
-        self.avoided_until = {heir: until for heir, until in self.avoided_until.items() if until > now}
-        return sorted((heir for heir in heirs if heir[0] not in self.avoided_until), key=lambda heir: heir[1])
+        self.avoided_until[successor] = now + AVOID_SECONDS
+
+    def available(self, now: float, candidates: Iterable[tuple[int, int]]) -> list[tuple[int, int]]:
+        """The (process, in-flight requests) that may get an offer now, those with the fewest requests first."""
+        self.avoided_until = {process: until for process, until in self.avoided_until.items() if until > now}
+        return sorted(
+            (candidate for candidate in candidates if candidate[0] not in self.avoided_until),
+            key=lambda candidate: candidate[1],
+        )
 
-    def on_withdrawn(self, piece: RequestRef, heir: int, term: int) -> bool:
-        """The message that named an heir was not received, and never will be; whether that naming still holds."""
-        return self.on_declined(piece, heir, term)
+    def on_withdrawn(self, request: RequestRef, successor: int, term: int) -> bool:
+        """An offer was withdrawn unreceived; returns whether the request was still assigned to that successor."""
+        return self.on_declined(request, successor, term)
 
     def expire(self, now: float) -> list[RequestRef]:
-        """Work that nobody inherited while it was of use; it is forgotten."""
-        late = [piece for piece in self.orphans if self.claims[piece].expires_at <= now]
-        for piece in late:
-            self.on_adopted(piece)
-        return late
+        """Drop and return the requests that no successor has taken over while that was of use."""
+        expired = [request for request in self.orphans if self.claims[request].expires_at <= now]
+        for request in expired:
+            self.on_adopted(request)
+        return expired
 
     def has_claims(self, process: int) -> bool:
-        """Whether anything of a process's book is still claimed or waits."""
-        return any(piece[0] == process for piece in self.claims)
+        """Whether any request of a process's journal is still claimed or waits."""
+        return any(request[0] == process for request in self.claims)
