--- a/weldroute/request_journal.py
+++ b/weldroute/request_journal.py
@@ -199,7 +199,7 @@
         return begin + expiries.index(min(expiries)) * self.ROW_CELLS, False
 
     def put(self, digest: int, journal: int, slot: int, expires_at: float, row: int = NONE) -> None:
-        """Store a key's location until `expires_at` (seconds, of the machine's clock); `row`: as returned by `lookup`."""
+        """Store a key's location until `expires_at` (machine's clock, seconds); `row`: as returned by `lookup`."""
         cell = row if row != NONE else self._locate(digest)[0]
         location, expiry = journal << 32 | slot, int(expires_at * NS_PER_SECOND)
         self._cells[cell + 3] = 0
