--- a/weldroute/snapshots.py
+++ b/weldroute/snapshots.py
@@ -2,21 +2,21 @@
 
 A *record* is one serialized state of `weldroute.handover` (or of the fleet) in an envelope: its kind, its owner, the
 fleet's epoch, a serial number, and the time of writing by two clocks: Unix time, and seconds since boot together with
-the boot's id. The second gives the age as long as the machine has not booted since; setting the clock can't change it.
+the boot's id. The second gives the age as long as the machine has not booted since; no set clock can change it.
 
 `assess` decides what is trusted. Order matters: the first row that applies is the verdict.
 
-| found                                               | verdict                  | what is used                            |
-| --------------------------------------------------- | ------------------------ | --------------------------------------- |
-| nothing, or no intact copy                          | NOTHING "nothing"        | nothing                                 |
-| a format version above ours                         | NEWER "newer"            | nothing, and it is not overwritten      |
-| another instance's or another fleet's record        | FOREIGN "foreign"        | nothing                                 |
-| an epoch above the fleet's current one              | AHEAD "ahead"            | orders only: the supervisor lost its state |
-| a time of writing after now: a clock was set back   | UNDATED "undated"        | orders, and the list with unknown age   |
-| older than `list_for`                               | OLD "old"                | orders only                             |
-| older than what other instances are known to have   | SUPERSEDED "overtaken"   | orders, unless newer ones are available |
-| older than `learned_for`                            | AGED "aged"              | orders and the list                     |
-| else                                                | FRESH "fresh"            | all                                     |
+| found                                              | verdict                | what is used                          |
+| -------------------------------------------------- | ---------------------- | ------------------------------------- |
+| nothing, or no intact copy                         | NOTHING "nothing"      | nothing                               |
+| a format version above ours                        | NEWER "newer"          | nothing, and it is not overwritten    |
+| another instance's or another fleet's record       | FOREIGN "foreign"      | nothing                               |
+| an epoch above the fleet's current one             | AHEAD "ahead"          | orders only: a supervisor lost state  |
+| a time of writing after now: a clock was set back  | UNDATED "undated"      | orders, and the list with unknown age |
+| older than `list_for`                              | OLD "old"              | orders only                           |
+| older than what other instances are known to have  | SUPERSEDED "overtaken" | orders, unless newer ones are known   |
+| older than `learned_for`                           | AGED "aged"            | orders and the list                   |
+| else                                               | FRESH "fresh"          | all                                   |
 
 Operator orders (bans, the drain) are never dropped for their age: only operators take them back, or a newer version.
 """
