--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -1,7 +1,7 @@
-"""One proxy's return to service: what it kept goes in, what it learns is kept, and its door and paces obey.
+"""Recovery of one proxy after a restart: restores stored state, stores new state, and applies rate limits.
 
-Decisions are `weldroute.recovery`'s and `weldroute.snapshots`'s; files are `cometusher.store`'s; why:
-`docs/design/comeback.md`. Imported only by an instance whose fleet has it switched on.
+The decisions are made by `weldroute.recovery` and `weldroute.snapshots`, files are handled by `cometusher.store`;
+design: `docs/design/comeback.md`. Imported only by an instance whose fleet has recovery enabled.
 """
 
 from __future__ import annotations
@@ -34,38 +34,38 @@
 log = logging.getLogger("cometusher.comeback")  # the `subsystem` of its log records
 
 RECORD_KINDS = ("standing", "list", "learned")
-SAVE_EVERY = 1.0  # seconds between writings of what was learned
-LIST_EVERY = 5.0  # seconds between writings of a list that has not changed, for its age to be that of its truth...
-LIST_ROWS = 200.0  # ...and so many rows a second of it
-NAMES_ITSELF = b"x-backend"  # a backend may name itself in its answers
+LEARNED_INTERVAL = 1.0  # seconds between writes of learned state
+LIST_INTERVAL = 5.0  # seconds between writes of an unchanged list, which renew its age
+LIST_ROWS_PER_SECOND = 200.0  # limit of the rate at which an unchanged list is written
+BACKEND_NAME_HEADER = b"x-backend"  # a backend may name itself in its answers
 
-Report = Callable[[dict[str, Any]], None]
+ReportCallback = Callable[[dict[str, Any]], None]
 
 
 class RecordSink(Protocol):
-    """Where records are kept while the process runs."""
+    """Where records are stored while the process runs."""
 
     def put(self, kind: str, body: object) -> None:
-        """Have a form written soon."""
+        """Schedule a serialized state to be written soon."""
 
     async def close(self) -> None:
-        """Write what is due, and let go."""
+        """Write what is pending and release the store."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """All that one instance is told of its return."""
+    """What the supervisor gives one instance for its recovery."""
 
     plan: RecoveryPlan
     limits: AgeLimits
     owner: Owner
     store: Path
     known: KnownVersions = field(default_factory=KnownVersions)
-    standing: dict[str, Any] | None = None  # the orders that the fleet knows of, where they are newer
+    standing: dict[str, Any] | None = None  # the fleet's copy of the operator orders, where it is newer
 
 
 def read_recovery_config(path: Path) -> RecoveryConfig | None:
-    """The part of an instance's file that its supervisor wrote for it, if any; raises ConfigError."""
+    """Read the recovery part that a supervisor wrote into an instance's file, if any; raises ConfigError."""
     try:
         values = orjson.loads(path.read_bytes()).get("comeback")
         if values is None:
@@ -75,160 +75,165 @@
         limits.check()
         owner, known = Owner(**values["owner"]), KnownVersions(**values["known"])
         return RecoveryConfig(plan, limits, owner, Path(values["store"]), known, values["standing"])
-    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as fault:
-        raise ConfigError(f"{path}: comeback: {fault}") from None
+    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as error:
+        raise ConfigError(f"{path}: comeback: {error}") from None
 
 
-def write_recovery_config(returning: RecoveryConfig) -> dict[str, Any]:
-    """That part, for `read_returning`."""
-    return asdict(returning) | {"store": str(returning.store)}
+def write_recovery_config(config: RecoveryConfig) -> dict[str, Any]:
+    """The recovery part of an instance's file as plain values, for `read_recovery_config`."""
+    return asdict(config) | {"store": str(config.store)}
 
 
-def open_store(returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
-    """What is kept on disk, and where to keep more."""
-    records = RecordFile(returning.store)
+def open_store(config: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+    """The records on disk, and where to store new ones."""
+    records = RecordFile(config.store)
     found = records.read(RECORD_KINDS)
     if records.problem:
-        log.warning("the store %s: %s", returning.store.name, records.problem)
-    return found, RecordWriter(records, returning.owner, moment)
+        log.warning("the store %s: %s", config.store.name, records.problem)
+    return found, RecordWriter(records, config.owner, moment)
 
 
 class RecoveryController:
-    """The return of one proxy, from its start to its end."""
+    """Runs the recovery of one proxy, from its start to its end."""
 
-    def __init__(self, proxy: Proxy, returning: RecoveryConfig) -> None:
+    def __init__(self, proxy: Proxy, config: RecoveryConfig) -> None:
         self._proxy = proxy
-        self._returning = returning
-        self._moment = proxy.network.moment
-        found, self._kept = proxy.network.keep(returning)
+        self._config = config
+        self._read_clock = proxy.network.moment
+        found, self._sink = proxy.network.keep(config)
         learned = found.get("learned")
-        calm = learned.body.get("calm") if learned is not None and isinstance(learned.body, dict) else None
-        calm = float(calm) if isinstance(calm, (int, float)) and not isinstance(calm, bool) else None
-        self.state = Recovery(proxy.loop.time(), returning.plan, proxy.config.seed, calm)
-        self.report: Report = lambda values: None
-        self._version = 0  # of the orders
-        self._save_at = self._list_at = 0.0
+        rate = learned.body.get("calm") if learned is not None and isinstance(learned.body, dict) else None
+        rate = float(rate) if isinstance(rate, (int, float)) and not isinstance(rate, bool) else None
+        self.state = Recovery(proxy.loop.time(), config.plan, proxy.config.seed, rate)
+        self.report: ReportCallback = lambda values: None
+        self._orders_version = 0
+        self._learned_due_at = self._list_due_at = 0.0
         self._list_changed = False
-        self._waiting: dict[str, Callable[[], None]] = {}
+        self._queued: dict[str, Callable[[], None]] = {}  # what forwards each queued request
         self._timer: asyncio.TimerHandle | None = None
-        self._pending: dict[str, Entry] | None = None  # a list of discovery's that is doubted; it may be empty
-        self._over = False
-        # Guards a tier that is coming back itself against what many saved up at once.
+        self._distrusted_list: dict[str, Entry] | None = None  # discovery's list while distrusted; may be empty
+        self._stopping = False
+        # Guards a tier that is recovering itself against a burst of the retries that many instances have saved up.
         proxy.balancer.retry_tokens = INITIAL_RETRY_TOKENS
         proxy.balancer.copy_tokens = 0.0
-        proxy.discovery.patience = returning.plan.discovery_interval
-        self._take_over(found)
+        proxy.discovery.patience = config.plan.discovery_interval
+        self._restore(found)
 
-    # ---- what was kept -------------------------------------------------------------------
+    # ---- stored state --------------------------------------------------------------------
 
     def _trust(self, kind: str, record: Record | None) -> Trust:
-        returning = self._returning
-        verdict, why = assess(record, returning.owner, self._moment(), returning.limits, returning.known)
+        config = self._config
+        verdict, reason = assess(record, config.owner, self._read_clock(), config.limits, config.known)
         level = logging.INFO if verdict in (Trust.FRESH, Trust.AGED, Trust.NOTHING) else logging.WARNING
-        log.log(level, "kept %s: %s: %s", kind, verdict.value, why, extra={"event": "remembered"})
+        log.log(level, "stored %s: %s: %s", kind, verdict.value, reason, extra={"event": "remembered"})
         return verdict
 
-    def _take_over(self, found: dict[str, Record]) -> None:
+    def _restore(self, found: dict[str, Record]) -> None:
         proxy = self._proxy
         trust = {kind: self._trust(kind, found.get(kind)) for kind in RECORD_KINDS}
         if "list" in USABLE_PARTS[trust["list"]]:
-            self._take_list(found["list"])
+            self._restore_list(found["list"])
         if not self.state.ready and proxy.backends.server_ids():
             self.state.on_stored_list(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
         if "learned" in USABLE_PARTS[trust["learned"]]:
             try:
-                known = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
-                log.info("took over what was learned of %d backends", known)
-            except Unusable as fault:
-                log.warning("what was learned is left aside: %s", fault)
+                restored = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
+                log.info("restored the learned state of %d backends", restored)
+            except Unusable as error:
+                log.warning("the stored learned state is ignored: %s", error)
         self._restore_orders(found.get("standing") if "standing" in USABLE_PARTS[trust["standing"]] else None)
 
-    def _take_list(self, record: Record) -> None:
+    def _restore_list(self, record: Record) -> None:
         proxy = self._proxy
         try:
             listing = take_list(proxy, record.body)
-        except Unreadable as fault:
-            log.warning("the kept list is left aside: %s", fault)
+        except Unreadable as error:
+            log.warning("the stored list is ignored: %s", error)
             return
-        passed = age(record, self._moment())
-        self.state.on_stored_list(proxy.loop.time(), len(listing.entries), passed, listing.seq)
+        seconds = age(record, self._read_clock())
+        self.state.on_stored_list(proxy.loop.time(), len(listing.entries), seconds, listing.seq)
 
     def _restore_orders(self, record: Record | None) -> None:
-        """Of the instance's own and the fleet's copy, the higher version: an order is never forgotten silently."""
+        """Apply the instance's or the fleet's copy of the operator orders, whichever has the higher version.
+
+        So no order is lost without a log entry.
+        """
         orders: Standing | None = None
-        mine = record.body if record is not None else None
-        for where, body in (("kept", mine), ("fleet's", self._returning.standing)):
+        own = record.body if record is not None else None
+        for source, body in (("stored", own), ("fleet's", self._config.standing)):
             if body is None:
                 continue
             try:
                 read = read_standing(body)
-            except Unusable as fault:
-                log.warning("the %s orders are left aside: %s", where, fault)
+            except Unusable as error:
+                log.warning("the %s orders are ignored: %s", source, error)
                 continue
             if orders is None or read.version > orders.version:
                 orders = read
         if orders is not None:
-            self._version = orders.version
+            self._orders_version = orders.version
             take_standing(self._proxy, orders)
 
-    # ---- what discovery tells ------------------------------------------------------------
+    # ---- discovery -----------------------------------------------------------------------
 
     def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> Sequence[Entry] | None:
-        """What to apply of what discovery tells; None for nothing of it now."""
+        """Discovery reported a list or a change to it; return the entries to apply, or None to apply nothing now."""
         if kind in (ListKind.BROKEN, ListKind.STALE):
             return entries
         proxy, now = self._proxy, self._proxy.loop.time()
         whole = kind is ListKind.WHOLE
-        hearing = self.state.on_list(now, whole, len(entries), proxy.discovery.seq)
+        decision = self.state.on_list(now, whole, len(entries), proxy.discovery.seq)
         self._list_changed = True
         if whole:
-            self._pending = None if hearing is ListDecision.ACCEPT else {entry.host: entry for entry in entries}
-        elif self._pending is not None:
-            self._pending.update((entry.host, entry) for entry in entries)
-        if hearing is ListDecision.ACCEPT:
+            self._distrusted_list = (
+                None if decision is ListDecision.ACCEPT else {entry.host: entry for entry in entries}
+            )
+        elif self._distrusted_list is not None:
+            self._distrusted_list.update((entry.host, entry) for entry in entries)
+        if decision is ListDecision.ACCEPT:
             proxy.loop.call_soon(self.release_queued)
             return entries
-        return None if hearing is ListDecision.WAIT else self._merge(entries)
+        return None if decision is ListDecision.WAIT else self._merge(entries)
 
     def _merge(self, entries: Sequence[Entry]) -> list[Entry]:
-        """The remembered list with what is newer in a list of a lower version."""
+        """The stored list with the newer entries of a list that has a lower version."""
         proxy = self._proxy
         servers = proxy.balancer.servers
-        told = {entry.row.server: entry for entry in entries}
+        reported = {entry.row.server: entry for entry in entries}
         merged = []
-        for item in read_listing(write_list(proxy), proxy.config.zones).entries:
-            other = told.get(item.row.server)
-            known = servers[item.row.server].row
-            merged.append(item if other is None or self.state.prefers_stored(known, other.row) else other)
+        for stored in read_listing(write_list(proxy), proxy.config.zones).entries:
+            entry = reported.get(stored.row.server)
+            row = servers[stored.row.server].row
+            merged.append(stored if entry is None or self.state.prefers_stored(row, entry.row) else entry)
         return merged
 
-    # ---- the door ------------------------------------------------------------------------
+    # ---- admission -----------------------------------------------------------------------
 
-    def admit(self, exchange: Exchange, kind: int, ask: Callable[[], None]) -> None:
-        """Let a request go on now (`ask`), later, or not at all."""
+    def admit(self, exchange: Exchange, class_index: int, forward: Callable[[], None]) -> None:
+        """Forward a request now, queue it, or refuse it; `forward` is called when it may go on."""
         proxy, state = self._proxy, self.state
         now = proxy.loop.time()
         state.on_connections_opened(now, proxy.backends.connections_opened)
         left = exchange.deadline - proxy.clock.now()
-        aim = proxy.config.settings.classes[kind].aim
-        verdict = state.admit(now, exchange.request_id, now + left, aim, self._free())
-        if verdict is AdmissionVerdict.PASS or self._over:
+        aim = proxy.config.settings.classes[class_index].aim
+        verdict = state.admit(now, exchange.request_id, now + left, aim, self._idle_connections())
+        if verdict is AdmissionVerdict.PASS or self._stopping:
             state.withdraw(exchange.request_id)
-            ask()
+            forward()
         elif verdict is AdmissionVerdict.REFUSE:
             self._refuse(exchange)
         else:
-            self._waiting[exchange.request_id] = ask
-            self._plan()
+            self._queued[exchange.request_id] = forward
+            self._schedule_release()
 
     def preferred_servers(self) -> list[int] | None:
-        """The servers that first tries keep to now: those with an idle connection, while no new one may be opened."""
+        """Servers to prefer for first attempts: those with an idle connection, while no new one may be opened."""
         state = self.state
         if not state.rate_limited or state.rate_limiter.available(self._proxy.loop.time()) >= 1.0:
             return None
         return list(self._proxy.backends.idle_servers())
 
-    def _free(self) -> int:
+    def _idle_connections(self) -> int:
         if not self.state.rate_limited:
             return 0
         balancer, count = self._proxy.balancer, 0
@@ -240,49 +245,49 @@
 
     def _refuse(self, exchange: Exchange) -> None:
         limits = self._proxy.config.settings.limits
-        after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
-        exchange.last_failure = "coming back"
-        self._proxy.reject(Refuse(exchange.request_id, after))
+        retry_after = min(self.state.retry_after(), limits.max_retry_after) if limits.retry_after else 0.0
+        exchange.last_failure = "recovering after a restart"
+        self._proxy.reject(Refuse(exchange.request_id, retry_after))
 
     def release_queued(self) -> None:
-        """Let those go on whose turn has come."""
+        """Refuse overdue requests and forward those whose turn has come."""
         proxy, state = self._proxy, self.state
         now = proxy.loop.time()
-        for request in state.pop_overdue(now):
-            self._waiting.pop(str(request), None)
-            exchange = proxy.exchange(str(request))
+        for request_id in state.pop_overdue(now):
+            self._queued.pop(str(request_id), None)
+            exchange = proxy.exchange(str(request_id))
             if exchange is not None:
                 self._refuse(exchange)
         while state.queue_length:
             state.on_connections_opened(now, proxy.backends.connections_opened)
-            turn = state.release_next(now, self._free())
-            if turn is None:
+            released = state.release_next(now, self._idle_connections())
+            if released is None:
                 break
-            ask = self._waiting.pop(str(turn), None)
-            if ask is not None:
-                ask()
-        self._plan()
+            forward = self._queued.pop(str(released), None)
+            if forward is not None:
+                forward()
+        self._schedule_release()
 
-    def _plan(self) -> None:
+    def _schedule_release(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         now = self._proxy.loop.time()
-        due = self.state.next_wakeup(now)
-        if due < float("inf"):
-            self._timer = self._proxy.loop.call_later(max(0.001, due - now), self.release_queued)
+        wakeup = self.state.next_wakeup(now)
+        if wakeup < float("inf"):
+            self._timer = self._proxy.loop.call_later(max(0.001, wakeup - now), self.release_queued)
 
     def on_caller_gone(self, exchange: Exchange) -> None:
-        """A caller has gone away."""
-        if self._waiting.pop(exchange.request_id, None) is not None:
+        """A caller has closed its connection."""
+        if self._queued.pop(exchange.request_id, None) is not None:
             self.state.withdraw(exchange.request_id)
 
     def on_deadline(self, exchange: Exchange) -> bool:
-        """A request's time is up; whether it has waited here, and is refused now.
+        """A request's deadline has passed; return whether it was queued here and is refused now.
 
-        Guards against timers that come late or in another order: what a caller gives may be a millisecond.
+        Guards against timers that fire late or in another order: a caller's budget may be a millisecond.
         """
-        if self._waiting.pop(exchange.request_id, None) is None:
+        if self._queued.pop(exchange.request_id, None) is None:
             return False
         self.state.withdraw(exchange.request_id)
         self.state.on_refused(self._proxy.loop.time())
@@ -291,108 +296,108 @@
 
     # ---- attempts ------------------------------------------------------------------------
 
-    def on_attempt_ended(self, attempt: Attempt, how: Outcome, response: Response | None) -> Outcome:
-        """An attempt has ended; as what it counts.
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> Outcome:
+        """An attempt has ended; return the outcome that it counts as.
 
-        Guards against answers of another than was meant: a remembered address may be somebody else's by now.
+        Guards against answers from another server: a stored address may have been given to another one by now.
         """
         proxy, state = self._proxy, self.state
         state.on_connections_opened(proxy.loop.time(), proxy.backends.connections_opened)
         if not state.discovery_reported:
-            if how is Outcome.OK and response is not None and self._other(attempt.server, response):
-                self._drop(attempt.server, "answers as another")
-                how = Outcome.BROKEN
-            elif how is Outcome.UNREACHABLE:
-                self._drop(attempt.server, "refuses connections")
-            elif how is Outcome.REJECTED:
-                self._drop(attempt.server, "knows no such requests")
-        if how is Outcome.OK:
+            if outcome is Outcome.OK and response is not None and self._is_other_server(attempt.server, response):
+                self._drop_server(attempt.server, "answers under another name")
+                outcome = Outcome.BROKEN
+            elif outcome is Outcome.UNREACHABLE:
+                self._drop_server(attempt.server, "refuses connections")
+            elif outcome is Outcome.REJECTED:
+                self._drop_server(attempt.server, "doesn't serve such requests")
+        if outcome is Outcome.OK:
             state.on_answer(proxy.loop.time())
         if state.queue_length:
             proxy.loop.call_soon(self.release_queued)
-        return how
+        return outcome
 
     @staticmethod
-    def _other(server: int, response: Response) -> bool:
-        named = next((value for name, value in response.headers if name == NAMES_ITSELF), None)
-        return named is not None and server_id(named.decode("latin-1")) != server
+    def _is_other_server(server: int, response: Response) -> bool:
+        host = next((value for name, value in response.headers if name == BACKEND_NAME_HEADER), None)
+        return host is not None and server_id(host.decode("latin-1")) != server
 
-    def _drop(self, server: int, how: str) -> None:
+    def _drop_server(self, server: int, reason: str) -> None:
         known = self._proxy.balancer.servers.get(server)
-        if known is None or known.row.state is State.GONE or not self.state.on_contradiction(server, how):
+        if known is None or known.row.state is State.GONE or not self.state.on_contradiction(server, reason):
             return
         host = next((host for host, number in self._proxy.servers_by_host.items() if number == server), "")
         row = ServerRow(server, State.GONE, known.row.zone, known.row.cell, started=known.row.started)
-        dial = self._proxy.backends.address_of(server)
-        if dial is not None:
-            # Not within the event that told of it: the module is still at that.
-            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [Entry(row, dial, host)])
+        address = self._proxy.backends.address_of(server)
+        if address is not None:
+            # Deferred: the balancer is still processing the event that led here.
+            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [Entry(row, address, host)])
 
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Called often: phases, and what is to be kept."""
+        """Periodic work: change phases, release queued requests, store state."""
         proxy, state = self._proxy, self.state
         now = proxy.loop.time()
         state.on_connections_opened(now, proxy.backends.connections_opened)
         if state.tick(now):
-            log.warning("the remembered list is over, and discovery is silent")
+            log.warning("the stored list has expired, and discovery is silent")
             proxy.apply_list(ListKind.STALE, [])
-        if self._pending is not None and state.confirm_distrusted(now, len(self._pending)):
-            pending, self._pending = list(self._pending.values()), None
-            proxy.apply_list(ListKind.WHOLE, pending)
-        self._say()
+        if self._distrusted_list is not None and state.confirm_distrusted(now, len(self._distrusted_list)):
+            entries, self._distrusted_list = list(self._distrusted_list.values()), None
+            proxy.apply_list(ListKind.WHOLE, entries)
+        self._report_events()
         if state.queue_length:
             self.release_queued()
-        if state.discovery_reported and not self._over:
-            self._save(now)
-
-    def _say(self) -> None:
-        steps = self.state.take_events()
-        for step in steps:
-            log.info("coming back: %s: %s", step.name, step.description, extra={"event": "comeback"})
-        if steps:
+        if state.discovery_reported and not self._stopping:
+            self._store(now)
+
+    def _report_events(self) -> None:
+        events = self.state.take_events()
+        for event in events:
+            log.info("recovery: %s: %s", event.name, event.description, extra={"event": "comeback"})
+        if events:
             self.report(self.status())
 
-    def _save(self, now: float) -> None:
+    def _store(self, now: float) -> None:
         proxy = self._proxy
-        if now >= self._save_at:
-            self._save_at = now + SAVE_EVERY
+        if now >= self._learned_due_at:
+            self._learned_due_at = now + LEARNED_INTERVAL
             learned = write_learned(proxy.balancer, proxy.clock.now())
-            self._kept.put("learned", learned | {"calm": self.state.normal_rate})
-        # Guards against a list that seems younger than its truth: it is written again only while discovery speaks.
-        if self._list_changed or (now >= self._list_at and proxy.discovery.live):
+            self._sink.put("learned", learned | {"calm": self.state.normal_rate})
+        # Guards against a list that looks younger than it is: it is written again only while discovery answers.
+        if self._list_changed or (now >= self._list_due_at and proxy.discovery.live):
             self._list_changed = False
-            form = write_list(proxy)
-            self._list_at = now + max(LIST_EVERY, len(form["hosts"]) / LIST_ROWS)
-            self._kept.put("list", form)
+            serialized = write_list(proxy)
+            self._list_due_at = now + max(LIST_INTERVAL, len(serialized["hosts"]) / LIST_ROWS_PER_SECOND)
+            self._sink.put("list", serialized)
 
     def on_operator_orders(self) -> None:
-        """Operators have ordered something: it is to outlive this process, here and with the fleet."""
-        self._version += 1
-        orders = standing(self._proxy, self._version).write()
-        self._kept.put("standing", orders)
+        """Operator orders have changed: store them here and with the fleet, so that they outlive this process."""
+        self._orders_version += 1
+        orders = standing(self._proxy, self._orders_version).write()
+        self._sink.put("standing", orders)
         self.report(self.status() | {"standing": orders})
 
     def status(self) -> dict[str, Any]:
-        """The return, for the supervisor."""
+        """The recovery as plain values, for the supervisor."""
         return {**self.state.status(), "seq": self._proxy.discovery.seq if self.state.discovery_reported else 0}
 
     @property
     def ready(self) -> bool:
-        """Whether anything can be served."""
+        """Whether requests can be served."""
         return self.state.ready
 
     def stop(self) -> None:
-        """Nothing waits any longer: the process is about to end."""
-        self._over = True
-        waiting, self._waiting = list(self._waiting.items()), {}
-        for rid, ask in waiting:
-            self.state.withdraw(rid)
-            ask()
+        """Forward all queued requests: the process is about to exit."""
+        self._stopping = True
+        queued, self._queued = list(self._queued.items()), {}
+        for request_id, forward in queued:
+            self.state.withdraw(request_id)
+            forward()
 
     async def close(self) -> None:
-        """Keep what is due."""
+        """Write pending state and release the store."""
         if self._timer is not None:
             self._timer.cancel()
-        await self._kept.close()
+        await self._sink.close()
--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -182,7 +182,7 @@
                 await serves(w)
             else:
                 await come(lambda: _waiting(fleet), "all wait")
-                assert fleet.log().count("kept list: old") >= fleet.count
+                assert fleet.log().count("stored list: old") >= fleet.count
             await w.lists.back()
             await come(lambda: all_told(fleet), "told")
             await serves(w, 100)
@@ -252,7 +252,7 @@
             await w.lists.back()
             await fleet.start()
             await come(lambda: all_full(fleet), "full")
-            await come(lambda: fleet.log().count("coming back: doubted") >= fleet.count, "doubts")
+            await come(lambda: fleet.log().count("recovery: doubted") >= fleet.count, "doubts")
             await serves(w, 100)
             nothing_wrong(w)
 
@@ -267,7 +267,7 @@
             await w.lists.back()
             await fleet.start()
             await come(lambda: all_told(fleet), "the empty list is believed")
-            assert fleet.log().count("coming back: doubted") >= fleet.count
+            assert fleet.log().count("recovery: doubted") >= fleet.count
             assert w.load is not None
             asked = len(w.load.told)
             await come(partial(_answered, w, asked + 20), "answers")
--- a/weldroute/snapshots.py
+++ b/weldroute/snapshots.py
@@ -6,17 +6,17 @@
 
 `assess` decides what is trusted. Order matters: the first row that applies is the verdict.
 
-| found                                              | verdict                | what is used                          |
-| -------------------------------------------------- | ---------------------- | ------------------------------------- |
-| nothing, or no intact copy                         | NOTHING "nothing"      | nothing                               |
-| a format version above ours                        | NEWER "newer"          | nothing, and it is not overwritten    |
-| another instance's or another fleet's record       | FOREIGN "foreign"      | nothing                               |
-| an epoch above the fleet's current one             | AHEAD "ahead"          | orders only: a supervisor lost state  |
-| a time of writing after now: a clock was set back  | UNDATED "undated"      | orders, and the list with unknown age |
-| older than `list_for`                              | OLD "old"              | orders only                           |
-| older than what other instances are known to have  | SUPERSEDED "overtaken" | orders, unless newer ones are known   |
-| older than `learned_for`                           | AGED "aged"            | orders and the list                   |
-| else                                               | FRESH "fresh"          | all                                   |
+| found                                             | verdict                | what is used                         |
+| ------------------------------------------------- | ---------------------- | ------------------------------------ |
+| nothing, or no intact copy                        | NOTHING "nothing"      | nothing                              |
+| a format version above ours                       | NEWER "newer"          | nothing, and it is not overwritten   |
+| another instance's or another fleet's record      | FOREIGN "foreign"      | nothing                              |
+| an epoch above the fleet's current one            | AHEAD "ahead"          | orders only: a supervisor lost state |
+| a time of writing after now: a clock was set back | UNDATED "undated"      | orders, and the list with unknown age |
+| older than `list_for`                             | OLD "old"              | orders only                          |
+| older than what other instances are known to have | SUPERSEDED "overtaken" | orders, unless newer ones are known  |
+| older than `learned_for`                          | AGED "aged"            | orders and the list                  |
+| else                                              | FRESH "fresh"          | all                                  |
 
 Operator orders (bans, the drain) are never dropped for their age: only operators take them back, or a newer version.
 """
