--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written lines of the wire."""
+"""The simulator adapter on handwritten protocol lines."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     return {"m": "Call", "ProxyId": 3, "Ref": ref, "Kind": 0, "Deadline": deadline}
 
 
-def back(ref: str, how: str, number: int = 0, last: bool = False) -> dict[str, Any]:
+def returned(ref: str, outcome: str, number: int = 0, last: bool = False) -> dict[str, Any]:
     return {
         "m": "Returned",
         "ProxyId": 3,
         "Ref": ref,
         "RoundNo": number,
         "Backend": 7,
-        "How": how,
+        "How": outcome,
         "CostTime": 0.1,
         "Last": last,
         "Telemetry": [1.0],
@@ -69,9 +69,12 @@
     assert feed(b"") == (0, [], "")
 
 
-def test_call_is_sent_and_repeated_after_a_full_refusal() -> None:
+def test_call_is_sent_and_retried_after_an_overloaded_answer() -> None:
     code, replies, errors = run(
-        [OPEN, REGISTER, MEMBERS], [call("rq_a")], [back("rq_a", "overloaded")], [back("rq_a", "success", 1, True)]
+        [OPEN, REGISTER, MEMBERS],
+        [call("rq_a")],
+        [returned("rq_a", "overloaded")],
+        [returned("rq_a", "success", 1, True)],
     )
     assert (code, errors) == (0, "")
     (first,), (second,) = replies[1], replies[2]
@@ -80,18 +83,20 @@
     assert replies[3] == []
 
 
-@pytest.mark.parametrize("how", [*benchlink.OUTCOMES])
-def test_every_outcome_is_understood(how: str) -> None:
-    code, replies, errors = run([OPEN, REGISTER, MEMBERS], [call("rq_a")], [back("rq_a", how, 0, how == "success")])
+@pytest.mark.parametrize("outcome", [*benchlink.OUTCOMES])
+def test_every_outcome_is_accepted(outcome: str) -> None:
+    code, replies, errors = run(
+        [OPEN, REGISTER, MEMBERS], [call("rq_a")], [returned("rq_a", outcome, 0, outcome == "success")]
+    )
     assert (code, errors) == (0, "")
-    assert len(replies[2]) == (0 if how == "success" else 1)
+    assert len(replies[2]) == (0 if outcome == "success" else 1)
 
 
-def test_teardown_and_open_in_one_batch_forgets_everything() -> None:
+def test_teardown_and_open_in_one_batch_discards_all_state() -> None:
     code, replies, _ = run(
         [OPEN, REGISTER, MEMBERS],
         [call("rq_a")],
-        [{"m": "Teardown", "ProxyId": 3}, OPEN, MEMBERS, back("rq_a", "failure"), call("rq_b")],
+        [{"m": "Teardown", "ProxyId": 3}, OPEN, MEMBERS, returned("rq_a", "failure"), call("rq_b")],
     )
     assert code == 0
     assert [a["Ref"] for a in replies[2]] == ["rq_b"]
@@ -104,7 +109,7 @@
     assert replies[1][0]["Backend"] == 99
 
 
-def test_aborted_after_the_answer_and_stale_wakes() -> None:
+def test_abort_after_the_answer_and_stale_timers_are_ignored() -> None:
     code, replies, _ = run(
         [OPEN, REGISTER, MEMBERS],
         [call("rq_a", 1.0)],
@@ -150,7 +155,7 @@
         (b'{"m":"Tick"}\n', "missing field 'Time'"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(lines: bytes, fault: str) -> None:
+def test_invalid_input_ends_with_one_error_line(lines: bytes, fault: str) -> None:
     code, replies, errors = feed(lines)
     assert code != 0
     assert replies == []
@@ -158,7 +163,7 @@
     assert errors.count("\n") == 1
 
 
-def test_unknown_message_and_unknown_list() -> None:
+def test_unknown_messages_lists_and_missing_fields_are_rejected() -> None:
     code, _, errors = run([OPEN, REGISTER, MEMBERS, {"m": "Hello", "ProxyId": 3}])
     assert code != 0 and "unknown message 'Hello'" in errors
     code, _, errors = run([OPEN, REGISTER, MEMBERS | {"List": 4}])
@@ -167,7 +172,7 @@
     assert code != 0 and "missing field 'Ref'" in errors
 
 
-def test_fault_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise KeyError("odd")
 
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The design's formulas on figures worked out by hand."""
+"""The breaker's formulas, compared with values computed by hand."""
 
 from random import Random
 
@@ -8,46 +8,46 @@
 
 
 def test_error_ratio_with_k_falling() -> None:
-    b = Breaker()
+    breaker = Breaker()
     for _ in range(20):
-        b.record_failure(0.0)
-    # one failing bucket of 40: k does not matter without accepts; (20 - 5) / 21
-    assert b.error_ratio(0.0) == pytest.approx(15 / 21)
-    b.record_success(0.0)
-    # an accept ends the run of failing buckets: (21 - 5 - 1.5) / 22
-    assert b.error_ratio(0.0) == pytest.approx(14.5 / 22)
-    b.record_failure(0.3)
-    # one newest bucket failed only: k = 1.5 - 0.4 / 40 = 1.49; (22 - 5 - 1.49) / 23
-    assert b.error_ratio(0.3) == pytest.approx(15.51 / 23)
+        breaker.record_failure(0.0)
+    # One failing bucket of 40; K does not matter without accepts: (20 - 5) / 21.
+    assert breaker.error_ratio(0.0) == pytest.approx(15 / 21)
+    breaker.record_success(0.0)
+    # An accept ends the run of failing buckets: (21 - 5 - 1.5) / 22.
+    assert breaker.error_ratio(0.0) == pytest.approx(14.5 / 22)
+    breaker.record_failure(0.3)
+    # only the newest bucket has failures alone: k = 1.5 - 0.4 / 40 = 1.49; (22 - 5 - 1.49) / 23
+    assert breaker.error_ratio(0.3) == pytest.approx(15.51 / 23)
 
 
 def test_protection_and_window() -> None:
-    b = Breaker()
+    breaker = Breaker()
     for _ in range(5):
-        b.record_failure(0.0)
-    assert b.error_ratio(0.0) == 0.0
-    b.record_failure(0.0)
-    assert b.error_ratio(9.9) == pytest.approx(1 / 7)
-    assert b.error_ratio(10.0) == 0.0  # bucket 0 has left the window
+        breaker.record_failure(0.0)
+    assert breaker.error_ratio(0.0) == 0.0
+    breaker.record_failure(0.0)
+    assert breaker.error_ratio(9.9) == pytest.approx(1 / 7)
+    assert breaker.error_ratio(10.0) == 0.0  # bucket 0 has left the window
 
 
 def test_local_refusals_count_as_requests() -> None:
-    b = Breaker()
+    breaker = Breaker()
     for _ in range(6):
-        b.record_refusal(0.0)
-    assert b.error_ratio(0.0) == pytest.approx(1 / 7)
+        breaker.record_refusal(0.0)
+    assert breaker.error_ratio(0.0) == pytest.approx(1 / 7)
 
 
-def test_both_averages() -> None:
-    b = Breaker()
-    b.record_latency(0.1)
-    assert (b.baseline, b.current) == (0.1, 0.1)
-    b.record_latency(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
-    assert b.baseline == pytest.approx(0.104)
-    assert b.current == pytest.approx(0.2)
-    b.record_latency(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
-    assert b.baseline == pytest.approx(0.079)
-    assert b.current == pytest.approx(0.151)
+def test_latency_averages() -> None:
+    breaker = Breaker()
+    breaker.record_latency(0.1)
+    assert (breaker.baseline, breaker.current) == (0.1, 0.1)
+    breaker.record_latency(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
+    assert breaker.baseline == pytest.approx(0.104)
+    assert breaker.current == pytest.approx(0.2)
+    breaker.record_latency(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
+    assert breaker.baseline == pytest.approx(0.079)
+    assert breaker.current == pytest.approx(0.151)
 
 
 @pytest.mark.parametrize(
@@ -63,19 +63,19 @@
     ],
 )
 def test_latency_ratio(baseline: float, current: float, timeout: float, expected: float) -> None:
-    b = Breaker()
-    b.baseline, b.current = baseline, current
-    assert b.latency_ratio(timeout) == pytest.approx(expected)
+    breaker = Breaker()
+    breaker.baseline, breaker.current = baseline, current
+    assert breaker.latency_ratio(timeout) == pytest.approx(expected)
 
 
-def test_larger_term_wins_and_one_call_a_second_passes() -> None:
-    b = Breaker()
-    b.baseline, b.current = 0.1, 5.0
-    assert b.drop_probability(0.0, 1.0) == pytest.approx(0.3)
+def test_drop_probability_is_the_larger_ratio_and_one_call_a_second_passes() -> None:
+    breaker = Breaker()
+    breaker.baseline, breaker.current = 0.1, 5.0
+    assert breaker.drop_probability(0.0, 1.0) == pytest.approx(0.3)
     for _ in range(500):
-        b.record_failure(0.0)
-    assert b.drop_probability(0.0, 1.0) == pytest.approx(495 / 501)
+        breaker.record_failure(0.0)
+    assert breaker.drop_probability(0.0, 1.0) == pytest.approx(495 / 501)
     rng = Random(1)
-    assert not b.refuses(0.0, 1.0, rng)  # the forced pass
-    assert sum(b.refuses(0.5, 1.0, rng) for _ in range(20)) >= 18
-    assert not b.refuses(b.last_pass + 1.0, 1.0, rng)
+    assert not breaker.refuses(0.0, 1.0, rng)  # the forced pass
+    assert sum(breaker.refuses(0.5, 1.0, rng) for _ in range(20)) >= 18
+    assert not breaker.refuses(breaker.last_pass + 1.0, 1.0, rng)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal event sequences, and a check that the checker can fail."""
+"""Checks the four rules over random legal event sequences, and that the checker can fail."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 RULES = Rules(answer_slack=0.02, cold_from=0.14, cold_for=20.0, fall_multiple=3.0, fall_after=1.0)
-KINDS = tuple(
+CLASSES = tuple(
     RequestClass(f"{repeat.value}-{group.value}", aim, 3.0, repeat, group, 1.5, worth, late)
     for repeat, group, aim, worth, late in (
         (Repeat.SAFE, Group.CELL, 1.0, 1.0, 0.3),
@@ -42,31 +42,31 @@
 
 
 def play(checker: Checker, steps: list[tuple[int, int, int]]) -> None:
-    for what, a, b in steps:
-        if what <= 3:
-            checker.request(a % len(KINDS), 0.05 + (b % 300) / 100.0, a % 2)
-        elif what <= 6:
-            tries = checker.open_tries()
-            if tries:
-                checker.end(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
-        elif what == 7:
+    for step_kind, first, second in steps:
+        if step_kind <= 3:
+            checker.request(first % len(CLASSES), 0.05 + (second % 300) / 100.0, first % 2)
+        elif step_kind <= 6:
+            open_attempts_now = checker.open_attempts()
+            if open_attempts_now:
+                checker.end(*open_attempts_now[first % len(open_attempts_now)], OUTCOMES[second % len(OUTCOMES)])
+        elif step_kind == 7:
             rows = list(checker.rows.values())
             if not rows:
                 continue
-            row = rows[a % len(rows)]
-            state = (State.UP, State.DRAINING, State.GONE)[b % 3]
-            started = checker.now - 0.5 if state is State.UP and b % 2 else row.started
-            kind = (ListKind.PATCH, ListKind.WHOLE, ListKind.BROKEN)[b // 3 % 3]
+            row = rows[first % len(rows)]
+            state = (State.UP, State.DRAINING, State.GONE)[second % 3]
+            started = checker.now - 0.5 if state is State.UP and second % 2 else row.started
+            list_kind = (ListKind.PATCH, ListKind.WHOLE, ListKind.BROKEN)[second // 3 % 3]
             changed = ServerRow(row.server, state, row.zone, row.cell, 1.0, started)
-            if kind is ListKind.WHOLE:
+            if list_kind is ListKind.WHOLE:
                 rest = [r for r in rows if r.server != row.server and r.state is not State.GONE]
-                checker.members(kind, rest if state is State.GONE else [*rest, changed])
+                checker.members(list_kind, rest if state is State.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is ListKind.PATCH else [])
-        elif what == 8 and checker.owed:
-            checker.leave(list(checker.owed)[a % len(checker.owed)])
+                checker.members(list_kind, [changed] if list_kind is ListKind.PATCH else [])
+        elif step_kind == 8 and checker.pending:
+            checker.abort(list(checker.pending)[first % len(checker.pending)])
         else:
-            checker.advance((a % 1000) / 1000.0)
+            checker.advance((first % 1000) / 1000.0)
     checker.advance(10.0)
 
 
@@ -83,7 +83,7 @@
 ) -> None:
     second, cancel, asks = flags
     config = Settings(
-        classes=KINDS,
+        classes=CLASSES,
         tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
         zones=2,
         rules=RULES,
@@ -99,51 +99,51 @@
     play(Checker(config, seed, rows), steps)
 
 
-def steady(checker: Checker, seconds: float, rate: float, rng: Random) -> None:
-    """Answer a steady stream of calls, each after about a tenth of a second."""
+def send_steady_traffic(checker: Checker, seconds: float, rate: float, rng: Random) -> None:
+    """Send requests at a steady rate, and answer each after about a tenth of a second."""
     end = checker.now + seconds
     while checker.now < end:
         checker.request(0, 3.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for request_id, number in checker.open_attempts():
             if rng.random() < 0.3:
-                checker.end(rid, number, Outcome.OK)
+                checker.end(request_id, number, Outcome.OK)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_cold_server_gets_at_most_its_part_of_a_warm_peers_share(seed: int) -> None:
-    config = Settings(classes=KINDS, rules=RULES)
+def test_cold_server_gets_at_most_its_fraction_of_a_warm_servers_share(seed: int) -> None:
+    config = Settings(classes=CLASSES, rules=RULES)
     rows = [ServerRow(i) for i in range(10)]
     checker = Checker(config, seed, rows)
     rng = Random(seed)
-    steady(checker, 5.0, 100.0, rng)
+    send_steady_traffic(checker, 5.0, 100.0, rng)
     checker.members(ListKind.PATCH, [ServerRow(3, started=checker.now)])
     begin = checker.now
     checker.sends.clear()
-    steady(checker, 4.0, 100.0, rng)
+    send_steady_traffic(checker, 4.0, 100.0, rng)
     cold = [t for t in checker.sends.get(3, []) if t >= begin]
     warm = sum(len(v) for k, v in checker.sends.items() if k != 3) / 9
-    # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
+    # After 4 s it can certainly handle 0.14 + 0.86 * 4 / 20 = 0.31 of a warm server's load; 3 times that is overload.
     assert len(cold) <= 0.31 * 2 * warm
     for first, later in pairwise(cold):
-        assert later > first, "two calls to a server that has just started, at the same moment"
+        assert later > first, "two calls to a server that has just started, at the same time"
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_all_cold_at_once(seed: int) -> None:
+def test_all_servers_cold_at_once(seed: int) -> None:
     rows = [ServerRow(i, started=100.0) for i in range(10)]
-    checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
-    steady(checker, 3.0, 200.0, Random(seed))
+    checker = Checker(Settings(classes=CLASSES, rules=RULES), seed, rows)
+    send_steady_traffic(checker, 3.0, 200.0, Random(seed))
     sent = sum(len(v) for v in checker.sends.values())
-    # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
+    # Without a warm server to compare with, about the certain fraction of the calls is sent.
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
 
 
-def test_a_broken_module_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The checker fails for a module that ignores the repeat rules, and for one that never answers."""
+def test_the_checker_detects_broken_rules(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The checker fails for decisions that ignore the repeat rules, and for ones that never answer."""
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
     rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3) for i in range(9)]
-    config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4))
+    config = Settings(classes=CLASSES, zones=2, rules=RULES, limits=Limits(max_attempts=4))
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(decide.Balancer, "_allowed_servers", lambda self, now, request: self.ready)
--- a/tests/unit/test_operation_states.py
+++ b/tests/unit/test_operation_states.py
@@ -1,10 +1,10 @@
-"""The states of leaving, and the verdicts on calls, as their table says."""
+"""The lifecycle states of a proxy, as the table of `weldroute.operations` has them, and its management calls."""
 
 from __future__ import annotations
 
 import pytest
 
-from weldroute import operations as ops
+from weldroute import operations
 from weldroute.operations import (
     CallResult,
     LifecycleState,
@@ -16,76 +16,87 @@
 )
 
 
-def test_serving_holds_everything() -> None:
+def test_serving_state_keeps_all_connections() -> None:
     assert Operations().listener_state(5.0) == ListenerState()
 
 
-def test_a_drain_says_no_at_once_serves_on_and_lets_idle_connections_go_in_time() -> None:
-    o = Operations()
-    assert o.evacuate(10.0).succeeded and o.state is LifecycleState.EVACUATED
-    early = o.listener_state(10.0)
+def test_drain_reports_down_at_once_and_closes_idle_connections_later() -> None:
+    lifecycle = Operations()
+    assert lifecycle.evacuate(10.0).succeeded and lifecycle.state is LifecycleState.EVACUATED
+    early = lifecycle.listener_state(10.0)
     assert (early.up, early.listens, early.closes_after_answer, early.keeps_idle) == (False, True, True, True)
-    late = o.listener_state(10.0 + ops.EVACUATE_IDLE_TIMEOUT)
+    late = lifecycle.listener_state(10.0 + operations.EVACUATE_IDLE_TIMEOUT)
     assert late.listens and not late.keeps_idle
-    # Nothing asked in the last 2 s of 4 may be held: what is kept ends its last answer well before.
-    assert ops.EVACUATE_IDLE_TIMEOUT < 2.0
-    assert o.evacuate(11.0) == ops.ALREADY_DONE
-    assert not o.listener_state(10.0 + ops.EVACUATE_IDLE_TIMEOUT).keeps_idle, "a second call does not begin it anew"
-    assert o.rejoin().succeeded and o.listener_state(12.0) == ListenerState() and o.rejoin() == ops.ALREADY_DONE
-
-
-def test_stopping_listens_for_a_while_serves_for_longer_and_is_final() -> None:
-    o = Operations()
-    o.stop(0.0, 2.0)
-    assert o.listener_state(0.0) == ListenerState()
-    deaf = o.listener_state(ops.STOP_ACCEPT_PERIOD)
-    assert (deaf.up, deaf.listens, deaf.closes_after_answer, deaf.keeps_idle) == (False, False, False, True)
-    over = o.listener_state(2.0)
-    assert over.closes_after_answer and not over.keeps_idle and over.keeps_incomplete
-    assert not o.listener_state(2.0 + ops.STOP_READ_PERIOD).keeps_incomplete
-    for verdict in (o.evacuate(1.0), o.rejoin(), o.readiness()):
-        assert verdict.status == 409
-    o.stop(5.0, 9.0)
-    assert o.listener_state(2.0).closes_after_answer, "a second order does not put the end off"
+    # No request may be left open in the last 2 s of the 4: kept connections end their last answer well before.
+    assert operations.EVACUATE_IDLE_TIMEOUT < 2.0
+    assert lifecycle.evacuate(11.0) == operations.ALREADY_DONE
+    assert not lifecycle.listener_state(10.0 + operations.EVACUATE_IDLE_TIMEOUT).keeps_idle, (
+        "a second order does not restart the time limit"
+    )
+    assert (
+        lifecycle.rejoin().succeeded
+        and lifecycle.listener_state(12.0) == ListenerState()
+        and lifecycle.rejoin() == operations.ALREADY_DONE
+    )
+
+
+def test_stopping_listens_briefly_serves_longer_and_is_final() -> None:
+    lifecycle = Operations()
+    lifecycle.stop(0.0, 2.0)
+    assert lifecycle.listener_state(0.0) == ListenerState()
+    not_accepting = lifecycle.listener_state(operations.STOP_ACCEPT_PERIOD)
+    assert (not_accepting.up, not_accepting.listens, not_accepting.closes_after_answer, not_accepting.keeps_idle) == (
+        False,
+        False,
+        False,
+        True,
+    )
+    elapsed = lifecycle.listener_state(2.0)
+    assert elapsed.closes_after_answer and not elapsed.keeps_idle and elapsed.keeps_incomplete
+    assert not lifecycle.listener_state(2.0 + operations.STOP_READ_PERIOD).keeps_incomplete
+    for result in (lifecycle.evacuate(1.0), lifecycle.rejoin(), lifecycle.readiness()):
+        assert result.status == 409
+    lifecycle.stop(5.0, 9.0)
+    assert lifecycle.listener_state(2.0).closes_after_answer, "a second order does not postpone the end"
 
 
 @pytest.mark.parametrize("keep", [0.0, 0.3])
-def test_stopping_never_ends_connections_while_it_takes_new_ones(keep: float) -> None:
-    o = Operations()
-    o.stop(0.0, keep)
-    posture = o.listener_state(ops.STOP_ACCEPT_PERIOD - 0.01)
-    assert posture.listens and posture.keeps_idle and not posture.closes_after_answer
-
-
-def test_yielding_leaves_new_connections_to_the_newer_process_and_takes_them_back() -> None:
-    o = Operations()
-    o.on_newer_process(True)
-    assert o.state is LifecycleState.YIELDING
-    assert o.listener_state(0.0) == ListenerState(listens=False, closes_after_answer=True)
-    o.on_newer_process(False)
-    assert o.listener_state(0.0) == ListenerState()
-    o.on_newer_process(True)
-    o.stop(0.0, 2.0)
-    posture = o.listener_state(0.01)
-    assert not posture.listens and posture.closes_after_answer and posture.keeps_idle
+def test_stopping_keeps_connections_while_it_accepts_new_ones(keep: float) -> None:
+    lifecycle = Operations()
+    lifecycle.stop(0.0, keep)
+    state = lifecycle.listener_state(operations.STOP_ACCEPT_PERIOD - 0.01)
+    assert state.listens and state.keeps_idle and not state.closes_after_answer
+
+
+def test_yielding_leaves_new_connections_to_the_newer_process_until_it_goes_away() -> None:
+    lifecycle = Operations()
+    lifecycle.on_newer_process(True)
+    assert lifecycle.state is LifecycleState.YIELDING
+    assert lifecycle.listener_state(0.0) == ListenerState(listens=False, closes_after_answer=True)
+    lifecycle.on_newer_process(False)
+    assert lifecycle.listener_state(0.0) == ListenerState()
+    lifecycle.on_newer_process(True)
+    lifecycle.stop(0.0, 2.0)
+    state = lifecycle.listener_state(0.01)
+    assert not state.listens and state.closes_after_answer and state.keeps_idle
 
 
 def test_a_drain_outlasts_yielding() -> None:
-    o = Operations()
-    o.evacuate(0.0)
-    o.on_newer_process(True)
-    assert not o.listener_state(0.1).up
-    o.on_newer_process(False)
-    assert o.state is LifecycleState.EVACUATED
+    lifecycle = Operations()
+    lifecycle.evacuate(0.0)
+    lifecycle.on_newer_process(True)
+    assert not lifecycle.listener_state(0.1).up
+    lifecycle.on_newer_process(False)
+    assert lifecycle.state is LifecycleState.EVACUATED
 
 
-def test_ready_once_it_serves() -> None:
-    o = Operations()
-    assert o.readiness().status == 503
-    o.serving = True
-    assert o.readiness().succeeded
-    o.evacuate(0.0)
-    assert o.readiness().succeeded, "an emptied proxy can serve"
+def test_ready_once_serving() -> None:
+    lifecycle = Operations()
+    assert lifecycle.readiness().status == 503
+    lifecycle.serving = True
+    assert lifecycle.readiness().succeeded
+    lifecycle.evacuate(0.0)
+    assert lifecycle.readiness().succeeded, "a drained proxy can serve"
 
 
 @pytest.mark.parametrize(
@@ -111,10 +122,10 @@
 
 
 @pytest.mark.parametrize("body", [None, [], {}, {"who": 5}, {"who": ""}, {"who": None}, "s-1", {"id": "s-1"}])
-def test_a_body_without_an_id_is_told(body: object) -> None:
-    verdict = read_backend_id(body)
-    assert isinstance(verdict, CallResult) and verdict.status == 400
+def test_a_body_without_an_id_is_rejected(body: object) -> None:
+    result = read_backend_id(body)
+    assert isinstance(result, CallResult) and result.status == 400
 
 
-def test_an_id_is_read() -> None:
+def test_backend_id_is_read_from_the_body() -> None:
     assert read_backend_id({"who": "s-1", "more": 1}) == "s-1"
--- a/tests/unit/test_slow_start.py
+++ b/tests/unit/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Cold servers under the sum of many independent balancers, on a virtual clock.
+"""Cold servers under the combined load of many independent balancers, on a virtual clock.
 
-Each world has servers that work at a stated pace, and balancers that share nothing. A server's budget in any window
-is what the settings allow it, `fall_multiple` times its present capacity, with what is put down to chance on top.
+Each world has servers with a given capacity, and balancers that share nothing. In any window a cold server may
+receive what the settings allow, `fall_multiple` times its current capacity, plus a margin for random variation.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 @dataclass
 class Machine:
-    """A server: work waits in turn, and a full queue turns it away."""
+    """A server that queues requests and rejects them when the queue is full."""
 
     row: ServerRow
     rules: Rules = RULES
     capacity: float = CAPACITY
     busy_until: float = 0.0
-    recent: deque[tuple[float, float]] = field(default_factory=deque)  # arrivals in the window, and what was allowed
+    recent: deque[tuple[float, float]] = field(default_factory=deque)  # arrivals in the window: time and capacity
     arrivals: int = 0
-    excess: float = 0.0  # the most that one window saw, as a multiple of what it may see
+    excess: float = 0.0  # largest number of arrivals in a window, as a multiple of the allowed one
 
     def capacity_at(self, now: float) -> float:
         age = now - self.row.started
@@ -47,7 +47,7 @@
         return (self.capacity_at(since) + self.capacity_at(until)) / 2.0
 
     def serve(self, now: float) -> float | None:
-        """When a request that comes now is answered; None if it is turned away."""
+        """Return when a request that arrives now is answered; None if it is rejected."""
         capacity = self.capacity_at(now)
         self.arrivals += 1
         self.recent.append((now, capacity))
@@ -64,7 +64,7 @@
 
 
 class World:
-    """Balancers that share nothing, machines, and a queue of events."""
+    """Independent balancers, machines and an event queue."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self.served = 0
         self.balancers = [self.make(index, balancers) for index in range(balancers)]
         for index in range(balancers):
-            self.at(self.random.random() * 0.1, self.arrival(index))
+            self.schedule(self.random.random() * 0.1, self.arrival(index))
 
     def make(self, index: int, balancers: int) -> Balancer:
         settings = Settings(
@@ -99,11 +99,11 @@
         return balancer
 
     def restart(self, index: int) -> None:
-        """Start a balancer again that knows the list and nothing else."""
+        """Replace a balancer by one that knows only the list of servers."""
         self.balancers[index] = self.make(index, len(self.balancers))
 
-    def tell(self, row: ServerRow) -> None:
-        """Tell every balancer of a change."""
+    def update_row(self, row: ServerRow) -> None:
+        """Report a changed row to every balancer."""
         if row.state is State.GONE:
             self.machines.pop(row.server, None)
         else:
@@ -111,7 +111,7 @@
         for balancer in self.balancers:
             balancer.members(self.now, ListKind.PATCH, [row])
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
         self.count += 1
         heapq.heappush(self.events, (when, self.count, action))
 
@@ -124,7 +124,7 @@
     def arrival(self, index: int) -> Callable[[], None]:
         def arrive() -> None:
             rate = self.rate(self.now, index)
-            self.at(self.now + self.random.expovariate(rate), arrive)
+            self.schedule(self.now + self.random.expovariate(rate), arrive)
             self.count += 1
             balancer = self.balancers[index]
             deadline = self.now + CLASS.deadline
@@ -137,11 +137,11 @@
             if isinstance(action, Send):
                 self.send(balancer, action)
             elif isinstance(action, Timer):
-                self.at(action.due, partial(self.due, balancer, action.token))
+                self.schedule(action.due, partial(self.on_timer, balancer, action.token))
             else:
                 assert isinstance(action, Refuse | Fail | Cancel)
 
-    def due(self, balancer: Balancer, token: int) -> None:
+    def on_timer(self, balancer: Balancer, token: int) -> None:
         self.carry_out(balancer, balancer.on_timer(self.now, token))
 
     def send(self, balancer: Balancer, action: Send) -> None:
@@ -149,36 +149,38 @@
         machine = self.machines.get(action.server)
         sent = self.now
         done = machine.serve(sent) if machine is not None else None
-        how = Outcome.UNREACHABLE if machine is None else Outcome.FULL if done is None else Outcome.OK
+        outcome = Outcome.UNREACHABLE if machine is None else Outcome.FULL if done is None else Outcome.OK
         when = sent + 0.002 if done is None else min(done, sent + CLASS.deadline)
         if done is not None and done >= sent + CLASS.deadline:
-            how = Outcome.TIMEOUT
+            outcome = Outcome.TIMEOUT
 
         def end() -> None:
-            self.served += how is Outcome.OK
-            self.carry_out(balancer, balancer.outcome(self.now, action.request, number, how, self.now - sent))
+            self.served += outcome is Outcome.OK
+            self.carry_out(balancer, balancer.outcome(self.now, action.request, number, outcome, self.now - sent))
 
-        self.at(when, end)
+        self.schedule(when, end)
 
     def share_used(self, server: int, since: float) -> float:
-        """The part of what a cold server can do that it was given."""
+        """Return the fraction of a cold server's capacity that was used since then."""
         machine = self.machines[server]
         return machine.arrivals / (machine.mean_capacity(since, self.now) * (self.now - since))
 
 
-def fleet(count: int) -> list[Machine]:
+def make_machines(count: int) -> list[Machine]:
     return [Machine(ServerRow(server)) for server in range(1, count + 1)]
 
 
-def vanish(seed: int, balancers: int, rules: Rules) -> float:
-    """All warm peers of a cold server go under a burst; the most that one window saw, as a multiple of its bound."""
+def excess_when_peers_vanish(seed: int, balancers: int, rules: Rules) -> float:
+    """Return the excess at a cold server when all warm servers vanish during a burst."""
     per_balancer = 100.0 / balancers
-    world = World(seed, balancers, fleet(4), lambda now, index: per_balancer * (4.0 if now > 10.0 else 1.0), rules)
+    world = World(
+        seed, balancers, make_machines(4), lambda now, index: per_balancer * (4.0 if now > 10.0 else 1.0), rules
+    )
     world.run(4.0)
-    world.tell(ServerRow(9, started=4.0))
+    world.update_row(ServerRow(9, started=4.0))
     world.run(8.0)
     for server in (1, 2, 3, 4):
-        world.tell(ServerRow(server, State.GONE))
+        world.update_row(ServerRow(server, State.GONE))
         world.run(8.0 + server * 0.8)
     cold = world.machines[9]
     world.run(16.0)
@@ -187,38 +189,38 @@
 
 @pytest.mark.parametrize("rules", [RULES, STRICT], ids=["3", "2"])
 @pytest.mark.parametrize("balancers", [1, 4, 12, 30])
-def test_what_warm_peers_leave_behind_does_not_push_a_cold_server_over(balancers: int, rules: Rules) -> None:
-    over = [seed for seed in range(10) if vanish(seed, balancers, rules) > 1.0]
+def test_vanishing_warm_peers_do_not_overload_a_cold_server(balancers: int, rules: Rules) -> None:
+    over = [seed for seed in range(10) if excess_when_peers_vanish(seed, balancers, rules) > 1.0]
     assert not over
 
 
-def joins(seed: int, balancers: int) -> tuple[float, float]:
-    """A server joins four warm ones on a calm day: its worst window, and what part of its capacity it was given."""
-    world = World(seed, balancers, fleet(4), lambda now, index: 100.0 / balancers)
+def excess_and_share_after_joining(seed: int, balancers: int) -> tuple[float, float]:
+    """Return the excess at a server that joins four warm ones under normal load, and its used share."""
+    world = World(seed, balancers, make_machines(4), lambda now, index: 100.0 / balancers)
     world.run(4.0)
-    world.tell(ServerRow(9, started=4.0))
+    world.update_row(ServerRow(9, started=4.0))
     world.run(24.0)
     return world.machines[9].excess, world.share_used(9, 4.0)
 
 
 @pytest.mark.parametrize("balancers", [1, 4, 12, 30])
-def test_a_cold_server_gets_a_useful_part_of_the_load_in_calm(balancers: int) -> None:
+def test_cold_server_gets_a_useful_share_under_normal_load(balancers: int) -> None:
     """Sparing it must not go so far that it never warms: many balancers that each send little are the hard case."""
-    worst, used = zip(*(joins(seed, balancers) for seed in range(5)), strict=True)
+    worst, used = zip(*(excess_and_share_after_joining(seed, balancers) for seed in range(5)), strict=True)
     assert max(worst) <= 1.0
     assert sum(used) / len(used) > 0.08
 
 
 @pytest.mark.parametrize("balancers", [1, 12, 30])
-def test_restarted_balancers_that_know_only_cold_servers_do_not_push_one_over(balancers: int) -> None:
-    """None of them has seen what a warm server carries: they go by what they are asked for."""
+def test_restarted_balancers_that_know_only_cold_servers_do_not_overload_one(balancers: int) -> None:
+    """Restarted balancers have not observed the load of warm servers and go by the demand."""
     for seed in range(5):
-        world = World(seed, balancers, fleet(2), lambda now, index: 100.0 / balancers)
+        world = World(seed, balancers, make_machines(2), lambda now, index: 100.0 / balancers)
         world.run(5.0)
         for server in (11, 12, 13, 14):
-            world.tell(ServerRow(server, started=5.0))
+            world.update_row(ServerRow(server, started=5.0))
         for server in (1, 2):
-            world.tell(ServerRow(server, State.GONE))
+            world.update_row(ServerRow(server, State.GONE))
         for index in range(0, balancers, 2):
             world.restart(index)
         world.run(12.0)
@@ -227,7 +229,7 @@
 
 @pytest.mark.parametrize("warm", [1, 2])
 def test_no_request_is_refused_while_a_warm_server_is_there(warm: int) -> None:
-    """Chance may name nothing but cold ones."""
+    """Random draws may hit only cold servers."""
     settings = Settings(classes=(CLASS,), rules=RULES)
     for seed in range(200):
         balancer = Balancer(settings, seed)
