--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -202,9 +202,9 @@
         reported = {entry.row.server: entry for entry in entries}
         merged = []
         for stored in read_listing(write_list(proxy), proxy.config.zones).entries:
-            entry = reported.get(stored.row.server)
+            newer = reported.get(stored.row.server)
             row = servers[stored.row.server].row
-            merged.append(stored if entry is None or self.state.prefers_stored(row, entry.row) else entry)
+            merged.append(stored if newer is None or self.state.prefers_stored(row, newer.row) else newer)
         return merged
 
     # ---- admission -----------------------------------------------------------------------
--- a/cometusher/store/__init__.py
+++ b/cometusher/store/__init__.py
@@ -1,1 +1,1 @@
-"""Records on disk that outlive their process; imported only where a fleet keeps state."""
+"""Records on disk that outlive their process; imported only where a fleet stores state."""
--- a/cometusher/store/records.py
+++ b/cometusher/store/records.py
@@ -1,20 +1,20 @@
-"""A file of records (SQLite, write-ahead log): two copies of each kind, written in turn, read back with doubt.
+"""A file of records (SQLite, write-ahead log): two copies of each kind, written in turn, verified when read.
 
-What is believed of a record is `weldroute.snapshots`'s; here is what becomes of a file that is not as it was left:
+How far a record is trusted is decided by `weldroute.snapshots`; this module handles files in unexpected states:
 
 | the file                                   | result                                                               |
 | ------------------------------------------ | -------------------------------------------------------------------- |
-| torn by a kill in a write                  | the last or the one-before record: SQLite's log, and two copies      |
+| torn by a kill during a write              | the last record or the one before: SQLite's log, and two copies      |
 | damaged at any place                       | each copy has a digest of its own; a file that SQLite can't read     |
-|                                            | is put aside as `.bad` (one is kept) and begun anew                  |
-| of a newer version                         | not read and not written                                             |
-| on a full disk, or one that fails          | what is there stays; writing is tried again later                    |
-| that can't be written                      | read as it is, and not written                                       |
-| deleted, or replaced, while in use         | noticed at the next writing, and begun anew                          |
-| locked by a process that is stopped        | read all the same (readers wait for no writer); writing is tried     |
+|                                            | is renamed to `.bad` (one is kept) and a new one is created          |
+| of a newer version                         | neither read nor written                                             |
+| on a full or failing disk                  | existing records stay; writing is tried again later                  |
+| read-only                                  | read as it is, and not written                                       |
+| deleted, or replaced, while in use         | noticed at the next write, which creates or opens it anew            |
+| locked by a process that is stopped        | still read (readers don't wait for a writer); writing is tried       |
 |                                            | again later                                                          |
 
-Nothing here raises for any of these: `problem` tells the last of them, in words for a log.
+None of these raises: `problem` describes the last of them for a log.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 from weldroute.snapshots import InvalidRecord, Record, newest_copy, read_record
 
-VERSION = 1  # of the tables
-APPLICATION = 0x66646C72  # names our files to SQLite's own tools (application_id)
-MAX_BODY = 16 * 1024 * 1024  # bytes of one record
-BUSY = 0.05  # seconds to wait for another writer
-CHECKPOINT = 64  # pages of log after which it is copied back: the log stays small
+SCHEMA_VERSION = 1  # of the tables
+APPLICATION_ID = 0x66646C72  # identifies our files to SQLite's own tools
+MAX_RECORD_BYTES = 16 * 1024 * 1024
+BUSY_TIMEOUT = 0.05  # seconds to wait for another writer
+CHECKPOINT_PAGES = 64  # pages of write-ahead log after which it is copied back, to keep the log small
 SUFFIXES = ("", "-wal", "-shm")
 
 _TABLE = """CREATE TABLE IF NOT EXISTS record (
@@ -47,101 +47,101 @@
 
 
 class RecordFile:
-    """One file; used by one thread at a time."""
+    """One file of records; used by one thread at a time."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.problem = ""  # why the last reading or writing did not do all that it should; empty if it did
-        self.writable = True  # what is there may be written over
+        self.problem = ""  # why the last read or write was incomplete; empty if it succeeded
+        self.writable = True
         self._db: sqlite3.Connection | None = None
-        self._file: tuple[int, int] | None = None  # device and inode that are open
+        self._file_id: tuple[int, int] | None = None  # device and inode of the open file
         self._serials: dict[str, int] = {}
 
     # ---- reading -------------------------------------------------------------------------
 
     def read(self, kinds: Sequence[str]) -> dict[str, Record]:
-        """The newest whole record of each kind, as far as there is one."""
+        """The newest intact record of each kind that has one."""
         self.problem = ""
         try:
             db = self._open()
             return self._read_all(db, kinds) if db is not None else {}
-        except (sqlite3.Error, OSError) as fault:
-            return self._after_fault(fault, kinds)
-
-    def _after_fault(self, fault: Exception, kinds: Sequence[str]) -> dict[str, Record]:
-        if isinstance(fault, sqlite3.OperationalError) and not _unreadable(fault):
-            self._drop()
-            self.problem = f"not read: {fault}"
-            return self._read_as_it_lies(kinds) if self.writable else {}
-        if isinstance(fault, OSError):
-            self.problem = f"not read: {fault.strerror}"
+        except (sqlite3.Error, OSError) as error:
+            return self._on_read_error(error, kinds)
+
+    def _on_read_error(self, error: Exception, kinds: Sequence[str]) -> dict[str, Record]:
+        if isinstance(error, sqlite3.OperationalError) and not _is_corruption(error):
+            self._disconnect()
+            self.problem = f"not read: {error}"
+            return self._read_immutable(kinds) if self.writable else {}
+        if isinstance(error, OSError):
+            self.problem = f"not read: {error.strerror}"
             return {}
-        self._put_aside(str(fault))
+        self._quarantine(str(error))
         return {}
 
-    def _read_as_it_lies(self, kinds: Sequence[str]) -> dict[str, Record]:
-        """Without a log: all that can be had where a full disk has no room for the log's index."""
-        why, name = self.problem, self._address("ro&immutable=1")
+    def _read_immutable(self, kinds: Sequence[str]) -> dict[str, Record]:
+        """Read the file without its log: all that is possible where a full disk has no room for the log's index."""
+        problem, uri = self.problem, self._uri("ro&immutable=1")
         try:
-            with contextlib.closing(sqlite3.connect(name, uri=True)) as db:
+            with contextlib.closing(sqlite3.connect(uri, uri=True)) as db:
                 found = self._read_all(db, kinds)
         except sqlite3.Error:
             return {}
-        self.problem = f"read without its log, for otherwise {why}"
+        self.problem = f"read without its log, for otherwise {problem}"
         return found
 
     def _read_all(self, db: sqlite3.Connection, kinds: Sequence[str]) -> dict[str, Record]:
         found: dict[str, Record] = {}
-        broken = 0
+        damaged = 0
         for kind in kinds:
             copies: list[Record | None] = []
             for digest, data in db.execute("SELECT digest, data FROM record WHERE kind = ? ORDER BY copy", (kind,)):
                 copies.append(_read_copy(kind, digest, data))
-            broken += copies.count(None)
+            damaged += copies.count(None)
             record = newest_copy(copies)
             if record is None:
                 continue
             found[kind] = record
             self._serials[kind] = max(self._serials.get(kind, 0), record.serial)
-        if broken:
-            self.problem = f"{broken} copies are damaged and left aside"
+        if damaged:
+            self.problem = f"{damaged} copies are damaged and ignored"
         return found
 
     # ---- writing -------------------------------------------------------------------------
 
     def next_serial(self, kind: str) -> int:
-        """The number of the next record of a kind."""
+        """The serial number for the next record of a kind."""
         return self._serials.get(kind, 0) + 1
 
     def write(self, records: Sequence[Record]) -> bool:
-        """Write records, all or none; tells whether they are there now."""
+        """Write records, all or none; return whether they are stored now."""
         self.problem = ""
         rows = []
         for record in records:
             data = orjson.dumps(record.to_dict())
-            if len(data) > MAX_BODY:
-                self.problem = f"{record.kind}: {len(data)} bytes are too many"
+            if len(data) > MAX_RECORD_BYTES:
+                self.problem = f"{record.kind}: {len(data)} bytes are more than the limit of {MAX_RECORD_BYTES}"
                 return False
             rows.append((record.kind, record.serial % 2, _digest(data), data))
         try:
             return self._write(rows, records)
-        except sqlite3.DatabaseError as fault:
-            if not isinstance(fault, sqlite3.OperationalError) or _unreadable(fault):
-                self._put_aside(str(fault))
+        except sqlite3.DatabaseError as error:
+            if not isinstance(error, sqlite3.OperationalError) or _is_corruption(error):
+                self._quarantine(str(error))
                 return False
-            self.problem = f"not written: {fault}"
-        except OSError as fault:
-            self.problem = f"not written: {fault.strerror}"
-        self._drop()  # a new try begins with a new look
+            self.problem = f"not written: {error}"
+        except OSError as error:
+            self.problem = f"not written: {error.strerror}"
+        self._disconnect()  # the next try opens the file again
         return False
 
     def _write(self, rows: list[tuple[str, int, bytes, bytes]], records: Sequence[Record]) -> bool:
-        if self._db is not None and self._file != _identity(self.path):
-            self._drop()
+        if self._db is not None and self._file_id != _file_id(self.path):
+            self._disconnect()
             self._serials.clear()
         db = self._open()
         if db is None or not self.writable:
-            self.problem = self.problem or "not written: it can only be read"
+            self.problem = self.problem or "not written: the file is read-only"
             return False
         with db:
             db.execute("BEGIN IMMEDIATE")
@@ -153,7 +153,7 @@
     # ---- the file ------------------------------------------------------------------------
 
     def _open(self) -> sqlite3.Connection | None:
-        """The connection, made if need be; None where there is nothing to read and nothing can be written."""
+        """The connection, opened if needed; None where the file doesn't exist and can't be created."""
         if self._db is not None:
             return self._db
         exists = self.path.exists()
@@ -161,16 +161,16 @@
             self.path.parent, os.W_OK
         )
         if not exists and not self.writable:
-            self.problem = "not read: nothing is there, and nothing can be written"
+            self.problem = "not read: the file doesn't exist and can't be created"
             return None
-        if not exists:  # made here, so that nobody else can ever read it
+        if not exists:  # created here rather than by SQLite, so that no other user can ever read it
             os.close(os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600))
-        # Without its folder a log can't be had: such a file is read as it lies.
+        # Without write access to the folder SQLite can't create a log: such a file is read as immutable.
         mode = "rw" if self.writable else "ro&immutable=1"
         db = sqlite3.connect(
-            self._address(mode),
+            self._uri(mode),
             uri=True,
-            timeout=BUSY,
+            timeout=BUSY_TIMEOUT,
             isolation_level=None,
             check_same_thread=False,
         )
@@ -179,59 +179,60 @@
         except BaseException:
             db.close()
             raise
-        self._db, self._file = db, _identity(self.path)
+        self._db, self._file_id = db, _file_id(self.path)
         return db
 
-    def _address(self, mode: str) -> str:
+    def _uri(self, mode: str) -> str:
         return f"{self.path.absolute().as_uri()}?mode={mode}"
 
     def _prepare(self, db: sqlite3.Connection) -> None:
         version = db.execute("PRAGMA user_version").fetchone()[0]
-        if version > VERSION:
+        if version > SCHEMA_VERSION:
             self.writable = False
-            raise sqlite3.OperationalError(f"version {version} is newer than {VERSION}")
+            raise sqlite3.OperationalError(f"version {version} is newer than {SCHEMA_VERSION}")
         if not self.writable:
             return
         db.execute("PRAGMA journal_mode = WAL")
         db.execute("PRAGMA synchronous = FULL")
-        db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT}")
-        if version < VERSION:
+        db.execute(f"PRAGMA wal_autocheckpoint = {CHECKPOINT_PAGES}")
+        if version < SCHEMA_VERSION:
             db.execute("BEGIN IMMEDIATE")
             db.execute(_TABLE)
-            db.execute(f"PRAGMA application_id = {APPLICATION}")
-            db.execute(f"PRAGMA user_version = {VERSION}")
+            db.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+            db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
             db.execute("COMMIT")
 
-    def _put_aside(self, why: str) -> None:
-        self._drop()
+    def _quarantine(self, reason: str) -> None:
+        """Rename a damaged file to `.bad`, so that a new one can be created."""
+        self._disconnect()
         self._serials.clear()
-        self.problem = f"damaged, and begun anew: {why}"
+        self.problem = f"damaged, renamed to .bad and created anew: {reason}"
         for suffix in SUFFIXES:
             with contextlib.suppress(OSError):
                 os.replace(f"{self.path}{suffix}", f"{self.path}.bad{suffix}")
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._db is not None:
             with contextlib.suppress(sqlite3.Error):
                 self._db.close()
-        self._db = self._file = None
+        self._db = self._file_id = None
 
     def close(self) -> None:
-        """Let go of the file."""
-        self._drop()
+        """Close the file."""
+        self._disconnect()
 
 
-def _identity(path: Path) -> tuple[int, int] | None:
+def _file_id(path: Path) -> tuple[int, int] | None:
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return found.st_dev, found.st_ino
+    return status.st_dev, status.st_ino
 
 
-def _unreadable(fault: sqlite3.OperationalError) -> bool:
-    """Whether an operational error tells of a damaged file: tables that are gone, or a schema that makes no sense."""
-    text = str(fault)
+def _is_corruption(error: sqlite3.OperationalError) -> bool:
+    """Whether an operational error indicates a damaged file: missing tables or an unreadable schema."""
+    text = str(error)
     return "no such table" in text or "malformed" in text or "no such column" in text or "has no column" in text
 
 
--- a/cometusher/store/writer.py
+++ b/cometusher/store/writer.py
@@ -1,4 +1,4 @@
-"""Writes records off the event loop, at a bounded rate: the newest of each kind, never a queue of old ones."""
+"""Writes records off the event loop at a limited rate: the newest of each kind, never a queue of outdated ones."""
 
 from __future__ import annotations
 
@@ -12,70 +12,72 @@
 
 log = logging.getLogger("cometusher.store.keeper")  # the `subsystem` of its log records
 
-EVERY = 0.5  # seconds between writings, at least...
-RETRY_INTERVAL = 5.0  # ...and after one that failed
-LAST = 1.0  # seconds that the end waits for the last writing
+WRITE_INTERVAL = 0.5  # minimum seconds between writes...
+RETRY_INTERVAL = 5.0  # ...and after a failed one
+CLOSE_TIMEOUT = 1.0  # seconds that `close` waits for a write
 
 
 class RecordWriter:
-    """The writer of one file."""
+    """Writer of one file."""
 
-    def __init__(self, records: RecordFile, owner: Owner, moment: Callable[[], ClockReading]) -> None:
+    def __init__(self, records: RecordFile, owner: Owner, read_clock: Callable[[], ClockReading]) -> None:
         self._records = records
         self._owner = owner
-        self._moment = moment
+        self._read_clock = read_clock
         self._loop = asyncio.get_running_loop()
-        # One thread, begun with the first writing: SQLite's waits for the disk are not the loop's.
-        self._thread = ThreadPoolExecutor(1, "store")
-        self._due: dict[str, object] = {}
+        # One thread, started with the first write: SQLite's waits for the disk must not block the loop.
+        self._executor = ThreadPoolExecutor(1, "store")
+        self._pending: dict[str, object] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._running: asyncio.Future[bool] | None = None
-        self._said = ""
-        self.written = 0  # times
+        self._logged_problem = ""
+        self.written = 0  # successful writes
         self.failed = 0
 
     def put(self, kind: str, body: object) -> None:
-        """Have a form written soon; a newer one of its kind takes its place until then."""
-        self._due[kind] = body
+        """Schedule a state to be written soon; a newer one of its kind replaces it until then."""
+        self._pending[kind] = body
         if self._timer is None and self._running is None:
-            self._timer = self._loop.call_later(0.0, self._begin)
+            self._timer = self._loop.call_later(0.0, self._start_write)
 
-    def _begin(self) -> None:
+    def _start_write(self) -> None:
         self._timer = None
-        if not self._due:
+        if not self._pending:
             return
-        now, due, self._due = self._moment(), self._due, {}
-        records = [Record(k, self._records.next_serial(k), self._owner, now, body) for k, body in due.items()]
-        self._running = self._loop.run_in_executor(self._thread, self._records.write, records)
-        self._running.add_done_callback(lambda done: self._ended(done, due))
+        now, bodies, self._pending = self._read_clock(), self._pending, {}
+        records = [
+            Record(kind, self._records.next_serial(kind), self._owner, now, body) for kind, body in bodies.items()
+        ]
+        self._running = self._loop.run_in_executor(self._executor, self._records.write, records)
+        self._running.add_done_callback(lambda done: self._on_write_done(done, bodies))
 
-    def _ended(self, done: asyncio.Future[bool], due: dict[str, object]) -> None:
+    def _on_write_done(self, done: asyncio.Future[bool], bodies: dict[str, object]) -> None:
         self._running = None
-        good = not done.cancelled() and done.exception() is None and done.result()
-        why = self._records.problem or ("" if good else f"not written: {done.exception()}")
-        if why != self._said:
-            self._said = why
-            level = logging.WARNING if why else logging.INFO
-            log.log(level, "%s: %s", self._records.path.name, why or "written again")
-        self.written += good
-        self.failed += not good
-        if not good:
-            self._due = due | self._due  # newer ones first
-        if self._due or good:
-            self._timer = self._loop.call_later(EVERY if good else RETRY_INTERVAL, self._begin)
+        succeeded = not done.cancelled() and done.exception() is None and done.result()
+        problem = self._records.problem or ("" if succeeded else f"not written: {done.exception()}")
+        if problem != self._logged_problem:
+            self._logged_problem = problem
+            level = logging.WARNING if problem else logging.INFO
+            log.log(level, "%s: %s", self._records.path.name, problem or "written again")
+        self.written += succeeded
+        self.failed += not succeeded
+        if not succeeded:
+            self._pending = bodies | self._pending  # newer states take precedence
+        if self._pending or succeeded:
+            self._timer = self._loop.call_later(WRITE_INTERVAL if succeeded else RETRY_INTERVAL, self._start_write)
 
     async def close(self) -> None:
-        """Write what is due once more, as far as that is quick, and let go."""
+        """Write what is pending, waiting up to CLOSE_TIMEOUT seconds, and release the file."""
         if self._timer is not None:
             self._timer.cancel()
         if self._running is not None:
-            await asyncio.wait([self._running], timeout=LAST)
+            await asyncio.wait([self._running], timeout=CLOSE_TIMEOUT)
         if self._running is None:
-            self._begin()
+            self._start_write()
             if self._running is not None:
-                await asyncio.wait([self._running], timeout=LAST)
+                await asyncio.wait([self._running], timeout=CLOSE_TIMEOUT)
         if self._timer is not None:
             self._timer.cancel()
-        self._thread.shutdown(wait=False, cancel_futures=True)
+        self._executor.shutdown(wait=False, cancel_futures=True)
         if self._running is None:
             self._records.close()
--- a/tests/loopback/test_store.py
+++ b/tests/loopback/test_store.py
@@ -151,7 +151,7 @@
 def test_a_file_that_is_no_store_is_put_aside(tmp_path: Path) -> None:
     (tmp_path / "s").write_bytes(b"notes of somebody\n" * 100)
     records = RecordFile(tmp_path / "s")
-    assert serial(records) == 0 and "begun anew" in records.problem
+    assert serial(records) == 0 and "created anew" in records.problem
     assert (tmp_path / "s.bad").read_bytes().startswith(b"notes")
     assert records.write([record(1)]) and serial(records) == 1
 
@@ -228,9 +228,9 @@
             os.setuid(65534)
             records = RecordFile(folder / "s")
             assert serial(records) == 6, records.problem
-            assert not records.write([record(7)]) and "can only be read" in records.problem
+            assert not records.write([record(7)]) and "the file is read-only" in records.problem
             fresh = RecordFile(folder / "other")
-            assert serial(fresh) == 0 and "nothing can be written" in fresh.problem
+            assert serial(fresh) == 0 and "can't be created" in fresh.problem
 
         ended_well(forked(work))
 
