--- a/cometusher/cluster/transport.py
+++ b/cometusher/cluster/transport.py
@@ -178,7 +178,10 @@
     # ---- events of connections -----------------------------------------------------------
 
     def on_accepted(self, connection: PeerConnection) -> None:
-        """A connection was accepted. The oldest pending handshake is closed if there are too many."""
+        """A connection was accepted.
+
+        If too many handshakes are pending, the oldest is closed: this bounds unauthenticated clients that send nothing.
+        """
         accepted = [pending for pending in self._handshaking if not pending.dialled]
         if len(accepted) >= MAX_PENDING_HANDSHAKES:
             accepted[0].disconnect()
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -175,13 +175,13 @@
     run(test)
 
 
-@pytest.mark.parametrize("mood", [Mood("drop"), Mood("mute", way="down"), Mood("refuse")])
-def test_isolated_members_rejoin_when_the_links_recover(mood: Mood) -> None:
+@pytest.mark.parametrize("fault", [Mood("drop"), Mood("mute", way="down"), Mood("refuse")])
+def test_isolated_members_rejoin_when_the_links_recover(fault: Mood) -> None:
     async def test() -> None:
         async with machines() as m:
             for link in m.links:
-                await link.set(mood)
-                if mood.name == "refuse":
+                await link.set(fault)
+                if fault.name == "refuse":
                     await link.set(Mood("reset"))  # open connections as well
             for i in range(3):
                 others = {f"m{j}" for j in range(3) if j != i}
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -43,7 +43,7 @@
     delay: float = 0.002  # seconds on average
     policy: MemberPolicy = POLICY
     now: float = 0.0
-    by_address: dict[str, Membership] = field(default_factory=dict)  # by address
+    by_address: dict[str, Membership] = field(default_factory=dict)
     paused_until: dict[str, float] = field(default_factory=dict)  # address: until when it is paused
     cut: Callable[[str, str], bool] = lambda sender, to: False
     changes: list[tuple[float, str, StateChange]] = field(default_factory=list)  # time, observer, change
--- a/weldroute/members.py
+++ b/weldroute/members.py
@@ -69,7 +69,7 @@
 
     period: float = 0.5  # between probes
     patience: float = 0.12  # for an answer to a direct probe, before helpers are asked
-    helpers: int = 3
+    helpers: int = 3  # members asked to probe a target that did not answer
     gossip: float = 0.1  # between gossip rounds, while there are updates to send
     fanout: int = 3  # members that receive one gossip round
     riding: int = 8  # updates in one message
