--- a/cometusher/cluster/transport.py
+++ b/cometusher/cluster/transport.py
@@ -180,7 +180,7 @@
     def on_accepted(self, connection: PeerConnection) -> None:
         """A connection was accepted.
 
-        If too many handshakes are pending, the oldest is closed: this bounds unauthenticated clients that send nothing.
+        If too many handshakes are pending, the oldest is closed: this bounds clients that connect and send nothing.
         """
         accepted = [pending for pending in self._handshaking if not pending.dialled]
         if len(accepted) >= MAX_PENDING_HANDSHAKES:
