--- a/cometusher/store/records.py
+++ b/cometusher/store/records.py
@@ -120,7 +120,7 @@
         for record in records:
             data = orjson.dumps(record.to_dict())
             if len(data) > MAX_RECORD_BYTES:
-                self.problem = f"{record.kind}: {len(data)} bytes are more than the limit of {MAX_RECORD_BYTES}"
+                self.problem = f"{record.kind}: {len(data)} bytes exceed the limit"
                 return False
             rows.append((record.kind, record.serial % 2, _digest(data), data))
         try:
--- a/tests/unit/test_recovery.py
+++ b/tests/unit/test_recovery.py
@@ -30,29 +30,29 @@
 )
 
 
-def made(now: float = 0.0, **changes: Any) -> Recovery:
+def make_recovery(now: float = 0.0, **changes: Any) -> Recovery:
     return Recovery(now, RecoveryPlan(**{name: getattr(PLAN, name) for name in RecoveryPlan.__slots__} | changes), 1)
 
 
-def remembered(seq: int = 41, **changes: Any) -> Recovery:
-    c = made(**changes)
+def with_stored_list(seq: int = 41, **changes: Any) -> Recovery:
+    c = make_recovery(**changes)
     c.on_stored_list(0.0, 40, 1.0, seq)
     return c
 
 
-def phase(c: Recovery) -> Phase:
+def current_phase(c: Recovery) -> Phase:
     return c.phase
 
 
-def ticked(c: Recovery, begin: float, end: float) -> None:
+def tick_between(c: Recovery, begin: float, end: float) -> None:
     for i in range(int((end - begin) / 0.05) + 1):
         c.tick(begin + 0.05 * i)
 
 
-def test_the_table_of_phases() -> None:
-    nothing = made()
+def test_each_row_of_the_phase_table() -> None:
+    nothing = make_recovery()
     assert (nothing.phase, nothing.ready) == (Phase.NO_LIST, False)
-    kept = remembered()
+    kept = with_stored_list()
     assert (kept.phase, kept.ready) == (Phase.STORED, True)
     assert kept.on_list(1.0, True, 40, 42) is ListDecision.ACCEPT
     told = kept.phase
@@ -60,27 +60,27 @@
     nothing.on_list(1.0, True, 40, 1)
     told = nothing.phase
     assert told is Phase.CONFIRMED
-    for c in (kept, nothing, remembered()):
+    for c in (kept, nothing, with_stored_list()):
         c.on_answer(1.1)
-        assert phase(c) is Phase.RAMPING
-        ticked(c, 1.1, 1.1 + FULL_SERVICE_AFTER + 0.1)
-        assert phase(c) is Phase.FULL
+        assert current_phase(c) is Phase.RAMPING
+        tick_between(c, 1.1, 1.1 + FULL_SERVICE_AFTER + 0.1)
+        assert current_phase(c) is Phase.FULL
         assert c.milestones.full_service_at == pytest.approx(1.1), "full when the calm began, not when it was seen"
 
 
-def test_full_also_where_nobody_asks() -> None:
-    c = remembered()
-    ticked(c, 0.0, FULL_SERVICE_AFTER + 0.1)
+def test_full_service_is_reached_without_requests() -> None:
+    c = with_stored_list()
+    tick_between(c, 0.0, FULL_SERVICE_AFTER + 0.1)
     assert c.phase is Phase.FULL
 
 
 @pytest.mark.parametrize("wanted", [Phase.STORED, Phase.RAMPING, Phase.FULL])
-def test_a_remembered_list_serves_for_its_time_and_no_longer(wanted: Phase) -> None:
-    c = remembered(list_for=5.0)
+def test_stored_list_expires(wanted: Phase) -> None:
+    c = with_stored_list(list_for=5.0)
     if wanted is not Phase.STORED:
         c.on_answer(0.1)
     if wanted is Phase.FULL:
-        ticked(c, 0.1, 1.0)
+        tick_between(c, 0.1, 1.0)
     assert c.phase is wanted
     assert not c.tick(3.9) and c.ready
     assert c.tick(4.0), "written one second before the start"
@@ -88,27 +88,27 @@
     assert c.on_list(5.0, True, 3, 1) is ListDecision.ACCEPT and c.ready, "then anything is better than nothing"
 
 
-def test_a_list_that_discovery_told_has_no_end() -> None:
-    c = remembered(list_for=5.0)
+def test_confirmed_list_does_not_expire() -> None:
+    c = with_stored_list(list_for=5.0)
     c.on_list(1.0, False, 0, 41)
     assert not c.tick(1000.0) and c.ready
 
 
-def test_a_list_of_unknown_age_gets_half_of_the_time_and_an_old_one_none() -> None:
-    c = made(list_for=10.0)
+def test_stored_list_of_unknown_age_has_half_the_lifetime_and_an_old_one_none() -> None:
+    c = make_recovery(list_for=10.0)
     c.on_stored_list(0.0, 40, None)
     assert not c.tick(4.9) and c.tick(5.0)
-    c = made(list_for=10.0)
+    c = make_recovery(list_for=10.0)
     c.on_stored_list(0.0, 40, 10.0)
     assert c.phase is Phase.NO_LIST
 
 
-def test_the_table_of_what_discovery_tells() -> None:
-    assert made().on_list(0.0, True, 0, 9) is ListDecision.ACCEPT
-    assert not made().ready
-    assert remembered().on_list(1.0, False, 1, 42) is ListDecision.ACCEPT
-    assert remembered().on_list(1.0, True, 40, 41) is ListDecision.ACCEPT
-    empty, older = remembered(), remembered()
+def test_each_row_of_the_list_table() -> None:
+    assert make_recovery().on_list(0.0, True, 0, 9) is ListDecision.ACCEPT
+    assert not make_recovery().ready
+    assert with_stored_list().on_list(1.0, False, 1, 42) is ListDecision.ACCEPT
+    assert with_stored_list().on_list(1.0, True, 40, 41) is ListDecision.ACCEPT
+    empty, older = with_stored_list(), with_stored_list()
     assert empty.on_list(1.0, True, 0, 50) is ListDecision.WAIT and not empty.discovery_reported
     assert older.on_list(1.0, True, 40, 40) is ListDecision.MERGE and not older.discovery_reported
     for c in (empty, older):
@@ -119,15 +119,15 @@
         assert not c.confirm_distrusted(12.0, 3), "told once"
 
 
-def test_doubt_is_not_put_off_by_being_told_again() -> None:
-    c = remembered()
+def test_repeated_reports_do_not_extend_distrust() -> None:
+    c = with_stored_list()
     for second in range(1, 10):
         c.on_list(float(second), True, 0, 50)
     assert c.confirm_distrusted(11.0, 0)
 
 
-def test_doubt_lasts_until_it_is_ended_and_not_until_a_change_happens_to_come() -> None:
-    c = remembered()
+def test_a_change_does_not_end_distrust() -> None:
+    c = with_stored_list()
     c.on_list(1.0, True, 0, 50)
     assert c.on_list(11.5, False, 1, 51) is ListDecision.ACCEPT and not c.discovery_reported, (
         "later than doubt_for, before the next look"
@@ -135,8 +135,8 @@
     assert c.confirm_distrusted(11.6, 1) and c.discovery_reported
 
 
-def test_a_good_list_ends_the_doubt() -> None:
-    c = remembered()
+def test_a_consistent_list_ends_distrust() -> None:
+    c = with_stored_list()
     c.on_list(1.0, True, 0, 50)
     assert c.on_list(2.0, True, 40, 51) is ListDecision.ACCEPT and c.discovery_reported
     assert not c.confirm_distrusted(100.0, 0)
@@ -152,12 +152,12 @@
         (ServerRow(1, State.UP, started=5.0), ServerRow(1, State.DRAINING, started=5.0), False),
     ],
 )
-def test_of_two_rows_the_later_start_and_the_drain_count(mine: ServerRow, theirs: ServerRow, kept: bool) -> None:
+def test_merge_prefers_the_later_start_and_the_drain(mine: ServerRow, theirs: ServerRow, kept: bool) -> None:
     assert Recovery.prefers_stored(mine, theirs) is kept
 
 
-def test_a_contradiction_drops_what_is_remembered_and_not_what_was_told() -> None:
-    c = remembered()
+def test_contradiction_drops_stored_servers_but_not_reported_ones() -> None:
+    c = with_stored_list()
     assert c.on_contradiction(7, "refuses connections")
     c.on_list(1.0, True, 40, 42)
     assert not c.on_contradiction(7, "refuses connections")
@@ -167,14 +167,14 @@
 # ---- paces and the door ------------------------------------------------------------------
 
 
-def test_the_shares_of_those_that_return_and_of_those_that_stayed_keep_to_the_multiple() -> None:
+def test_connection_rates_of_the_fleet_stay_within_the_multiple() -> None:
     for returning in range(1, 21):
         plan = RecoveryPlan(instances=20, returning=returning, calm=1.3, multiple=3.0)
         total = returning * plan.connection_rate(1.3) + (20 - returning) * 1.3
         assert total <= 3.0 * 20 * 1.3 + 1e-9
 
 
-def test_one_connection_at_once_and_further_ones_at_the_pace() -> None:
+def test_first_connection_is_immediate_and_others_are_rate_limited() -> None:
     pace = ConnectionRateLimiter(0.0, 2.0)
     assert pace.available(0.0) == 1.0
     pace.spend(0.0, 1)
@@ -184,8 +184,8 @@
     assert pace.next_at(1.0) == pytest.approx(2.5)
 
 
-def test_requests_wait_for_a_connection_in_their_order_and_go_on_with_one() -> None:
-    c = remembered()
+def test_queued_requests_are_released_in_order() -> None:
+    c = with_stored_list()
     assert c.admit(0.0, "a", 3.0, 1.0, 0) is AdmissionVerdict.PASS
     c.on_connections_opened(0.0, 1)
     assert c.admit(0.0, "b", 3.0, 1.0, 0) is AdmissionVerdict.QUEUE
@@ -196,8 +196,8 @@
     assert c.release_next(c.next_wakeup(0.01), 0) == "c"
 
 
-def test_with_nothing_known_requests_wait_as_long_as_their_time_allows_and_no_longer() -> None:
-    c = made()
+def test_without_a_list_requests_are_queued_until_their_deadline() -> None:
+    c = make_recovery()
     assert c.admit(0.0, "a", 3.0, 1.0, 0) is AdmissionVerdict.QUEUE
     assert c.release_next(0.1, 5) is None
     assert c.next_wakeup(0.1) == pytest.approx(2.5)
@@ -206,15 +206,15 @@
     assert c.admit(0.0, "b", 0.0, 1.0, 0) is AdmissionVerdict.REFUSE, "no time at all"
 
 
-def test_what_waits_is_bounded() -> None:
-    c = made()
+def test_queue_is_bounded() -> None:
+    c = make_recovery()
     verdicts = [c.admit(0.0, i, 3.0, 1.0, 0) for i in range(MAX_QUEUED + 5)]
     assert verdicts.count(AdmissionVerdict.QUEUE) == MAX_QUEUED == c.queue_length
     assert verdicts[MAX_QUEUED:] == [AdmissionVerdict.REFUSE] * 5
 
 
-def test_who_leaves_takes_nobodys_turn() -> None:
-    c = made()
+def test_withdrawn_request_does_not_use_up_a_release() -> None:
+    c = make_recovery()
     c.admit(0.0, "a", 3.0, 1.0, 0)
     c.admit(0.0, "b", 3.0, 1.0, 0)
     assert c.withdraw("a") and not c.withdraw("a")
@@ -222,20 +222,20 @@
     assert c.release_next(0.1, 0) == "b"
 
 
-def test_waiting_for_long_puts_full_service_off() -> None:
-    c = remembered()
+def test_long_queueing_delays_full_service() -> None:
+    c = with_stored_list()
     c.on_answer(0.1)
     c.on_connections_opened(0.1, 2)
     c.admit(0.1, "a", 5.0, 1.0, 0)
-    ticked(c, 0.1, 1.0)
-    assert phase(c) is Phase.RAMPING
+    tick_between(c, 0.1, 1.0)
+    assert current_phase(c) is Phase.RAMPING
     c.release_next(1.0, 1)
-    ticked(c, 1.0, 1.0 + FULL_SERVICE_AFTER + 0.1)
-    assert phase(c) is Phase.FULL and c.milestones.full_service_at == pytest.approx(1.0, abs=QUEUE_GRACE)
+    tick_between(c, 1.0, 1.0 + FULL_SERVICE_AFTER + 0.1)
+    assert current_phase(c) is Phase.FULL and c.milestones.full_service_at == pytest.approx(1.0, abs=QUEUE_GRACE)
 
 
-def test_the_pace_lasts_until_nobody_asks_for_more() -> None:
-    c = remembered()
+def test_rate_limit_lasts_until_demand_settles() -> None:
+    c = with_stored_list()
     c.on_answer(0.1)
     opened = 0
     for i in range(200):
@@ -251,9 +251,9 @@
     assert c.admit(20.0, "a", 23.0, 1.0, 0) is AdmissionVerdict.PASS
 
 
-def test_calm_is_learned_once_it_is_calm_and_within_bounds() -> None:
-    c = remembered()
-    ticked(c, 0.0, 5.0)
+def test_normal_rate_is_learned_after_settling_and_bounded() -> None:
+    c = with_stored_list()
+    tick_between(c, 0.0, 5.0)
     assert not c.rate_limited
     for second in range(60):
         c.on_connections_opened(5.0 + second, 3 * second)
@@ -263,18 +263,18 @@
     assert Recovery(0.0, PLAN, 1, normal_rate=0.0).normal_rate == 0.5
 
 
-def test_refusals_are_sent_back_spread_in_time() -> None:
-    c = made()
+def test_retry_after_is_spread() -> None:
+    c = make_recovery()
     times = [c.retry_after() for _ in range(200)]
     assert min(times) < 0.6 and max(times) > 1.4 and all(0.5 <= t <= 1.5 for t in times)
-    assert made(retry_after=0.0).retry_after() == 0.0
+    assert make_recovery(retry_after=0.0).retry_after() == 0.0
 
 
 @given(st.integers(0, 2**32))
-def test_any_order_of_events_keeps_the_promises(seed: int) -> None:
+def test_invariants_hold_for_any_order_of_events(seed: int) -> None:
     """Nobody is let in with nothing known or waits past its time; the pace holds; phases go where they may."""
     rng = Random(seed)
-    c = made(list_for=rng.uniform(0.5, 6.0), doubt_for=rng.uniform(0.2, 3.0))
+    c = make_recovery(list_for=rng.uniform(0.5, 6.0), doubt_for=rng.uniform(0.2, 3.0))
     now, opened, number = 0.0, 0, 0
     waiting: dict[object, float] = {}
     allowed = 1.0
@@ -334,7 +334,7 @@
     )
 
 
-def test_tiers_behind_start_first_and_starts_are_spread() -> None:
+def test_rear_tiers_start_first_and_starts_are_spread() -> None:
     waves = StartScheduler(10.0, Random(1))
     names = [(f"i{i}", 0) for i in range(10)] + [(f"a{i}", 2) for i in range(10)]
     due = waves.schedule(100.0, names)
@@ -354,6 +354,6 @@
         {"list_for": math.inf},
     ],
 )
-def test_plans_that_make_no_sense(values: dict[str, Any]) -> None:
+def test_invalid_plan_names_the_field(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=next(iter(values))):
         RecoveryPlan(**values).check()
