--- a/cometusher/inflight/__init__.py
+++ b/cometusher/inflight/__init__.py
@@ -1,1 +1,1 @@
-"""Work in hand that outlives its process: its notes, the keeper of its connections, and what an heir does."""
+"""Takeover of in-flight requests from dead processes: tracking, the descriptor holder, and offers to successors."""
--- a/cometusher/inflight/endpoint.py
+++ b/cometusher/inflight/endpoint.py
@@ -1,4 +1,4 @@
-"""A process's side of what its supervisor gave it: the fleet's shelf of books, and the socket that offers come by."""
+"""An instance's end of the takeover channel: the fleet's pool of journals, and the socket that delivers offers."""
 
 from __future__ import annotations
 
@@ -22,77 +22,77 @@
 
 log = logging.getLogger("cometusher.inhand.door")  # the `subsystem` of its log records
 
-POOL_FD, HOLDER_FD, CHANNEL_FD = 6, 7, 8  # descriptors that a process under a supervisor has them at
-MAX_OFFERS_PER_WAKEUP = 16  # offers at one wake-up
-ROOM_CHECK_INTERVAL = 0.05  # seconds between looks whether there is room again
-MADV_POPULATE_WRITE = 23  # MADV_POPULATE_WRITE of madvise(2), Linux 5.14; `mmap` has no name for it
-PREFAULTED_BYTES = 64 * 1024  # bytes of a book that a process uses at most times
+POOL_FD, HOLDER_FD, CHANNEL_FD = 6, 7, 8  # descriptor numbers in a process that a supervisor started
+MAX_OFFERS_PER_WAKEUP = 16
+ROOM_CHECK_INTERVAL = 0.05  # seconds between checks whether there is room for an offer again
+MADV_POPULATE_WRITE = 23  # of madvise(2), Linux 5.14; `mmap` has no name for it
+PREFAULTED_BYTES = 64 * 1024  # of a journal: what a process uses most of the time
 
 
 @dataclass(frozen=True, slots=True)
 class JournalAssignment:
-    """What a process is told of its book."""
+    """The journal that a supervisor has assigned to a process."""
 
     process: int  # a number that its supervisor never uses again
-    book: int
+    book: int  # number of the journal in the pool
     shelf: JournalPool
 
 
 def read_assignment(path: Path) -> JournalAssignment | None:
-    """The part of an instance's file that its supervisor wrote for it, if any; raises ConfigError."""
+    """Read the assignment, if any, from the file that the supervisor wrote for an instance; raises ConfigError."""
     try:
         values = orjson.loads(path.read_bytes()).get("takeover")
         if values is None:
             return None
-        shelf = values["shelf"]
+        pool = values["shelf"]
         return JournalAssignment(
             int(values["process"]),
             int(values["book"]),
-            JournalPool(JournalSize(**shelf["size"]), shelf["books"], shelf["keys"]),
+            JournalPool(JournalSize(**pool["size"]), pool["books"], pool["keys"]),
         )
-    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as fault:
-        raise ConfigError(f"{path}: takeover: {fault}") from None
+    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as error:
+        raise ConfigError(f"{path}: takeover: {error}") from None
 
 
-def assignment_values(covered: JournalAssignment) -> dict[str, Any]:
-    """That part, for `read_covered`."""
-    return asdict(covered)
+def assignment_values(assignment: JournalAssignment) -> dict[str, Any]:
+    """An assignment in the form that `read_assignment` reads."""
+    return asdict(assignment)
 
 
 def prefault(mapping: mmap.mmap, begin: int, count: int) -> None:
-    """Have pages at hand: a request that is the first to touch one would wait for the kernel to find it."""
-    with contextlib.suppress(OSError):  # an older kernel: it is slower, that is all
+    """Fault pages in: otherwise the first request to touch one would wait for the kernel to allocate it."""
+    with contextlib.suppress(OSError):  # an older kernel: only slower
         mapping.madvise(MADV_POPULATE_WRITE, begin, count)
 
 
 def _sockets(descriptors: list[int]) -> list[socket.socket | None]:
-    """Sockets of these; None, and closed, for what is none."""
-    found: list[socket.socket | None] = []
-    for number in descriptors:
+    """Sockets of these descriptors; a descriptor that is no socket is closed and gives None."""
+    sockets: list[socket.socket | None] = []
+    for descriptor in descriptors:
         try:
-            one = socket.socket(fileno=number)
-            one.setblocking(False)
-            found.append(one)
+            sock = socket.socket(fileno=descriptor)
+            sock.setblocking(False)
+            sockets.append(sock)
         except OSError:
-            close_all([number])
-            found.append(None)
-    return found
+            close_all([descriptor])
+            sockets.append(None)
+    return sockets
 
 
 class SocketTakeoverChannel:
-    """Shared memory, and a socket whose other end the supervisor has."""
+    """A takeover channel over shared memory and a socket whose other end the supervisor holds."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, covered: JournalAssignment) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, assignment: JournalAssignment) -> None:
         self._loop = loop
-        self.pool = covered.shelf
-        self.process = covered.process
-        self.number = covered.book
-        mapping = mmap.mmap(POOL_FD, covered.shelf.bytes)
-        prefault(mapping, 0, covered.shelf.index_bytes)
-        prefault(mapping, covered.shelf.journal_offset(covered.book), PREFAULTED_BYTES)
+        self.pool = assignment.shelf
+        self.process = assignment.process
+        self.number = assignment.book
+        mapping = mmap.mmap(POOL_FD, assignment.shelf.bytes)
+        prefault(mapping, 0, assignment.shelf.index_bytes)
+        prefault(mapping, assignment.shelf.journal_offset(assignment.book), PREFAULTED_BYTES)
         self._memory = memoryview(mapping)
-        self._journals: dict[int, OrphanedJournal] = {}  # books of others, as far as they were read
-        self.keys: KeyIndex = covered.shelf.key_index(self._memory)
+        self._journals: dict[int, OrphanedJournal] = {}  # of other processes, as far as they were read
+        self.keys: KeyIndex = assignment.shelf.key_index(self._memory)
         self._socket = socket.socket(fileno=os.dup(CHANNEL_FD))
         self._socket.setblocking(False)
         self._on_offer: Callable[[ReceivedOffer], None] = lambda received: received.close()
@@ -100,21 +100,21 @@
 
     @property
     def memory(self) -> memoryview:
-        """This process's own book."""
+        """This process's own journal."""
         return self.pool.journal_memory(self._memory, self.number)
 
-    def journal_of(self, book: int) -> OrphanedJournal:
-        """Any book; raises ValueError for one that is not there."""
-        left = self._journals.get(book)
-        if left is None:
-            left = self._journals[book] = OrphanedJournal(
-                self.pool.journal_memory(self._memory, book), self.pool.size
+    def journal_of(self, number: int) -> OrphanedJournal:
+        """Any journal of the pool; raises ValueError for a number outside it."""
+        journal = self._journals.get(number)
+        if journal is None:
+            journal = self._journals[number] = OrphanedJournal(
+                self.pool.journal_memory(self._memory, number), self.pool.size
             )
-        return left
+        return journal
 
-    def start_receiving(self, offered: Callable[[ReceivedOffer], None], room: Callable[[], bool]) -> None:
-        """Call for each offer from here on, while there is room for one."""
-        self._on_offer, self._has_room = offered, room
+    def start_receiving(self, on_offer: Callable[[ReceivedOffer], None], has_room: Callable[[], bool]) -> None:
+        """Call `on_offer` for each offer from here on, while `has_room()`."""
+        self._on_offer, self._has_room = on_offer, has_room
         self._listen()
 
     def _listen(self) -> None:
@@ -123,14 +123,14 @@
     def _read(self) -> None:
         for _ in range(MAX_OFFERS_PER_WAKEUP):
             if not self._has_room():
-                # What is not received can be taken back, and given to another.
+                # An offer that is not received can be withdrawn and made to another process.
                 self._loop.remove_reader(self._socket.fileno())
                 self._loop.call_later(ROOM_CHECK_INTERVAL, self._listen)
                 return
             try:
                 offer = receive(self._socket)
             except (OSError, EOFError):
-                self._loop.remove_reader(self._socket.fileno())  # the lifeline tells of the rest
+                self._loop.remove_reader(self._socket.fileno())  # the lifeline reports that the supervisor is gone
                 return
             if offer is None:
                 return
@@ -140,16 +140,16 @@
         descriptors, offer.descriptors = offer.descriptors, []
         sockets = _sockets(descriptors)
         if offer.slot < 0:
-            rows = [ConnectionRecord(0, *row) for row in offer.rows]
-            there = [(row, one) for row, one in zip(rows, sockets, strict=False) if one is not None]
-            return ReceivedOffer(offer.book, offer.process, -1, 0, None, None, [], list(there))
-        rest = iter(sockets)
-        caller = next(rest, None)
-        tries = [next(rest, None) if there else None for there in offer.tries]
+            records = [ConnectionRecord(0, *row) for row in offer.rows]
+            idle = [(record, sock) for record, sock in zip(records, sockets, strict=False) if sock is not None]
+            return ReceivedOffer(offer.book, offer.process, -1, 0, None, None, [], list(idle))
+        remaining = iter(sockets)
+        caller = next(remaining, None)
+        attempts = [next(remaining, None) if sent else None for sent in offer.tries]
         if offer.truncated:
-            received = ReceivedOffer(offer.book, offer.process, offer.slot, offer.term, None, caller, tries)
+            received = ReceivedOffer(offer.book, offer.process, offer.slot, offer.term, None, caller, attempts)
             received.close()
             return received
         return ReceivedOffer(
-            offer.book, offer.process, offer.slot, offer.term, self.journal_of(offer.book), caller, tries
+            offer.book, offer.process, offer.slot, offer.term, self.journal_of(offer.book), caller, attempts
         )
--- a/cometusher/inflight/offer.py
+++ b/cometusher/inflight/offer.py
@@ -1,7 +1,8 @@
-"""The message by which a supervisor names an heir: what it is about, and the connections themselves.
+"""The message by which a supervisor names a successor: the request that it is to take over, and its connections.
 
-One message (SOCK_SEQPACKET) for one piece of work, or for some connections without work. The kernel gives a message
-to one reader, once: who has received it is the heir, and what the supervisor has received back nobody else can.
+One message (SOCK_SEQPACKET) offers one request, or some idle connections. The kernel delivers a message to one
+reader, once: the process that has received it is the successor, and a message that the supervisor has received back
+can't be received by anybody else.
 """
 
 from __future__ import annotations
@@ -16,25 +17,30 @@
 
 import orjson
 
-MAX_MESSAGE = 64 * 1024
-MAX_DESCRIPTORS = 240
+MAX_MESSAGE = 64 * 1024  # bytes
+MAX_DESCRIPTORS = 240  # of one message
 
 
 @dataclass(slots=True)
 class Offer:
-    """What one message says. `descriptors` belong to whoever holds it."""
+    """The contents of one message. Whoever holds the offer owns its `descriptors`.
 
-    process: int  # whose work it was
-    slot: int = -1  # in its book; -1: connections without work
+    The fields other than `descriptors` and `truncated` are keys of the message.
+    """
+
+    process: int  # the previous owner
+    slot: int = -1  # in its journal; -1: idle connections
     term: int = 0
-    tries: list[bool] = field(default_factory=list)  # of each attempt, whether its connection is here
-    book: int = 0  # ...and which that is
-    rows: list[list[int]] = field(default_factory=list)  # of connections without work: name, read, wrote
-    descriptors: list[int] = field(default_factory=list)  # the caller, attempts; or the callers
-    truncated: bool = False  # not all of them could be received: there was no descriptor left
-
-    def send(self, door: socket.socket) -> None:
-        """Offer it; raises OSError (BlockingIOError where there is no room)."""
+    tries: list[bool] = field(default_factory=list)  # for each attempt, whether its connection is included
+    book: int = 0  # number of its journal
+    rows: list[list[int]] = field(
+        default_factory=list
+    )  # of idle connections: connection id, bytes read, bytes written
+    descriptors: list[int] = field(default_factory=list)  # of the caller, then the attempts; or of idle connections
+    truncated: bool = False  # not all of them could be received, for lack of descriptors
+
+    def send(self, channel: socket.socket) -> None:
+        """Send the offer; raises OSError (BlockingIOError where the socket's buffer is full)."""
         values: dict[str, Any] = {
             "process": self.process,
             "slot": self.slot,
@@ -43,18 +49,18 @@
             "book": self.book,
             "rows": self.rows,
         }
-        socket.send_fds(door, [orjson.dumps(values)], self.descriptors)
+        socket.send_fds(channel, [orjson.dumps(values)], self.descriptors)
 
     def close(self) -> None:
-        """Let go of its connections."""
+        """Close its connections."""
         close_all(self.descriptors)
         self.descriptors = []
 
 
-def receive(door: socket.socket) -> Offer | None:
-    """The next offer; None where there is none now. Raises OSError or EOFError."""
+def receive(channel: socket.socket) -> Offer | None:
+    """Receive the next offer; None if none is waiting. Malformed messages are skipped. Raises OSError or EOFError."""
     try:
-        data, descriptors, flags, _ = socket.recv_fds(door, MAX_MESSAGE, MAX_DESCRIPTORS)
+        data, descriptors, flags, _ = socket.recv_fds(channel, MAX_MESSAGE, MAX_DESCRIPTORS)
     except BlockingIOError:
         return None
     if not data:
@@ -63,18 +69,18 @@
         return Offer(**orjson.loads(data), descriptors=descriptors, truncated=bool(flags & socket.MSG_CTRUNC))
     except (orjson.JSONDecodeError, TypeError):
         close_all(descriptors)
-        return receive(door)
+        return receive(channel)
 
 
-def is_waiting(door: socket.socket) -> bool:
+def is_waiting(channel: socket.socket) -> bool:
     """Whether an offer waits to be received at this end."""
     poller = select.poll()
-    poller.register(door, select.POLLIN)
+    poller.register(channel, select.POLLIN)
     return bool(poller.poll(0))
 
 
 def close_all(descriptors: Sequence[int]) -> None:
-    """Close these."""
-    for number in descriptors:
+    """Close descriptors, of which some may be closed already."""
+    for descriptor in descriptors:
         with contextlib.suppress(OSError):
-            os.close(number)
+            os.close(descriptor)
