--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -429,11 +429,11 @@
         zone, cell = connection.failure_domain
         length = len(attempt.head) + len(attempt.body) if attempt.stream is None else 0
         offset = self._offset
-        if exchange.slot == NONE:
+        if exchange.journal_slot == NONE:
             caller = exchange.caller
-            raw = caller.raw
+            raw = caller.last_request_bytes
             if raw and len(raw) <= INLINE_SIZE and length:
-                before = caller.slot
+                before = caller.journal_slot
                 if before in self._keyed:
                     before = self._previous_record(caller)
                 slot = self.journal.record_sent_request(
@@ -441,8 +441,8 @@
                     exchange.deadline - offset,
                     attempt.sent_at - offset,
                     caller.descriptor,
-                    caller.name,
-                    caller.read,
+                    caller.connection_key,
+                    caller.bytes_read,
                     not exchange.request.keep_alive,
                     before,
                     attempt.server,
@@ -453,20 +453,20 @@
                     length,
                     connection.bytes_written,
                     connection.bytes_read,
-                    exchange.key,
-                    exchange.keep_until,
+                    exchange.dedup_key,
+                    exchange.answer_stored_until,
                 )
-                if exchange.key and slot != NONE:
-                    self._keyed[slot] = exchange.keep_until
+                if exchange.dedup_key and slot != NONE:
+                    self._keyed[slot] = exchange.answer_stored_until
                 attempt.journal_index = 0
-                caller.slot = slot
-                exchange.slot = slot if slot != NONE else self._mark_uncovered(caller)
+                caller.journal_slot = slot
+                exchange.journal_slot = slot if slot != NONE else self._mark_uncovered(caller)
                 if self.on_stage is not None:
                     self.on_stage("sent")
                 return
             self.ensure_recorded(exchange)
         attempt.journal_index = self.journal.record_attempt(
-            exchange.slot,
+            exchange.journal_slot,
             attempt.server,
             zone,
             cell,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,23 +15,23 @@
 pytest_plugins = ["known_red"]
 
 
-def _virtual(request: pytest.FixtureRequest) -> bool:
-    """Where time is virtual, or there is none, every limit is the real one."""
+def _uses_real_limits(request: pytest.FixtureRequest) -> bool:
+    """Whether a test uses virtual time or none, so that the production limits apply."""
     return request.path.parent.name in ("virtual", "unit")
 
 
 @pytest.fixture(autouse=True)
-def _quick_drain(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The proxy of a test ends at once; the waits of a real one are tested on a process."""
-    if _virtual(request):
+def _no_drain_wait(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The proxy of a test drains at once; the waits of a real drain are tested on a process."""
+    if _uses_real_limits(request):
         return
     monkeypatch.setattr(operations, "STOP_ACCEPT_PERIOD", 0.0)
 
 
 @pytest.fixture(autouse=True)
-def _patience(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Time limits that a slow machine could meet by chance; a test of one sets it."""
-    if _virtual(request):
+def _generous_timeouts(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raises timeouts that a slow machine could exceed by chance; tests of a timeout set their own."""
+    if _uses_real_limits(request):
         return
     monkeypatch.setattr(callers, "REQUEST_HEAD_TIMEOUT", 60.0)
     monkeypatch.setattr(callers, "CROWDED_IDLE_TIMEOUT", 60.0)
@@ -40,6 +40,6 @@
 
 @pytest.fixture
 def fleet() -> Iterator[FleetRig]:
-    """A fleet in a folder of its own; its paths are short, for a socket lies there."""
+    """A fleet in its own directory, with a short path, because it holds a Unix socket."""
     with tempfile.TemporaryDirectory(prefix="fleet-") as folder, fleet_rig(Path(folder)) as rig:
         yield rig
--- a/tests/handrig.py
+++ b/tests/handrig.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import orjson
-from rig import PATIENCE, SETTINGS, merged
+from rig import PATIENCE, SETTINGS, merge_settings
 
 from cometusher.fault_injection.environment import Fleet, until
 from standins.backend import Backend
@@ -68,7 +68,7 @@
         self.lists.hosts = [backend.entry() for backend in self.backends]
         await self.lists.start()
         self.fleet.write(self.lists.port)
-        raw = merged(merged(SETTINGS, {"Bounds": {"SecondCopies": False}}), settings or {})
+        raw = merge_settings(merge_settings(SETTINGS, {"Bounds": {"SecondCopies": False}}), settings or {})
         (self.fleet.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw}))
         text = self.fleet.file.read_text()
         self.fleet.file.write_text(text.replace("[takeover]", "[takeover]\n" + extra))
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -74,14 +74,14 @@
     async def test() -> None:
         async with rig(echo_name, echo_name, managed=True) as r:
             assert await served_by(r, 40, "a") == {b"s-1", b"s-2"}
-            assert await r.operate("exclude", b'{"who":"s-1"}') == 200
+            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert await served_by(r, 40, "b") == {b"s-2"}
-            assert await r.operate("exclude", b'{"who":"s-1"}') == 200  # twice is once
+            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200  # twice is once
             entries = [backend.entry(health="in_service") for backend in r.backends]
             (await r.discovery.watch()).tell(43, *entries, whole=True)  # whatever discovery says
             await until(lambda: r.proxy.discovery.seq == 43)
             assert await served_by(r, 40, "c") == {b"s-2"}
-            assert await r.operate("include", b'{"who":"s-1"}') == 200
+            assert await r.management_call("include", b'{"who":"s-1"}') == 200
             await until_served(r, b"s-1")
 
     run(test)
@@ -114,9 +114,9 @@
 def test_the_last_backend_banned_is_a_refusal_and_no_wait() -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
-            assert await r.operate("exclude", b'{"who":"s-1"}') == 200
+            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert (await r.call())[0] == 503 and not r.seen
-            assert await r.operate("include", b'{"who":"s-1"}') == 200
+            assert await r.management_call("include", b'{"who":"s-1"}') == 200
             await until_ok(r)
 
     run(test)
@@ -145,7 +145,7 @@
             for i, caller in enumerate((kept, quiet)):
                 assert (await caller.call(rid=f"k{i}"))[0] == 200
             assert await up(r) == 200
-            assert await r.operate("evacuate") == 200
+            assert await r.management_call("evacuate") == 200
             assert await up(r) == 503
             # A kept connection may bring one more request, whose answer ends it; new ones are served, too.
             assert (await kept.call(rid="last"))[0] == 200
@@ -154,8 +154,8 @@
             assert (await fresh.call(rid="new"))[0] == 200 and await fresh.ended() == b""
             assert await quiet.ended() == b""
             await until(lambda: r.proxy.callers.count() == 0)
-            assert await r.operate("ready", method="GET") == 200
-            assert await r.operate("rejoin") == 200 and await up(r) == 200
+            assert await r.management_call("ready", method="GET") == 200
+            assert await r.management_call("rejoin") == 200 and await up(r) == 200
             again = await r.caller()
             for i in range(3):
                 assert (await again.call(rid=f"again{i}"))[0] == 200
@@ -168,7 +168,7 @@
         async with rig(echo_name, managed=True) as r:
             kept = await r.caller()
             assert (await kept.call(rid="1"))[0] == 200
-            assert await r.operate("evacuate") == 200 and await r.operate("rejoin") == 200
+            assert await r.management_call("evacuate") == 200 and await r.management_call("rejoin") == 200
             for i in range(3):
                 assert (await kept.call(rid=f"x{i}"))[0] == 200
 
@@ -187,8 +187,8 @@
                 writer.write(b"POST /api/excl" if i % 2 else b"")
                 holders.append((reader, writer))
                 if i % 10 == 0:
-                    assert await r.operate("ready", method="GET") == 200
-            assert await r.operate("exclude", b'{"who":"s-1"}') == 200
+                    assert await r.management_call("ready", method="GET") == 200
+            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert len(r.proxy.management._connections) <= management.MOST
             for _, writer in holders:
                 writer.transport.abort()
--- a/tests/loopback/test_race_conditions.py
+++ b/tests/loopback/test_race_conditions.py
@@ -1,7 +1,7 @@
-"""Events that cross: each test forces one to fall between two steps of the proxy, by a hook or within one step.
+"""Race conditions: each test forces an event between two steps of the proxy, by a hook or within one step.
 
-The proxy runs on the test's own event loop. What a test does without awaiting happens while the proxy is busy: its
-peers' bytes and ends are in the kernel, and the loop has not told of them.
+The proxy runs on the test's own event loop. Whatever a test does without awaiting happens while the proxy is busy:
+its peers' bytes and disconnects are in the kernel, and the loop has not reported them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import pytest
 from rig import Backend, Rig, Seen, Writer, reply, request, rig, serve_ok, until
-from test_proxy import end, reset, run
+from test_proxy import close_connection, reset, run
 
 from cometusher import backends as backends_module
 from cometusher.callers import MAX_ACCEPTS_PER_WAKEUP, CallerConnection
@@ -23,17 +23,17 @@
 from weldroute.operations import ListenerState
 
 NO_CANCEL = {"Bounds": {"Cancel": False}}
-SLOW_DIAL = {"Bounds": {"DialTimeout": 8.0}}
+SLOW_CONNECT = {"Bounds": {"DialTimeout": 8.0}}
 
 
-class HeldDials:
-    """The loop of a pool of backends, whose connections come up when the test says so."""
+class HeldConnects:
+    """Wraps the event loop of a `Backends`, so that connections complete when the test releases them."""
 
     def __init__(self, r: Rig) -> None:
         self._loop: Any = r.proxy.backends.loop
         self.waiting: list[asyncio.Event] = []
         self.holds = True
-        self.on_up: Callable[[], None] = lambda: None  # called in the step in which a connection has come up
+        self.on_connected: Callable[[], None] = lambda: None  # called in the step in which a connection completes
         r.proxy.backends.loop = self  # type: ignore[assignment]
 
     def __getattr__(self, name: str) -> Any:
@@ -47,34 +47,34 @@
             up.set()
         made = await self._loop.create_connection(*args)
         await up.wait()
-        self.on_up()
+        self.on_connected()
         return made
 
-    async def dialled(self, count: int = 1) -> None:
+    async def wait_started(self, count: int = 1) -> None:
         await until(lambda: len(self.waiting) >= count)
 
-    def let_up(self, holds: bool = True) -> None:
-        """Let those come up that wait; whether later ones are held."""
+    def release(self, holds: bool = True) -> None:
+        """Completes the waiting connections; `holds` says whether later ones are held too."""
         self.holds = holds
         waiting, self.waiting = self.waiting, []
         for up in waiting:
             up.set()
 
 
-def pass_time(r: Rig, seconds: float) -> None:
-    """So much time passes between two steps, by the clock of all decisions."""
+def advance_clock(r: Rig, seconds: float) -> None:
+    """Advances the clock of all decisions between two steps."""
     r.proxy.clock._offset += seconds
 
 
 def connect(r: Rig) -> socket.socket:
-    """A client whose every step is done when the call returns."""
+    """A blocking client: each step is done when its call returns."""
     client = socket.create_connection(("127.0.0.1", r.proxy.callers.port))
     client.settimeout(10.0)
     return client
 
 
 async def read_all(client: socket.socket) -> bytes:
-    """All that comes until the end; raises ConnectionResetError where that is a reset."""
+    """Reads until the end of the connection; raises ConnectionResetError after a reset."""
 
     def read() -> bytes:
         data = b""
@@ -86,7 +86,7 @@
 
 
 async def read_answer(client: socket.socket) -> bytes:
-    """The first line of an answer that comes whole."""
+    """Reads a complete answer and returns its first line."""
 
     def read() -> bytes:
         data = bytearray()
@@ -99,104 +99,104 @@
     return await asyncio.to_thread(read)
 
 
-# ---- while a connection to a backend comes up ----------------------------------------------
+# ---- during a connect to a backend ----------------------------------------------
 
 
-def test_the_time_told_is_what_is_left_when_the_request_is_written() -> None:
+def test_budget_is_what_is_left_when_the_request_is_written() -> None:
     async def test() -> None:
-        async with rig(serve_ok, settings=SLOW_DIAL) as r:
-            dials = HeldDials(r)
+        async with rig(serve_ok, settings=SLOW_CONNECT) as r:
+            connects = HeldConnects(r)
             call = asyncio.ensure_future(r.call(budget="5000m"))
-            await dials.dialled()
-            pass_time(r, 1.5)
-            dials.let_up()
+            await connects.wait_started()
+            advance_clock(r, 1.5)
+            connects.release()
             assert (await call)[0] == 200
-            told = r.seen[0].headers[b"x-budget"]
-            assert told.endswith(b"u") and int(told[:-1]) <= 3_500_000
+            budget = r.seen[0].headers[b"x-budget"]
+            assert budget.endswith(b"u") and int(budget[:-1]) <= 3_500_000
 
     run(test)
 
 
 @pytest.mark.parametrize("health", ["terminating", "terminated"])
-def test_a_server_that_drains_while_its_connection_comes_up_gets_no_request(health: str) -> None:
+def test_backend_that_drains_during_the_connect_gets_no_request(health: str) -> None:
     async def test() -> None:
-        async with rig(serve_ok, settings=SLOW_DIAL) as r:
-            dials = HeldDials(r)
+        async with rig(serve_ok, settings=SLOW_CONNECT) as r:
+            connects = HeldConnects(r)
             watch = await r.discovery.watch()
             call = asyncio.ensure_future(r.call())
-            await dials.dialled()
+            await connects.wait_started()
             watch.tell(42, r.backends[0].entry(health=health))
             await until(lambda: r.proxy.discovery.seq == 42)
-            dials.let_up()
-            assert (await call)[0] == 503  # a refusal: nothing ran
+            connects.release()
+            assert (await call)[0] == 503  # a refusal, as nothing ran
             assert not r.seen
 
     run(test)
 
 
-def test_a_whole_list_that_leaves_a_server_out_ends_what_still_connects_to_it() -> None:
+def test_full_list_without_a_backend_ends_its_connecting_attempts() -> None:
     async def test() -> None:
-        async with rig(serve_ok, serve_ok, settings=SLOW_DIAL) as r:
-            dials = HeldDials(r)
+        async with rig(serve_ok, serve_ok, settings=SLOW_CONNECT) as r:
+            connects = HeldConnects(r)
             watch = await r.discovery.watch()
             calls = [asyncio.ensure_future(r.call(rid=f"r{i}")) for i in range(8)]
-            await dials.dialled(8)
+            await connects.wait_started(8)
             watch.tell(42, r.backends[1].entry(), whole=True)
             await until(lambda: r.proxy.discovery.seq == 42)
 
-            dials.let_up(holds=False)
+            connects.release(holds=False)
             assert {(await call)[0] for call in calls} == {200}
             assert not r.backends[0].seen
 
     run(test)
 
 
-async def repeat_that_connects_for(r: Rig, seconds: float) -> int:
-    """The status of a keyed request whose first attempt may have run, and whose repeat's connection takes so long."""
-    dials = HeldDials(r)
+async def status_with_slow_repeat(r: Rig, seconds: float) -> int:
+    """The status of a keyed request whose first attempt may have run and whose repeat takes `seconds` to connect."""
+    connects = HeldConnects(r)
     call = asyncio.ensure_future(r.call(kind="submit", budget="8000m"))
-    await dials.dialled()
-    dials.let_up()
+    await connects.wait_started()
+    connects.release()
     await until(lambda: len(r.seen) == 1)
-    await dials.dialled()  # the repeat's
-    pass_time(r, seconds)
-    dials.let_up(holds=False)
+    await connects.wait_started()  # the connection of the repeat
+    advance_clock(r, seconds)
+    connects.release(holds=False)
     return (await call)[0]
 
 
-def test_a_repeat_whose_connection_outlasts_the_window_is_not_sent() -> None:
-    """The first may have run; by the time the second could be written nobody would know it for the same."""
+def test_repeat_that_connects_after_the_window_is_not_sent() -> None:
+    """The first attempt may have run, and after the window the backend no longer recognises a repeat."""
 
     async def test() -> None:
-        async with rig(end, end, settings=SLOW_DIAL) as r:
-            assert await repeat_that_connects_for(r, 4.0) == 502
+        async with rig(close_connection, close_connection, settings=SLOW_CONNECT) as r:
+            assert await status_with_slow_repeat(r, 4.0) == 502
             assert len(r.seen) == 1
 
     run(test)
 
 
-def test_a_repeat_within_the_window_is_sent() -> None:
+def test_repeat_that_connects_within_the_window_is_sent() -> None:
     async def test() -> None:
-        async with rig(end, end, settings=SLOW_DIAL) as r:
-            assert await repeat_that_connects_for(r, 3.0) == 502
+        async with rig(close_connection, close_connection, settings=SLOW_CONNECT) as r:
+            assert await status_with_slow_repeat(r, 3.0) == 502
             assert len(r.seen) > 1
 
     run(test)
 
 
-# ---- a caller that leaves ------------------------------------------------------------------
+# ---- disconnects of callers ------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("settings", [SLOW_DIAL, SLOW_DIAL | {"Bounds": {"DialTimeout": 8.0, "Cancel": False}}])
-def test_a_caller_that_leaves_as_the_connection_comes_up_has_nothing_sent(settings: dict[str, Any]) -> None:
+@pytest.mark.parametrize("settings", [SLOW_CONNECT, SLOW_CONNECT | {"Bounds": {"DialTimeout": 8.0, "Cancel": False}}])
+def test_disconnect_during_the_connect_sends_nothing(settings: dict[str, Any]) -> None:
     async def test() -> None:
         async with rig(serve_ok, settings=settings) as r:
-            dials = HeldDials(r)
+            connects = HeldConnects(r)
             client = connect(r)
             client.sendall(request(rid="gone"))
-            await dials.dialled()
-            dials.on_up = client.close  # before the loop can tell of it
-            dials.let_up(holds=False)
+            await connects.wait_started()
+            connects.on_connected = client.close  # before the loop can report it
+            connects.release(holds=False)
             await until(lambda: r.proxy.open_requests == 0)
             assert (await r.call(rid="after"))[0] == 200
             assert [seen.headers[b"x-call-id"] for seen in r.seen] == [b"after"]
@@ -205,10 +205,10 @@
 
 
 @pytest.mark.parametrize("settings", [{}, NO_CANCEL])
-def test_requests_that_are_read_after_their_callers_have_left_are_not_sent(settings: dict[str, Any]) -> None:
-    """A hundred leave while the loop is busy: each request and its end are read together.
+def test_requests_read_after_their_callers_left_are_not_sent(settings: dict[str, Any]) -> None:
+    """A hundred callers leave while the loop is busy: each request is read together with its disconnect.
 
-    There is an idle connection to the backend, so that nothing else keeps a request back.
+    An idle connection to the backend exists, so that nothing else delays a request.
     """
 
     async def test() -> None:
@@ -226,8 +226,8 @@
     run(test)
 
 
-def test_a_further_attempt_is_not_begun_for_a_caller_that_has_left() -> None:
-    """The first fails in the same step in which its caller's end arrives."""
+def test_no_further_attempt_for_a_caller_that_left() -> None:
+    """The first attempt fails in the step in which the caller's disconnect arrives."""
     leaves: list[socket.socket] = []
 
     async def fails_as_the_caller_leaves(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -237,16 +237,16 @@
         async with rig(fails_as_the_caller_leaves, fails_as_the_caller_leaves) as r:
             for i in range(4):
                 assert (await r.call(rid=f"before-{i}"))[0] == 503
-            assert set(r.proxy.backends.idle_servers()) == {1, 2}  # nothing else keeps an attempt back
+            assert set(r.proxy.backends.idle_servers()) == {1, 2}  # so that nothing else delays an attempt
             before = len(r.seen)
             client = connect(r)
             leaves.append(client)
-            told = r.proxy.balancer.outcome
+            original = r.proxy.balancer.outcome
 
             def leave_first(*args: Any, **options: Any) -> Any:
                 if leaves:
                     leaves.pop().close()
-                return told(*args, **options)
+                return original(*args, **options)
 
             r.proxy.balancer.outcome = leave_first  # type: ignore[method-assign]
             client.sendall(request(rid="gone"))
@@ -256,10 +256,10 @@
     run(test)
 
 
-# ---- closes ----------------------------------------------------------------------------------
+# ---- closing connections ----------------------------------------------------------------------------------
 
 
-def test_a_request_that_arrives_as_idle_connections_are_closed_is_served() -> None:
+def test_request_arriving_as_idle_connections_are_closed_is_served() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
@@ -274,7 +274,7 @@
     run(test)
 
 
-def test_a_request_that_arrives_as_its_connection_has_been_idle_for_long_is_served() -> None:
+def test_request_arriving_at_the_idle_timeout_is_served() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
@@ -290,7 +290,7 @@
     run(test)
 
 
-def test_a_request_that_arrives_as_its_connection_is_evicted_is_served() -> None:
+def test_request_arriving_at_an_eviction_is_served() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
@@ -305,8 +305,8 @@
     run(test)
 
 
-def test_what_arrives_as_the_last_answer_is_written_does_not_destroy_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Closing over it would reset the connection."""
+def test_input_arriving_with_the_last_answer_does_not_destroy_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A close with unread input would reset the connection."""
     answer = CallerConnection.answer
 
     async def test() -> None:
@@ -326,8 +326,8 @@
     run(test)
 
 
-def test_a_cut_answer_of_unknown_length_is_no_end_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An old client has nothing else to tell a part from the whole."""
+def test_aborted_answer_of_unknown_length_resets_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An HTTP/1.0 client has no other way to tell a truncated answer from a complete one."""
     monkeypatch.setattr(backends_module, "STREAM_DELAY_UNKNOWN_LENGTH", 0.0)
 
     async def part_and_reset(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -347,22 +347,22 @@
     run(test)
 
 
-# ---- the end of the listener ---------------------------------------------------------------------
+# ---- closing the listener ---------------------------------------------------------------------
 
 
-def deaf(posture: ListenerState) -> ListenerState:
-    return replace(posture, up=False, listens=False)
+def not_accepting(state: ListenerState) -> ListenerState:
+    return replace(state, up=False, listens=False)
 
 
-def test_all_that_wait_to_be_accepted_when_the_listener_closes_are_served() -> None:
-    """More than one wake-up accepts."""
+def test_backlog_of_a_closing_listener_is_served() -> None:
+    """More connections than one wake-up accepts."""
 
     async def test() -> None:
         async with rig(serve_ok, sockets=1024) as r:
             clients = [connect(r) for _ in range(MAX_ACCEPTS_PER_WAKEUP + 20)]
             for i, client in enumerate(clients):
                 client.sendall(request(rid=f"r{i}"))
-            r.proxy.callers.apply_listener_state(deaf(r.proxy.callers.listener_state))
+            r.proxy.callers.apply_listener_state(not_accepting(r.proxy.callers.listener_state))
             r.proxy.callers.close_listener()
             assert {await read_answer(client) for client in clients} == {b"HTTP/1.1 200 OK"}
             for client in clients:
@@ -371,10 +371,10 @@
     run(test)
 
 
-def test_one_that_connects_between_the_last_accept_and_the_listeners_end_is_served() -> None:
+def test_connection_between_the_last_accept_and_the_close_is_served() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
-            r.proxy.callers.apply_listener_state(deaf(r.proxy.callers.listener_state))
+            r.proxy.callers.apply_listener_state(not_accepting(r.proxy.callers.listener_state))
             client = connect(r)
             client.sendall(request())
             r.proxy.callers.close_listener()
@@ -403,7 +403,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_a_message_that_is_indented_over_several_lines_is_read(size: int) -> None:
+def test_message_indented_over_several_lines_is_read(size: int) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             watch = await r.discovery.watch()
@@ -429,7 +429,7 @@
     run(test)
 
 
-def test_a_message_that_is_cut_off_is_asked_for_again() -> None:
+def test_truncated_message_is_requested_again() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             watch = await r.discovery.watch()
@@ -441,16 +441,16 @@
     run(test)
 
 
-def test_a_move_of_discovery_leaves_no_word_of_the_old_one() -> None:
-    """The old watch's words are in the kernel when the new address is told."""
+def test_move_of_discovery_drops_messages_of_the_old_address() -> None:
+    """Messages of the old watch are in the kernel when the address changes."""
 
     async def test() -> None:
         async with rig(serve_ok) as r:
-            kinds: list[ListKind] = []
+            reported: list[ListKind] = []
             members = r.proxy.balancer.members
 
             def note(now: float, list_kind: ListKind, rows: Any) -> Any:
-                kinds.append(list_kind)
+                reported.append(list_kind)
                 return members(now, list_kind, rows)
 
             r.proxy.balancer.members = note  # type: ignore[method-assign]
@@ -460,7 +460,7 @@
             r.proxy.discovery.move(("127.0.0.1", 1))
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert not kinds and r.proxy.balancer.ready
+            assert not reported and r.proxy.balancer.ready
             r.proxy.discovery.move(("127.0.0.1", r.discovery.port))
             assert (await r.discovery.watch()).line.endswith(b"from=0 HTTP/1.1")
 
--- a/tests/loopback/test_streaming.py
+++ b/tests/loopback/test_streaming.py
@@ -1,4 +1,4 @@
-"""Bodies and answers above 64 KiB: they flow both ways, in bounded memory, and break visibly."""
+"""Streaming of bodies and answers above 64 KiB: bounded memory, back-pressure, visible failures."""
 
 from __future__ import annotations
 
@@ -21,44 +21,44 @@
 DIGEST = hashlib.sha256(BODY).hexdigest().encode()
 
 
-async def digest(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_with_digest(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(body=hashlib.sha256(seen.body).hexdigest().encode()))
 
 
-async def large(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(body=BODY))
     await writer.drain()
 
 
-async def large_in_chunks(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_chunked_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    for at in range(0, LARGE, 50_000):
-        piece = BODY[at : at + 50_000]
+    for start in range(0, LARGE, 50_000):
+        piece = BODY[start : start + 50_000]
         writer.write(b"%x;ext=1\r\n%b\r\n" % (len(piece), piece))
         await writer.drain()
     writer.write(b"0\r\nX-Trailer: 1\r\n\r\n")
 
 
-async def large_to_the_end(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_answer_until_close(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + BODY)
     await writer.drain()
     writer.close()
 
 
-def outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
-    told: list[Outcome] = []
-    honest = backends_module.Backends.finish
+def record_outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
+    reported: list[Outcome] = []
+    original = backends_module.Backends.finish
 
-    def end(self: Any, attempt: Any, how: Outcome, response: Any, why: str) -> None:
-        told.append(how)
-        honest(self, attempt, how, response, why)
+    def finish(self: Any, attempt: Any, outcome: Outcome, response: Any, reason: str) -> None:
+        reported.append(outcome)
+        original(self, attempt, outcome, response, reason)
 
-    monkeypatch.setattr(backends_module.Backends, "finish", end)
-    return told
+    monkeypatch.setattr(backends_module.Backends, "finish", finish)
+    return reported
 
 
-@pytest.mark.parametrize("script", [large, large_in_chunks, large_to_the_end])
-def test_a_large_answer_goes_through_unchanged(script: Any) -> None:
+@pytest.mark.parametrize("script", [large_answer, large_chunked_answer, large_answer_until_close])
+def test_large_answer_is_forwarded_unchanged(script: Any) -> None:
     async def test() -> None:
         async with rig(script) as r:
             caller = await r.caller()
@@ -70,9 +70,9 @@
     run(test)
 
 
-def test_a_caller_of_http_1_0_gets_an_answer_of_unknown_length_until_the_end() -> None:
+def test_http_1_0_caller_gets_an_answer_of_unknown_length_until_close() -> None:
     async def test() -> None:
-        async with rig(large_in_chunks) as r:
+        async with rig(large_chunked_answer) as r:
             caller = await r.caller()
             caller.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             got = await caller.ended()
@@ -83,14 +83,14 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_large_body_goes_through_unchanged(chunked: bool) -> None:
+def test_large_request_body_is_forwarded_unchanged(chunked: bool) -> None:
     async def test() -> None:
-        async with rig(digest) as r:
+        async with rig(answer_with_digest) as r:
             caller = await r.caller()
             for rid in ("1", "2"):
                 if chunked:
                     head = request(kind="submit", rid=rid, extra=(b"Transfer-Encoding: chunked",))
-                    pieces = [BODY[at : at + 70_001] for at in range(0, LARGE, 70_001)]
+                    pieces = [BODY[start : start + 70_001] for start in range(0, LARGE, 70_001)]
                     caller.writer.write(head + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\n\r\n")
                 else:
                     caller.writer.write(request(kind="submit", rid=rid, body=BODY))
@@ -101,16 +101,16 @@
     run(test)
 
 
-def test_a_body_beyond_the_limit_is_turned_away_at_its_head_or_where_it_crosses(
+def test_body_beyond_the_limit_is_rejected_at_its_head_or_at_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("cometusher.http1.MAX_STREAM", 1024 * 1024)
 
     async def test() -> None:
-        async with rig(digest) as r:
-            told = await r.caller()
-            told.writer.write(request(kind="submit", extra=(b"Content-Length: 1048577",)))
-            assert (await told.answer())[0] == 413
+        async with rig(answer_with_digest) as r:
+            announced = await r.caller()
+            announced.writer.write(request(kind="submit", extra=(b"Content-Length: 1048577",)))
+            assert (await announced.answer())[0] == 413
             crossed = await r.caller()
             crossed.writer.write(request(kind="submit", extra=(b"Transfer-Encoding: chunked",)))
             for _ in range(40):
@@ -122,8 +122,8 @@
     run(test)
 
 
-def test_a_begun_answer_that_breaks_is_cut_visibly_and_never_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = outcomes(monkeypatch)
+def test_broken_streamed_answer_is_aborted_and_never_retried(monkeypatch: pytest.MonkeyPatch) -> None:
+    reported = record_outcomes(monkeypatch)
 
     async def breaks(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(reply(body=BODY)[: LARGE // 2])
@@ -136,12 +136,12 @@
             caller.writer.write(request())
             got = await caller.ended()
             assert len(got) < LARGE and len(r.seen) == 1
-            assert told == [Outcome.BROKEN]
+            assert reported == [Outcome.BROKEN]
 
     run(test)
 
 
-def test_the_first_bytes_go_on_while_the_rest_is_not_there() -> None:
+def test_first_bytes_of_an_answer_are_forwarded_before_the_rest_arrives() -> None:
     go = asyncio.Event()
 
     async def halts(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -156,7 +156,7 @@
             caller.writer.write(request(budget="300m"))
             head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE)
             assert b" 200 " in head and len(await caller.reader.read(100)) == 100
-            await asyncio.sleep(0.4)  # past the caller's time: a begun answer is not cut by it
+            await asyncio.sleep(0.4)  # beyond the caller's budget, which doesn't cut a streamed answer
             go.set()
             rest = await asyncio.wait_for(caller.reader.readexactly(LARGE - 100), PATIENCE)
             assert rest == BODY[100:]
@@ -164,7 +164,7 @@
     run(test)
 
 
-def test_slow_readers_slow_their_backend_and_take_bounded_memory() -> None:
+def test_slow_reader_slows_its_backend_and_uses_bounded_memory() -> None:
     written: list[int] = []
 
     async def endless(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -184,7 +184,7 @@
             caller.writer.write(request())
             last = -1
             async with asyncio.timeout(PATIENCE):
-                while not written or written[-1] != last:  # until the backend stands still
+                while not written or written[-1] != last:  # until the backend makes no progress
                     last = written[-1] if written else -1
                     await asyncio.sleep(0.3)
             assert last < 30 * 1024 * 1024
@@ -194,9 +194,9 @@
     run(test)
 
 
-def test_a_caller_that_leaves_ends_the_transfer() -> None:
+def test_disconnect_of_the_caller_ends_the_transfer() -> None:
     async def test() -> None:
-        async with rig(large) as r:
+        async with rig(large_answer) as r:
             caller = await r.caller()
             caller.reader._transport.pause_reading()  # type: ignore[attr-defined]
             caller.writer.write(request())
@@ -208,9 +208,9 @@
     run(test)
 
 
-def test_a_body_that_breaks_off_never_ran_and_leaves_nothing() -> None:
+def test_truncated_request_body_never_runs_and_leaves_no_state() -> None:
     async def test() -> None:
-        async with rig(digest) as r:
+        async with rig(answer_with_digest) as r:
             caller = await r.caller()
             caller.writer.write(request(kind="submit", body=BODY)[: LARGE // 2])
             await until(lambda: r.proxy.open_requests == 1)
@@ -226,43 +226,43 @@
     return server, server.sockets[0].getsockname()[1]
 
 
-def test_a_body_that_is_still_held_goes_out_again_when_its_backend_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """100 KiB, cut while they come: the first attempt never ran, the second has them from the start."""
-    told = outcomes(monkeypatch)
+def test_retained_body_is_sent_again_when_its_backend_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection breaks while 100 KiB arrive: the first attempt never ran, the second gets the whole body."""
+    reported = record_outcomes(monkeypatch)
     small = BODY[: 100 * 1024]
     tries = 0
 
     async def test() -> None:
-        async with rig(digest, digest) as r:
+        async with rig(answer_with_digest, answer_with_digest) as r:
             for backend in r.backends:
-                honest = backend._serve
+                original = backend._serve
 
-                async def first_breaks(reader: Reader, writer: Writer, honest: Any = honest) -> None:
+                async def first_breaks(reader: Reader, writer: Writer, original: Any = original) -> None:
                     nonlocal tries
                     tries += 1
                     if tries == 1:
                         await reader.readexactly(70_000)
                         writer.transport.abort()
                         return
-                    await honest(reader, writer)
+                    await original(reader, writer)
 
                 await backend.stop()
                 backend._server = await asyncio.start_server(first_breaks, "127.0.0.1", backend.port, limit=2**20)
             caller = await r.caller()
             data = request(kind="submit", body=small)
             caller.writer.write(data[:-20_000])
-            await until(lambda: bool(told))
+            await until(lambda: bool(reported))
             caller.writer.write(data[-20_000:])
             status, seen = await caller.answer()
             assert (status, seen.body) == (200, hashlib.sha256(small).hexdigest().encode())
-            assert told[0] is Outcome.UNREACHABLE and tries >= 2
+            assert reported[0] is Outcome.UNREACHABLE and tries >= 2
 
     run(test)
 
 
-def test_a_body_that_is_let_go_is_refused_when_its_backend_breaks() -> None:
+def test_partly_discarded_body_is_refused_when_its_backend_breaks() -> None:
     async def test() -> None:
-        async with rig(digest) as r:
+        async with rig(answer_with_digest) as r:
 
             async def breaks(reader: Reader, writer: Writer) -> None:
                 await reader.readexactly(LARGE // 2)
@@ -273,16 +273,16 @@
             r.backends[0]._server = await asyncio.start_server(breaks, "127.0.0.1", port, limit=2**20)
             caller = await r.caller()
             caller.writer.write(request(kind="submit", body=BODY)[:-10])
-            assert (await caller.answer())[0] == 503  # it never ran: trying again is harmless
+            assert (await caller.answer())[0] == 503  # it never ran, so a retry is safe
 
     run(test)
 
 
-def test_a_request_that_is_answered_before_its_body_is_whole_gets_that_answer() -> None:
-    """A refusal at once, while the caller still writes; what it writes is read and dropped."""
+def test_answer_before_the_body_is_complete_reaches_the_caller() -> None:
+    """An immediate refusal, while the caller still writes; its further input is read and discarded."""
 
     async def test() -> None:
-        async with rig() as r:  # no backend: nothing can take it
+        async with rig() as r:  # no backend can serve it
             caller = await r.caller()
             caller.writer.write(request(kind="submit", body=BODY))
             status, _ = await caller.answer()
@@ -292,17 +292,17 @@
     run(test)
 
 
-def test_a_slow_body_is_served_and_a_halted_one_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_body_is_served_and_a_stalled_one_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(callers_module, "BODY_STALL_TIMEOUT", 0.4)
 
     async def test() -> None:
-        async with rig(digest) as r:
+        async with rig(answer_with_digest) as r:
             small = BODY[: 80 * 1024]
             slow, halted = await r.caller(), await r.caller()
             halted.writer.write(request(kind="submit", rid="2", body=small)[:-5])
             data = request(kind="submit", budget="2000m", body=small)
-            for at in range(0, len(data), 8192):
-                slow.writer.write(data[at : at + 8192])
+            for start in range(0, len(data), 8192):
+                slow.writer.write(data[start : start + 8192])
                 await asyncio.sleep(0.1)
             status, seen = await slow.answer()
             assert (status, seen.body) == (200, hashlib.sha256(small).hexdigest().encode())
@@ -312,7 +312,7 @@
     run(test)
 
 
-def test_what_comes_behind_a_request_in_the_middle_of_its_answer_never_corrupts_it() -> None:
+def test_input_during_a_streamed_answer_never_corrupts_it() -> None:
     async def halts(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(reply(body=BODY)[: LARGE // 2])
         await asyncio.sleep(PATIENCE)
@@ -329,16 +329,16 @@
     run(test)
 
 
-def test_many_large_answers_at_once_come_whole() -> None:
+def test_many_concurrent_large_answers_are_complete() -> None:
     async def test() -> None:
-        async with rig(large, large_in_chunks) as r:
+        async with rig(large_answer, large_chunked_answer) as r:
 
-            async def one(rid: int) -> bool:
+            async def is_complete(rid: int) -> bool:
                 caller = await r.caller()
                 caller.writer.write(request(rid=str(rid)))
                 seen = await asyncio.wait_for(read_message(caller.reader), 3 * PATIENCE)
                 return seen is not None and seen.body == BODY
 
-            assert all(await asyncio.gather(*(one(rid) for rid in range(20))))
+            assert all(await asyncio.gather(*(is_complete(rid) for rid in range(20))))
 
     run(test)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A proxy within the test's own process, between peers of the stand-ins."""
+"""Runs a proxy in the test's own process, between stand-ins for its peers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "Seen",
     "Watch",
     "Writer",
-    "merged",
+    "merge_settings",
     "read_message",
     "reply",
     "request",
@@ -46,7 +46,7 @@
     "Orgs": [{"Name": "acme", "Share": 1.0, "AllowancePerS": 1000.0}],
     "Zones": ["a", "b"],
     "Tiers": ["front", "back"],
-    "Tier": 1,  # no ratio over the whole tier: every request reaches the pick
+    "Tier": 1,  # this tier has no overall ratio, so every request reaches the server selection
     "Bounds": {
         "Cancel": True,
         "SecondCopies": True,
@@ -60,7 +60,7 @@
 
 @dataclass
 class Rig:
-    """A running proxy with its peers."""
+    """A running proxy with its stand-in peers."""
 
     proxy: Proxy
     discovery: Discovery
@@ -73,12 +73,12 @@
         return caller
 
     async def call(self, **options: Any) -> tuple[int, Seen]:
-        """One request on a connection of its own."""
+        """Sends one request on its own connection; returns status and answer."""
         caller = await self.caller()
         return await caller.call(**options)
 
-    async def operate(self, call: str, body: bytes | None = None, method: str = "POST") -> int:
-        """One call of operators; returns the status."""
+    async def management_call(self, call: str, body: bytes | None = None, method: str = "POST") -> int:
+        """Makes one management call; returns the status."""
         assert self.proxy.management is not None
         reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.management.port)
         body = body or b""
@@ -90,19 +90,19 @@
 
     @property
     def seen(self) -> list[Seen]:
-        """What all backends have read."""
+        """The requests that all backends have read."""
         return [seen for backend in self.backends for seen in backend.seen]
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for something that must become true."""
+    """Waits until a condition holds; raises TimeoutError after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-def merged(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """Settings with changes, one level deep."""
+def merge_settings(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    """Returns settings with changes, merged one level deep."""
     result = dict(base)
     for key, value in changes.items():
         result[key] = base[key] | value if isinstance(value, dict) and isinstance(base.get(key), dict) else value
@@ -117,13 +117,13 @@
     memory_mb: int = 192,
     managed: bool = False,
 ) -> AsyncIterator[Rig]:
-    """Start a proxy with one backend for each script."""
+    """Starts a proxy with one backend for each script."""
     discovery = Discovery()
     backends = [Backend(i + 1, script) for i, script in enumerate(scripts)]
     await discovery.start()
     for backend in backends:
         await backend.start()
-    raw = merged(SETTINGS, settings or {})
+    raw = merge_settings(SETTINGS, settings or {})
     proxy = Proxy(
         config.Config(
             name="t",
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy over loopback sockets: answers, outcomes, bad input, and the rules as sockets see them."""
+"""The proxy over loopback sockets: answers, outcomes, malformed input, connection pools, retry rules."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's coroutine on the event loop that is used in service."""
+    """Runs a test's coroutine on the event loop that is used in production."""
     uvloop.run(test())
 
 
@@ -32,7 +32,7 @@
     writer.write(reply(500, b"broken"))
 
 
-async def turn_away(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def reject_as_overloaded(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(503, b"", b"X-Rejected: 1"))
 
 
@@ -46,7 +46,7 @@
     writer.transport.abort()
 
 
-async def end(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def close_connection(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.close()
 
 
@@ -58,12 +58,12 @@
     writer.write(b"SSH-2.0-nothing\r\n\r\n")
 
 
-async def half(backend: Backend, seen: Seen, writer: Writer) -> None:
-    """The head and a part of the body, and then nothing."""
+async def partial_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
+    """Writes the head and a part of the body, and then nothing."""
     writer.write(reply(body=b"x" * 100)[:-50])
 
 
-async def half_and_end(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def partial_answer_and_close(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(body=b"x" * 100)[:-50])
     writer.close()
 
@@ -85,18 +85,18 @@
     writer.close()
 
 
-def outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
-    """Collect the outcomes that the module is told."""
-    told: list[Outcome] = []
-    whole = backends_module.Backends.finish
+def record_outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
+    """Collects the outcomes that are reported to the balancer."""
+    reported: list[Outcome] = []
+    original = backends_module.Backends.finish
 
-    def end(self: Any, attempt: Any, how: Outcome, response: Any, why: str) -> None:
+    def finish(self: Any, attempt: Any, outcome: Outcome, response: Any, reason: str) -> None:
         if not attempt.ended:
-            told.append(how)
-        whole(self, attempt, how, response, why)
+            reported.append(outcome)
+        original(self, attempt, outcome, response, reason)
 
-    monkeypatch.setattr(backends_module.Backends, "finish", end)
-    return told
+    monkeypatch.setattr(backends_module.Backends, "finish", finish)
+    return reported
 
 
 # ---- answers -----------------------------------------------------------------------------
@@ -122,47 +122,47 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "how", "safe", "once"),
+    ("script", "outcome", "safe_status", "unsafe_status"),
     [
         (serve_500, Outcome.ERROR, 503, 502),
         (plain_503, Outcome.ERROR, 503, 502),
-        (turn_away, Outcome.FULL, 503, 503),
+        (reject_as_overloaded, Outcome.FULL, 503, 503),
         (reset, Outcome.BROKEN, 503, 502),
-        (end, Outcome.BROKEN, 503, 502),
+        (close_connection, Outcome.BROKEN, 503, 502),
         (garbage, Outcome.BROKEN, 503, 502),
-        (half, Outcome.BROKEN, 503, 502),
-        (half_and_end, Outcome.BROKEN, 503, 502),
+        (partial_answer, Outcome.BROKEN, 503, 502),
+        (partial_answer_and_close, Outcome.BROKEN, 503, 502),
     ],
 )
-def test_outcomes_are_told_apart(
-    script: Any, how: Outcome, safe: int, once: int, monkeypatch: pytest.MonkeyPatch
+def test_each_end_of_an_attempt_has_its_outcome(
+    script: Any, outcome: Outcome, safe_status: int, unsafe_status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each end of an attempt is told as what it is; what may have run is never refused unless harmless."""
-    told = outcomes(monkeypatch)
+    """A request that may have run is answered by 503 only if it is safe to repeat."""
+    reported = record_outcomes(monkeypatch)
 
     async def test() -> None:
         async with rig(script) as r:
-            assert (await r.call(kind="view"))[0] == safe
-            assert (await r.call(kind="once", rid="2"))[0] == once
-            # Where there is one backend, what broke and may be repeated is asked for there once more.
-            assert told == [how] * (1 + MAX_ATTEMPTS_PER_SERVER if how is Outcome.BROKEN else 2)
+            assert (await r.call(kind="view"))[0] == safe_status
+            assert (await r.call(kind="once", rid="2"))[0] == unsafe_status
+            # With a single backend, a broken request that is safe to repeat is retried there once more.
+            assert reported == [outcome] * (1 + MAX_ATTEMPTS_PER_SERVER if outcome is Outcome.BROKEN else 2)
 
     run(test)
 
 
-def test_a_refused_connection_has_never_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = outcomes(monkeypatch)
+def test_refused_connection_counts_as_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+    reported = record_outcomes(monkeypatch)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
             await r.backends[0].stop()
             assert (await r.call(kind="once"))[0] == 503
-            assert told == [Outcome.UNREACHABLE]
+            assert reported == [Outcome.UNREACHABLE]
 
     run(test)
 
 
-def test_a_failed_attempt_is_tried_again_elsewhere() -> None:
+def test_failed_attempt_is_retried_on_another_backend() -> None:
     async def test() -> None:
         async with rig(reset, reset, serve_ok) as r:
             status, seen = await r.call()
@@ -171,15 +171,15 @@
     run(test)
 
 
-def test_a_stalled_answer_is_tried_again() -> None:
-    """An answer that stops in the middle must not use up the caller's whole time."""
+def test_stalled_answer_is_retried() -> None:
+    """An answer that stops half-way must not use up the caller's whole budget."""
 
     async def test() -> None:
-        async with rig(half, serve_ok) as r:
+        async with rig(partial_answer, serve_ok) as r:
             for rid in range(6):
                 status, seen = await r.call(rid=str(rid))
                 assert (status, seen.body) == (200, b"s-2")
-            assert r.backends[0].seen, "the stalling backend was never picked"
+            assert r.backends[0].seen, "the stalling backend was never selected"
 
     run(test)
 
@@ -193,7 +193,7 @@
     run(test)
 
 
-def test_silence_ends_at_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_backend_times_out_at_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with rig(silent) as r:
             assert (await r.call(kind="once", budget="50m"))[0] == 504
@@ -202,7 +202,7 @@
     run(test)
 
 
-def test_a_budget_that_is_used_up_is_answered() -> None:
+def test_exhausted_budget_is_refused() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             assert (await r.call(budget="0m"))[0] == 503
@@ -226,7 +226,7 @@
             await writer.drain()
 
 
-async def in_drops(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def trickle(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10000\r\n\r\n")
     with contextlib.suppress(OSError):
         while not writer.is_closing():
@@ -251,67 +251,67 @@
         announces_3_gb,
         head_without_end,
         interims_without_end,
-        in_drops,
+        trickle,
         two_lengths,
         length_and_chunks,
         garbage,
-        half,
+        partial_answer,
     ],
 )
-def test_a_spoilt_answer_is_a_failed_attempt(script: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing of it reaches the caller, who is served by another backend, and its connection is closed."""
+def test_broken_answer_is_a_failed_attempt(script: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+    """No part of it reaches the caller, who is served by another backend; its connection is closed."""
     monkeypatch.setattr(backends_module, "ANSWER_READ_TIMEOUT", 0.5)
-    told = outcomes(monkeypatch)
+    reported = record_outcomes(monkeypatch)
 
     async def test() -> None:
         async with rig(script, serve_ok) as r:
             for rid in range(500):
                 status, seen = await r.call(rid=str(rid))
                 assert (status, seen.body) == (200, b"s-2")
-                if told.count(Outcome.BROKEN):
+                if reported.count(Outcome.BROKEN):
                     break
-            assert Outcome.BROKEN in told
+            assert Outcome.BROKEN in reported
             await asyncio.wait_for(r.backends[0].closed.wait(), 5.0)
 
     run(test)
 
 
-def test_a_spoilt_answer_is_asked_for_again_where_there_is_one_backend() -> None:
-    """A keyed request whose group is one backend goes there once more, within the group's rules."""
-    spoil = True
+def test_broken_answer_is_retried_on_the_only_backend() -> None:
+    """A keyed request whose group has one backend is sent there once more, within the rules of the group."""
+    broken = True
 
-    async def once_spoilt(backend: Backend, seen: Seen, writer: Writer) -> None:
-        nonlocal spoil
-        writer.write(b"noise\r\n\r\n" if spoil else reply())
-        spoil = False
+    async def broken_once(backend: Backend, seen: Seen, writer: Writer) -> None:
+        nonlocal broken
+        writer.write(b"noise\r\n\r\n" if broken else reply())
+        broken = False
 
     async def test() -> None:
-        nonlocal spoil
-        async with rig(once_spoilt) as r:
+        nonlocal broken
+        async with rig(broken_once) as r:
             assert (await r.call(kind="submit"))[0] == 200
             assert len(r.seen) == 2
-            spoil = True
-            assert (await r.call(kind="once"))[0] == 502  # unsafe: never again once it may have run
+            broken = True
+            assert (await r.call(kind="once"))[0] == 502  # unsafe: never repeated once it may have run
             assert len(r.seen) == 3
 
     run(test)
 
 
-async def twice(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_twice(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(body=seen.headers[b"x-call-id"]) * 2)
 
 
-async def and_a_half(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_and_a_partial_one(backend: Backend, seen: Seen, writer: Writer) -> None:
     whole = reply(body=seen.headers[b"x-call-id"])
     writer.write(whole + whole[:-1])
 
 
-async def and_noise(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_and_noise(backend: Backend, seen: Seen, writer: Writer) -> None:
     writer.write(reply(body=seen.headers[b"x-call-id"]) + b"\x00\xff$-1\r\n")
 
 
-@pytest.mark.parametrize("script", [twice, and_a_half, and_noise])
-def test_what_follows_an_answer_is_never_the_next_one(script: Any) -> None:
+@pytest.mark.parametrize("script", [answer_twice, answer_and_a_partial_one, answer_and_noise])
+def test_input_behind_an_answer_is_never_the_next_answer(script: Any) -> None:
     async def test() -> None:
         async with rig(script) as r:
             for rid in range(4):
@@ -322,8 +322,8 @@
     run(test)
 
 
-def test_what_comes_later_on_an_idle_connection_is_never_an_answer() -> None:
-    """A stray copy that lies unread when the next request goes out: the event loop has not told of it yet."""
+def test_input_on_an_idle_connection_is_never_an_answer() -> None:
+    """A stray copy of an answer is unread, and not yet reported by the event loop, when the next request is sent."""
 
     async def test() -> None:
         writers: list[Writer] = []
@@ -338,7 +338,7 @@
             (connection,) = pool._idle
             assert connection.is_reusable()
             os.write(writers[0].get_extra_info("socket").fileno(), reply(body=b"stray"))
-            for _ in range(1_000_000):  # until the kernel has it; nothing here lets the event loop read it
+            for _ in range(1_000_000):  # until the kernel has it; without an await the event loop can't read it
                 if not connection.is_reusable():
                     break
             assert (await r.call(rid="2"))[1].body == b"2"
@@ -346,8 +346,8 @@
     run(test)
 
 
-def test_an_interim_answer_does_not_start_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A backend that says 100 at once and works for long has not stopped in the middle of an answer."""
+def test_interim_answer_does_not_start_the_stall_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A backend that answers 100 at once and then works for long has not stalled."""
     monkeypatch.setattr(backends_module, "ANSWER_STALL_TIMEOUT", 0.05)
 
     async def early_100(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -362,8 +362,8 @@
     run(test)
 
 
-def test_a_request_that_is_at_fault_is_not_held_against_the_backend() -> None:
-    """A 4xx is sent on to nobody else, and the backend's breaker is as it was."""
+def test_4xx_is_not_counted_against_the_backend() -> None:
+    """A request answered by 4xx is not retried, and the backend's breaker is unchanged."""
 
     async def not_found(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(reply(404, b""))
@@ -380,7 +380,7 @@
     run(test)
 
 
-def test_bodies_of_one_piece_go_both_ways() -> None:
+def test_buffered_bodies_are_forwarded_both_ways() -> None:
     async def echo(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(reply(body=seen.body))
 
@@ -394,8 +394,8 @@
     run(test)
 
 
-def test_bodies_beyond_the_memory_are_turned_away() -> None:
-    """What is announced is set aside at once; the rest is told so, and all is given back."""
+def test_bodies_beyond_the_memory_limit_are_rejected() -> None:
+    """Announced lengths are reserved at once, requests beyond them are rejected, and all memory is released."""
 
     async def test() -> None:
         async with rig(serve_ok, memory_mb=1) as r:
@@ -453,7 +453,7 @@
         (request(kind="submit", extra=(b"Expect: coffee", b"Content-Length: 4")), 417),
     ],
 )
-def test_bad_input_is_told_and_never_forwarded(data: bytes, status: int) -> None:
+def test_malformed_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             caller = await r.caller()
@@ -461,7 +461,7 @@
             got, seen = await caller.answer()
             assert got == status
             assert b"Traceback" not in seen.body
-            assert await caller.ended() == b""  # one answer, and the connection ends
+            assert await caller.ended() == b""  # a single answer, then the connection ends
             assert not r.seen
             assert r.proxy.memory.used == 0
             assert (await r.call())[0] == 200
@@ -509,12 +509,12 @@
     run(test)
 
 
-CUT = request(kind="submit", extra=(b"Content-Length: 5",)) + b"longer than that"
+WRONG_LENGTH = request(kind="submit", extra=(b"Content-Length: 5",)) + b"longer than that"
 
 
-@pytest.mark.parametrize("data", [request() + request(rid="2"), request() + b"\x00noise", CUT])
-def test_what_comes_behind_a_request_turns_both_away(data: bytes) -> None:
-    """Its length is not what its sender thinks: nothing of it goes on to a backend."""
+@pytest.mark.parametrize("data", [request() + request(rid="2"), request() + b"\x00noise", WRONG_LENGTH])
+def test_input_behind_a_request_rejects_both(data: bytes) -> None:
+    """The framing differs from the sender's intent, so nothing is forwarded to a backend."""
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -527,7 +527,7 @@
     run(test)
 
 
-def test_what_comes_behind_a_request_in_work_gives_it_up() -> None:
+def test_input_behind_an_open_request_cancels_it() -> None:
     async def test() -> None:
         async with rig(silent) as r:
             caller = await r.caller()
@@ -542,8 +542,8 @@
     run(test)
 
 
-def test_the_id_of_an_open_request_is_turned_away() -> None:
-    """It would be a second copy of another caller's request; once that one has ended, the id is free."""
+def test_id_of_an_open_request_is_rejected() -> None:
+    """It would be a second copy of another caller's request; once that one has ended, the id is free again."""
 
     async def test() -> None:
         go = asyncio.Event()
@@ -567,8 +567,8 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /api HT", request(kind="submit", extra=(b"Content-Length: 60000",))])
-def test_a_request_that_does_not_come_whole_is_ended(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also one that comes byte by byte: its time is not renewed."""
+def test_incomplete_request_times_out(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Also if it arrives byte by byte: further bytes don't renew its time."""
     monkeypatch.setattr(callers_module, "REQUEST_HEAD_TIMEOUT", 0.3)
 
     async def test() -> None:
@@ -591,7 +591,7 @@
     run(test)
 
 
-def test_a_caller_that_leaves_gives_its_attempt_up() -> None:
+def test_disconnect_of_a_caller_cancels_its_attempt() -> None:
     async def test() -> None:
         async with rig(silent) as r:
             caller = await r.caller()
@@ -616,7 +616,7 @@
 
 
 def test_idle_callers_make_room_for_new_ones() -> None:
-    """Past the descriptor limit idle connections are closed, and every new caller is still served."""
+    """At the descriptor limit idle connections are closed, and every new caller is still served."""
 
     async def test() -> None:
         async with rig(serve_ok, sockets=40) as r:
@@ -629,8 +629,8 @@
     run(test)
 
 
-def test_silent_crowds_do_not_push_out_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Callers that connect and say nothing make room first, for new callers and for those between requests."""
+def test_silent_connections_do_not_displace_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections that send nothing are evicted first, before those between two requests."""
     monkeypatch.setattr(callers_module, "EVICT_SILENT_AFTER", 0.3)
 
     async def test() -> None:
@@ -639,7 +639,7 @@
             assert (await regular.call(rid="regular"))[0] == 200
             crowd = [await r.caller() for _ in range(60)]
             assert (await r.call(rid="new"))[0] == 200
-            assert (await regular.call(rid="again"))[0] == 200  # on its old connection
+            assert (await regular.call(rid="again"))[0] == 200  # on its existing connection
             assert r.proxy.descriptors.peak <= r.proxy.descriptors.limit
             assert crowd
 
@@ -649,7 +649,7 @@
 # ---- pools -------------------------------------------------------------------------------
 
 
-def test_connections_are_used_again() -> None:
+def test_backend_connections_are_reused() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             for i in range(5):
@@ -659,7 +659,7 @@
     run(test)
 
 
-def test_a_connection_that_the_backend_closed_is_not_used() -> None:
+def test_connection_closed_by_the_backend_is_not_reused() -> None:
     async def once(backend: Backend, seen: Seen, writer: Writer) -> None:
         writer.write(reply())
         writer.close()
@@ -674,7 +674,7 @@
     run(test)
 
 
-def test_a_new_birth_drops_idle_connections() -> None:
+def test_restart_of_a_backend_drops_its_idle_connections() -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             assert (await r.call())[0] == 200
@@ -687,10 +687,10 @@
     run(test)
 
 
-# ---- faults within -----------------------------------------------------------------------
+# ---- internal errors and repeats -----------------------------------------------------------------------
 
 
-def test_a_fault_in_the_module_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_balancer_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             with monkeypatch.context() as patch:
@@ -702,8 +702,8 @@
     run(test)
 
 
-def test_an_answer_that_never_comes_is_covered_by_a_second_copy() -> None:
-    """A hung attempt must not use up the caller's time while others answer (incident r621405)."""
+def test_hung_attempt_is_covered_by_a_second_copy() -> None:
+    """A hung attempt must not use up the caller's budget while other backends answer (incident r621405)."""
 
     async def test() -> None:
         hang = False
@@ -711,9 +711,9 @@
         async def maybe(backend: Backend, seen: Seen, writer: Writer) -> None:
             nonlocal hang
             if hang:
-                hang = False  # this one, and no other
+                hang = False  # for this request only
             else:
-                await asyncio.sleep(0.02)  # so that no hiccup of the machine looks like slow work
+                await asyncio.sleep(0.02)  # so that a short pause of the machine doesn't look like slow work
                 writer.write(reply(body=seen.headers[b"x-call-id"]))
 
         async with rig(maybe, maybe) as r:
@@ -727,8 +727,8 @@
     run(test)
 
 
-def test_a_second_copy_goes_to_the_only_backend_on_a_new_connection() -> None:
-    """The connection fell silent, not the backend: a keyed request has nowhere else to go."""
+def test_second_copy_to_the_only_backend_uses_a_new_connection() -> None:
+    """The connection is silent, not the backend, and a keyed request can go to no other."""
 
     async def test() -> None:
         hang = False
@@ -736,9 +736,9 @@
         async def maybe(backend: Backend, seen: Seen, writer: Writer) -> None:
             nonlocal hang
             if hang:
-                hang = False  # this one, and no other
+                hang = False  # for this request only
             else:
-                await asyncio.sleep(0.02)  # so that no hiccup of the machine looks like slow work
+                await asyncio.sleep(0.02)  # so that a short pause of the machine doesn't look like slow work
                 writer.write(reply(body=seen.headers[b"x-call-id"]))
 
         async with rig(maybe) as r:
@@ -752,11 +752,11 @@
     run(test)
 
 
-def test_a_repeat_that_must_not_be_lost_gets_a_new_connection() -> None:
-    """Where one kept connection was dead, the next one may be: a keyed request's repeat does not take it."""
+def test_repeat_of_an_unsafe_request_uses_a_new_connection() -> None:
+    """If one pooled connection was dead, the next may be too, so the repeat of a keyed request uses none of them."""
 
     async def test() -> None:
-        kept: set[Writer] = set()
+        pooled: set[Writer] = set()
         dead: set[Writer] = set()
         both = asyncio.Barrier(2)
 
@@ -765,30 +765,30 @@
                 await reset(backend, seen, writer)
                 return
             if seen.headers[b"x-call-id"].startswith(b"pair"):
-                kept.add(writer)
-                await both.wait()  # so that each has a connection of its own
+                pooled.add(writer)
+                await both.wait()  # so that each uses its own connection
             writer.write(reply())
 
-        # No second copies: where answers take their time on a busy machine, one would count as a further repeat.
+        # No second copies: on a busy machine with slow answers, one would be counted as a further repeat.
         async with rig(keep, settings={"Bounds": {"SecondCopies": False}}) as r:
             await asyncio.gather(r.call(rid="pair1"), r.call(rid="pair2"))
             await until(lambda: len(r.proxy.backends._idle) == 2)
-            dead |= kept
+            dead |= pooled
             assert (await r.call(kind="submit", rid="3"))[0] == 200
             assert [seen.headers[b"x-call-id"] for seen in r.seen].count(b"3") == 2
 
     run(test)
 
 
-def test_what_must_not_be_lost_avoids_connections_that_may_be_dead() -> None:
-    """Backends that close idle connections early: once seen, unsafe requests get new ones (incident r53795b)."""
+def test_unsafe_requests_avoid_possibly_dead_connections() -> None:
+    """Once a backend is seen to close idle connections early, unsafe requests use new ones (incident r53795b)."""
 
     async def test() -> None:
         used: set[Writer] = set()
 
         async def one_each(backend: Backend, seen: Seen, writer: Writer) -> None:
             if writer in used:
-                await reset(backend, seen, writer)  # it had closed this connection already
+                await reset(backend, seen, writer)  # as if it had closed this connection already
             else:
                 used.add(writer)
                 writer.write(reply())
@@ -799,15 +799,15 @@
                 await r.call(rid="safe")
                 await asyncio.sleep(backends_module.MIN_RACE_IDLE_AGE)
             while not pool._idle:
-                await r.call(rid="park")
+                await r.call(rid="pooled")
             await asyncio.sleep(pool._trusted_idle_age(r.proxy.loop.time()) + 0.01)
             assert (await r.call(kind="once", rid="unsafe"))[0] == 200
 
     run(test)
 
 
-def test_resets_of_new_connections_leave_old_ones_trusted() -> None:
-    """A backend that resets whatever comes is no reason for new connections (incident r75d229)."""
+def test_resets_of_new_connections_do_not_distrust_idle_ones() -> None:
+    """A backend that resets every request is no reason to open new connections (incident r75d229)."""
 
     async def test() -> None:
         async with rig(serve_ok) as r:
--- a/tests/unit/test_http1.py
+++ b/tests/unit/test_http1.py
@@ -1,4 +1,4 @@
-"""Framing where the network cuts messages in odd places."""
+"""HTTP/1.1 parsing of messages that the network splits at arbitrary positions."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from cometusher.http1 import MAX_HEAD, Malformed, Request, RequestParser, ResponseParser
 
 
-class Sink:
-    """Keeps the requests."""
+class RequestCollector:
+    """Collects the parsed requests."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -29,8 +29,8 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(HEAD), 3))
-def test_a_request_whose_head_is_cut_anywhere_is_read_with_the_body_behind_it(cut: int) -> None:
-    sink = Sink()
+def test_request_head_split_anywhere_is_parsed_with_the_body_behind_it(cut: int) -> None:
+    sink = RequestCollector()
     parser = RequestParser(sink)
     for _ in range(2):
         parser.feed(HEAD[:cut])
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(ANSWER), 3))
-def test_an_answer_whose_head_is_cut_anywhere_is_read_with_the_body_behind_it(cut: int) -> None:
+def test_answer_head_split_anywhere_is_parsed_with_the_body_behind_it(cut: int) -> None:
     parser = ResponseParser()
     assert parser.feed(ANSWER[:cut]) is None
     answer = parser.feed(ANSWER[cut:] + BODY)
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.parametrize("piece", [1, 100, 5000])
-def test_a_head_without_end_is_still_bounded(piece: int) -> None:
-    parser = RequestParser(Sink())
+def test_endless_head_is_bounded(piece: int) -> None:
+    parser = RequestParser(RequestCollector())
     sent = 0
     with pytest.raises(Malformed):
         parser.feed(b"GET / HTTP/1.1\r\nX-A: ")
@@ -56,6 +56,6 @@
             parser.feed(b"x" * piece)
             sent += piece
     assert sent <= MAX_HEAD + piece
-    small = RequestParser(Sink())
+    small = RequestParser(RequestCollector())
     with pytest.raises(Malformed):
         small.feed(b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 2000)
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -127,7 +127,7 @@
     head = tracker.InflightTracker._on_attempt
 
     def sends(self: tracker.InflightTracker, attempt: Any) -> None:
-        given.append(attempt.owner.deadline - attempt.sent)
+        given.append(attempt.owner.deadline - attempt.sent_at)
         head(self, attempt)
 
     monkeypatch.setattr(tracker.InflightTracker, "_on_attempt", sends)
