--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Who stands still: from evidence, with what is no fault of the process's taken off, within bounds."""
+"""Failure detector: verdicts from observations, time that is not the process's fault, and limits of responses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Processes that beat, and what happens to them."""
+    """Simulated processes that send heartbeats, and the detector's decisions."""
 
     def __init__(self, count: int, seed: int = 1, policy: FailureDetectorPolicy = POLICY) -> None:
         self.detector = FailureDetector(policy)
@@ -44,7 +44,7 @@
         return Observation(self.last_heartbeat[key], cpu_time=0.001 * self.now)
 
     def run(self, seconds: float, delay: float = 0.0) -> list[Decision]:
-        """Look for so long; returns what was to be done."""
+        """Run the detector for `seconds`, each tick `delay` late; return its decisions."""
         first, end = len(self.decisions), self.now + seconds
         while self.now < end:
             self.now += INTERVAL + delay
@@ -52,19 +52,19 @@
                 key: self.observations.get(key, lambda now, key=key: self.heartbeat(key))(self.now)
                 for key in self.keys
             }
-            acts = self.detector.tick(self.now, observations, len(self.keys), INTERVAL)
-            self.decisions += [(self.now, act) for act in acts]
-        return [act for _, act in self.decisions[first:]]
+            decisions = self.detector.tick(self.now, observations, len(self.keys), INTERVAL)
+            self.decisions += [(self.now, decision) for decision in decisions]
+        return [decision for _, decision in self.decisions[first:]]
 
     def start_successor(self, index: int) -> Key:
-        """Another process of a name, in place of the one that was there."""
+        """Replace a process by the next generation of its name."""
         name, generation = self.keys[index]
         self.keys[index] = key = name, generation + 1
         self.last_heartbeat[key] = self.now
         return key
 
     def silence(self, key: Key, stopped: bool = False, cpu_rate: float = 0.0, cpu_wait_rate: float = 0.0) -> float:
-        """It beats no more; `ran` and `starved` are what grows each second. Returns when that began."""
+        """Stop its heartbeats; return when. The rates are what its processor time and wait grow by each second."""
         begin, last = self.now, self.last_heartbeat[key]
         self.observations[key] = lambda now: Observation(
             last, stopped, 0.001 * begin + cpu_rate * (now - begin), cpu_wait_rate * (now - begin)
@@ -72,19 +72,21 @@
         return begin
 
     def replaced_at(self, key: Key) -> float:
-        """When it was to be replaced; raises StopIteration if it was not."""
-        return next(at for at, act in self.decisions if act.key == key and act.response is Response.REPLACE)
+        """When its replacement was decided; raises StopIteration if it was not."""
+        return next(
+            time for time, decision in self.decisions if decision.key == key and decision.response is Response.REPLACE
+        )
 
     def responses(self, key: Key) -> list[Response]:
-        return [act.response for _, act in self.decisions if act.key == key]
+        return [decision.response for _, decision in self.decisions if decision.key == key]
 
 
 def test_phi_is_the_log_probability_of_a_silence() -> None:
     assert phi(0.05, 0.05, 0.025) == pytest.approx(-math.log10(0.5))
     assert phi(0.1, 0.05, 0.025) == pytest.approx(-math.log10(0.5 * math.erfc(2 / math.sqrt(2))))
     values = [phi(0.01 * i, 0.05, 0.03) for i in range(400)]
-    assert values == sorted(values) and values[-1] > 1000, "it grows throughout, beyond what erfc can tell"
-    assert phi(0.2, 0.05, 0.0) == phi(0.2, 0.05, 0.025), "no deviation is less than timers are coarse"
+    assert values == sorted(values) and values[-1] > 1000, "it keeps growing where erfc underflows"
+    assert phi(0.2, 0.05, 0.0) == phi(0.2, 0.05, 0.025), "the deviation has a lower bound"
 
 
 def test_no_decisions_while_heartbeats_arrive() -> None:
@@ -107,9 +109,9 @@
     begin = fleet.silence(key, **silence)  # type: ignore[arg-type]
     fleet.run(5.0)
     assert fleet.responses(key) == [Response.DIVERT_ACCEPTS, Response.REPLACE] and {
-        act.key for _, act in fleet.decisions
+        decision.key for _, decision in fleet.decisions
     } == {key}
-    relieved = next(at for at, act in fleet.decisions if act.response is Response.DIVERT_ACCEPTS)
+    relieved = next(time for time, decision in fleet.decisions if decision.response is Response.DIVERT_ACCEPTS)
     assert relieved - begin < 0.35 and within - 0.35 < fleet.replaced_at(key) - begin < within
 
 
@@ -165,7 +167,7 @@
     assert sum(Response.REPLACE in fleet.responses(key) for key in fleet.keys) == 8
     fleet.run(REPLACEMENT_TIMEOUT)
     assert sum(Response.REPLACE in fleet.responses(key) for key in fleet.keys) >= 14, (
-        "none that nobody follows counts for good"
+        "a replaced process without a successor counts for a limited time"
     )
 
 
@@ -187,14 +189,14 @@
     fleet.run(5.0)
     fleet.silence(fleet.keys[0])
     fleet.run(0.2)
-    fleet.now += 10.0  # and nobody looked
-    assert not [act for act in fleet.run(0.1) if act.response is Response.REPLACE]
+    fleet.now += 10.0  # without a tick
+    assert not [decision for decision in fleet.run(0.1) if decision.response is Response.REPLACE]
     fleet.run(2.0)
-    assert fleet.responses(fleet.keys[0])[-1] is Response.REPLACE, "but on what it sees since"
+    assert fleet.responses(fleet.keys[0])[-1] is Response.REPLACE, "observations after the pause count"
 
 
 def test_paused_observer_ignores_heartbeats_from_its_pause() -> None:
-    """One that beat once more after the last look, and then died or was stopped for a while, unseen."""
+    """The process sent one more heartbeat after the last tick and then died or was stopped, unobserved."""
     fleet = Fleet(10)
     fleet.run(5.0)
     key = fleet.keys[0]
@@ -203,7 +205,7 @@
     fleet.now += 10.0
     assert fleet.run(0.1) == []
     fleet.run(2.0)
-    assert fleet.responses(key) == [Response.DIVERT_ACCEPTS, Response.REPLACE], "but on what it sees since"
+    assert fleet.responses(key) == [Response.DIVERT_ACCEPTS, Response.REPLACE], "observations after the pause count"
 
 
 def test_delay_of_the_observer_is_subtracted_from_silence() -> None:
@@ -219,11 +221,11 @@
             return Observation(fleet.last_heartbeat[key])
 
         fleet.observations[key] = slow
-    assert not [act for act in fleet.run(20.0, delay=0.45) if act.response is Response.REPLACE]
+    assert not [decision for decision in fleet.run(20.0, delay=0.45) if decision.response is Response.REPLACE]
 
 
 def test_observer_delay_after_a_heartbeat_is_subtracted() -> None:
-    """Both wait for the same processor: it beats just after a look, and waits then as long as the observer does."""
+    """Both wait for the same processor: the process sends a heartbeat just after a tick and then waits as well."""
     fleet = Fleet(10)
     fleet.run(5.0)
     key = fleet.keys[0]
@@ -234,7 +236,7 @@
 
     fleet.observations[key] = after
     fleet.run(0.1)
-    assert not [act for act in fleet.run(30.0, delay=0.9) if act.response is Response.REPLACE]
+    assert not [decision for decision in fleet.run(30.0, delay=0.9) if decision.response is Response.REPLACE]
 
 
 def test_process_that_does_not_accept_is_never_killed() -> None:
@@ -261,14 +263,14 @@
             fleet.observations.pop(key, None)
         fleet.run(rng.uniform(0.05, 1.0))
         recent = {
-            act.key
-            for at, act in fleet.decisions
-            if act.response is Response.REPLACE and at > fleet.now - REPLACEMENT_TIMEOUT
+            decision.key
+            for time, decision in fleet.decisions
+            if decision.response is Response.REPLACE and time > fleet.now - REPLACEMENT_TIMEOUT
         }
         assert len(recent) <= most
     for key in fleet.keys:
         done = [do for do in fleet.responses(key) if do is not Response.REPLACE]
-        assert all(a is not b for a, b in pairwise(done)), "relieved and returned by turns"
+        assert all(a is not b for a, b in pairwise(done)), "diverting and resuming alternate"
         well = fleet.detector.processes[key].verdict is Verdict.HEALTHY
         assert well is not fleet.detector.processes[key].accepts_diverted
 
@@ -287,7 +289,7 @@
     fleet.observations[key] = lambda now: Observation(last, cpu_time=now, progress=int(10.0 * min(now, begin + 20.0)))
     assert fleet.run(20.0) == []
     fleet.run(6.0)
-    assert fleet.responses(key) == [Response.DIVERT_ACCEPTS, Response.REPLACE], "no sign of life is left"
+    assert fleet.responses(key) == [Response.DIVERT_ACCEPTS, Response.REPLACE], "no sign of life remains"
 
 
 def counters(keys: list[Key], ill: list[Key]) -> dict[Key, TrafficCounters]:
@@ -297,23 +299,23 @@
 def test_outliers_are_ejected_up_to_a_share_and_never_killed() -> None:
     vigil = FailureDetector(POLICY)
     keys = [(f"p{i}", 1) for i in range(12)]
-    acts: list[Decision] = []
+    decisions: list[Decision] = []
     for i in range(200):
         now = 100.0 + INTERVAL * i
         seen = {key: Observation(now, cpu_time=0.01 * i) for key in keys}
-        acts += vigil.tick(now, seen, 12, INTERVAL, counters(keys, keys[:5]))
-    assert [act.response for act in acts] == [Response.EJECT] * 4, "0.35 of 12"
+        decisions += vigil.tick(now, seen, 12, INTERVAL, counters(keys, keys[:5]))
+    assert [decision.response for decision in decisions] == [Response.EJECT] * 4, "0.35 of 12"
     assert vigil.counts["unlike"] == 4 and vigil.counts["held_back"] == 1 and vigil.counts["replaced"] == 0
     assert vigil.view(keys[0])["unlike"] == "full" and vigil.view(keys[9])["unlike"] == ""
     for i in range(200, 1200):
         now = 100.0 + INTERVAL * i
         seen = {key: Observation(now, cpu_time=0.01 * i) for key in keys}
-        acts += vigil.tick(now, seen, 12, INTERVAL, counters(keys, []))
-    assert [act.response for act in acts[4:]] == [Response.READMIT] * 4
+        decisions += vigil.tick(now, seen, 12, INTERVAL, counters(keys, []))
+    assert [decision.response for decision in decisions[4:]] == [Response.READMIT] * 4
     assert "all of its new connections" in vigil.explain(now, "p0")[-1][1]
 
 
-# ---- from the start of a process to its end ------------------------------------------------
+# ---- lifecycle of a process ------------------------------------------------
 
 
 def test_starting_process_is_not_silent_and_others_accept_for_it_if_most_serve() -> None:
@@ -321,17 +323,19 @@
     fleet.run(5.0)
     key = fleet.start_successor(3)
     fleet.observations[key] = lambda now: Observation(0.0, cpu_time=1.0, lifecycle=Lifecycle.STARTING)
-    assert fleet.run(20.0) == [], "nobody waits for it"
+    assert fleet.run(20.0) == [], "no connection waits for it"
     fleet.observations[key] = lambda now: Observation(
         0.0, cpu_time=1.0, accept_wait=0.6, lifecycle=Lifecycle.STARTING
     )
-    assert [act.response for act in fleet.run(5.0)] == [Response.DIVERT_ACCEPTS]
+    assert [decision.response for decision in fleet.run(5.0)] == [Response.DIVERT_ACCEPTS]
     del fleet.observations[key]
-    assert [act.response for act in fleet.run(5.0)] == [Response.RESUME_ACCEPTS], "it beats"
+    assert [decision.response for decision in fleet.run(5.0)] == [Response.RESUME_ACCEPTS], (
+        "its heartbeats have started"
+    )
 
 
 def test_accepts_of_starting_processes_are_not_diverted_in_a_correlated_failure() -> None:
-    """The few that serve would get what waits for all."""
+    """The few that serve would receive the connections of all."""
     fleet = Fleet(8)
     for key in fleet.keys[2:]:
         fleet.observations[key] = lambda now: Observation(0.0, accept_wait=0.6, lifecycle=Lifecycle.STARTING)
@@ -360,7 +364,7 @@
 
 
 def test_leaving_processes_do_not_count_towards_distrust() -> None:
-    """Most of a fleet is replaced at once, and silent in its last moments; another hangs."""
+    """Most of a fleet is replaced at once and silent while exiting; another process hangs."""
     fleet = Fleet(8)
     fleet.run(5.0)
     for key in fleet.keys[:6]:
@@ -371,12 +375,12 @@
     assert fleet.detector.counts["distrusted"] == 0 and Response.REPLACE in fleet.responses(fleet.keys[7])
 
 
-# ---- a wait for a processor that is not over -----------------------------------------------
+# ---- unfinished waits for a processor -----------------------------------------------
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_unfinished_wait_for_a_processor_is_not_silence(told: bool) -> None:
-    """Each wait lasts two seconds, between moments in which it runs; `told`: the kernel counts it then."""
+@pytest.mark.parametrize("counted", [False, True])
+def test_unfinished_wait_for_a_processor_is_not_silence(counted: bool) -> None:
+    """Each wait lasts two seconds; `counted`: the kernel counts it when it is over."""
     fleet = Fleet(8)
     fleet.run(5.0)
     key = fleet.keys[1]
@@ -384,7 +388,7 @@
 
     def starves(now: float) -> Observation:
         over = 2.0 * ((now - begin) // 2.0)
-        return Observation(begin + over, False, ran + 0.001 * over, over * told, runnable=True)
+        return Observation(begin + over, False, ran + 0.001 * over, over * counted, runnable=True)
 
     fleet.observations[key] = starves
     fleet.run(20.0)
--- a/tests/unit/test_outlier_detection.py
+++ b/tests/unit/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Who fares worse than its siblings: by comparison alone, and back by steps."""
+"""Outlier detection: findings by comparison with peers, and the stepwise return to full traffic."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class World:
-    """Processes that serve, and one observer."""
+    """Simulated processes that serve requests, and one detector that observes them."""
 
     def __init__(self, count: int, rate: float = 20.0, seed: int = 1, tiers: int = 1) -> None:
         self.detector = OutlierDetector(POLICY)
@@ -46,7 +46,7 @@
         self.lost_paths: set[tuple[Key, int]] = set()
         self.list_versions = dict.fromkeys(self.keys, 7)
         self.out_of_descriptors: set[Key] = set()
-        self.loss_rate = 0.0  # of all attempts
+        self.loss_rate = 0.0  # share of all attempts that are lost
         self.findings: list[tuple[float, Key, Finding]] = []
 
     def serve(self, key: Key) -> None:
@@ -59,7 +59,7 @@
             )
 
     def run(self, seconds: float) -> dict[Key, Finding]:
-        """Serve and look for so long; who is found at the end."""
+        """Serve and run the detector for `seconds`; return the findings of the last tick."""
         current: dict[Key, Finding] = {}
         for _ in range(round(seconds / INTERVAL)):
             self.now += INTERVAL
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_connections_that_break_for_all_within_moments_are_no_finding(seed: int) -> None:
-    """One's a look before the others': five each, beside what is asked meanwhile."""
+    """Five connections of each process break, those of one process one tick before the others'."""
     world = World(5, 16.0, seed)
     world.run(5.0)
     first = world.keys[seed % 5]
@@ -154,7 +154,7 @@
         world.keys[updated:]
     )
     world = World(8)
-    world.list_versions[world.keys[0]] = 9  # the first to hear, or one that heard something odd
+    world.list_versions[world.keys[0]] = 9  # the first to be updated, or one with an unusual version
     world.run(10.0)
     assert world.findings == []
 
@@ -199,10 +199,12 @@
     world.run(2.0)
     assert world.detector.traffic_share(key) == TRAFFIC_SHARES[0]
     world.run(60.0)
-    assert world.detector.traffic_share(key) < 1.0, "it is still cut, and shows so at each step"
+    assert world.detector.traffic_share(key) < 1.0, "the path is still lost, which shows at each step"
     begin = world.now
     world.run(120.0)
-    assert sum(at > begin and one == key for at, one, _ in world.findings) > 0.95 * 120.0 / INTERVAL, "and goes on to"
+    assert sum(at > begin and one == key for at, one, _ in world.findings) > 0.95 * 120.0 / INTERVAL, (
+        "and is found again throughout"
+    )
 
 
 def test_share_rises_without_samples_after_a_while() -> None:
@@ -279,15 +281,14 @@
 
 @given(st.floats(0.0, 1.0))
 def test_likelihood_ratio_of_usual_attempts_has_a_mean_of_at_most_one(usual: float) -> None:
-    """Its likelihood ratio is 1 on average, or less: so between false alarms there are 10^`unlike` attempts (Lorden,
-    Annals of Mathematical Statistics 1971)."""
+    """So at least 10^`unlike` attempts lie between false alarms (Lorden, Annals of Mathematical Statistics 1971)."""
     missed, reached = math.exp(path_loss_log_ratio(1, 0, usual)), math.exp(path_loss_log_ratio(0, 1, usual))
     assert usual * missed + (1.0 - usual) * reached <= 1.0 + 1e-9
     assert missed >= 1.0 >= reached
 
 
 def test_lost_path_is_found_at_a_low_request_rate() -> None:
-    """Breakers leave few. What went well before speaks for nothing."""
+    """Breakers leave few attempts on a lost path, with seconds between them; earlier successes must not count."""
     world = World(8, rate=3.0)
     world.run(20.0)
     key, begin = world.keys[3], world.now
--- a/tests/unit/test_snapshots.py
+++ b/tests/unit/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What is believed of a record: the table of `weldroute.snapshots`, row by row, and over random ages and clocks."""
+"""Trust in stored records: each row of the table in `weldroute.snapshots`, and random ages and clocks."""
 
 from __future__ import annotations
 
