--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -16,8 +16,8 @@
 from cometusher.fleet.control import ControlError, NoSupervisor, ask
 from cometusher.fleet.identity import Identity
 from cometusher.fleet.spec import FleetSpec, Place, read_place, read_spec
-from weldroute.correlated_failures import PHASES
-from weldroute.fleet import Done
+from weldroute.correlated_failures import RECOVERY_PHASES
+from weldroute.fleet import OperationDone
 
 ANSWER = 10.0  # seconds for an answer that needs no work
 LONGEST = 3600.0  # seconds for an operation on the whole fleet
@@ -104,7 +104,7 @@
             return 2
         report = daemonize(_say)
 
-    def started(done: Done) -> None:
+    def started(done: OperationDone) -> None:
         if options.daemon or not done.ok:
             report(0 if done.ok else 1, done.text)
 
@@ -128,7 +128,7 @@
 def _show_status(answer: dict[str, Any]) -> None:
     print(f"{answer['fleet']}: supervisor {answer['pid']}", *answer["operations"], sep="\n  ")
     for event in answer.get("comeback", [])[-1:]:
-        reached = ", ".join(f"{name} {event[name]:.2f} s" for name in PHASES if event[name] is not None)
+        reached = ", ".join(f"{name} {event[name]:.2f} s" for name in RECOVERY_PHASES if event[name] is not None)
         print(
             f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
             f"{event['cause']}: {reached or 'nothing yet'}"
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -17,9 +17,9 @@
 from cometusher import config
 from cometusher.config import Address, ConfigError, read_address
 from cometusher.toml_reader import Table, read_file
-from weldroute.correlated_failures import HerdPolicy
+from weldroute.correlated_failures import CorrelationPolicy
 from weldroute.failure_detector import FailureDetectorPolicy
-from weldroute.fleet import Policy
+from weldroute.fleet import SupervisionPolicy
 from weldroute.leases import LeasePolicy
 from weldroute.members import MemberPolicy
 from weldroute.outlier_detection import OutlierPolicy
@@ -146,7 +146,7 @@
 
     plan: RecoveryPlan
     limits: AgeLimits
-    herd: HerdPolicy
+    herd: CorrelationPolicy
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +180,7 @@
 
     place: Place
     spawn: str  # "fork" from the warmed supervisor, or "exec" of a new interpreter
-    policy: Policy
+    policy: SupervisionPolicy
     log: LogSpec
     instances: dict[str, InstanceSpec]
     comeback: ComebackSpec | None = None  # switched on by its table
@@ -207,9 +207,9 @@
         return {"Ordinal": (int(settings.get("Ordinal") or 0) + names.index(name)) % total, "Instances": total}
 
 
-def _read_policy(table: Table) -> Policy:
+def _read_policy(table: Table) -> SupervisionPolicy:
     values: dict[str, Any] = {}
-    for item in fields(Policy):
+    for item in fields(SupervisionPolicy):
         default = item.default
         if isinstance(default, int):
             values[item.name] = table.whole(item.name, default)
@@ -217,7 +217,7 @@
             assert isinstance(default, float)
             values[item.name] = table.number(item.name, default)
     table.done()
-    return _checked(table, Policy(**values))
+    return _checked(table, SupervisionPolicy(**values))
 
 
 class _Checked(Protocol):
@@ -243,7 +243,7 @@
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
-    plan, limits, herd = RecoveryPlan(), AgeLimits(), HerdPolicy()
+    plan, limits, herd = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
     try:
         plan = RecoveryPlan(
             instances=max(1, instances),
@@ -256,7 +256,7 @@
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
         limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
-        herd = HerdPolicy(
+        herd = CorrelationPolicy(
             share=table.number("herd_share", herd.share, 0.001, 1.0),
             least=table.whole("herd_least", herd.least, 2),
             within=table.number("herd_within", herd.within, 0.01, 600.0),
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -32,7 +32,19 @@
 from cometusher.fleet.notify import ServiceManager
 from cometusher.fleet.process import Child
 from cometusher.fleet.spec import FleetSpec, InstanceSpec, as_file, prepare_state, read_spec, write_private
-from weldroute.fleet import Action, Done, Exit, Fleet, How, Notice, Phase, Release, Spawn, Step, Tell
+from weldroute.fleet import (
+    Action,
+    CloseListener,
+    ExitStatus,
+    Fleet,
+    Notice,
+    OperationDone,
+    Phase,
+    ProcessCommand,
+    SendCommand,
+    Spawn,
+    Step,
+)
 from weldroute.outlier_detection import Key
 from weldroute.snapshots import Owner
 
@@ -50,7 +62,11 @@
 PROBE = 1.0  # seconds between readiness checks of a process that is ready...
 PROBE_FRESH = 0.05  # ...and of one that is not yet
 PROBE_TIME = 1.0  # seconds for an answer
-SIGNALS = {How.END: signal.SIGTERM, How.KILL: signal.SIGKILL, How.RELOAD: signal.SIGHUP}
+SIGNALS = {
+    ProcessCommand.TERMINATE: signal.SIGTERM,
+    ProcessCommand.KILL: signal.SIGKILL,
+    ProcessCommand.RELOAD: signal.SIGHUP,
+}
 PAGE = os.sysconf("SC_PAGE_SIZE")
 MAX_STATUS = 16 * 1024  # bytes of a status line
 
@@ -142,7 +158,7 @@
         self.listeners = Listeners(passed_sockets(environ))
         self.sink = Sink(self.loop, Target(spec.log), spec.place.name)
         self.control = ControlServer(spec.place.control, self._serve)
-        self._waiting: dict[int, asyncio.Future[Done]] = {}
+        self._waiting: dict[int, asyncio.Future[OperationDone]] = {}
         self._probes: dict[Key, asyncio.Task[None]] = {}
         self._reloads: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
@@ -178,13 +194,13 @@
             from cometusher.cluster.host import ClusterHost
 
             self.mesh = ClusterHost(self.spec.mesh, self.spec.place.name, self.loop, self._doors)
-            self.fleet.turn = self.mesh.may_roll_out
+            self.fleet.may_begin_step = self.mesh.may_roll_out
         await self._settle_predecessor()
         for one in self.spec.instances.values():
             self.listeners.get(one.name, one.listen)
         await self.control.start()
 
-    async def run(self, names: Iterable[str]) -> Done:
+    async def run(self, names: Iterable[str]) -> OperationDone:
         """Start instances; returns how that went. The fleet runs on until `ended`."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
@@ -204,7 +220,7 @@
             await self.mesh.start()
         log.info("supervisor %d of %d instances starts", os.getpid(), len(self.spec.instances))
         done = await self._finish(self.fleet.start(now, wanted))
-        if not self.fleet.ending:
+        if not self.fleet.is_shutting_down:
             self.manager.ready(done.text)
         return done
 
@@ -217,16 +233,16 @@
             if past is not None:
                 self.fleet.instances[name].restarts = past.restarts.get(name, 0)
         wanted = names or list(self.spec.instances)
-        if memory is None or self.fleet.herd is None:
+        if memory is None or self.fleet.failure_correlator is None:
             return wanted
         past = memory.past
         if past.unclean and not names:
             wanted = [name for name in wanted if past.wanted.get(name, True) and name not in past.failed]
             for name in set(past.failed) & set(self.spec.instances):
-                self.fleet.instances[name].wanted = self.fleet.instances[name].failed = True
+                self.fleet.instances[name].should_run = self.fleet.instances[name].failed = True
                 self.fleet.instances[name].reason = past.failed[name]
         cause = "the supervisor before ended without order" if past.unclean else "start"
-        self.fleet.herd.begun(now, wanted, len(self.spec.instances), cause)
+        self.fleet.failure_correlator.on_unclean_start(now, wanted, len(self.spec.instances), cause)
         log.info("epoch %d: %s", memory.epoch, cause, extra={"event": "epoch"})
         self._keep()
         return wanted
@@ -253,7 +269,7 @@
 
     def stop(self) -> None:
         """End in order."""
-        if not self.fleet.ending:
+        if not self.fleet.is_shutting_down:
             log.info("stopping")
             self.manager.stopping()
             if self.watch is not None:
@@ -291,13 +307,13 @@
         if now >= self._look_at:
             self._look_at = now + LOOK
             self._look(now)
-        for name, generation in self.fleet.suspects(now):
+        for name, generation in self.fleet.silent_processes(now):
             child = self.children.get((name, generation))
             stat = read_stat(child.pid) if child is not None else None
             if stat is not None:
-                self.fleet.cpu(now, name, generation, stat.cpu, stat.state == RUNNABLE)
+                self.fleet.on_cpu_time(now, name, generation, stat.cpu, stat.state == RUNNABLE)
         if self.mesh is not None:
-            self.mesh.request_rollout(self.fleet.rolls)
+            self.mesh.request_rollout(self.fleet.has_rolling_operation)
         self._do(self.fleet.tick(now))
         if not self._ended.is_set():
             self.loop.call_later(TICK, self._tick)
@@ -311,7 +327,7 @@
             held = resident(child.pid)
             if limit and held > limit:
                 text = f"{held >> 20} MB, over {limit >> 20} MB"
-                self._do(self.fleet.over_memory(now, child.name, child.generation, text))
+                self._do(self.fleet.on_memory_exceeded(now, child.name, child.generation, text))
 
     # ---- actions -------------------------------------------------------------------------
 
@@ -319,28 +335,28 @@
         for action in actions:
             if isinstance(action, Spawn):
                 self._spawn(action)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendCommand):
                 self._tell(action)
-            elif isinstance(action, Release):
+            elif isinstance(action, CloseListener):
                 if self.watch is not None:
                     self.watch.released([action.name])
                 self.listeners.release(action.name)
             elif isinstance(action, Notice):
-                level = logging.WARNING if action.bad else logging.INFO
+                level = logging.WARNING if action.is_problem else logging.INFO
                 log.log(level, "%s", action.text, extra={"event": action.event, "instance": action.name or None})
                 self._keep()
             else:
                 self._done(action)
-        if self.fleet.ended and not self.children:
+        if self.fleet.has_stopped and not self.children:
             self._ended.set()
 
-    def _done(self, done: Done) -> None:
+    def _done(self, done: OperationDone) -> None:
         log.log(logging.INFO if done.ok else logging.WARNING, "%s", done.text, extra={"event": "operation"})
         future = self._waiting.pop(done.operation, None)
         if future is not None and not future.done():
             future.set_result(done)
 
-    def _finish(self, begun: tuple[int, list[Action]]) -> asyncio.Future[Done]:
+    def _finish(self, begun: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
         """The end of an operation that has just begun."""
         ident, actions = begun
         future = self._waiting[ident] = self.loop.create_future()
@@ -356,7 +372,7 @@
             child = self._start_process(one, action.generation, listener)
         except (OSError, Taken) as fault:
             text = f"could not be started: {fault}"
-            self._do(self.fleet.spawn_failed(self.loop.time(), action.name, action.generation, text))
+            self._do(self.fleet.on_spawn_failed(self.loop.time(), action.name, action.generation, text))
             return
         self.children[child.name, child.generation] = child
         stream = Stream(self.sink, child.name, child.log)
@@ -404,12 +420,12 @@
 
         None while the fleet ends: what a killed one leaves then nobody inherits, and it may yet answer by itself.
         """
-        ones = self._in_phases() if not self.fleet.ending else ()
+        ones = self._in_phases() if not self.fleet.is_shutting_down else ()
         return [(child, phase) for child, phase in ones if child.row >= 0]
 
     def wanted(self) -> int:
         """How many instances should run."""
-        return sum(instance.wanted for instance in self.fleet.instances.values())
+        return sum(instance.should_run for instance in self.fleet.instances.values())
 
     def listener(self, name: str) -> socket.socket | None:
         """What an instance's callers connect to, while it is open here."""
@@ -431,12 +447,12 @@
 
     def replace(self, key: Key, why: str) -> None:
         """Have a process killed, and followed by another."""
-        self._do(self.fleet.stalled(self.loop.time(), *key, why))
+        self._do(self.fleet.on_stalled(self.loop.time(), *key, why))
 
     def _in_phases(self) -> Iterator[tuple[Child, Phase]]:
         for (name, generation), child in self.children.items():
             instance = self.fleet.instances.get(name)
-            at = instance.find(generation) if instance is not None else None
+            at = instance.find_process(generation) if instance is not None else None
             if at is not None:
                 yield child, at.phase
 
@@ -447,7 +463,7 @@
             one = self.spec.instances.get(child.name)
             if phase is Phase.READY and child.holding is not None and one is not None and one.tier == tier:
                 found.append((child.holding.process, int(child.figures.get("open", 0))))
-        return [] if self.fleet.ending else found
+        return [] if self.fleet.is_shutting_down else found
 
     def _doors(self) -> Iterator[tuple[Key, Address]]:
         """Processes that are ready, and where operators call them, if they can."""
@@ -458,13 +474,13 @@
 
     def _returning(self, name: str) -> dict[str, Any]:
         """What a process is told of its return, as a part of its file."""
-        spec, memory, herd = self.spec.comeback, self.memory, self.fleet.herd
+        spec, memory, herd = self.spec.comeback, self.memory, self.fleet.failure_correlator
         if spec is None or memory is None or herd is None:
             return {}
         from cometusher.recovery import RecoveryConfig, write_recovery_config
 
         plan = replace(
-            spec.plan, instances=len(self.fleet.instances), returning=herd.returning(self.loop.time(), name)
+            spec.plan, instances=len(self.fleet.instances), returning=herd.recovering_count(self.loop.time(), name)
         )
         owner = Owner(self.spec.place.name, name, memory.epoch)
         known = memory.known(name)
@@ -487,11 +503,11 @@
         if self.memory is not None and not self._ended.is_set():
             self.memory.write(self.fleet)
 
-    def _tell(self, action: Tell) -> None:
+    def _tell(self, action: SendCommand) -> None:
         child = self.children.get((action.name, action.generation))
         if child is None:
             return
-        if action.how is How.RELOAD:
+        if action.command is ProcessCommand.RELOAD:
             # One that is no longer in the file will be removed; it has nothing to take over.
             child.told = self.spec.instances.get(action.name, child.spec)
             try:
@@ -499,9 +515,9 @@
                 write_private(self.spec.place.instance_file(action.name), content)
             except OSError as fault:
                 text = f"its file can't be written: {fault.strerror}"
-                self._do(self.fleet.reloaded(self.loop.time(), action.name, action.generation, text))
+                self._do(self.fleet.on_reloaded(self.loop.time(), action.name, action.generation, text))
                 return
-        child.signal(SIGNALS[action.how])
+        child.signal(SIGNALS[action.command])
 
     # ---- processes -----------------------------------------------------------------------
 
@@ -533,12 +549,12 @@
         if event == "beat":
             child.figures, child.hand = counts(values), counts(values.get("hand"))
             finished = sum(v for k, v in child.figures.items() if k != "open")
-            self.fleet.beat(now, child.name, child.generation, finished)
+            self.fleet.on_heartbeat(now, child.name, child.generation, finished)
         elif event == "ready":
             if (child.name, child.generation) not in self._probes:
                 self._probes[child.name, child.generation] = self.loop.create_task(self._probe(child))
             self._reached(child, "up")
-            self._do(self.fleet.ready(now, child.name, child.generation))
+            self._do(self.fleet.on_ready(now, child.name, child.generation))
         elif event == "comeback":
             self._comes_back(child, values)
         elif event == "declined" and self.estates is not None and child.holding is not None:
@@ -547,31 +563,34 @@
             why = values.get("why")
             if why is None:
                 child.spec = child.told
-            self._do(self.fleet.reloaded(now, child.name, child.generation, None if why is None else str(why)))
+            self._do(self.fleet.on_reloaded(now, child.name, child.generation, None if why is None else str(why)))
 
     def _comes_back(self, child: Child, values: dict[str, Any]) -> None:
         """An instance tells of its return."""
-        if self.memory is None or self.fleet.herd is None:
+        if self.memory is None or self.fleet.failure_correlator is None:
             return
         if self.memory.hear(child.name, values):
             self._keep()
         child.comeback = {k: v for k, v in values.items() if k not in ("event", "standing")}
         keys = ("connects", "held", "refused", "dropped")
         costs = {key: count for key in keys if isinstance(count := values.get(key), int)}
-        self.fleet.herd.costs(child.name, costs)
+        self.fleet.failure_correlator.on_costs(child.name, costs)
         for phase in ("known", "first", "full"):
             if values.get(phase) is not None:
                 self._reached(child, phase)
 
     def _reached(self, child: Child, phase: str) -> None:
-        herd, now = self.fleet.herd, self.loop.time()
-        found = herd.reached(now, child.name, phase) if herd is not None else None
+        herd, now = self.fleet.failure_correlator, self.loop.time()
+        found = herd.on_phase(now, child.name, phase) if herd is not None else None
         if found is not None:
             blow, fresh = found
-            text = f"event {blow.ident}, {len(blow.names)} of {blow.of}: {fresh} after {blow.reached[fresh]:.2f} s"
+            text = (
+                f"event {blow.event_id}, {len(blow.names)} of {blow.fleet_size}: "
+                f"{fresh} after {blow.phase_times[fresh]:.2f} s"
+            )
             log.info("%s", text, extra={"event": "comeback"})
             if fresh == "full":
-                log.info("event %d is over: %s", blow.ident, blow.view(now), extra={"event": "comeback_full"})
+                log.info("event %d is over: %s", blow.event_id, blow.view(now), extra={"event": "comeback_full"})
 
     async def _probe(self, child: Child) -> None:
         """Readiness checks of one process, as long as it is to answer them."""
@@ -579,14 +598,14 @@
         while (child.name, child.generation) in self.children:
             instance = self.fleet.instances.get(child.name)
             one = self.spec.instances.get(child.name)
-            found = instance.find(child.generation) if instance is not None else None
+            found = instance.find_process(child.generation) if instance is not None else None
             if one is None or found is None or found.phase not in (Phase.STARTING, Phase.READY):
                 return
             answer = await probe(one.listen, mark)
             if answer is Answer.UP:
-                self._do(self.fleet.up(self.loop.time(), child.name, child.generation))
+                self._do(self.fleet.on_check_answered(self.loop.time(), child.name, child.generation))
             elif answer is Answer.WAITS:
-                self.fleet.waits(self.loop.time(), child.name, child.generation)
+                self.fleet.on_waiting_for_backends(self.loop.time(), child.name, child.generation)
             fresh = found.phase is Phase.STARTING
             await asyncio.sleep(PROBE_FRESH if fresh else PROBE)
 
@@ -611,15 +630,15 @@
         if self.estates is not None and child.holding is not None:
             self.estates.reaped(child.holding)
         self._write_roster()
-        self._do(self.fleet.exited(self.loop.time(), child.name, child.generation, self._exit(status)))
+        self._do(self.fleet.on_exit(self.loop.time(), child.name, child.generation, self._exit(status)))
 
-    def _exit(self, status: int) -> Exit:
+    def _exit(self, status: int) -> ExitStatus:
         code = os.waitstatus_to_exitcode(status)
         if code >= 0:
-            return Exit(code=code)
+            return ExitStatus(code=code)
         # Counted for the whole machine: told apart by time, so another's end for memory could pass for ours.
         by_kernel = -code == signal.SIGKILL and kernel_kills() > self._kills[0]
-        return Exit(signal=-code, out_of_memory=by_kernel)
+        return ExitStatus(signal=-code, out_of_memory=by_kernel)
 
     def _write_roster(self) -> None:
         """Note what runs for a successor; once for all that happens at one wake-up."""
@@ -648,7 +667,7 @@
         self._reloads.add(task)
         task.add_done_callback(self._reloads.discard)
 
-    async def reload(self) -> Done:
+    async def reload(self) -> OperationDone:
         """Read the file again, check it whole, and bring the instances to it; raises ControlError.
 
         A file that can't be used changes nothing. Instances take over what they can while they run; others are
@@ -667,8 +686,8 @@
         if self.watch is not None and fresh.vigil is not None:
             self.watch.vigil.policy = fresh.vigil
             self.watch.vigil.outlier_detector.policy = fresh.comparison
-        if self.fleet.herd is not None and fresh.comeback is not None:
-            self.fleet.herd.policy = fresh.comeback.herd
+        if self.fleet.failure_correlator is not None and fresh.comeback is not None:
+            self.fleet.failure_correlator.policy = fresh.comeback.herd
         steps = [(name, Step.REMOVE) for name in old.instances if name not in fresh.instances]
         for name, one in fresh.instances.items():
             step = self._step_to(one, old.instances.get(name))
@@ -793,13 +812,13 @@
         return {"notes": {name: self.watch.vigil.explain(now, name) for name in names or self.fleet.instances}}
 
     @staticmethod
-    def _told(done: Done) -> dict[str, Any]:
+    def _told(done: OperationDone) -> dict[str, Any]:
         if not done.ok:
             raise ControlError(done.text)
         return {"text": done.text}
 
     def _not_ending(self) -> None:
-        if self.fleet.ending:
+        if self.fleet.is_shutting_down:
             raise ControlError("the fleet is stopping")
 
     def status(self, names: list[str]) -> dict[str, Any]:
@@ -823,8 +842,8 @@
             if self.watch is not None:
                 row["vigil"] = self.watch.vigil.view((name, row["generation"]))
             rows.append(row)
-        herd = self.fleet.herd
-        blows = {"comeback": [blow.view(now) for blow in herd.blows]} if herd is not None else {}
+        herd = self.fleet.failure_correlator
+        blows = {"comeback": [blow.view(now) for blow in herd.failures]} if herd is not None else {}
         estate = {"takeover": self.estates.view()} if self.estates is not None else {}
         vigil = {"vigil": self.watch.view()} if self.watch is not None else {}
         return (
@@ -835,7 +854,7 @@
                 "fleet": self.spec.place.name,
                 "pid": os.getpid(),
                 "instances": rows,
-                "operations": self.fleet.operations,
+                "operations": self.fleet.progress_reports,
                 "log_dropped": self.sink.dropped_total,
             }
         )
@@ -845,7 +864,7 @@
     """A fleet could not be started; the text says why."""
 
 
-StartTold = Callable[[Done], None]
+StartTold = Callable[[OperationDone], None]
 
 
 async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartTold) -> None:
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -14,7 +14,7 @@
 from cometusher.runtime import moment
 from cometusher.store.records import RecordFile
 from weldroute.fleet import Fleet
-from weldroute.handover import Unusable, read_standing
+from weldroute.handover import UnusableState, parse_operator_orders
 from weldroute.snapshots import AgeLimits, KnownVersions, Owner, Record, Trust, assess
 
 log = logging.getLogger("cometusher.fleet.memory")  # the `subsystem` of its log records
@@ -72,8 +72,8 @@
         rows = body.get("orders")
         for name, form in rows.items() if isinstance(rows, dict) else ():
             try:
-                read_standing(form)
-            except Unusable as fault:
+                parse_operator_orders(form)
+            except UnusableState as fault:
                 log.warning("%s: its kept orders are left aside: %s", name, fault)
             else:
                 self.orders[str(name)] = form
@@ -95,7 +95,7 @@
             "running": running,
             "list_seq": self.list_seq,
             "orders": self.orders,
-            "wanted": {i.name: i.wanted for i in rows},
+            "wanted": {i.name: i.should_run for i in rows},
             "failed": {i.name: i.reason for i in rows if i.failed},
             "restarts": {i.name: i.restarts for i in rows},
             "generations": {i.name: i.generation for i in rows},
--- a/cometusher/fleet/watchdog.py
+++ b/cometusher/fleet/watchdog.py
@@ -31,7 +31,7 @@
 EVERY = 0.05  # seconds between looks
 ACCEPTS = 64  # connections that are accepted for another at one wake-up
 STOPPED = "Tt"  # states of proc(5)
-LIVES = {Phase.STARTING: Lifecycle.STARTING, Phase.READY: Lifecycle.SERVING, Phase.LEAVING: Lifecycle.LEAVING}
+LIVES = {Phase.STARTING: Lifecycle.STARTING, Phase.READY: Lifecycle.SERVING, Phase.EXITING: Lifecycle.LEAVING}
 
 
 class One(Protocol):
--- a/cometusher/handover.py
+++ b/cometusher/handover.py
@@ -21,30 +21,37 @@
 
 import orjson
 
-from weldroute.handover import OpenIds, Row, Stage, Unusable, next_generation, yields
+from weldroute.handover import (
+    OpenRequestIds,
+    ProcessEntry,
+    ProcessStage,
+    UnusableState,
+    next_generation,
+    should_yield,
+)
 
 log = logging.getLogger(__name__)
 
-FOLDER = "cometusher"
-ROWS = 8  # processes at once: more than two only where upgrades follow each other closely
-ORDERS = 32  # the cell behind the rows: grows with every order of operators
-FIELDS = 4  # generation, stage, descriptors, bytes of bodies
-PAGE = 4096
-Cells = MutableSequence[int] | memoryview  # of 64 bits
-MAX_FILE = 8 * 1024 * 1024
+FOLDER_NAME = "cometusher"
+MAX_PROCESSES = 8  # processes at once: more than two only where upgrades follow each other closely
+ORDERS_CELL = 32  # the cell behind the rows: grows with every order of operators
+CELLS_PER_PROCESS = 4  # generation, stage, descriptors, bytes of bodies
+LEDGER_SIZE = 4096
+SharedCells = MutableSequence[int] | memoryview  # of 64 bits
+MAX_FILE_SIZE = 8 * 1024 * 1024
 
 
-class Locks(Protocol):
+class ProcessLocks(Protocol):
     """One lock for each row of the ledger; a dead process holds none."""
 
-    def take(self, row: int) -> bool:
+    def try_lock(self, row: int) -> bool:
         """Hold a row's lock, if no other process does."""
 
-    def free(self, row: int) -> None:
+    def unlock(self, row: int) -> None:
         """Let go of it."""
 
 
-class Store(Protocol):
+class HandoverStore(Protocol):
     """Named pieces of data, each replaced as a whole."""
 
     def replace(self, name: str, data: bytes) -> None:
@@ -53,107 +60,111 @@
     def read(self, name: str) -> bytes | None:
         """What is there, MAX_FILE + 1 bytes of it at most; None if nothing. Raises OSError."""
 
-    def mark(self, name: str) -> Hashable | None:
+    def revision(self, name: str) -> Hashable | None:
         """Another value after each replacement; None if nothing is there."""
 
 
-class Ledger:
+class ProcessLedger:
     """What the processes of one proxy tell each other at every moment. Raises OSError where no row is free."""
 
-    def __init__(self, values: Cells, ids: Cells, locks: Locks) -> None:
+    def __init__(self, values: SharedCells, ids: SharedCells, locks: ProcessLocks) -> None:
         self._values = values  # ROWS x FIELDS, shared
         self._locks = locks
-        self._at = -1
-        for row in range(ROWS):
-            if locks.take(row):
-                self._at = row * FIELDS
+        self._row_start = -1
+        for row in range(MAX_PROCESSES):
+            if locks.try_lock(row):
+                self._row_start = row * CELLS_PER_PROCESS
                 break
         else:
             raise OSError("the ledger has no free row")
-        self.ids = OpenIds(ids, self._at // FIELDS, self._alive)
-        self._clear(self._at // FIELDS)
+        self.open_ids = OpenRequestIds(ids, self._row_start // CELLS_PER_PROCESS, self._is_alive)
+        self._clear_row(self._row_start // CELLS_PER_PROCESS)
         self.generation = next_generation(self.others())
-        self._values[self._at + 1] = Stage.STARTING
-        self._values[self._at] = self.generation
+        self._values[self._row_start + 1] = ProcessStage.STARTING
+        self._values[self._row_start] = self.generation
 
-    def _alive(self, row: int) -> bool:
+    def _is_alive(self, row: int) -> bool:
         """Whether the process of a row is; a dead one's row is cleared at once."""
-        if not self._locks.take(row):
+        if not self._locks.try_lock(row):
             return True
-        self._clear(row)
-        self._locks.free(row)
+        self._clear_row(row)
+        self._locks.unlock(row)
         return False
 
-    def _clear(self, row: int) -> None:
-        self.ids.clear(row)
-        for field in range(FIELDS):
-            self._values[row * FIELDS + field] = 0
+    def _clear_row(self, row: int) -> None:
+        self.open_ids.clear_row(row)
+        for field in range(CELLS_PER_PROCESS):
+            self._values[row * CELLS_PER_PROCESS + field] = 0
 
-    def bury(self) -> None:
+    def clear_dead(self) -> None:
         """Clear the rows of processes that are dead: the kernel has taken back their locks."""
-        for row in range(ROWS):
-            if row * FIELDS != self._at and self._values[row * FIELDS]:
-                self._alive(row)
+        for row in range(MAX_PROCESSES):
+            if row * CELLS_PER_PROCESS != self._row_start and self._values[row * CELLS_PER_PROCESS]:
+                self._is_alive(row)
 
-    def others(self) -> list[Row]:
+    def others(self) -> list[ProcessEntry]:
         """The rows of the others, as far as they make sense."""
         rows = []
         values = self._values
-        for at in range(0, ROWS * FIELDS, FIELDS):
-            if at != self._at and values[at] and values[at + 1] in Stage.__members__.values():
-                rows.append(Row(values[at], Stage(values[at + 1]), max(0, values[at + 2]), max(0, values[at + 3])))
+        for at in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS):
+            if at != self._row_start and values[at] and values[at + 1] in ProcessStage.__members__.values():
+                rows.append(
+                    ProcessEntry(
+                        values[at], ProcessStage(values[at + 1]), max(0, values[at + 2]), max(0, values[at + 3])
+                    )
+                )
         return rows
 
-    def yields(self) -> bool:
+    def should_yield(self) -> bool:
         """Whether a newer process serves."""
-        self.bury()
-        return yields(self.generation, self.others())
+        self.clear_dead()
+        return should_yield(self.generation, self.others())
 
-    def stage(self, stage: Stage) -> None:
+    def set_stage(self, stage: ProcessStage) -> None:
         """Say how far this process is."""
-        self._values[self._at + 1] = stage
+        self._values[self._row_start + 1] = stage
 
-    def orders(self) -> int:
+    def order_count(self) -> int:
         """Another number after each order that any process was given."""
-        return self._values[ORDERS]
+        return self._values[ORDERS_CELL]
 
-    def ordered(self) -> None:
+    def count_order(self) -> None:
         """An order was given, and is written."""
-        self._values[ORDERS] += 1
+        self._values[ORDERS_CELL] += 1
 
-    def descriptors(self) -> int:
+    def descriptors_of_others(self) -> int:
         """In use by the others."""
-        values, at = self._values, self._at
-        return sum(values[i + 2] for i in range(0, ROWS * FIELDS, FIELDS) if i != at)
+        values, at = self._values, self._row_start
+        return sum(values[i + 2] for i in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS) if i != at)
 
-    def bodies(self) -> int:
+    def body_bytes_of_others(self) -> int:
         """Bytes of bodies held by the others."""
-        values, at = self._values, self._at
-        return sum(values[i + 3] for i in range(0, ROWS * FIELDS, FIELDS) if i != at)
+        values, at = self._values, self._row_start
+        return sum(values[i + 3] for i in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS) if i != at)
 
-    def tell_descriptors(self, count: int) -> None:
+    def report_descriptors(self, count: int) -> None:
         """This process uses so many."""
-        self._values[self._at + 2] = count
+        self._values[self._row_start + 2] = count
 
-    def tell_bodies(self, count: int) -> None:
+    def report_body_bytes(self, count: int) -> None:
         """This process holds so many bytes."""
-        self._values[self._at + 3] = count
+        self._values[self._row_start + 3] = count
 
 
 class Handover:
     """What one process shares with the others of its proxy."""
 
-    def __init__(self, store: Store, ledger: Ledger) -> None:
+    def __init__(self, store: HandoverStore, ledger: ProcessLedger) -> None:
         self._store = store
         self.ledger = ledger
-        self._seen: Hashable | None = None  # of the standing orders, when read or written last
+        self._seen_revision: Hashable | None = None  # of the standing orders, when read or written last
 
     def write(self, name: str, form: dict[str, Any]) -> None:
         """Replace one of them as a whole. Raises OSError."""
         data = orjson.dumps(form)
         self._store.replace(name, b"%08x\n" % zlib.crc32(data) + data)
         if name == "standing":
-            self._seen = self._store.mark(name)
+            self._seen_revision = self._store.revision(name)
 
     def read(self, name: str) -> Any:
         """What one holds; None where there is none or it is torn, which is logged."""
@@ -166,32 +177,32 @@
             return None
         head, _, body = data.partition(b"\n")
         try:
-            if len(data) > MAX_FILE or head != b"%08x" % zlib.crc32(body):
-                raise Unusable("its check sum does not fit")
+            if len(data) > MAX_FILE_SIZE or head != b"%08x" % zlib.crc32(body):
+                raise UnusableState("its check sum does not fit")
             return orjson.loads(body)
-        except (Unusable, orjson.JSONDecodeError) as fault:
+        except (UnusableState, orjson.JSONDecodeError) as fault:
             log.warning("%s: left aside: %s", name, fault)
             return None
 
-    def news(self) -> Any:
+    def new_orders(self) -> Any:
         """The standing orders, if another process has written them since the last look; else None."""
-        mark = self._store.mark("standing")
-        if mark is None or mark == self._seen:
+        mark = self._store.revision("standing")
+        if mark is None or mark == self._seen_revision:
             return None
-        self._seen = mark
+        self._seen_revision = mark
         return self.read("standing")
 
 
 # ---- in a folder -------------------------------------------------------------------------
 
 
-class FileLocks:
+class FileRangeLocks:
     """A lock on one byte of a file for each row; the kernel takes back those of the dead."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
-    def take(self, row: int) -> bool:
+    def try_lock(self, row: int) -> bool:
         """Hold a row's lock, if no other process does."""
         try:
             fcntl.lockf(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, row)
@@ -199,12 +210,12 @@
             return False
         return True
 
-    def free(self, row: int) -> None:
+    def unlock(self, row: int) -> None:
         """Let go of it."""
         fcntl.lockf(self._descriptor, fcntl.LOCK_UN, 1, row)
 
 
-class Folder:
+class FolderStore:
     """Files of a folder."""
 
     def __init__(self, path: Path) -> None:
@@ -220,11 +231,11 @@
         """What is there, if anything. Raises OSError."""
         try:
             with (self._path / name).open("rb") as file:
-                return file.read(MAX_FILE + 1)
+                return file.read(MAX_FILE_SIZE + 1)
         except FileNotFoundError:
             return None
 
-    def mark(self, name: str) -> Hashable | None:
+    def revision(self, name: str) -> Hashable | None:
         """When it was replaced, and by which file."""
         with contextlib.suppress(OSError):
             found = os.stat(self._path / name)
@@ -232,16 +243,16 @@
         return None
 
 
-def in_folder(parent: str) -> Handover:
+def open_in_folder(parent: str) -> Handover:
     """What processes share in a folder of a folder. Raises OSError where it can't be had."""
-    path = Path(parent) / FOLDER
+    path = Path(parent) / FOLDER_NAME
     path.mkdir(mode=0o700, exist_ok=True)
-    ledger, values = _shared(path / "ledger", PAGE)
-    _, ids = _shared(path / "open", 8 * ROWS * OpenIds.WIDTH)
-    return Handover(Folder(path), Ledger(values, ids, FileLocks(ledger)))
+    ledger, values = _map_file(path / "ledger", LEDGER_SIZE)
+    _, ids = _map_file(path / "open", 8 * MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
+    return Handover(FolderStore(path), ProcessLedger(values, ids, FileRangeLocks(ledger)))
 
 
-def _shared(path: Path, size: int) -> tuple[int, memoryview]:
+def _map_file(path: Path, size: int) -> tuple[int, memoryview]:
     """A descriptor of a file of so many bytes, and its 64-bit cells in memory. Raises OSError."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     os.ftruncate(descriptor, size)
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -68,7 +68,7 @@
 )
 
 if TYPE_CHECKING:
-    from cometusher.hot_restart import Succession
+    from cometusher.hot_restart import HotRestart
     from cometusher.inflight.tracker import InflightTracker
     from cometusher.management import Management
     from cometusher.recovery import RecoveryController
@@ -195,7 +195,7 @@
         self.clock = Clock(self.network)
         self.config = config
         self.operations = Operations()
-        self._hot_restart: Succession | None = None
+        self._hot_restart: HotRestart | None = None
         self.recovery: RecoveryController | None = None
         self.inflight: InflightTracker | None = None
         self.traffic_counters: TrafficRecorder | None = (
@@ -251,10 +251,10 @@
             self.inflight = InflightTracker(self, self.network.cover(config.covered))
 
     def _start_hot_restart(self, directory: str) -> None:
-        from cometusher.hot_restart import Succession
+        from cometusher.hot_restart import HotRestart
 
         try:
-            self._hot_restart = Succession(self, self.network.share(directory))
+            self._hot_restart = HotRestart(self, self.network.share(directory))
         except OSError as error:
             log.warning("nothing is shared with other processes of this proxy: %s", error)
         else:
@@ -293,7 +293,7 @@
         if self.inflight is not None:
             self.inflight.start()
         if self._hot_restart is not None:
-            self._hot_restart.serves()
+            self._hot_restart.on_serving()
 
     def _listen_for_management(self, address_may_be_taken: bool = False) -> None:
         """Binds the management address, if one is configured: now, or as soon as the old process releases it."""
@@ -337,7 +337,7 @@
         if max_budget:
             self._latest_deadline = self.clock.now() + DRAIN_FULL_BUDGET_WINDOW + max_budget - DRAIN_ANSWER_MARGIN
         if self._hot_restart is not None:
-            self._hot_restart.stops()
+            self._hot_restart.on_stopping()
         if self.recovery is not None:
             self.recovery.stop()
         self.operations.stop(self.loop.time(), DRAIN_FULL_BUDGET_WINDOW + max_budget - DRAIN_ACCEPT_MARGIN)
@@ -373,7 +373,7 @@
         if self.recovery is not None:
             self.recovery.tick()
         if self._hot_restart is not None:
-            self._hot_restart.look()
+            self._hot_restart.tick()
         self.apply_listener_state()
         self.callers.sweep()
         if self.management is not None:
@@ -441,7 +441,7 @@
     def _dispatch(self, exchange: Exchange | None, event: Callable[[float], list[Action]]) -> None:
         """Passes one event to the balancer and executes the resulting actions in order."""
         if self._hot_restart is not None:
-            self._hot_restart.heed()
+            self._hot_restart.apply_new_orders()
         try:
             actions = event(self.clock.now())
         except Exception:
@@ -486,7 +486,8 @@
         """Accepts a complete request, or one whose body is still being streamed; None if it was answered at once."""
         if request.target == READY_PATH and request.method == b"GET":
             if self._hot_restart is not None:
-                self._hot_restart.heed()  # _dispatch does so before every event; a readiness check is none
+                # _dispatch does so before every event; a readiness check is none
+                self._hot_restart.apply_new_orders()
             self._answer_readiness(caller)
             return None
         try:
@@ -560,7 +561,7 @@
         self._exchanges[exchange.request_id] = exchange
         self._open_ids.add(exchange.call_id)
         if self._hot_restart is not None:
-            exchange.open_id_slot = self._hot_restart.ids.open(call_id)
+            exchange.open_id_slot = self._hot_restart.open_ids.open(call_id)
         self._set_deadline(exchange, self.clock.now(), deadline)
         return exchange
 
@@ -681,7 +682,9 @@
         call_id = request.header(b"x-call-id")
         if not call_id:
             raise Malformed(400, "no X-Call-Id")
-        if call_id in self._open_ids or (self._hot_restart is not None and self._hot_restart.ids.elsewhere(call_id)):
+        if call_id in self._open_ids or (
+            self._hot_restart is not None and self._hot_restart.open_ids.is_open_elsewhere(call_id)
+        ):
             raise Malformed(409, "X-Call-Id of an open request")
         name = request.header(b"x-call-class")
         class_index = self._class_indices.get(name or b"")
@@ -753,7 +756,7 @@
             if self._exchanges.pop(exchange.request_id, None) is not None:
                 self._open_ids.discard(exchange.call_id)
                 if self._hot_restart is not None:
-                    self._hot_restart.ids.close(exchange.open_id_slot)
+                    self._hot_restart.open_ids.close(exchange.open_id_slot)
             # An exchange and its attempts refer to each other; breaking the cycle frees them without the collector.
             exchange.attempts.clear()
 
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -18,11 +18,17 @@
 from cometusher.config import ConfigError
 from cometusher.discovery import Entry, Unreadable, read_listing, server_id
 from cometusher.runtime import moment
-from cometusher.serialization import standing, take_list, take_standing, write_list
+from cometusher.serialization import collect_operator_orders, restore_list, restore_operator_orders, serialize_list
 from cometusher.store.records import RecordFile
 from cometusher.store.writer import RecordWriter
 from weldroute import ListKind, Outcome, Refuse, ServerRow, State
-from weldroute.handover import Standing, Unusable, adopt_learned, read_standing, write_learned
+from weldroute.handover import (
+    OperatorOrders,
+    UnusableState,
+    adopt_learned_state,
+    parse_operator_orders,
+    serialize_learned_state,
+)
 from weldroute.recovery import INITIAL_RETRY_TOKENS, AdmissionVerdict, ListDecision, Recovery, RecoveryPlan
 from weldroute.snapshots import USABLE_PARTS, AgeLimits, KnownVersions, Owner, Record, Trust, age, assess
 
@@ -137,16 +143,16 @@
             self.state.on_stored_list(proxy.loop.time(), len(proxy.backends.server_ids()), None, proxy.discovery.seq)
         if "learned" in USABLE_PARTS[trust["learned"]]:
             try:
-                restored = adopt_learned(proxy.balancer, proxy.clock.now(), found["learned"].body)
+                restored = adopt_learned_state(proxy.balancer, proxy.clock.now(), found["learned"].body)
                 log.info("restored the learned state of %d backends", restored)
-            except Unusable as error:
+            except UnusableState as error:
                 log.warning("the stored learned state is ignored: %s", error)
         self._restore_orders(found.get("standing") if "standing" in USABLE_PARTS[trust["standing"]] else None)
 
     def _restore_list(self, record: Record) -> None:
         proxy = self._proxy
         try:
-            listing = take_list(proxy, record.body)
+            listing = restore_list(proxy, record.body)
         except Unreadable as error:
             log.warning("the stored list is ignored: %s", error)
             return
@@ -158,21 +164,21 @@
 
         So no order is lost without a log entry.
         """
-        orders: Standing | None = None
+        orders: OperatorOrders | None = None
         own = record.body if record is not None else None
         for source, body in (("stored", own), ("fleet's", self._config.standing)):
             if body is None:
                 continue
             try:
-                read = read_standing(body)
-            except Unusable as error:
+                read = parse_operator_orders(body)
+            except UnusableState as error:
                 log.warning("the %s orders are ignored: %s", source, error)
                 continue
             if orders is None or read.version > orders.version:
                 orders = read
         if orders is not None:
             self._orders_version = orders.version
-            take_standing(self._proxy, orders)
+            restore_operator_orders(self._proxy, orders)
 
     # ---- discovery -----------------------------------------------------------------------
 
@@ -201,7 +207,7 @@
         servers = proxy.balancer.servers
         reported = {entry.row.server: entry for entry in entries}
         merged = []
-        for stored in read_listing(write_list(proxy), proxy.config.zones).entries:
+        for stored in read_listing(serialize_list(proxy), proxy.config.zones).entries:
             newer = reported.get(stored.row.server)
             row = servers[stored.row.server].row
             merged.append(stored if newer is None or self.state.prefers_stored(row, newer.row) else newer)
@@ -363,19 +369,19 @@
         proxy = self._proxy
         if now >= self._learned_due_at:
             self._learned_due_at = now + LEARNED_INTERVAL
-            learned = write_learned(proxy.balancer, proxy.clock.now())
+            learned = serialize_learned_state(proxy.balancer, proxy.clock.now())
             self._sink.put("learned", learned | {"calm": self.state.normal_rate})
         # Guards against a list that looks younger than it is: it is written again only while discovery answers.
         if self._list_changed or (now >= self._list_due_at and proxy.discovery.live):
             self._list_changed = False
-            serialized = write_list(proxy)
+            serialized = serialize_list(proxy)
             self._list_due_at = now + max(LIST_INTERVAL, len(serialized["hosts"]) / LIST_ROWS_PER_SECOND)
             self._sink.put("list", serialized)
 
     def on_operator_orders(self) -> None:
         """Operator orders have changed: store them here and with the fleet, so that they outlive this process."""
         self._orders_version += 1
-        orders = standing(self._proxy, self._orders_version).write()
+        orders = collect_operator_orders(self._proxy, self._orders_version).serialize()
         self._sink.put("standing", orders)
         self.report(self.status() | {"standing": orders})
 
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -173,9 +173,9 @@
 
     def share(self, folder: str) -> Handover:
         """What processes of one proxy share in a folder; raises OSError."""
-        from cometusher.handover import in_folder
+        from cometusher.handover import open_in_folder
 
-        return in_folder(folder)
+        return open_in_folder(folder)
 
     def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance on disk, and where to keep more."""
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -8,22 +8,22 @@
 
 from cometusher.discovery import Listing, read_listing
 from weldroute import ListKind, State
-from weldroute.handover import Standing, apply_standing
+from weldroute.handover import OperatorOrders, apply_operator_orders
 
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
 
 log = logging.getLogger("cometusher.forms")  # the `subsystem` of its log records
 
-HEALTH = {State.UP: "in_service", State.DRAINING: "terminating"}
+HEALTH_BY_STATE = {State.UP: "in_service", State.DRAINING: "terminating"}
 
 
-def write_list(proxy: Proxy) -> dict[str, Any]:
+def serialize_list(proxy: Proxy) -> dict[str, Any]:
     """The list of backends as discovery would tell it whole."""
     hosts = []
     for host, server in proxy.servers_by_host.items():
         known, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
-        if known is None or dial is None or known.row.state not in HEALTH:
+        if known is None or dial is None or known.row.state not in HEALTH_BY_STATE:
             continue
         row, zones = known.row, proxy.config.zones
         hosts.append(
@@ -33,14 +33,14 @@
                 "site": zones[row.zone] if row.zone < len(zones) else "",
                 "block": row.cell,
                 "share": row.size,
-                "health": HEALTH[row.state],
+                "health": HEALTH_BY_STATE[row.state],
                 "born_ms": round(row.started * 1000.0, 3),
             }
         )
     return {"seq": proxy.discovery.seq, "whole": True, "hosts": hosts}
 
 
-def take_list(proxy: Proxy, form: Any) -> Listing:
+def restore_list(proxy: Proxy, form: Any) -> Listing:
     """Begin with a list that was written down, unless there is a newer one already; raises Unreadable."""
     listing = read_listing(form, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
@@ -49,11 +49,11 @@
     return listing
 
 
-def standing(proxy: Proxy, version: int) -> Standing:
+def collect_operator_orders(proxy: Proxy, version: int) -> OperatorOrders:
     """What operators have ordered of this proxy, as a version of it."""
     names = {server: host for host, server in proxy.servers_by_host.items()}
     balancer = proxy.balancer
-    return Standing(
+    return OperatorOrders(
         version,
         proxy.operations.evacuated,
         tuple((names[server], server, since) for server, since in balancer.bans.items() if server in names),
@@ -61,10 +61,10 @@
     )
 
 
-def take_standing(proxy: Proxy, orders: Standing) -> None:
+def restore_operator_orders(proxy: Proxy, orders: OperatorOrders) -> None:
     """Do as operators have ordered."""
     proxy.servers_by_host.update((host, server) for host, server, _ in orders.bans)
-    for server in apply_standing(proxy.balancer, proxy.clock.now(), orders):
+    for server in apply_operator_orders(proxy.balancer, proxy.clock.now(), orders):
         log.info("backend %x: %s", server, "banned" if server in proxy.balancer.bans else "no longer banned")
         proxy.backends.drop_idle(server)
     if orders.evacuated is not proxy.operations.evacuated:
--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -49,9 +49,9 @@
     "RecoveryConfig.standing": (5, 0),
     "RecoveryConfig.standing[]": (0, 1),
     "RecoveryConfig.standing[][]": (3, 0),  # one form
-    "Ledger._values": (33, 0),
-    "OpenIds._values": (8192, 0),
-    "OpenIds._free": (1023, 0),
+    "ProcessLedger._values": (33, 0),
+    "OpenRequestIds._values": (8192, 0),
+    "OpenRequestIds._free_slots": (1023, 0),
     "InflightTracker.takeovers": (8, 0),
     "RequestJournal._free_slots": (1024, 0),
     "RequestJournal._free_blocks": (2048, 0),
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -20,10 +20,10 @@
 import orjson
 
 from cometusher.config import Address
-from cometusher.handover import ORDERS, ROWS, Handover, Ledger
+from cometusher.handover import MAX_PROCESSES, ORDERS_CELL, Handover, ProcessLedger
 from cometusher.runtime import Listener
 from cometusher.simulation.loop import MACHINE, VirtualLoop
-from weldroute.handover import OpenIds
+from weldroute.handover import OpenRequestIds
 from weldroute.snapshots import ClockReading, Owner, Record, read_record
 from weldroute.takeover import ConnectionCounters
 
@@ -762,8 +762,8 @@
     def __init__(self) -> None:
         self.data: dict[str, bytes] = {}
         self._marks: dict[str, int] = {}
-        self.page = [0] * (ORDERS + 1)
-        self.ids = [0] * (ROWS * OpenIds.WIDTH)
+        self.page = [0] * (ORDERS_CELL + 1)
+        self.ids = [0] * (MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
         self.holders: dict[int, Machine] = {}  # of the locks
 
     def replace(self, name: str, data: bytes) -> None:
@@ -775,7 +775,7 @@
         """What is there, if anything."""
         return self.data.get(name)
 
-    def mark(self, name: str) -> Hashable | None:
+    def revision(self, name: str) -> Hashable | None:
         """Another value after each replacement."""
         return self._marks.get(name)
 
@@ -793,7 +793,7 @@
         self._holders = memory.holders
         self._machine = machine
 
-    def take(self, row: int) -> bool:
+    def try_lock(self, row: int) -> bool:
         """Hold a row's lock, if no other process does."""
         holder = self._holders.get(row)
         if holder is not None and holder is not self._machine and not holder.dead:
@@ -801,7 +801,7 @@
         self._holders[row] = self._machine
         return True
 
-    def free(self, row: int) -> None:
+    def unlock(self, row: int) -> None:
         """Let go of it."""
         self._holders.pop(row, None)
 
@@ -944,4 +944,6 @@
         machine = MACHINE.get()
         if self._memory is None or machine is None:
             raise _fault(errno.ENOENT)
-        return Handover(self._memory, Ledger(self._memory.page, self._memory.ids, MemoryLocks(self._memory, machine)))
+        return Handover(
+            self._memory, ProcessLedger(self._memory.page, self._memory.ids, MemoryLocks(self._memory, machine))
+        )
--- a/tests/unit/test_correlated_failures.py
+++ b/tests/unit/test_correlated_failures.py
@@ -7,18 +7,20 @@
 
 import pytest
 
-from weldroute.correlated_failures import Herd, HerdPolicy
-from weldroute.fleet import Exit, Fleet, Notice, Policy, Spawn, State
+from weldroute.correlated_failures import CorrelationPolicy, FailureCorrelator
+from weldroute.fleet import ExitStatus, Fleet, Notice, Spawn, State, SupervisionPolicy
 
-KILLED = Exit(signal=9)
-POLICY = Policy(backoff_from=0.2, budget=2, budget_window=120.0, start_at_once=100)
-HERD = HerdPolicy(share=0.25, least=3, within=2.0, pace=40.0, forgiven=3)
+KILLED = ExitStatus(signal=9)
+POLICY = SupervisionPolicy(backoff_from=0.2, budget=2, budget_window=120.0, start_at_once=100)
+HERD = CorrelationPolicy(share=0.25, least=3, within=2.0, pace=40.0, forgiven=3)
 
 
 class Ran:
     """A fleet whose processes are ready as soon as they are started."""
 
-    def __init__(self, count: int, herd: HerdPolicy | None = HERD, tiers: int = 1, policy: Policy = POLICY) -> None:
+    def __init__(
+        self, count: int, herd: CorrelationPolicy | None = HERD, tiers: int = 1, policy: SupervisionPolicy = POLICY
+    ) -> None:
         self.fleet = Fleet(policy, 1, herd)
         self.now = 0.0
         self.notices: list[Notice] = []
@@ -34,8 +36,8 @@
                 self.notices.append(action)
             elif isinstance(action, Spawn):
                 self.starts.append((self.now, action.name))
-                self.do(self.fleet.ready(self.now, action.name, action.generation))
-                self.do(self.fleet.up(self.now, action.name, action.generation))
+                self.do(self.fleet.on_ready(self.now, action.name, action.generation))
+                self.do(self.fleet.on_check_answered(self.now, action.name, action.generation))
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -43,15 +45,15 @@
             self.now += 0.01
             for name, instance in self.fleet.instances.items():
                 if instance.current is not None:
-                    self.fleet.beat(self.now, name, instance.current.generation, 0)
-                    self.do(self.fleet.up(self.now, name, instance.current.generation))
+                    self.fleet.on_heartbeat(self.now, name, instance.current.generation, 0)
+                    self.do(self.fleet.on_check_answered(self.now, name, instance.current.generation))
             self.do(self.fleet.tick(self.now))
 
-    def end(self, names: list[str], how: Exit = KILLED) -> None:
+    def end(self, names: list[str], how: ExitStatus = KILLED) -> None:
         for name in names:
             current = self.fleet.instances[name].current
             if current is not None:
-                self.do(self.fleet.exited(self.now, name, current.generation, how))
+                self.do(self.fleet.on_exit(self.now, name, current.generation, how))
 
     def states(self) -> set[State]:
         return {instance.state for instance in self.fleet.instances.values()}
@@ -87,7 +89,7 @@
         ran.run(0.02)
     ran.run(1.0)
     assert len(ran.events("blow")) == 1
-    assert ran.fleet.herd is not None and len(ran.fleet.herd.blows[-1].names) == 14
+    assert ran.fleet.failure_correlator is not None and len(ran.fleet.failure_correlator.failures[-1].names) == 14
 
 
 def test_a_second_blow_within_the_span_of_the_first_is_an_event_of_its_own() -> None:
@@ -108,8 +110,8 @@
         assert len(ran.events("blow")) == blow + 1
 
 
-@pytest.mark.parametrize("how", [Exit(code=1), Exit(signal=11), Exit(signal=9, out_of_memory=True)])
-def test_ends_of_their_own_are_never_forgiven(how: Exit) -> None:
+@pytest.mark.parametrize("how", [ExitStatus(code=1), ExitStatus(signal=11), ExitStatus(signal=9, out_of_memory=True)])
+def test_ends_of_their_own_are_never_forgiven(how: ExitStatus) -> None:
     """A poisoned request, a bad file, a leak: however many it hits, budgets and backoffs hold it up."""
     ran = Ran(20)
     for _ in range(3):
@@ -128,7 +130,7 @@
 
 
 def test_an_event_too_many_is_charged() -> None:
-    ran = Ran(20, HerdPolicy(share=0.25, least=3, within=2.0, pace=40.0, forgiven=1))
+    ran = Ran(20, CorrelationPolicy(share=0.25, least=3, within=2.0, pace=40.0, forgiven=1))
     for _ in range(5):
         ran.end(names(14))
         ran.run(3.0)
@@ -158,36 +160,36 @@
 
 
 def test_the_phases_of_a_blow_are_told_once_and_in_order() -> None:
-    herd = Herd(HERD, Random(1))
+    herd = FailureCorrelator(HERD, Random(1))
     for i in range(4):
-        blow = herd.ended(10.0, f"p{i}", 8, 9, False)
-    assert blow is not None and herd.returning(10.0, "p1") == 4 and herd.returning(10.0, "p7") == 1
+        blow = herd.on_exit(10.0, f"p{i}", 8, 9, False)
+    assert blow is not None and herd.recovering_count(10.0, "p1") == 4 and herd.recovering_count(10.0, "p7") == 1
     told = []
     for step, phase in enumerate(("up", "known", "first", "full")):
         for i in range(4):
-            found = herd.reached(10.0 + step + 0.1 * i, f"p{i}", phase)
+            found = herd.on_phase(10.0 + step + 0.1 * i, f"p{i}", phase)
             told += [found[1]] if found is not None else []
     assert told == ["up", "known", "first", "half", "full"]
     view = blow.view(20.0)
     assert view["up"] == pytest.approx(0.3) and view["full"] == pytest.approx(3.3) and view["over"]
-    assert herd.returning(20.0, "p1") == 1, "it is over"
+    assert herd.recovering_count(20.0, "p1") == 1, "it is over"
 
 
 def test_one_that_ends_again_makes_the_blow_wait_for_it() -> None:
-    herd = Herd(HERD, Random(1))
+    herd = FailureCorrelator(HERD, Random(1))
     for i in range(3):
-        blow = herd.ended(0.0, f"p{i}", 8, 9, False)
+        blow = herd.on_exit(0.0, f"p{i}", 8, 9, False)
     for i in range(3):
-        herd.reached(0.5, f"p{i}", "full")
+        herd.on_phase(0.5, f"p{i}", "full")
         if i == 1:
-            herd.ended(0.6, "p0", 8, 9, False)
-    assert blow is not None and not blow.over
-    herd.reached(1.0, "p0", "full")
-    assert blow.over and blow.reached["full"] == 1.0
+            herd.on_exit(0.6, "p0", 8, 9, False)
+    assert blow is not None and not blow.is_over
+    herd.on_phase(1.0, "p0", "full")
+    assert blow.is_over and blow.phase_times["full"] == 1.0
 
 
 def test_what_waits_for_discovery_is_not_killed_and_holds_up_no_start() -> None:
-    fleet = Fleet(Policy(ready_within=1.0, start_at_once=2), 1, HERD)
+    fleet = Fleet(SupervisionPolicy(ready_within=1.0, start_at_once=2), 1, HERD)
     for i in range(6):
         fleet.add(0.0, f"p{i}")
     begun = [a for a in fleet.start(0.0, [f"p{i}" for i in range(6)])[1] if isinstance(a, Spawn)]
@@ -195,8 +197,8 @@
     for step in range(100):
         now = 0.05 * step
         for action in list(begun):
-            fleet.beat(now, action.name, action.generation, 0)
-            fleet.waits(now, action.name, action.generation)
+            fleet.on_heartbeat(now, action.name, action.generation, 0)
+            fleet.on_waiting_for_backends(now, action.name, action.generation)
         begun += [a for a in fleet.tick(now) if isinstance(a, Spawn)]
     assert len(begun) == 6, "each was started once, though none became ready"
     assert all(instance.restarts == 0 for instance in fleet.instances.values())
@@ -205,4 +207,4 @@
 @pytest.mark.parametrize("values", [{"share": 0.0}, {"least": 1}, {"within": 0.0}, {"pace": 0.0}, {"forgiven": -1}])
 def test_policies_that_make_no_sense(values: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=next(iter(values))):
-        HerdPolicy(**values).check()
+        CorrelationPolicy(**values).check()
--- a/tests/unit/test_handover.py
+++ b/tests/unit/test_handover.py
@@ -10,17 +10,17 @@
 
 from weldroute import Balancer, ListKind, Outcome, RequestClass, Send, ServerRow, Settings
 from weldroute.handover import (
-    MAX_AGE,
-    Row,
-    Stage,
-    Standing,
-    Unusable,
-    adopt_learned,
-    apply_standing,
+    MAX_LEARNED_AGE,
+    OperatorOrders,
+    ProcessEntry,
+    ProcessStage,
+    UnusableState,
+    adopt_learned_state,
+    apply_operator_orders,
     next_generation,
-    read_standing,
-    write_learned,
-    yields,
+    parse_operator_orders,
+    serialize_learned_state,
+    should_yield,
 )
 from weldroute.model import Repeat, Rules
 
@@ -49,8 +49,8 @@
 
 def test_what_was_learned_comes_back_through_json() -> None:
     old, new = worked(), balancer(2)
-    form = orjson.loads(orjson.dumps(write_learned(old, 20.0)))
-    assert adopt_learned(new, 20.1, form) == 3
+    form = orjson.loads(orjson.dumps(serialize_learned_state(old, 20.0)))
+    assert adopt_learned_state(new, 20.1, form) == 3
     assert (new.pooled, new.usual, new.rate) == (old.pooled, old.usual, old.rate)
     for number, server in old.servers.items():
         mine = new.servers[number]
@@ -64,10 +64,10 @@
 
 
 def test_a_server_that_started_anew_has_nothing_of_the_old_process() -> None:
-    form = write_learned(worked(), 20.0)
+    form = serialize_learned_state(worked(), 20.0)
     new = balancer(2)
     new.members(20.0, ListKind.PATCH, [ServerRow(1, started=19.0)])
-    assert adopt_learned(new, 20.1, form) == 2
+    assert adopt_learned_state(new, 20.1, form) == 2
     assert new.servers[1].breaker is None and new.servers[1].latency == 0.0
 
 
@@ -87,7 +87,7 @@
         ("form", 2),
         ("form", None),
         ("at", "now"),
-        ("at", 20.0 - MAX_AGE - 1),
+        ("at", 20.0 - MAX_LEARNED_AGE - 1),
         ("at", 99.0),
         ("pooled", None),
         ("rate", "1"),
@@ -105,30 +105,30 @@
     ],
 )
 def test_a_form_that_makes_no_sense_changes_nothing(path: str, value: Any) -> None:
-    form = _spoil(orjson.loads(orjson.dumps(write_learned(worked(), 20.0))), path, value)
+    form = _spoil(orjson.loads(orjson.dumps(serialize_learned_state(worked(), 20.0))), path, value)
     new = balancer(2)
-    before = write_learned(new, 20.0)
-    with pytest.raises(Unusable):
-        adopt_learned(new, 20.1, form)
-    assert write_learned(new, 20.0) == before
+    before = serialize_learned_state(new, 20.0)
+    with pytest.raises(UnusableState):
+        adopt_learned_state(new, 20.1, form)
+    assert serialize_learned_state(new, 20.0) == before
 
 
 @pytest.mark.parametrize("value", [None, [], "x", 5])
 def test_what_is_no_form_at_all_is_unusable(value: Any) -> None:
-    with pytest.raises(Unusable):
-        adopt_learned(balancer(), 1.0, value)
-    with pytest.raises(Unusable):
-        read_standing(value)
+    with pytest.raises(UnusableState):
+        adopt_learned_state(balancer(), 1.0, value)
+    with pytest.raises(UnusableState):
+        parse_operator_orders(value)
 
 
 def test_standing_orders_come_back_and_are_applied_both_ways() -> None:
-    standing = Standing(4, True, (("s-1", 1, 5.0),), ((2, 3.0, 6.0),))
-    assert read_standing(orjson.loads(orjson.dumps(standing.write()))) == standing
+    standing = OperatorOrders(4, True, (("s-1", 1, 5.0),), ((2, 3.0, 6.0),))
+    assert parse_operator_orders(orjson.loads(orjson.dumps(standing.serialize()))) == standing
     new = balancer()
-    assert apply_standing(new, 7.0, standing) == [1]
+    assert apply_operator_orders(new, 7.0, standing) == [1]
     assert new.bans == {1: 5.0} and new.servers[2].started == 6.0
-    assert apply_standing(new, 8.0, standing) == []
-    assert apply_standing(new, 9.0, Standing(5)) == [1]
+    assert apply_operator_orders(new, 8.0, standing) == []
+    assert apply_operator_orders(new, 9.0, OperatorOrders(5)) == [1]
     assert not new.bans and new.servers[1].started == 9.0, "it comes back cold"
 
 
@@ -147,15 +147,18 @@
     ],
 )
 def test_standing_orders_that_make_no_sense_are_unusable(path: str, value: Any) -> None:
-    form = Standing(4, True, (("s-1", 1, 5.0),), ((2, 3.0, 6.0),)).write()
-    with pytest.raises(Unusable):
-        read_standing(_spoil(form, path, value))
+    form = OperatorOrders(4, True, (("s-1", 1, 5.0),), ((2, 3.0, 6.0),)).serialize()
+    with pytest.raises(UnusableState):
+        parse_operator_orders(_spoil(form, path, value))
 
 
 def test_a_process_yields_to_a_newer_one_that_serves_and_to_no_other() -> None:
-    assert not yields(2, [])
-    assert not yields(2, [Row(3, Stage.STARTING)])
-    assert not yields(2, [Row(1, Stage.SERVING)])
-    assert not yields(2, [Row(3, Stage.STOPPING)])
-    assert yields(2, [Row(1, Stage.STOPPING), Row(3, Stage.SERVING)])
-    assert next_generation([]) == 1 and next_generation([Row(7, Stage.SERVING), Row(2, Stage.SERVING)]) == 8
+    assert not should_yield(2, [])
+    assert not should_yield(2, [ProcessEntry(3, ProcessStage.STARTING)])
+    assert not should_yield(2, [ProcessEntry(1, ProcessStage.SERVING)])
+    assert not should_yield(2, [ProcessEntry(3, ProcessStage.STOPPING)])
+    assert should_yield(2, [ProcessEntry(1, ProcessStage.STOPPING), ProcessEntry(3, ProcessStage.SERVING)])
+    assert (
+        next_generation([]) == 1
+        and next_generation([ProcessEntry(7, ProcessStage.SERVING), ProcessEntry(2, ProcessStage.SERVING)]) == 8
+    )
--- a/weldroute/correlated_failures.py
+++ b/weldroute/correlated_failures.py
@@ -26,15 +26,15 @@
 
 from weldroute.recovery import StartScheduler
 
-OUTSIDE = frozenset({9, 15})  # SIGKILL, SIGTERM
-TOGETHER = 0.25  # seconds by which the ends of one blow may be noticed in another order
-KEPT = 8  # blows that are remembered
-PHASES = ("up", "known", "first", "half", "full")
-LATEST = 300.0  # seconds after which a blow is no longer waited for
+EXTERNAL_SIGNALS = frozenset({9, 15})  # SIGKILL, SIGTERM
+REORDER_TOLERANCE = 0.25  # seconds by which the ends of one blow may be noticed in another order
+MAX_STORED_FAILURES = 8  # blows that are remembered
+RECOVERY_PHASES = ("up", "known", "first", "half", "full")
+MAX_RECOVERY_TIME = 300.0  # seconds after which a blow is no longer waited for
 
 
 @dataclass(frozen=True, slots=True)
-class HerdPolicy:
+class CorrelationPolicy:
     """What is a herd, and how it is brought back; times in seconds."""
 
     share: float = 0.25  # of the instances...
@@ -56,33 +56,40 @@
 
 
 @dataclass(slots=True)
-class Blow:
+class CorrelatedFailure:
     """One event that ended many, and what has come back since; times in seconds after it."""
 
-    ident: int
-    at: float
-    of: int  # instances of the fleet
+    event_id: int
+    occurred_at: float
+    fleet_size: int  # instances of the fleet
     cause: str
     names: dict[str, None] = field(default_factory=dict)  # in the order of their ends
-    reached: dict[str, float] = field(default_factory=dict)  # by phase
-    parts: dict[str, dict[str, float]] = field(default_factory=dict)  # by instance: when it reached which phase
-    costs: dict[str, dict[str, int]] = field(default_factory=dict)  # by instance: what it leaned on others for
+    phase_times: dict[str, float] = field(default_factory=dict)  # by phase
+    instance_phases: dict[str, dict[str, float]] = field(
+        default_factory=dict
+    )  # by instance: when it reached which phase
+    instance_costs: dict[str, dict[str, int]] = field(
+        default_factory=dict
+    )  # by instance: what it leaned on others for
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """All are in full service."""
-        return "full" in self.reached
+        return "full" in self.phase_times
 
-    def note(self, now: float, name: str, phase: str) -> str | None:
+    def record_phase(self, now: float, name: str, phase: str) -> str | None:
         """An instance reached a phase; returns the phase that the blow reached by that, if any."""
-        part = self.parts.setdefault(name, {})
+        part = self.instance_phases.setdefault(name, {})
         if name not in self.names or phase in part:
             return None
-        part[phase] = now - self.at
-        return self._reach(now)
+        part[phase] = now - self.occurred_at
+        return self._update_phases(now)
 
-    def _reach(self, now: float) -> str | None:
-        counts = {phase: sum(phase in self.parts.get(name, ()) for name in self.names) for phase in PHASES}
+    def _update_phases(self, now: float) -> str | None:
+        counts = {
+            phase: sum(phase in self.instance_phases.get(name, ()) for name in self.names)
+            for phase in RECOVERY_PHASES
+        }
         many = len(self.names)
         wanted = {
             "up": counts["up"] == many,
@@ -91,108 +98,122 @@
             "half": 2 * counts["full"] >= many,
             "full": counts["full"] == many,
         }
-        fresh = [phase for phase in PHASES if wanted[phase] and phase not in self.reached]
+        fresh = [phase for phase in RECOVERY_PHASES if wanted[phase] and phase not in self.phase_times]
         for phase in fresh:
-            self.reached[phase] = now - self.at
+            self.phase_times[phase] = now - self.occurred_at
         return fresh[-1] if fresh else None
 
-    def lost(self, name: str) -> None:
+    def on_instance_lost(self, name: str) -> None:
         """It has ended again: what it had reached is to be reached anew."""
-        self.parts.pop(name, None)
-        self.reached.pop("full", None)
+        self.instance_phases.pop(name, None)
+        self.phase_times.pop("full", None)
 
     def view(self, now: float) -> dict[str, Any]:
         """As plain values; seconds."""
         costs = {
-            key: sum(cost.get(key, 0) for cost in self.costs.values())
+            key: sum(cost.get(key, 0) for cost in self.instance_costs.values())
             for key in ("connects", "held", "refused", "dropped")
         }
         return {
-            "event": self.ident,
-            "ago": round(now - self.at, 3),
+            "event": self.event_id,
+            "ago": round(now - self.occurred_at, 3),
             "ended": len(self.names),
-            "of": self.of,
+            "of": self.fleet_size,
             "cause": self.cause,
-            "over": self.over,
-            **{phase: round(self.reached[phase], 3) if phase in self.reached else None for phase in PHASES},
+            "over": self.is_over,
+            **{
+                phase: round(self.phase_times[phase], 3) if phase in self.phase_times else None
+                for phase in RECOVERY_PHASES
+            },
             **costs,
         }
 
 
-class Herd:
+class FailureCorrelator:
     """Tells blows from single ends, for one fleet."""
 
-    def __init__(self, policy: HerdPolicy, rng: Random) -> None:
+    def __init__(self, policy: CorrelationPolicy, rng: Random) -> None:
         policy.check()
         self.policy = policy
         self._rng = rng
-        self._ends: deque[tuple[float, str, bool]] = deque()  # from outside; whether it is a late one of a blow
-        self.blows: deque[Blow] = deque(maxlen=KEPT)
+        self._external_exits: deque[tuple[float, str, bool]] = (
+            deque()
+        )  # from outside; whether it is a late one of a blow
+        self.failures: deque[CorrelatedFailure] = deque(maxlen=MAX_STORED_FAILURES)
         self._count = 0
 
-    def ended(self, now: float, name: str, of: int, signal: int | None, out_of_memory: bool) -> Blow | None:
+    def on_exit(
+        self, now: float, name: str, of: int, signal: int | None, out_of_memory: bool
+    ) -> CorrelatedFailure | None:
         """A process that nobody told to end has ended; the blow that this is part of, if it is."""
-        if signal not in OUTSIDE or out_of_memory:
+        if signal not in EXTERNAL_SIGNALS or out_of_memory:
             return None
         current = self.latest
         again = current is not None and name in current.names
-        if current is not None and again and not current.over:
-            current.lost(name)
-        late = current is not None and not again and now - current.at <= self.policy.within
-        self._ends.append((now, name, late))
-        while self._ends[0][0] < now - self.policy.within:
-            self._ends.popleft()
+        if current is not None and again and not current.is_over:
+            current.on_instance_lost(name)
+        late = current is not None and not again and now - current.occurred_at <= self.policy.within
+        self._external_exits.append((now, name, late))
+        while self._external_exits[0][0] < now - self.policy.within:
+            self._external_exits.popleft()
         # Those that fell a moment later are of the same blow; beside any that fell again, of a new one.
-        since = min((at for at, _, behind in self._ends if not behind), default=math.inf) - TOGETHER
-        fallen = {who: None for at, who, _ in self._ends if at >= since}
+        since = (
+            min((at for at, _, behind in self._external_exits if not behind), default=math.inf) - REORDER_TOLERANCE
+        )
+        fallen = {who: None for at, who, _ in self._external_exits if at >= since}
         if len(fallen) >= max(self.policy.least, math.ceil(self.policy.share * of)):
-            self._ends.clear()  # a further blow needs as many ends again
-            return self._blow(now, fallen, of, "from outside")
+            self._external_exits.clear()  # a further blow needs as many ends again
+            return self._record(now, fallen, of, "from outside")
         if late and current is not None:
             current.names[name] = None
             return current
         return None
 
     @property
-    def latest(self) -> Blow | None:
+    def latest(self) -> CorrelatedFailure | None:
         """The last blow, if there was any."""
-        return self.blows[-1] if self.blows else None
+        return self.failures[-1] if self.failures else None
 
-    def begun(self, now: float, names: list[str], of: int, cause: str) -> Blow:
+    def on_unclean_start(self, now: float, names: list[str], of: int, cause: str) -> CorrelatedFailure:
         """The supervisor itself begins after an end that was not in order: all come back at once."""
-        return self._blow(now, dict.fromkeys(names), of, cause)
+        return self._record(now, dict.fromkeys(names), of, cause)
 
-    def _blow(self, now: float, names: dict[str, None], of: int, cause: str) -> Blow:
+    def _record(self, now: float, names: dict[str, None], of: int, cause: str) -> CorrelatedFailure:
         self._count += 1
-        blow = Blow(self._count, now, of, cause, dict(names))
-        self.blows.append(blow)
+        blow = CorrelatedFailure(self._count, now, of, cause, dict(names))
+        self.failures.append(blow)
         return blow
 
-    def forgives(self, now: float, window: float) -> bool:
+    def is_forgiven(self, now: float, window: float) -> bool:
         """Whether the latest blow is one of the few that budgets don't count."""
-        return sum(blow.at > now - window for blow in self.blows) <= self.policy.forgiven
+        return sum(blow.occurred_at > now - window for blow in self.failures) <= self.policy.forgiven
 
-    def spread(self, blow: Blow, names: list[tuple[str, int]]) -> dict[str, float]:
+    def schedule_starts(self, blow: CorrelatedFailure, names: list[tuple[str, int]]) -> dict[str, float]:
         """When to start each of these (name, tier), which a blow has ended and nobody has started since."""
         started = len(blow.names) - len(names)
-        return StartScheduler(self.policy.pace, self._rng).schedule(blow.at, names, started)
+        return StartScheduler(self.policy.pace, self._rng).schedule(blow.occurred_at, names, started)
 
-    def returning(self, now: float, name: str) -> int:
+    def recovering_count(self, now: float, name: str) -> int:
         """How many come back together with this one, itself among them."""
         blow = self.latest
-        together = blow is not None and not blow.over and now - blow.at < LATEST and name in blow.names
+        together = (
+            blow is not None
+            and not blow.is_over
+            and now - blow.occurred_at < MAX_RECOVERY_TIME
+            and name in blow.names
+        )
         return len(blow.names) if blow is not None and together else 1
 
-    def reached(self, now: float, name: str, phase: str) -> tuple[Blow, str] | None:
+    def on_phase(self, now: float, name: str, phase: str) -> tuple[CorrelatedFailure, str] | None:
         """An instance reached a phase; the blow that reached one by that, and which."""
         blow = self.latest
-        if blow is None or now - blow.at > LATEST:
+        if blow is None or now - blow.occurred_at > MAX_RECOVERY_TIME:
             return None
-        fresh = blow.note(now, name, phase)
+        fresh = blow.record_phase(now, name, phase)
         return (blow, fresh) if fresh is not None else None
 
-    def costs(self, name: str, figures: dict[str, int]) -> None:
+    def on_costs(self, name: str, figures: dict[str, int]) -> None:
         """What an instance has leaned on others for since it began."""
         blow = self.latest
         if blow is not None and name in blow.names:
-            blow.costs[name] = figures
+            blow.instance_costs[name] = figures
--- a/weldroute/fleet.py
+++ b/weldroute/fleet.py
@@ -35,10 +35,10 @@
 from random import Random
 from typing import Any
 
-from weldroute.correlated_failures import Blow, Herd, HerdPolicy
+from weldroute.correlated_failures import CorrelatedFailure, CorrelationPolicy, FailureCorrelator
 
-LEAST = {"hang_after": 0.5, "ready_within": 0.1}  # below that the supervisor's own pace would decide
-PAUSE = 2.0  # seconds between two ticks from which on the supervisor itself was stopped
+MIN_VALUES = {"hang_after": 0.5, "ready_within": 0.1}  # below that the supervisor's own pace would decide
+MIN_PAUSE = 2.0  # seconds between two ticks from which on the supervisor itself was stopped
 
 
 class Phase(Enum):
@@ -46,7 +46,7 @@
 
     STARTING = "starting"
     READY = "ready"
-    LEAVING = "leaving"  # told to end
+    EXITING = "leaving"  # told to end
     KILLED = "killed"
 
 
@@ -62,10 +62,10 @@
     FAILED = "failed"
 
 
-class How(Enum):
+class ProcessCommand(Enum):
     """What a process is told."""
 
-    END = "end"
+    TERMINATE = "end"
     KILL = "kill"
     RELOAD = "reload"
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Policy:
+class SupervisionPolicy:
     """When to restart, how long to wait; times in seconds."""
 
     ready_within: float = 10.0  # from the start of a process
@@ -103,7 +103,7 @@
         """Raise ValueError naming the first field that makes no sense."""
         for item in fields(self):
             value = getattr(self, item.name)
-            least = 1.0 if item.name in ("start_at_once", "at_once") else LEAST.get(item.name, 0.0)
+            least = 1.0 if item.name in ("start_at_once", "at_once") else MIN_VALUES.get(item.name, 0.0)
             if not math.isfinite(value) or value < least:
                 raise ValueError(f"{item.name}: {value!r} is not a number of {least:g} or more")
         if self.jitter >= 1.0:
@@ -113,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exit:
+class ExitStatus:
     """How a process ended: by a code or by a signal."""
 
     code: int | None = None
@@ -134,16 +134,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendCommand:
     """Signal a process."""
 
     name: str
     generation: int
-    how: How
+    command: ProcessCommand
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class CloseListener:
     """Close the instance's listener, so that connections are refused at once and not left waiting."""
 
     name: str
@@ -156,11 +156,11 @@
     name: str
     event: str
     text: str
-    bad: bool = False
+    is_problem: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class OperationDone:
     """An operation has ended."""
 
     operation: int
@@ -168,58 +168,58 @@
     text: str
 
 
-Action = Spawn | Tell | Release | Notice | Done
+Action = Spawn | SendCommand | CloseListener | Notice | OperationDone
 
 
 class Process:
     """One try at an instance."""
 
     __slots__ = (
-        "beat_at",
+        "answered_grew_at",
+        "answered_requests",
         "busy",
-        "cpu",
-        "cpu_at",
+        "check_answered_at",
+        "cpu_grew_at",
+        "cpu_seconds",
         "deadline",
-        "ending",
-        "finished",
-        "finished_at",
+        "end_reason",
         "generation",
+        "heartbeat_at",
         "phase",
-        "piped",
         "ready_at",
-        "since",
-        "up_at",
-        "waits",
+        "reported_ready",
+        "started_at",
+        "waits_for_backends",
     )
 
     def __init__(self, generation: int, now: float, deadline: float) -> None:
         self.generation = generation
         self.phase = Phase.STARTING
-        self.since = now
+        self.started_at = now
         self.deadline = deadline  # of the present phase
-        self.piped = False
+        self.reported_ready = False
         self.ready_at = math.inf
-        self.beat_at = now  # last word through the pipe
-        self.up_at = -math.inf  # last answer to a readiness check
-        self.cpu = 0.0  # seconds of processor time used...
-        self.cpu_at = now  # ...and when it last grew
-        self.finished = 0  # requests answered...
-        self.finished_at = now  # ...and when that last grew
+        self.heartbeat_at = now  # last word through the pipe
+        self.check_answered_at = -math.inf  # last answer to a readiness check
+        self.cpu_seconds = 0.0  # seconds of processor time used...
+        self.cpu_grew_at = now  # ...and when it last grew
+        self.answered_requests = 0  # requests answered...
+        self.answered_grew_at = now  # ...and when that last grew
         self.busy = False
-        self.waits = False  # it answers, and can serve nothing yet
-        self.ending = ""  # why it was told to end
+        self.waits_for_backends = False  # it answers, and can serve nothing yet
+        self.end_reason = ""  # why it was told to end
 
-    def shift(self, gap: float) -> None:
+    def discount_pause(self, gap: float) -> None:
         """Forget a time in which nobody could listen to it."""
         self.deadline += gap
-        self.beat_at += gap
-        self.up_at += gap
-        self.cpu_at += gap
-        self.finished_at += gap
+        self.heartbeat_at += gap
+        self.check_answered_at += gap
+        self.cpu_grew_at += gap
+        self.answered_grew_at += gap
 
 
-ASKED, REPLACED = "asked", "replaced"
-EXPECTED = frozenset({ASKED, REPLACED})  # ends that are no fault of the instance's
+REASON_STOPPED, REASON_REPLACED = "asked", "replaced"
+EXPECTED_REASONS = frozenset({REASON_STOPPED, REASON_REPLACED})  # ends that are no fault of the instance's
 
 
 class Instance:
@@ -228,27 +228,27 @@
     def __init__(self, name: str, tier: int = 0) -> None:
         self.name = name
         self.tier = tier
-        self.wanted = False
-        self.removed = False
+        self.should_run = False
+        self.remove_when_stopped = False
         self.current: Process | None = None
-        self.fresh: Process | None = None
-        self.leaving: dict[int, Process] = {}
+        self.replacement: Process | None = None
+        self.exiting: dict[int, Process] = {}
         self.generation = 0
-        self.due: float | None = None  # when to start the next process
-        self.crashed = False  # the next start is a restart
+        self.start_due_at: float | None = None  # when to start the next process
+        self.next_start_is_restart = False  # the next start is a restart
         self.restarts = 0
-        self.quick = 0  # ends in a row without a steady time before
-        self.crashes: deque[float] = deque()
+        self.early_exits = 0  # ends in a row without a steady time before
+        self.crash_times: deque[float] = deque()
         self.failed = False
         self.reason = ""
-        self.last_exit: Exit | None = None
-        self.shown = State.STOPPED
-        self.since = 0.0
+        self.last_exit: ExitStatus | None = None
+        self.reported_state = State.STOPPED
+        self.state_since = 0.0
 
     @property
     def processes(self) -> list[Process]:
         """All that have not ended."""
-        return [p for p in (self.current, self.fresh) if p is not None] + list(self.leaving.values())
+        return [p for p in (self.current, self.replacement) if p is not None] + list(self.exiting.values())
 
     @property
     def state(self) -> State:
@@ -260,11 +260,11 @@
             return State.STARTING if phase is Phase.STARTING else State.STOPPING
         if self.failed:
             return State.FAILED
-        if not self.wanted:
-            return State.STOPPING if self.leaving else State.STOPPED
+        if not self.should_run:
+            return State.STOPPING if self.exiting else State.STOPPED
         return State.WAITING
 
-    def find(self, generation: int) -> Process | None:
+    def find_process(self, generation: int) -> Process | None:
         """The process of a generation, if it has not ended."""
         return next((p for p in self.processes if p.generation == generation), None)
 
@@ -273,36 +273,42 @@
 class Operation:
     """What operators asked for, while it is under way."""
 
-    ident: int
-    kind: str
-    todo: deque[tuple[str, Step]]
-    at_once: int
+    operation_id: int
+    command: str
+    pending_steps: deque[tuple[str, Step]]
+    max_concurrent: int
     total: int
-    doing: dict[str, tuple[Step, int, float]] = field(default_factory=dict)  # step, generation, deadline
-    done: int = 0
-    faults: list[str] = field(default_factory=list)
+    running_steps: dict[str, tuple[Step, int, float]] = field(default_factory=dict)  # step, generation, deadline
+    completed: int = 0
+    errors: list[str] = field(default_factory=list)
 
     def progress(self) -> str:
         """For people."""
-        return f"{self.kind}: {self.done} of {self.total} done"
+        return f"{self.command}: {self.completed} of {self.total} done"
 
 
 class Fleet:
     """All instances of one supervisor."""
 
-    def __init__(self, policy: Policy, seed: int, herd: HerdPolicy | None = None) -> None:
+    def __init__(
+        self, policy: SupervisionPolicy, seed: int, correlation_policy: CorrelationPolicy | None = None
+    ) -> None:
         policy.check()
         self.policy = policy
         self.instances: dict[str, Instance] = {}
-        self.ending = False
+        self.is_shutting_down = False
         self._rng = Random(seed)
-        self.herd = Herd(herd, self._rng) if herd is not None else None
-        self._count = 0
-        self._ticked: float | None = None
-        self._at_once: list[Operation] = []  # starts and stops: nothing to wait for
+        self.failure_correlator = (
+            FailureCorrelator(correlation_policy, self._rng) if correlation_policy is not None else None
+        )
+        self._operation_count = 0
+        self._last_tick_at: float | None = None
+        self._immediate: list[Operation] = []  # starts and stops: nothing to wait for
         self._rolling: deque[Operation] = deque()  # the first is under way, the others wait for it
-        self._out: list[Action] = []
-        self.turn: Callable[[float], bool] = lambda now: True  # whether a rolling operation may begin a step now
+        self._actions: list[Action] = []
+        self.may_begin_step: Callable[[float], bool] = lambda now: (
+            True
+        )  # whether a rolling operation may begin a step now
 
     # ---- what operators ask for ----------------------------------------------------------
 
@@ -310,231 +316,239 @@
         """Take an instance into the fleet; it is not started by that. Generations go on from the one given."""
         self.instances[name] = instance = Instance(name, tier)
         instance.generation = generation
-        instance.since = now
+        instance.state_since = now
 
     def start(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
         """Start instances that do not run; returns the operation's number."""
-        return self._begin(now, "start", [(name, Step.START) for name in names])
+        return self._begin_immediate(now, "start", [(name, Step.START) for name in names])
 
     def stop(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
         """Stop instances, and leave them stopped."""
-        return self._begin(now, "stop", [(name, Step.STOP) for name in names])
+        return self._begin_immediate(now, "stop", [(name, Step.STOP) for name in names])
 
     def restart(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
         """Replace instances a few at a time: the fresh one is ready before the old one is told to end."""
-        return self._roll(now, "restart", [(name, Step.REPLACE) for name in names])
+        return self._begin_rolling(now, "restart", [(name, Step.REPLACE) for name in names])
 
     def reload(self, now: float, steps: Iterable[tuple[str, Step]]) -> tuple[int, list[Action]]:
         """Bring instances to a new configuration, each by the step that it needs, a few at a time.
 
         One that is to start and is not in the fleet is added: a removal before it may still be under way.
         """
-        return self._roll(now, "reload", list(steps))
+        return self._begin_rolling(now, "reload", list(steps))
 
     def shutdown(self, now: float) -> list[Action]:
         """Stop everything, for good."""
-        self.ending = True
-        for operation in [*self._at_once, *self._rolling]:
-            self._out.append(Done(operation.ident, False, f"{operation.progress()}; the fleet is stopping"))
-        self._at_once.clear()
+        self.is_shutting_down = True
+        for operation in [*self._immediate, *self._rolling]:
+            self._actions.append(
+                OperationDone(operation.operation_id, False, f"{operation.progress()}; the fleet is stopping")
+            )
+        self._immediate.clear()
         self._rolling.clear()
         return self.stop(now, list(self.instances))[1]
 
     @property
-    def ended(self) -> bool:
+    def has_stopped(self) -> bool:
         """Nothing runs any more after a shutdown."""
-        return self.ending and not any(i.processes for i in self.instances.values())
+        return self.is_shutting_down and not any(i.processes for i in self.instances.values())
 
     @property
-    def rolls(self) -> bool:
+    def has_rolling_operation(self) -> bool:
         """A rolling operation is under way, or waits for its turn."""
         return bool(self._rolling)
 
     @property
-    def operations(self) -> list[str]:
+    def progress_reports(self) -> list[str]:
         """Progress of all operations that are under way or wait."""
-        return [op.progress() for op in [*self._at_once, *self._rolling]]
+        return [op.progress() for op in [*self._immediate, *self._rolling]]
 
-    def _begin(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
-        operation = self._operation(kind, steps, len(steps))
-        self._at_once.append(operation)
-        return operation.ident, self._advance(now)
+    def _begin_immediate(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
+        operation = self._new_operation(kind, steps, len(steps))
+        self._immediate.append(operation)
+        return operation.operation_id, self._advance(now)
 
-    def _roll(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
-        operation = self._operation(kind, steps, self.policy.at_once)
+    def _begin_rolling(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
+        operation = self._new_operation(kind, steps, self.policy.at_once)
         self._rolling.append(operation)
-        return operation.ident, self._advance(now)
+        return operation.operation_id, self._advance(now)
 
-    def _operation(self, kind: str, steps: list[tuple[str, Step]], at_once: int) -> Operation:
-        self._count += 1
-        return Operation(self._count, kind, deque(steps), max(1, at_once), len(steps))
+    def _new_operation(self, kind: str, steps: list[tuple[str, Step]], at_once: int) -> Operation:
+        self._operation_count += 1
+        return Operation(self._operation_count, kind, deque(steps), max(1, at_once), len(steps))
 
     # ---- what processes do ---------------------------------------------------------------
 
-    def _process(self, name: str, generation: int) -> tuple[Instance, Process] | None:
+    def _find_process(self, name: str, generation: int) -> tuple[Instance, Process] | None:
         instance = self.instances.get(name)
-        process = instance.find(generation) if instance is not None else None
+        process = instance.find_process(generation) if instance is not None else None
         return (instance, process) if instance is not None and process is not None else None
 
-    def spawn_failed(self, now: float, name: str, generation: int, why: str) -> list[Action]:
+    def on_spawn_failed(self, now: float, name: str, generation: int, why: str) -> list[Action]:
         """A process could not be started."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None:
-            self._gone(now, *found, why)
+            self._on_process_ended(now, *found, why)
         return self._advance(now)
 
-    def ready(self, now: float, name: str, generation: int) -> list[Action]:
+    def on_ready(self, now: float, name: str, generation: int) -> list[Action]:
         """A process said through its pipe that it is ready."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None:
-            found[1].piped = True
-            found[1].beat_at = now
+            found[1].reported_ready = True
+            found[1].heartbeat_at = now
             self._check_ready(now, *found)
         return self._advance(now)
 
-    def up(self, now: float, name: str, generation: int) -> list[Action]:
+    def on_check_answered(self, now: float, name: str, generation: int) -> list[Action]:
         """A process answered a readiness check."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is None:
             return []
-        found[1].up_at = now
-        found[1].waits = False
+        found[1].check_answered_at = now
+        found[1].waits_for_backends = False
         self._check_ready(now, *found)
         return self._advance(now)
 
-    def waits(self, now: float, name: str, generation: int) -> None:
+    def on_waiting_for_backends(self, now: float, name: str, generation: int) -> None:
         """A process answered a readiness check: it is well, and can serve nothing yet.
 
         Guards against ending it for what it waits for: one that knows no backend is not ready, however long that
         takes, and holds up no other's start.
         """
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None:
             process = found[1]
-            process.waits = True
-            process.up_at = now
+            process.waits_for_backends = True
+            process.check_answered_at = now
             if process.phase is Phase.STARTING:
                 process.deadline = now + self.policy.ready_within
 
-    def beat(self, now: float, name: str, generation: int, finished: int) -> None:
+    def on_heartbeat(self, now: float, name: str, generation: int, finished: int) -> None:
         """A process gave a sign of life; `finished` counts the requests that it has answered."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None:
             process = found[1]
-            process.beat_at = now
-            if finished != process.finished:
-                process.finished, process.finished_at = finished, now
+            process.heartbeat_at = now
+            if finished != process.answered_requests:
+                process.answered_requests, process.answered_grew_at = finished, now
 
-    def cpu(self, now: float, name: str, generation: int, seconds: float, runnable: bool = False) -> None:
+    def on_cpu_time(self, now: float, name: str, generation: int, seconds: float, runnable: bool = False) -> None:
         """How much processor time a process has used, and whether it runs or would if it had a processor.
 
         Guards one that is starved against passing for hung: it uses no processor time because it gets none.
         """
-        found = self._process(name, generation)
-        if found is not None and (runnable or seconds > found[1].cpu):
-            found[1].cpu, found[1].cpu_at = seconds, now
+        found = self._find_process(name, generation)
+        if found is not None and (runnable or seconds > found[1].cpu_seconds):
+            found[1].cpu_seconds, found[1].cpu_grew_at = seconds, now
 
-    def suspects(self, now: float) -> list[tuple[str, int]]:
+    def silent_processes(self, now: float) -> list[tuple[str, int]]:
         """Processes whose processor time is of interest: ready ones that have been silent for a while."""
         return [
             (i.name, i.current.generation)
             for i in self.instances.values()
             if i.current is not None
             and i.current.phase is Phase.READY
-            and now - min(i.current.beat_at, i.current.up_at) > self.policy.hang_after / 3.0
+            and now - min(i.current.heartbeat_at, i.current.check_answered_at) > self.policy.hang_after / 3.0
         ]
 
-    def over_memory(self, now: float, name: str, generation: int, text: str) -> list[Action]:
+    def on_memory_exceeded(self, now: float, name: str, generation: int, text: str) -> list[Action]:
         """A process holds more memory than it may: it is told to end, and started again."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None and found[1].phase in (Phase.STARTING, Phase.READY):
-            self._end(now, found[1], f"out of memory: {text}", name)
+            self._terminate(now, found[1], f"out of memory: {text}", name)
         return self._advance(now)
 
-    def stalled(self, now: float, name: str, generation: int, why: str) -> list[Action]:
+    def on_stalled(self, now: float, name: str, generation: int, why: str) -> list[Action]:
         """A process stands still, as a closer watch has found: it is killed, and another started if one is due.
 
         One that was told to end is killed before its time is over: it does not end, and others can finish its work.
         """
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None and found[1].phase in (Phase.STARTING, Phase.READY):
             self._kill(found[1], found[0], f"stalled: {why}")
-        elif found is not None and found[1].phase is Phase.LEAVING:
-            self._out.append(Notice(name, "killed", f"generation {generation}: stalled while it ended: {why}", True))
-            self._kill(found[1], found[0], found[1].ending)
+        elif found is not None and found[1].phase is Phase.EXITING:
+            self._actions.append(
+                Notice(name, "killed", f"generation {generation}: stalled while it ended: {why}", True)
+            )
+            self._kill(found[1], found[0], found[1].end_reason)
         return self._advance(now)
 
-    def reloaded(self, now: float, name: str, generation: int, why: str | None) -> list[Action]:
+    def on_reloaded(self, now: float, name: str, generation: int, why: str | None) -> list[Action]:
         """A process's word on a reload: done, or why not."""
-        for operation in [*self._at_once, *self._rolling]:
-            step = operation.doing.get(name)
+        for operation in [*self._immediate, *self._rolling]:
+            step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.RELOAD, generation):
                 self._step_done(operation, name, why and f"{name}: {why}")
         return self._advance(now)
 
-    def exited(self, now: float, name: str, generation: int, how: Exit) -> list[Action]:
+    def on_exit(self, now: float, name: str, generation: int, how: ExitStatus) -> list[Action]:
         """A process has ended."""
-        found = self._process(name, generation)
+        found = self._find_process(name, generation)
         if found is not None:
             instance, process = found
-            if process.ending.startswith("out of memory"):
-                how = Exit(how.code, how.signal, True)
+            if process.end_reason.startswith("out of memory"):
+                how = ExitStatus(how.code, how.signal, True)
             instance.last_exit = how
-            why = process.ending if process.ending and process.ending not in EXPECTED else ""
-            self._gone(now, instance, process, f"{why} ({how})" if why else f"exited with {how}")
+            why = process.end_reason if process.end_reason and process.end_reason not in EXPECTED_REASONS else ""
+            self._on_process_ended(now, instance, process, f"{why} ({how})" if why else f"exited with {how}")
         return self._advance(now)
 
     def tick(self, now: float) -> list[Action]:
         """Time passes; to be called several times a second."""
-        gap = now - (now if self._ticked is None else self._ticked)
-        self._ticked = now
-        if gap > PAUSE:
-            self._out.append(Notice("", "paused", f"the supervisor itself stood still for {gap:.1f} s"))
+        gap = now - (now if self._last_tick_at is None else self._last_tick_at)
+        self._last_tick_at = now
+        if gap > MIN_PAUSE:
+            self._actions.append(Notice("", "paused", f"the supervisor itself stood still for {gap:.1f} s"))
             for instance in self.instances.values():
                 for process in instance.processes:
-                    process.shift(gap)
+                    process.discount_pause(gap)
         for instance in self.instances.values():
             for process in instance.processes:
-                self._look(now, instance, process)
+                self._check_time_limits(now, instance, process)
         return self._advance(now)
 
     # ---- decisions -----------------------------------------------------------------------
 
     def _check_ready(self, now: float, instance: Instance, process: Process) -> None:
-        if process.phase is not Phase.STARTING or not process.piped or process.up_at < process.since:
+        if (
+            process.phase is not Phase.STARTING
+            or not process.reported_ready
+            or process.check_answered_at < process.started_at
+        ):
             return
         process.phase = Phase.READY
-        process.ready_at = process.beat_at = process.cpu_at = process.finished_at = now
-        if process is instance.fresh:
-            old, instance.current, instance.fresh = instance.current, process, None
+        process.ready_at = process.heartbeat_at = process.cpu_grew_at = process.answered_grew_at = now
+        if process is instance.replacement:
+            old, instance.current, instance.replacement = instance.current, process, None
             if old is not None:
-                instance.leaving[old.generation] = old
-                self._end(now, old, REPLACED, instance.name)
+                instance.exiting[old.generation] = old
+                self._terminate(now, old, REASON_REPLACED, instance.name)
 
-    def _look(self, now: float, instance: Instance, process: Process) -> None:
+    def _check_time_limits(self, now: float, instance: Instance, process: Process) -> None:
         """Apply the time limits to one process."""
         policy = self.policy
         if process.phase is Phase.STARTING:
             if now >= process.deadline:
                 self._kill(process, instance, f"not ready within {policy.ready_within:g} s")
-        elif process.phase is Phase.LEAVING:
+        elif process.phase is Phase.EXITING:
             if now >= process.deadline:
                 text = f"did not end within {policy.stop_within:g} s"
-                self._out.append(Notice(instance.name, "killed", text, True))
-                self._kill(process, instance, process.ending)
+                self._actions.append(Notice(instance.name, "killed", text, True))
+                self._kill(process, instance, process.end_reason)
         elif process.phase is Phase.READY:
-            self._look_alive(now, instance, process)
+            self._check_liveness(now, instance, process)
 
-    def _look_alive(self, now: float, instance: Instance, process: Process) -> None:
+    def _check_liveness(self, now: float, instance: Instance, process: Process) -> None:
         policy = self.policy
-        silent = now - max(process.beat_at, process.up_at)
-        unanswered = now - max(process.up_at, process.ready_at)
-        idle = now - process.cpu_at  # since the processor was last seen in use
+        silent = now - max(process.heartbeat_at, process.check_answered_at)
+        unanswered = now - max(process.check_answered_at, process.ready_at)
+        idle = now - process.cpu_grew_at  # since the processor was last seen in use
         if silent > policy.hang_after and idle > policy.hang_after:
             self._kill(process, instance, f"hung: no sign of life for {silent:.1f} s and no processor time used")
         elif silent > policy.busy_limit:
             self._kill(process, instance, f"hung: no sign of life for {silent:.1f} s, busy all the time")
-        elif unanswered > policy.busy_limit and now - process.finished_at > policy.busy_limit:
+        elif unanswered > policy.busy_limit and now - process.answered_grew_at > policy.busy_limit:
             self._kill(process, instance, f"hung: alive, but no request answered for {unanswered:.1f} s")
         else:
             process.busy = max(silent, unanswered) > policy.hang_after
@@ -543,103 +557,108 @@
         if process.phase is Phase.KILLED:
             return
         process.phase = Phase.KILLED
-        process.ending = why
-        if why not in EXPECTED:
-            self._out.append(Notice(instance.name, "replaced", f"generation {process.generation}: {why}", True))
-        self._out.append(Tell(instance.name, process.generation, How.KILL))
+        process.end_reason = why
+        if why not in EXPECTED_REASONS:
+            self._actions.append(Notice(instance.name, "replaced", f"generation {process.generation}: {why}", True))
+        self._actions.append(SendCommand(instance.name, process.generation, ProcessCommand.KILL))
 
-    def _end(self, now: float, process: Process, why: str, name: str) -> None:
-        if process.phase in (Phase.LEAVING, Phase.KILLED):
+    def _terminate(self, now: float, process: Process, why: str, name: str) -> None:
+        if process.phase in (Phase.EXITING, Phase.KILLED):
             return
-        process.phase = Phase.LEAVING
-        process.ending = why
+        process.phase = Phase.EXITING
+        process.end_reason = why
         process.deadline = now + self.policy.stop_within
-        self._out.append(Tell(name, process.generation, How.END))
+        self._actions.append(SendCommand(name, process.generation, ProcessCommand.TERMINATE))
 
-    def _gone(self, now: float, instance: Instance, process: Process, why: str) -> None:
+    def _on_process_ended(self, now: float, instance: Instance, process: Process, why: str) -> None:
         """A process is no more: what next."""
         was_ready = process.ready_at <= now
-        if not was_ready and process.ending not in EXPECTED:
+        if not was_ready and process.end_reason not in EXPECTED_REASONS:
             self._step_failed(instance.name, process.generation, why)
-        if process is instance.fresh:
-            instance.fresh = None
-            self._out.append(Notice(instance.name, "exited", f"the fresh process {why}; the old one stays", True))
+        if process is instance.replacement:
+            instance.replacement = None
+            self._actions.append(Notice(instance.name, "exited", f"the fresh process {why}; the old one stays", True))
             return
         if process is not instance.current:
-            instance.leaving.pop(process.generation, None)
+            instance.exiting.pop(process.generation, None)
             return
         instance.current = None
-        if not instance.wanted or process.ending in EXPECTED:
-            instance.due = now if instance.wanted else None
+        if not instance.should_run or process.end_reason in EXPECTED_REASONS:
+            instance.start_due_at = now if instance.should_run else None
             return
-        self._crashed(now, instance, process, why)
+        self._on_crash(now, instance, process, why)
 
-    def _crashed(self, now: float, instance: Instance, process: Process, why: str) -> None:
+    def _on_crash(self, now: float, instance: Instance, process: Process, why: str) -> None:
         policy = self.policy
         instance.reason = why
-        instance.crashed = True
-        instance.crashes.append(now)
-        while instance.crashes[0] <= now - policy.budget_window:
-            instance.crashes.popleft()
+        instance.next_start_is_restart = True
+        instance.crash_times.append(now)
+        while instance.crash_times[0] <= now - policy.budget_window:
+            instance.crash_times.popleft()
         steady = now - process.ready_at >= policy.steady_after
-        instance.quick = 1 if steady else instance.quick + 1
-        blow = self._blow(now, instance, process)
-        if instance.fresh is not None:
-            instance.current, instance.fresh = instance.fresh, None
+        instance.early_exits = 1 if steady else instance.early_exits + 1
+        blow = self._correlated_failure(now, instance, process)
+        if instance.replacement is not None:
+            instance.current, instance.replacement = instance.replacement, None
             instance.restarts += 1
-            instance.crashed = False
-            self._out.append(Notice(instance.name, "exited", f"{why}; the fresh process takes over", True))
+            instance.next_start_is_restart = False
+            self._actions.append(Notice(instance.name, "exited", f"{why}; the fresh process takes over", True))
         elif blow is not None:
-            self._come_back(now, blow)
-        elif len(instance.crashes) > policy.budget:
+            self._schedule_recovery(now, blow)
+        elif len(instance.crash_times) > policy.budget:
             instance.failed = True
-            instance.reason = f"ended {len(instance.crashes)} times within {policy.budget_window:g} s; last: {why}"
-            instance.due = None
-            self._out.append(Notice(instance.name, "failed", instance.reason, True))
-            self._out.append(Release(instance.name))
+            instance.reason = (
+                f"ended {len(instance.crash_times)} times within {policy.budget_window:g} s; last: {why}"
+            )
+            instance.start_due_at = None
+            self._actions.append(Notice(instance.name, "failed", instance.reason, True))
+            self._actions.append(CloseListener(instance.name))
         else:
-            delay = self._backoff(instance.quick)
-            instance.due = now + delay
-            self._out.append(Notice(instance.name, "exited", f"{why}; next start in {delay:.2f} s", True))
+            delay = self._backoff(instance.early_exits)
+            instance.start_due_at = now + delay
+            self._actions.append(Notice(instance.name, "exited", f"{why}; next start in {delay:.2f} s", True))
             if delay > policy.hold:
-                self._out.append(Release(instance.name))
+                self._actions.append(CloseListener(instance.name))
 
-    def _blow(self, now: float, instance: Instance, process: Process) -> Blow | None:
+    def _correlated_failure(self, now: float, instance: Instance, process: Process) -> CorrelatedFailure | None:
         """The blow that an end is part of, if it is one that budgets and backoffs leave out."""
-        if self.herd is None or process.ending or instance.last_exit is None:
+        if self.failure_correlator is None or process.end_reason or instance.last_exit is None:
             return None
         how = instance.last_exit
-        last = self.herd.latest
-        blow = self.herd.ended(now, instance.name, len(self.instances), how.signal, how.out_of_memory)
+        last = self.failure_correlator.latest
+        blow = self.failure_correlator.on_exit(now, instance.name, len(self.instances), how.signal, how.out_of_memory)
         if blow is None:
             return None
-        forgiven = self.herd.forgives(now, self.policy.budget_window)
+        forgiven = self.failure_correlator.is_forgiven(now, self.policy.budget_window)
         if blow is not last:
-            text = f"{len(blow.names)} of {blow.of} ended within {self.herd.policy.within:g} s, {blow.cause}"
+            text = (
+                f"{len(blow.names)} of {blow.fleet_size} ended within "
+                f"{self.failure_correlator.policy.within:g} s, {blow.cause}"
+            )
             text += "; budgets are not charged" if forgiven else "; one too many: budgets are charged"
-            self._out.append(Notice("", "blow", text, True))
+            self._actions.append(Notice("", "blow", text, True))
         if not forgiven:
             return None
         for name in blow.names if blow is not last else (instance.name,):
             fallen = self.instances.get(name)
-            if fallen is not None and fallen.crashes:
-                fallen.crashes.pop()
-                fallen.quick = max(0, fallen.quick - 1)
+            if fallen is not None and fallen.crash_times:
+                fallen.crash_times.pop()
+                fallen.early_exits = max(0, fallen.early_exits - 1)
         return blow
 
-    def _come_back(self, now: float, blow: Blow) -> None:
+    def _schedule_recovery(self, now: float, blow: CorrelatedFailure) -> None:
         """Start in waves what a blow has ended and nobody has started again yet."""
-        assert self.herd is not None
+        assert self.failure_correlator is not None
         down = [
             instance
             for name in blow.names
-            if (instance := self.instances.get(name)) is not None and instance.current is None and instance.wanted
+            if (instance := self.instances.get(name)) is not None and instance.current is None and instance.should_run
         ]
-        due = self.herd.spread(blow, [(instance.name, instance.tier) for instance in down])
+        due = self.failure_correlator.schedule_starts(blow, [(instance.name, instance.tier) for instance in down])
         for instance in down:
             instance.failed = False
-            instance.crashed = True
-            instance.due = max(now, due[instance.name])
+            instance.next_start_is_restart = True
+            instance.start_due_at = max(now, due[instance.name])
 
     def _backoff(self, quick: int) -> float:
         """Exponential, with jitter: instances that fell together must not start together."""
@@ -651,41 +670,41 @@
 
     def _advance(self, now: float) -> list[Action]:
         """Carry operations on, start what is due, and note changes of state."""
-        for operation in list(self._at_once):
-            self._carry_on(now, operation)
-            if not operation.doing and not operation.todo:
-                self._at_once.remove(operation)
+        for operation in list(self._immediate):
+            self._advance_operation(now, operation)
+            if not operation.running_steps and not operation.pending_steps:
+                self._immediate.remove(operation)
                 self._finish(operation)
         while self._rolling:
             operation = self._rolling[0]
-            self._carry_on(now, operation)
-            if operation.doing or operation.todo:
+            self._advance_operation(now, operation)
+            if operation.running_steps or operation.pending_steps:
                 break
             self._rolling.popleft()
             self._finish(operation)
         self._start_due(now)
         for instance in list(self.instances.values()):
-            self._note(now, instance)
-        out, self._out = self._out, []
+            self._report_state_change(now, instance)
+        out, self._actions = self._actions, []
         return out
 
     def _finish(self, operation: Operation) -> None:
-        ok = not operation.faults
+        ok = not operation.errors
         text = operation.progress()
         if not ok:
-            text += "; " + "; ".join(operation.faults)
-        self._out.append(Done(operation.ident, ok, text))
+            text += "; " + "; ".join(operation.errors)
+        self._actions.append(OperationDone(operation.operation_id, ok, text))
 
-    def _carry_on(self, now: float, operation: Operation) -> None:
-        for name in list(operation.doing):
+    def _advance_operation(self, now: float, operation: Operation) -> None:
+        for name in list(operation.running_steps):
             self._check_step(now, operation, name)
-        if operation.faults and operation.todo and operation in self._rolling:
-            operation.faults.append(f"halted: {len(operation.todo)} left as they were")
-            operation.todo.clear()
-        while operation.todo and len(operation.doing) < operation.at_once:
-            if operation in self._rolling and not self.turn(now):
+        if operation.errors and operation.pending_steps and operation in self._rolling:
+            operation.errors.append(f"halted: {len(operation.pending_steps)} left as they were")
+            operation.pending_steps.clear()
+        while operation.pending_steps and len(operation.running_steps) < operation.max_concurrent:
+            if operation in self._rolling and not self.may_begin_step(now):
                 return  # what has begun goes on: a fresh process serves before the old one ends
-            name, step = operation.todo.popleft()
+            name, step = operation.pending_steps.popleft()
             if name not in self.instances:
                 if step is not Step.START:
                     operation.total -= 1
@@ -700,75 +719,75 @@
         deadline = math.inf
         if step is Step.RELOAD and (instance.current is None or instance.current.phase is not Phase.READY):
             step = Step.REPLACE  # it can't be told anything; a new process reads what is new
-        if step is Step.REPLACE and not instance.wanted:
+        if step is Step.REPLACE and not instance.should_run:
             operation.total -= 1  # stopped on purpose: the next start reads what is new
             return
         if step is Step.START:
-            self._want(now, instance)
+            self._request_start(now, instance)
         elif step in (Step.STOP, Step.REMOVE):
-            self._unwant(now, instance)
-            instance.removed = step is Step.REMOVE
+            self._request_stop(now, instance)
+            instance.remove_when_stopped = step is Step.REMOVE
         elif step is Step.REPLACE:
             generation = self._replace(now, instance)
         elif instance.current is not None:
             generation = instance.current.generation
             deadline = now + self.policy.reload_within
-            self._out.append(Tell(name, generation, How.RELOAD))
-        operation.doing[name] = (step, generation, deadline)
+            self._actions.append(SendCommand(name, generation, ProcessCommand.RELOAD))
+        operation.running_steps[name] = (step, generation, deadline)
 
-    def _want(self, now: float, instance: Instance) -> None:
-        instance.wanted = True
-        instance.removed = False
-        if instance.failed or (instance.current is None and instance.due is None):
+    def _request_start(self, now: float, instance: Instance) -> None:
+        instance.should_run = True
+        instance.remove_when_stopped = False
+        if instance.failed or (instance.current is None and instance.start_due_at is None):
             instance.failed = False
-            instance.crashes.clear()
-            instance.quick = 0
-            instance.due = now
+            instance.crash_times.clear()
+            instance.early_exits = 0
+            instance.start_due_at = now
 
-    def _unwant(self, now: float, instance: Instance) -> None:
-        instance.wanted = instance.failed = instance.crashed = False
-        instance.due = None
+    def _request_stop(self, now: float, instance: Instance) -> None:
+        instance.should_run = instance.failed = instance.next_start_is_restart = False
+        instance.start_due_at = None
         # At once: the processes go on accepting from their own copies as long as they answer, and no longer.
-        self._out.append(Release(instance.name))
-        if instance.fresh is not None:
-            instance.leaving[instance.fresh.generation], instance.fresh = instance.fresh, None
+        self._actions.append(CloseListener(instance.name))
+        if instance.replacement is not None:
+            instance.exiting[instance.replacement.generation], instance.replacement = instance.replacement, None
         for process in instance.processes:
-            self._end(now, process, ASKED, instance.name)
+            self._terminate(now, process, REASON_STOPPED, instance.name)
 
     def _replace(self, now: float, instance: Instance) -> int:
         """Start a fresh process beside the current one; returns the generation that is to be ready."""
         if instance.current is None:
-            self._want(now, instance)
-            instance.due = now
+            self._request_start(now, instance)
+            instance.start_due_at = now
             return instance.generation + 1
-        if instance.fresh is not None:
-            return instance.fresh.generation
+        if instance.replacement is not None:
+            return instance.replacement.generation
         if instance.current.phase is not Phase.READY:
             # One that is starting may have read what is old, and has nothing to finish.
-            self._end(now, instance.current, REPLACED, instance.name)
+            self._terminate(now, instance.current, REASON_REPLACED, instance.name)
             return instance.generation + 1
-        instance.fresh = self._spawn(now, instance)
-        return instance.fresh.generation
+        instance.replacement = self._spawn(now, instance)
+        return instance.replacement.generation
 
     def _check_step(self, now: float, operation: Operation, name: str) -> None:
         """Whether an operation is through with an instance."""
-        if name not in operation.doing:
+        if name not in operation.running_steps:
             return
-        step, generation, deadline = operation.doing[name]
+        step, generation, deadline = operation.running_steps[name]
         instance = self.instances.get(name)
         if instance is None:
             self._step_done(operation, name, None if step in (Step.REMOVE, Step.STOP) else f"{name}: removed")
         elif step in (Step.STOP, Step.REMOVE):
             if not instance.processes:
-                if instance.removed:
+                if instance.remove_when_stopped:
                     del self.instances[name]
-                self._step_done(operation, name, f"{name}: started again" if instance.wanted else None)
-        elif not instance.wanted:
+                self._step_done(operation, name, f"{name}: started again" if instance.should_run else None)
+        elif not instance.should_run:
             self._step_done(operation, name, f"{name}: stopped meanwhile")
         elif instance.failed:
             self._step_done(operation, name, f"{name}: failed: {instance.reason}")
         elif step is Step.RELOAD:
-            if instance.find(generation) is None:
+            if instance.find_process(generation) is None:
                 self._step_done(operation, name, f"{name}: ended during the reload")
             elif now >= deadline:
                 within = self.policy.reload_within
@@ -776,21 +795,21 @@
         else:
             current = instance.current
             ready = current is not None and current.phase is Phase.READY and current.generation >= generation
-            if ready and not any(old < generation for old in instance.leaving):
+            if ready and not any(old < generation for old in instance.exiting):
                 self._step_done(operation, name, None)
 
     @staticmethod
     def _step_done(operation: Operation, name: str, fault: str | None) -> None:
-        operation.doing.pop(name, None)
+        operation.running_steps.pop(name, None)
         if fault is None:
-            operation.done += 1
+            operation.completed += 1
         else:
-            operation.faults.append(fault)
+            operation.errors.append(fault)
 
     def _step_failed(self, name: str, generation: int, why: str) -> None:
         """A process that was never ready has ended: whoever waits for just this one has failed."""
         for operation in self._rolling:
-            step = operation.doing.get(name)
+            step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.REPLACE, generation):
                 self._step_done(operation, name, f"{name}: the fresh process {why}")
 
@@ -798,38 +817,44 @@
 
     def _spawn(self, now: float, instance: Instance) -> Process:
         instance.generation += 1
-        self._out.append(Spawn(instance.name, instance.generation))
+        self._actions.append(Spawn(instance.name, instance.generation))
         return Process(instance.generation, now, now + self.policy.ready_within)
 
     def _start_due(self, now: float) -> None:
         """Start what is due, the longest due first, but only so many at a time."""
-        if self.ending:
+        if self.is_shutting_down:
             return
-        due = [(i.due, i.name) for i in self.instances.values() if i.due is not None and i.due <= now]
+        due = [
+            (i.start_due_at, i.name)
+            for i in self.instances.values()
+            if i.start_due_at is not None and i.start_due_at <= now
+        ]
         waiting = sorted(due, key=lambda pair: pair[0])  # stable: of equals, as the file has them
         if not waiting:
             return
         starting = sum(
-            p.phase is Phase.STARTING and not p.waits for i in self.instances.values() for p in i.processes
+            p.phase is Phase.STARTING and not p.waits_for_backends
+            for i in self.instances.values()
+            for p in i.processes
         )
         for _, name in waiting[: max(0, self.policy.start_at_once - starting)]:
             instance = self.instances[name]
-            instance.due = None
+            instance.start_due_at = None
             if instance.current is not None:
                 continue
-            if instance.crashed:
-                instance.crashed = False
+            if instance.next_start_is_restart:
+                instance.next_start_is_restart = False
                 instance.restarts += 1
             instance.current = self._spawn(now, instance)
 
-    def _note(self, now: float, instance: Instance) -> None:
+    def _report_state_change(self, now: float, instance: Instance) -> None:
         state = instance.state
-        if state is instance.shown:
+        if state is instance.reported_state:
             return
-        instance.shown, instance.since = state, now
+        instance.reported_state, instance.state_since = state, now
         bad = state in (State.FAILED, State.BUSY)
         text = f"generation {instance.generation}" if state is not State.FAILED else instance.reason
-        self._out.append(Notice(instance.name, state.value, text, bad))
+        self._actions.append(Notice(instance.name, state.value, text, bad))
 
     # ---- what can be seen ----------------------------------------------------------------
 
@@ -840,11 +865,11 @@
         return {
             "name": name,
             "state": instance.state.value,
-            "since": round(now - instance.since, 3),
+            "since": round(now - instance.state_since, 3),
             "generation": current.generation if current else instance.generation,
             "restarts": instance.restarts,
             "last_exit": str(instance.last_exit) if instance.last_exit else None,
             "reason": instance.reason or None,
-            "next_start": round(instance.due - now, 3) if instance.due else None,
+            "next_start": round(instance.start_due_at - now, 3) if instance.start_due_at else None,
             "processes": len(instance.processes),
         }
