--- a/tests/unit/test_takeover.py
+++ b/tests/unit/test_takeover.py
@@ -488,7 +488,7 @@
     planner.add_orphans(9, [(0, 1.0), (1, 9.0)])
     planner.assign(0.0, [(1, 0)])
     assert planner.slow_successors(0.1) == set() and planner.slow_successors(0.3) == {1}
-    assert planner.expire(5.0) == [], "what was handed on is not assigned up"
+    assert planner.expire(5.0) == [], "an assigned request does not expire"
     assert sorted(planner.on_reaped(1)) == [(9, 0), (9, 1)]
     assert planner.expire(5.0) == [(9, 0)] and planner.orphans == [(9, 1)]
 
