--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -1,4 +1,4 @@
-"""Several real processes come back after a blow, with faults between them; the accounts of both sides tell."""
+"""Recovery of several real processes after a correlated failure, with faults; checked by both sides' records."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 async def wait_for_service(world: World, more: int = 30) -> None:
-    """Requests that are asked from now on are served."""
+    """Wait until `more` further requests have been served."""
     before = served_count(world)
     await come(lambda: served_count(world) >= before + more, "served again")
 
@@ -72,10 +72,10 @@
 
 
 async def wait_for_stored_lists(fleet: Fleet) -> None:
-    """Every instance has kept its list."""
+    """Wait until every instance has stored its list."""
     store = fleet.state / "store"
     await come(lambda: len(list(store.glob("p*.records"))) == fleet.count, "records")
-    await asyncio.sleep(0.6)  # more than the time between two writings
+    await asyncio.sleep(0.6)  # more than the interval between writes
 
 
 def test_lost_fleet_serves_from_stored_lists_without_discovery(tmp_path: Path) -> None:
@@ -88,7 +88,7 @@
             await wait_for_service(w)
             assert (await fleet.status())["comeback"][-1]["cause"].startswith("the supervisor before")
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "discovery is heard")
+            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
 
@@ -96,7 +96,7 @@
 
 
 def test_without_stored_lists_requests_are_queued_and_no_process_is_killed(tmp_path: Path) -> None:
-    """Discovery is away for longer than processes have to become ready."""
+    """Discovery is unreachable for longer than processes may take to become ready."""
 
     async def test() -> None:
         async with world(tmp_path, rate=1.0) as (w, fleet):
@@ -114,9 +114,9 @@
             assert (status, seen.headers[b"x-comeback"]) == (503, b"nothing")
             caller.writer.write(request("report-view", budget="4000m", rid="w1"))
             await asyncio.sleep(2.0)
-            assert [row["pid"] for row in (await fleet.rows()).values()] == pids, "nobody was replaced"
+            assert [row["pid"] for row in (await fleet.rows()).values()] == pids, "no process was replaced"
             await w.lists.back()
-            assert (await caller.answer())[0] == 200, "it waited and was served"
+            assert (await caller.answer())[0] == 200, "the request was queued and then served"
             caller.leave()
             await come(fleet.ready, "ready")
             assert_consistent(w)
@@ -139,7 +139,7 @@
             fleet.copy_store()
             banned = w.backends[2]
             await fleet.operate("exclude", banned.host)
-            await come(lambda: _orders_stored(fleet), "the fleet keeps the orders")
+            await come(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
             banned.away = True
             await fleet.lose()
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("seconds", [-3600.0, 3600.0], ids=["back", "forth"])
 def test_orders_survive_a_clock_change_during_an_outage(tmp_path: Path, seconds: float) -> None:
-    """Set back: the list is of unknown age and serves for a while. Set forth: too old to serve. A ban is neither."""
+    """Set back: the list has an unknown age and is used for a while. Set forward: it is too old. The ban stays."""
 
     async def test() -> None:
         async with world(tmp_path) as (w, fleet):
@@ -171,7 +171,7 @@
             await wait_for_stored_lists(fleet)
             banned = w.backends[2]
             await fleet.operate("exclude", banned.host)
-            await come(lambda: _orders_stored(fleet), "the fleet keeps the orders")
+            await come(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
             banned.away = True
             await w.lists.leave()
@@ -186,7 +186,7 @@
                 await come(lambda: _all_waiting(fleet), "all wait")
                 assert fleet.log().count("stored list: old") >= fleet.count
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "told")
+            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w, 100)
             assert_consistent(w)
 
@@ -199,11 +199,11 @@
             drained, line = w.backends[0], w.lists.hosts[0]
             w.lists.change(line | {"health": "terminating"})
             await wait_for_service(w)
-            await come(lambda: _drain_stored(fleet, drained.host), "the drain is kept")
+            await come(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
             await w.lists.leave()
             await fleet.lose()
             w.lists.change(line)
-            drained.away = True  # as far as anybody can know
+            drained.away = True  # no instance can know otherwise
             await fleet.start()
             await come(lambda: all_full(fleet), "full service without discovery")
             await wait_for_service(w, 60)
@@ -211,7 +211,7 @@
             drained.away = False
             before = drained.connections
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "told")
+            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await come(lambda: drained.connections > before, "it is used again")
             assert_consistent(w)
 
@@ -229,7 +229,7 @@
             dropped = [row["comeback"]["dropped"] for row in (await fleet.rows()).values()]
             assert sum(dropped) > 0
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "told")
+            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
 
@@ -238,7 +238,7 @@
 
 @pytest.mark.parametrize("lie", ["empty", "older"])
 def test_wrong_list_from_discovery_does_not_replace_the_stored_one(tmp_path: Path, lie: str) -> None:
-    """It comes back with nothing, or with a list from before a drain."""
+    """Discovery restarts with an empty list, or with a list from before a drain."""
 
     async def test() -> None:
         async with world(tmp_path, extra="doubt_for = 600.0") as (w, fleet):
@@ -246,7 +246,7 @@
             drained = w.backends[0]
             w.lists.change(before[0] | {"health": "terminating"})
             await wait_for_service(w)
-            await come(lambda: _drain_stored(fleet, drained.host), "the drain is kept")
+            await come(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
             await fleet.lose()
             drained.away = True
             await w.lists.leave()
@@ -268,7 +268,7 @@
             w.lists.hosts, w.lists.seq = [], 9
             await w.lists.back()
             await fleet.start()
-            await come(lambda: discovery_reported_to_all(fleet), "the empty list is believed")
+            await come(lambda: discovery_reported_to_all(fleet), "the empty list is accepted")
             assert fleet.log().count("recovery: doubted") >= fleet.count
             assert w.load is not None
             asked = len(w.load.told)
@@ -325,7 +325,7 @@
 
 
 def test_new_supervisor_restores_the_state_of_a_killed_one(tmp_path: Path) -> None:
-    """What was stopped on purpose stays stopped, generations go on, the epoch grows; a damaged store is no matter."""
+    """Stopped instances stay stopped, generations continue and the epoch grows, also with damaged stores."""
 
     async def test() -> None:
         async with world(tmp_path, rate=5.0) as (w, fleet):
@@ -338,7 +338,7 @@
             await fleet.lose()
             fleet.damage_store(["p0", "p2"], 5)
             await fleet.start()
-            await come(lambda: _states_restored(fleet), "as before")
+            await come(lambda: _states_restored(fleet), "the earlier states")
             rows = await fleet.rows()
             assert rows["p1"]["state"] == "stopped" and rows["p0"]["generation"] > 1
             assert "epoch 2" in fleet.log()
@@ -362,11 +362,11 @@
         async with world(tmp_path, count=6) as (w, fleet):
             await wait_for_service(w)
             killed: set[int] = set()
-            for blow in range(3):
-                names = [f"p{(blow + i) % 6}" for i in range(4)]
+            for failure in range(3):
+                names = [f"p{(failure + i) % 6}" for i in range(4)]
                 await come(partial(w.all_there, killed), "processes")
                 killed |= set(await fleet.signal(names, signal.SIGKILL))
-                await come(partial(_event_count_reached, fleet, blow + 1), "an event")
+                await come(partial(_event_count_reached, fleet, failure + 1), "an event")
             await come(lambda: all_full(fleet), "full")
             await wait_for_service(w)
             assert w.load is not None
@@ -377,5 +377,5 @@
 
 
 async def _event_count_reached(fleet: Fleet, count: int) -> bool:
-    blows = (await fleet.status()).get("comeback", [])
-    return len([blow for blow in blows if blow["cause"] == "from outside"]) >= count
+    failures = (await fleet.status()).get("comeback", [])
+    return len([failure for failure in failures if failure["cause"] == "from outside"]) >= count
--- a/tests/loopback/test_store.py
+++ b/tests/loopback/test_store.py
@@ -1,4 +1,4 @@
-"""The store under everything that can happen to a file: each case has one result, and reading never raises."""
+"""Record store with files in unexpected states: each has a defined result, and reading never raises."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def filled_file(path: Path, last: int = 6) -> RecordFile:
-    """A file with records 1 to `last` written one after the other, and closed."""
+    """A closed file with records 1 to `last`, written one after the other."""
     records = RecordFile(path)
     for serial in range(1, last + 1):
         assert records.write([make_record(serial), make_record(serial, "standing")]), records.problem
@@ -47,7 +47,7 @@
 
 
 def run_in_fork(work: Callable[[], None]) -> int:
-    """A process of its own for what would change or end this one; returns its pid."""
+    """Run `work` in a child process that it may change or end; return the pid."""
     pid = os.fork()
     if pid == 0:
         code = 70
@@ -71,7 +71,7 @@
 
 
 def test_kill_during_a_write_leaves_the_last_record_or_the_one_before(tmp_path: Path) -> None:
-    """The writer tells each record before and after; what is read then lies between."""
+    """The writer reports each record before and after writing it; the record read back lies between."""
     rng = Random(1)
     path = tmp_path / "s"
     last = 0
@@ -89,7 +89,7 @@
 
         pid = run_in_fork(write)
         os.close(writer)
-        told = os.read(reader, 64)  # it writes from here on
+        told = os.read(reader, 64)  # it has started to write
         time.sleep(rng.random() * 0.02)
         os.kill(pid, signal.SIGKILL)
         os.waitpid(pid, 0)
@@ -115,24 +115,24 @@
     rng = Random(2)
     results = set()
     for i in range(160):
-        harmed = bytearray(data)
+        damaged = bytearray(data)
         at = i * len(data) // 160 if i < 120 else rng.randrange(len(data))
         kind = i % 3
         if kind == 0:
-            harmed[at] ^= 1 << rng.randrange(8)
+            damaged[at] ^= 1 << rng.randrange(8)
         elif kind == 1:
-            harmed[at : at + 64] = rng.randbytes(len(harmed[at : at + 64]))
+            damaged[at : at + 64] = rng.randbytes(len(damaged[at : at + 64]))
         else:
-            del harmed[at:]
-        path = tmp_path / "harmed"
-        for old in tmp_path.glob("harmed*"):
+            del damaged[at:]
+        path = tmp_path / "damaged"
+        for old in tmp_path.glob("damaged*"):
             old.unlink()
-        path.write_bytes(harmed)
+        path.write_bytes(damaged)
         records = RecordFile(path)
         found = stored_serial(records)
         assert found in (0, 5, 6)
         results.add(found)
-        records.write([make_record(7)])  # the first may be what tells of the damage
+        records.write([make_record(7)])  # the first write may be what detects the damage
         assert records.write([make_record(7)]) and stored_serial(RecordFile(path)) == 7, records.problem
         records.close()
     assert results == {0, 5, 6}
@@ -145,7 +145,7 @@
     db.close()
     records = RecordFile(tmp_path / "s")
     assert stored_serial(records) == 5 and "1 copies" in records.problem
-    assert records.next_serial("list") == 6, "the damaged one is written over"
+    assert records.next_serial("list") == 6, "the damaged copy is overwritten"
 
 
 def test_foreign_file_is_renamed_to_bad(tmp_path: Path) -> None:
@@ -216,7 +216,7 @@
     assert_exit_success(run_in_fork(work))
 
 
-@pytest.mark.skipif(os.geteuid() != 0, reason="only root can become somebody who may not write")
+@pytest.mark.skipif(os.geteuid() != 0, reason="only root can switch to a user without write access")
 def test_read_only_folder() -> None:
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -260,20 +260,20 @@
 
     async def test() -> None:
         folder = tmp_path / "later"
-        keeper = RecordWriter(RecordFile(folder / "s"), OWNER, lambda: NOW)
-        keeper.put("list", {"seq": 1})
+        writer = RecordWriter(RecordFile(folder / "s"), OWNER, lambda: NOW)
+        writer.put("list", {"seq": 1})
         async with asyncio.timeout(10.0):
-            while not keeper.failed:
+            while not writer.failed:
                 await asyncio.sleep(0.01)
             folder.mkdir()
-            while not keeper.written:
+            while not writer.written:
                 await asyncio.sleep(0.01)
         for i in range(100):
-            keeper.put("list", {"seq": i})
-        keeper.put("standing", {"version": 1})
-        await keeper.close()
+            writer.put("list", {"seq": i})
+        writer.put("standing", {"version": 1})
+        await writer.close()
         found = RecordFile(folder / "s").read(["list", "standing"])
         assert found["list"].body == {"seq": 99} and found["standing"].body == {"version": 1}
-        assert found["list"].serial <= 4, "a hundred changes are few writings"
+        assert found["list"].serial <= 4, "a hundred changes are merged into few writes"
 
     asyncio.run(test())
--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -297,22 +297,22 @@
 
 
 def test_outliers_are_ejected_up_to_a_share_and_never_killed() -> None:
-    vigil = FailureDetector(POLICY)
+    detector = FailureDetector(POLICY)
     keys = [(f"p{i}", 1) for i in range(12)]
     decisions: list[Decision] = []
     for i in range(200):
         now = 100.0 + INTERVAL * i
         seen = {key: Observation(now, cpu_time=0.01 * i) for key in keys}
-        decisions += vigil.tick(now, seen, 12, INTERVAL, counters(keys, keys[:5]))
+        decisions += detector.tick(now, seen, 12, INTERVAL, counters(keys, keys[:5]))
     assert [decision.response for decision in decisions] == [Response.EJECT] * 4, "0.35 of 12"
-    assert vigil.counts["unlike"] == 4 and vigil.counts["held_back"] == 1 and vigil.counts["replaced"] == 0
-    assert vigil.view(keys[0])["unlike"] == "full" and vigil.view(keys[9])["unlike"] == ""
+    assert detector.counts["unlike"] == 4 and detector.counts["held_back"] == 1 and detector.counts["replaced"] == 0
+    assert detector.view(keys[0])["unlike"] == "full" and detector.view(keys[9])["unlike"] == ""
     for i in range(200, 1200):
         now = 100.0 + INTERVAL * i
         seen = {key: Observation(now, cpu_time=0.01 * i) for key in keys}
-        decisions += vigil.tick(now, seen, 12, INTERVAL, counters(keys, []))
+        decisions += detector.tick(now, seen, 12, INTERVAL, counters(keys, []))
     assert [decision.response for decision in decisions[4:]] == [Response.READMIT] * 4
-    assert "all of its new connections" in vigil.explain(now, "p0")[-1][1]
+    assert "all of its new connections" in detector.explain(now, "p0")[-1][1]
 
 
 # ---- lifecycle of a process ------------------------------------------------
--- a/tests/unit/test_outlier_detection.py
+++ b/tests/unit/test_outlier_detection.py
@@ -281,7 +281,8 @@
 
 @given(st.floats(0.0, 1.0))
 def test_likelihood_ratio_of_usual_attempts_has_a_mean_of_at_most_one(usual: float) -> None:
-    """So at least 10^`unlike` attempts lie between false alarms (Lorden, Annals of Mathematical Statistics 1971)."""
+    """A mean of at most 1 means at least 10^`unlike` attempts between false alarms (Lorden, Annals of Mathematical
+    Statistics 1971)."""
     missed, reached = math.exp(path_loss_log_ratio(1, 0, usual)), math.exp(path_loss_log_ratio(0, 1, usual))
     assert usual * missed + (1.0 - usual) * reached <= 1.0 + 1e-9
     assert missed >= 1.0 >= reached
--- a/tests/unit/test_snapshots.py
+++ b/tests/unit/test_snapshots.py
@@ -55,8 +55,8 @@
         (make_record(), KnownVersions(list_seq=41), Trust.FRESH),
     ]
     for record, known, wanted in rows:
-        verdict, why = assess(record, OWNER, NOW, LIMITS, known)
-        assert (verdict, bool(why)) == (wanted, True), record
+        verdict, reason = assess(record, OWNER, NOW, LIMITS, known)
+        assert (verdict, bool(reason)) == (wanted, True), record
     assert {wanted for *_, wanted in rows} == set(Trust)
 
 
@@ -108,8 +108,8 @@
 def test_reading_raises_only_invalid_record(value: Any) -> None:
     try:
         record = read_record(value)
-    except InvalidRecord as fault:
-        assert str(fault)
+    except InvalidRecord as error:
+        assert str(error)
     else:
         assess(record, OWNER, NOW, LIMITS, NOTHING_KNOWN)
 
