--- a/cometusher/handover.py
+++ b/cometusher/handover.py
@@ -67,7 +67,7 @@
 class ProcessLedger:
     """What the processes of one proxy tell each other at every moment. Raises OSError where no row is free."""
 
-    def __init__(self, values: SharedCells, ids: SharedCells, locks: ProcessLocks) -> None:
+    def __init__(self, values: SharedCells, id_cells: SharedCells, locks: ProcessLocks) -> None:
         self._values = values  # ROWS x FIELDS, shared
         self._locks = locks
         self._row_start = -1
@@ -77,7 +77,7 @@
                 break
         else:
             raise OSError("the ledger has no free row")
-        self.open_ids = OpenRequestIds(ids, self._row_start // CELLS_PER_PROCESS, self._is_alive)
+        self.open_ids = OpenRequestIds(id_cells, self._row_start // CELLS_PER_PROCESS, self._is_alive)
         self._clear_row(self._row_start // CELLS_PER_PROCESS)
         self.generation = next_generation(self.others())
         self._values[self._row_start + 1] = ProcessStage.STARTING
@@ -93,8 +93,8 @@
 
     def _clear_row(self, row: int) -> None:
         self.open_ids.clear_row(row)
-        for field in range(CELLS_PER_PROCESS):
-            self._values[row * CELLS_PER_PROCESS + field] = 0
+        for cell in range(CELLS_PER_PROCESS):
+            self._values[row * CELLS_PER_PROCESS + cell] = 0
 
     def clear_dead(self) -> None:
         """Clear the rows of processes that are dead: the kernel has taken back their locks."""
@@ -104,16 +104,19 @@
 
     def others(self) -> list[ProcessEntry]:
         """The rows of the others, as far as they make sense."""
-        rows = []
+        entries = []
         values = self._values
-        for at in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS):
-            if at != self._row_start and values[at] and values[at + 1] in ProcessStage.__members__.values():
-                rows.append(
+        for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS):
+            if start != self._row_start and values[start] and values[start + 1] in ProcessStage.__members__.values():
+                entries.append(
                     ProcessEntry(
-                        values[at], ProcessStage(values[at + 1]), max(0, values[at + 2]), max(0, values[at + 3])
+                        values[start],
+                        ProcessStage(values[start + 1]),
+                        max(0, values[start + 2]),
+                        max(0, values[start + 3]),
                     )
                 )
-        return rows
+        return entries
 
     def should_yield(self) -> bool:
         """Whether a newer process serves."""
@@ -134,13 +137,21 @@
 
     def descriptors_of_others(self) -> int:
         """In use by the others."""
-        values, at = self._values, self._row_start
-        return sum(values[i + 2] for i in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS) if i != at)
+        values, own_start = self._values, self._row_start
+        return sum(
+            values[start + 2]
+            for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS)
+            if start != own_start
+        )
 
     def body_bytes_of_others(self) -> int:
         """Bytes of bodies held by the others."""
-        values, at = self._values, self._row_start
-        return sum(values[i + 3] for i in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS) if i != at)
+        values, own_start = self._values, self._row_start
+        return sum(
+            values[start + 3]
+            for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS)
+            if start != own_start
+        )
 
     def report_descriptors(self, count: int) -> None:
         """This process uses so many."""
@@ -159,9 +170,9 @@
         self.ledger = ledger
         self._seen_revision: Hashable | None = None  # of the standing orders, when read or written last
 
-    def write(self, name: str, form: dict[str, Any]) -> None:
+    def write(self, name: str, state: dict[str, Any]) -> None:
         """Replace one of them as a whole. Raises OSError."""
-        data = orjson.dumps(form)
+        data = orjson.dumps(state)
         self._store.replace(name, b"%08x\n" % zlib.crc32(data) + data)
         if name == "standing":
             self._seen_revision = self._store.revision(name)
@@ -170,26 +181,26 @@
         """What one holds; None where there is none or it is torn, which is logged."""
         try:
             data = self._store.read(name)
-        except OSError as fault:
-            log.warning("%s: not read: %s", name, fault.strerror)
+        except OSError as error:
+            log.warning("%s: not read: %s", name, error.strerror)
             return None
         if data is None:
             return None
-        head, _, body = data.partition(b"\n")
+        checksum, _, body = data.partition(b"\n")
         try:
-            if len(data) > MAX_FILE_SIZE or head != b"%08x" % zlib.crc32(body):
+            if len(data) > MAX_FILE_SIZE or checksum != b"%08x" % zlib.crc32(body):
                 raise UnusableState("its check sum does not fit")
             return orjson.loads(body)
-        except (UnusableState, orjson.JSONDecodeError) as fault:
-            log.warning("%s: left aside: %s", name, fault)
+        except (UnusableState, orjson.JSONDecodeError) as error:
+            log.warning("%s: left aside: %s", name, error)
             return None
 
     def new_orders(self) -> Any:
         """The standing orders, if another process has written them since the last look; else None."""
-        mark = self._store.revision("standing")
-        if mark is None or mark == self._seen_revision:
+        revision = self._store.revision("standing")
+        if revision is None or revision == self._seen_revision:
             return None
-        self._seen_revision = mark
+        self._seen_revision = revision
         return self.read("standing")
 
 
@@ -223,9 +234,9 @@
 
     def replace(self, name: str, data: bytes) -> None:
         """A reader finds the old or the new one. Raises OSError."""
-        fresh = self._path / f"{name}.{os.getpid()}"
-        fresh.write_bytes(data)
-        fresh.replace(self._path / name)
+        temporary = self._path / f"{name}.{os.getpid()}"
+        temporary.write_bytes(data)
+        temporary.replace(self._path / name)
 
     def read(self, name: str) -> bytes | None:
         """What is there, if anything. Raises OSError."""
@@ -238,8 +249,8 @@
     def revision(self, name: str) -> Hashable | None:
         """When it was replaced, and by which file."""
         with contextlib.suppress(OSError):
-            found = os.stat(self._path / name)
-            return found.st_mtime_ns, found.st_ino
+            status = os.stat(self._path / name)
+            return status.st_mtime_ns, status.st_ino
         return None
 
 
@@ -247,9 +258,9 @@
     """What processes share in a folder of a folder. Raises OSError where it can't be had."""
     path = Path(parent) / FOLDER_NAME
     path.mkdir(mode=0o700, exist_ok=True)
-    ledger, values = _map_file(path / "ledger", LEDGER_SIZE)
-    _, ids = _map_file(path / "open", 8 * MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
-    return Handover(FolderStore(path), ProcessLedger(values, ids, FileRangeLocks(ledger)))
+    ledger_descriptor, values = _map_file(path / "ledger", LEDGER_SIZE)
+    _, id_cells = _map_file(path / "open", 8 * MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
+    return Handover(FolderStore(path), ProcessLedger(values, id_cells, FileRangeLocks(ledger_descriptor)))
 
 
 def _map_file(path: Path, size: int) -> tuple[int, memoryview]:
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -32,9 +32,9 @@
 class HotRestart:
     """This process among those of its proxy."""
 
-    def __init__(self, proxy: Proxy, files: Handover) -> None:
+    def __init__(self, proxy: Proxy, handover: Handover) -> None:
         self._proxy = proxy
-        self._handover = files
+        self._handover = handover
         self._orders_version = 0  # of the standing orders
         self._next_save_at = 0.0
         self._is_yielding = False
@@ -57,10 +57,10 @@
         if learned is not None:
             try:
                 self._restore_list(learned)
-                known = adopt_learned_state(proxy.balancer, proxy.clock.now(), learned)
-                log.info("took over what was learned of %d backends", known)
-            except (UnusableState, Unreadable) as fault:
-                log.warning("what was learned is left aside: %s", fault)
+                restored = adopt_learned_state(proxy.balancer, proxy.clock.now(), learned)
+                log.info("took over what was learned of %d backends", restored)
+            except (UnusableState, Unreadable) as error:
+                log.warning("what was learned is left aside: %s", error)
         self._apply_orders(self._handover.read("standing"))
 
     def _restore_list(self, learned: Any) -> None:
@@ -68,13 +68,13 @@
             raise UnusableState("form: not an object")
         restore_list(self._proxy, learned.get("list"))
 
-    def _apply_orders(self, form: Any) -> None:
-        if form is None:
+    def _apply_orders(self, state: Any) -> None:
+        if state is None:
             return
         try:
-            orders = parse_operator_orders(form)
-        except UnusableState as fault:
-            log.warning("standing orders are left aside: %s", fault)
+            orders = parse_operator_orders(state)
+        except UnusableState as error:
+            log.warning("standing orders are left aside: %s", error)
             return
         if orders.version < self._orders_version:
             return
@@ -99,15 +99,15 @@
 
         Guards the yes that they had: it holds for all processes from that moment, not from their next look.
         """
-        orders = self._handover.ledger.order_count()
-        if orders != self._seen_order_count:
-            self._seen_order_count = orders
+        order_count = self._handover.ledger.order_count()
+        if order_count != self._seen_order_count:
+            self._seen_order_count = order_count
             self._read_new_orders()
 
     def _read_new_orders(self) -> None:
-        news = self._handover.new_orders()
-        if news is not None:
-            self._apply_orders(news)
+        new_orders = self._handover.new_orders()
+        if new_orders is not None:
+            self._apply_orders(new_orders)
             self._proxy.apply_listener_state()
 
     def on_stopping(self) -> None:
@@ -119,12 +119,14 @@
         """See what the others do; called often."""
         self._read_new_orders()  # a version before the count of orders does not count its own
         proxy = self._proxy
-        yields = self._handover.ledger.should_yield()
-        if yields is not self._is_yielding:
-            self._is_yielding = yields
-            log.info("a newer process serves: leaving new connections to it" if yields else "serving alone again")
-            proxy.operations.on_newer_process(yields)
-        if yields:
+        is_yielding = self._handover.ledger.should_yield()
+        if is_yielding is not self._is_yielding:
+            self._is_yielding = is_yielding
+            log.info(
+                "a newer process serves: leaving new connections to it" if is_yielding else "serving alone again"
+            )
+            proxy.operations.on_newer_process(is_yielding)
+        if is_yielding:
             self._free_descriptors()
         elif proxy.operations.serving and proxy.loop.time() >= self._next_save_at:
             self._next_save_at = proxy.loop.time() + SAVE_INTERVAL
@@ -140,8 +142,8 @@
             if not descriptors.is_tight() or not (descriptors.evict_backend() or descriptors.evict_caller()):
                 return
 
-    def _write(self, name: str, form: dict[str, Any]) -> None:
+    def _write(self, name: str, state: dict[str, Any]) -> None:
         try:
-            self._handover.write(name, form)
-        except OSError as fault:
-            log.warning("%s: not written: %s", name, fault.strerror)
+            self._handover.write(name, state)
+        except OSError as error:
+            log.warning("%s: not written: %s", name, error.strerror)
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -22,10 +22,10 @@
     """The list of backends as discovery would tell it whole."""
     hosts = []
     for host, server in proxy.servers_by_host.items():
-        known, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
-        if known is None or dial is None or known.row.state not in HEALTH_BY_STATE:
+        state, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
+        if state is None or dial is None or state.row.state not in HEALTH_BY_STATE:
             continue
-        row, zones = known.row, proxy.config.zones
+        row, zones = state.row, proxy.config.zones
         hosts.append(
             {
                 "host": host,
@@ -40,9 +40,9 @@
     return {"seq": proxy.discovery.seq, "whole": True, "hosts": hosts}
 
 
-def restore_list(proxy: Proxy, form: Any) -> Listing:
+def restore_list(proxy: Proxy, state: Any) -> Listing:
     """Begin with a list that was written down, unless there is a newer one already; raises Unreadable."""
-    listing = read_listing(form, proxy.config.zones)
+    listing = read_listing(state, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
         proxy.discovery.resume(listing.seq)
         proxy.on_list(ListKind.STALE, listing.entries)
@@ -57,7 +57,7 @@
         version,
         proxy.operations.evacuated,
         tuple((names[server], server, since) for server, since in balancer.bans.items() if server in names),
-        tuple((server, since, back) for server, (since, back) in balancer.past_bans.items()),
+        tuple((server, since, ended) for server, (since, ended) in balancer.past_bans.items()),
     )
 
 
--- a/weldroute/correlated_failures.py
+++ b/weldroute/correlated_failures.py
@@ -47,9 +47,9 @@
         """Raise ValueError naming the first field that makes no sense."""
         if not 0.0 < self.share <= 1.0:
             raise ValueError(f"share: {self.share!r} is not a number above 0 and up to 1")
-        for name, least in (("least", 2), ("forgiven", 0)):
-            if getattr(self, name) < least:
-                raise ValueError(f"{name}: {getattr(self, name)!r} is not a number of {least} or more")
+        for name, minimum in (("least", 2), ("forgiven", 0)):
+            if getattr(self, name) < minimum:
+                raise ValueError(f"{name}: {getattr(self, name)!r} is not a number of {minimum} or more")
         for name in ("within", "pace"):
             if not (math.isfinite(getattr(self, name)) and getattr(self, name) > 0.0):
                 raise ValueError(f"{name}: {getattr(self, name)!r} is not a number above 0")
@@ -79,10 +79,10 @@
 
     def record_phase(self, now: float, name: str, phase: str) -> str | None:
         """An instance reached a phase; returns the phase that the blow reached by that, if any."""
-        part = self.instance_phases.setdefault(name, {})
-        if name not in self.names or phase in part:
+        phases = self.instance_phases.setdefault(name, {})
+        if name not in self.names or phase in phases:
             return None
-        part[phase] = now - self.occurred_at
+        phases[phase] = now - self.occurred_at
         return self._update_phases(now)
 
     def _update_phases(self, now: float) -> str | None:
@@ -90,18 +90,18 @@
             phase: sum(phase in self.instance_phases.get(name, ()) for name in self.names)
             for phase in RECOVERY_PHASES
         }
-        many = len(self.names)
-        wanted = {
-            "up": counts["up"] == many,
-            "known": counts["known"] == many,
+        total = len(self.names)
+        is_complete = {
+            "up": counts["up"] == total,
+            "known": counts["known"] == total,
             "first": counts["first"] >= 1,
-            "half": 2 * counts["full"] >= many,
-            "full": counts["full"] == many,
+            "half": 2 * counts["full"] >= total,
+            "full": counts["full"] == total,
         }
-        fresh = [phase for phase in RECOVERY_PHASES if wanted[phase] and phase not in self.phase_times]
-        for phase in fresh:
+        newly_reached = [phase for phase in RECOVERY_PHASES if is_complete[phase] and phase not in self.phase_times]
+        for phase in newly_reached:
             self.phase_times[phase] = now - self.occurred_at
-        return fresh[-1] if fresh else None
+        return newly_reached[-1] if newly_reached else None
 
     def on_instance_lost(self, name: str) -> None:
         """It has ended again: what it had reached is to be reached anew."""
@@ -143,27 +143,28 @@
         self._count = 0
 
     def on_exit(
-        self, now: float, name: str, of: int, signal: int | None, out_of_memory: bool
+        self, now: float, name: str, fleet_size: int, signal: int | None, out_of_memory: bool
     ) -> CorrelatedFailure | None:
         """A process that nobody told to end has ended; the blow that this is part of, if it is."""
         if signal not in EXTERNAL_SIGNALS or out_of_memory:
             return None
         current = self.latest
-        again = current is not None and name in current.names
-        if current is not None and again and not current.is_over:
+        ended_again = current is not None and name in current.names
+        if current is not None and ended_again and not current.is_over:
             current.on_instance_lost(name)
-        late = current is not None and not again and now - current.occurred_at <= self.policy.within
+        late = current is not None and not ended_again and now - current.occurred_at <= self.policy.within
         self._external_exits.append((now, name, late))
         while self._external_exits[0][0] < now - self.policy.within:
             self._external_exits.popleft()
         # Those that fell a moment later are of the same blow; beside any that fell again, of a new one.
         since = (
-            min((at for at, _, behind in self._external_exits if not behind), default=math.inf) - REORDER_TOLERANCE
+            min((ended_at for ended_at, _, is_late in self._external_exits if not is_late), default=math.inf)
+            - REORDER_TOLERANCE
         )
-        fallen = {who: None for at, who, _ in self._external_exits if at >= since}
-        if len(fallen) >= max(self.policy.least, math.ceil(self.policy.share * of)):
+        ended_names = {ended_name: None for ended_at, ended_name, _ in self._external_exits if ended_at >= since}
+        if len(ended_names) >= max(self.policy.least, math.ceil(self.policy.share * fleet_size)):
             self._external_exits.clear()  # a further blow needs as many ends again
-            return self._record(now, fallen, of, "from outside")
+            return self._record(now, ended_names, fleet_size, "from outside")
         if late and current is not None:
             current.names[name] = None
             return current
@@ -174,46 +175,46 @@
         """The last blow, if there was any."""
         return self.failures[-1] if self.failures else None
 
-    def on_unclean_start(self, now: float, names: list[str], of: int, cause: str) -> CorrelatedFailure:
+    def on_unclean_start(self, now: float, names: list[str], fleet_size: int, cause: str) -> CorrelatedFailure:
         """The supervisor itself begins after an end that was not in order: all come back at once."""
-        return self._record(now, dict.fromkeys(names), of, cause)
+        return self._record(now, dict.fromkeys(names), fleet_size, cause)
 
-    def _record(self, now: float, names: dict[str, None], of: int, cause: str) -> CorrelatedFailure:
+    def _record(self, now: float, names: dict[str, None], fleet_size: int, cause: str) -> CorrelatedFailure:
         self._count += 1
-        blow = CorrelatedFailure(self._count, now, of, cause, dict(names))
-        self.failures.append(blow)
-        return blow
+        failure = CorrelatedFailure(self._count, now, fleet_size, cause, dict(names))
+        self.failures.append(failure)
+        return failure
 
     def is_forgiven(self, now: float, window: float) -> bool:
         """Whether the latest blow is one of the few that budgets don't count."""
-        return sum(blow.occurred_at > now - window for blow in self.failures) <= self.policy.forgiven
+        return sum(failure.occurred_at > now - window for failure in self.failures) <= self.policy.forgiven
 
-    def schedule_starts(self, blow: CorrelatedFailure, names: list[tuple[str, int]]) -> dict[str, float]:
+    def schedule_starts(self, failure: CorrelatedFailure, instances: list[tuple[str, int]]) -> dict[str, float]:
         """When to start each of these (name, tier), which a blow has ended and nobody has started since."""
-        started = len(blow.names) - len(names)
-        return StartScheduler(self.policy.pace, self._rng).schedule(blow.occurred_at, names, started)
+        already_started = len(failure.names) - len(instances)
+        return StartScheduler(self.policy.pace, self._rng).schedule(failure.occurred_at, instances, already_started)
 
     def recovering_count(self, now: float, name: str) -> int:
         """How many come back together with this one, itself among them."""
-        blow = self.latest
-        together = (
-            blow is not None
-            and not blow.is_over
-            and now - blow.occurred_at < MAX_RECOVERY_TIME
-            and name in blow.names
+        failure = self.latest
+        is_affected = (
+            failure is not None
+            and not failure.is_over
+            and now - failure.occurred_at < MAX_RECOVERY_TIME
+            and name in failure.names
         )
-        return len(blow.names) if blow is not None and together else 1
+        return len(failure.names) if failure is not None and is_affected else 1
 
     def on_phase(self, now: float, name: str, phase: str) -> tuple[CorrelatedFailure, str] | None:
         """An instance reached a phase; the blow that reached one by that, and which."""
-        blow = self.latest
-        if blow is None or now - blow.occurred_at > MAX_RECOVERY_TIME:
+        failure = self.latest
+        if failure is None or now - failure.occurred_at > MAX_RECOVERY_TIME:
             return None
-        fresh = blow.record_phase(now, name, phase)
-        return (blow, fresh) if fresh is not None else None
+        reached_phase = failure.record_phase(now, name, phase)
+        return (failure, reached_phase) if reached_phase is not None else None
 
     def on_costs(self, name: str, figures: dict[str, int]) -> None:
         """What an instance has leaned on others for since it began."""
-        blow = self.latest
-        if blow is not None and name in blow.names:
-            blow.instance_costs[name] = figures
+        failure = self.latest
+        if failure is not None and name in failure.names:
+            failure.instance_costs[name] = figures
--- a/weldroute/fleet.py
+++ b/weldroute/fleet.py
@@ -101,11 +101,11 @@
 
     def check(self) -> None:
         """Raise ValueError naming the first field that makes no sense."""
-        for item in fields(self):
-            value = getattr(self, item.name)
-            least = 1.0 if item.name in ("start_at_once", "at_once") else MIN_VALUES.get(item.name, 0.0)
-            if not math.isfinite(value) or value < least:
-                raise ValueError(f"{item.name}: {value!r} is not a number of {least:g} or more")
+        for option in fields(self):
+            value = getattr(self, option.name)
+            minimum = 1.0 if option.name in ("start_at_once", "at_once") else MIN_VALUES.get(option.name, 0.0)
+            if not math.isfinite(value) or value < minimum:
+                raise ValueError(f"{option.name}: {value!r} is not a number of {minimum:g} or more")
         if self.jitter >= 1.0:
             raise ValueError("jitter: must be below 1")
         if self.backoff_to < self.backoff_from:
@@ -121,8 +121,8 @@
     out_of_memory: bool = False
 
     def __str__(self) -> str:
-        how = f"code {self.code}" if self.signal is None else f"signal {self.signal}"
-        return f"{how} (out of memory)" if self.out_of_memory else how
+        description = f"code {self.code}" if self.signal is None else f"signal {self.signal}"
+        return f"{description} (out of memory)" if self.out_of_memory else description
 
 
 @dataclass(frozen=True, slots=True)
@@ -209,13 +209,13 @@
         self.waits_for_backends = False  # it answers, and can serve nothing yet
         self.end_reason = ""  # why it was told to end
 
-    def discount_pause(self, gap: float) -> None:
+    def discount_pause(self, pause: float) -> None:
         """Forget a time in which nobody could listen to it."""
-        self.deadline += gap
-        self.heartbeat_at += gap
-        self.check_answered_at += gap
-        self.cpu_grew_at += gap
-        self.answered_grew_at += gap
+        self.deadline += pause
+        self.heartbeat_at += pause
+        self.check_answered_at += pause
+        self.cpu_grew_at += pause
+        self.answered_grew_at += pause
 
 
 REASON_STOPPED, REASON_REPLACED = "asked", "replaced"
@@ -274,7 +274,7 @@
     """What operators asked for, while it is under way."""
 
     operation_id: int
-    command: str
+    label: str
     pending_steps: deque[tuple[str, Step]]
     max_concurrent: int
     total: int
@@ -284,7 +284,7 @@
 
     def progress(self) -> str:
         """For people."""
-        return f"{self.command}: {self.completed} of {self.total} done"
+        return f"{self.label}: {self.completed} of {self.total} done"
 
 
 class Fleet:
@@ -363,19 +363,19 @@
         """Progress of all operations that are under way or wait."""
         return [op.progress() for op in [*self._immediate, *self._rolling]]
 
-    def _begin_immediate(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
-        operation = self._new_operation(kind, steps, len(steps))
+    def _begin_immediate(self, now: float, label: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
+        operation = self._new_operation(label, steps, len(steps))
         self._immediate.append(operation)
         return operation.operation_id, self._advance(now)
 
-    def _begin_rolling(self, now: float, kind: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
-        operation = self._new_operation(kind, steps, self.policy.at_once)
+    def _begin_rolling(self, now: float, label: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
+        operation = self._new_operation(label, steps, self.policy.at_once)
         self._rolling.append(operation)
         return operation.operation_id, self._advance(now)
 
-    def _new_operation(self, kind: str, steps: list[tuple[str, Step]], at_once: int) -> Operation:
+    def _new_operation(self, label: str, steps: list[tuple[str, Step]], max_concurrent: int) -> Operation:
         self._operation_count += 1
-        return Operation(self._operation_count, kind, deque(steps), max(1, at_once), len(steps))
+        return Operation(self._operation_count, label, deque(steps), max(1, max_concurrent), len(steps))
 
     # ---- what processes do ---------------------------------------------------------------
 
@@ -384,11 +384,11 @@
         process = instance.find_process(generation) if instance is not None else None
         return (instance, process) if instance is not None and process is not None else None
 
-    def on_spawn_failed(self, now: float, name: str, generation: int, why: str) -> list[Action]:
+    def on_spawn_failed(self, now: float, name: str, generation: int, reason: str) -> list[Action]:
         """A process could not be started."""
         found = self._find_process(name, generation)
         if found is not None:
-            self._on_process_ended(now, *found, why)
+            self._on_process_ended(now, *found, reason)
         return self._advance(now)
 
     def on_ready(self, now: float, name: str, generation: int) -> list[Action]:
@@ -459,39 +459,41 @@
             self._terminate(now, found[1], f"out of memory: {text}", name)
         return self._advance(now)
 
-    def on_stalled(self, now: float, name: str, generation: int, why: str) -> list[Action]:
+    def on_stalled(self, now: float, name: str, generation: int, reason: str) -> list[Action]:
         """A process stands still, as a closer watch has found: it is killed, and another started if one is due.
 
         One that was told to end is killed before its time is over: it does not end, and others can finish its work.
         """
         found = self._find_process(name, generation)
         if found is not None and found[1].phase in (Phase.STARTING, Phase.READY):
-            self._kill(found[1], found[0], f"stalled: {why}")
+            self._kill(found[1], found[0], f"stalled: {reason}")
         elif found is not None and found[1].phase is Phase.EXITING:
             self._actions.append(
-                Notice(name, "killed", f"generation {generation}: stalled while it ended: {why}", True)
+                Notice(name, "killed", f"generation {generation}: stalled while it ended: {reason}", True)
             )
             self._kill(found[1], found[0], found[1].end_reason)
         return self._advance(now)
 
-    def on_reloaded(self, now: float, name: str, generation: int, why: str | None) -> list[Action]:
+    def on_reloaded(self, now: float, name: str, generation: int, error: str | None) -> list[Action]:
         """A process's word on a reload: done, or why not."""
         for operation in [*self._immediate, *self._rolling]:
             step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.RELOAD, generation):
-                self._step_done(operation, name, why and f"{name}: {why}")
+                self._step_done(operation, name, error and f"{name}: {error}")
         return self._advance(now)
 
-    def on_exit(self, now: float, name: str, generation: int, how: ExitStatus) -> list[Action]:
+    def on_exit(self, now: float, name: str, generation: int, status: ExitStatus) -> list[Action]:
         """A process has ended."""
         found = self._find_process(name, generation)
         if found is not None:
             instance, process = found
             if process.end_reason.startswith("out of memory"):
-                how = ExitStatus(how.code, how.signal, True)
-            instance.last_exit = how
-            why = process.end_reason if process.end_reason and process.end_reason not in EXPECTED_REASONS else ""
-            self._on_process_ended(now, instance, process, f"{why} ({how})" if why else f"exited with {how}")
+                status = ExitStatus(status.code, status.signal, True)
+            instance.last_exit = status
+            reason = process.end_reason if process.end_reason and process.end_reason not in EXPECTED_REASONS else ""
+            self._on_process_ended(
+                now, instance, process, f"{reason} ({status})" if reason else f"exited with {status}"
+            )
         return self._advance(now)
 
     def tick(self, now: float) -> list[Action]:
@@ -553,31 +555,35 @@
         else:
             process.busy = max(silent, unanswered) > policy.hang_after
 
-    def _kill(self, process: Process, instance: Instance, why: str) -> None:
+    def _kill(self, process: Process, instance: Instance, reason: str) -> None:
         if process.phase is Phase.KILLED:
             return
         process.phase = Phase.KILLED
-        process.end_reason = why
-        if why not in EXPECTED_REASONS:
-            self._actions.append(Notice(instance.name, "replaced", f"generation {process.generation}: {why}", True))
+        process.end_reason = reason
+        if reason not in EXPECTED_REASONS:
+            self._actions.append(
+                Notice(instance.name, "replaced", f"generation {process.generation}: {reason}", True)
+            )
         self._actions.append(SendCommand(instance.name, process.generation, ProcessCommand.KILL))
 
-    def _terminate(self, now: float, process: Process, why: str, name: str) -> None:
+    def _terminate(self, now: float, process: Process, reason: str, name: str) -> None:
         if process.phase in (Phase.EXITING, Phase.KILLED):
             return
         process.phase = Phase.EXITING
-        process.end_reason = why
+        process.end_reason = reason
         process.deadline = now + self.policy.stop_within
         self._actions.append(SendCommand(name, process.generation, ProcessCommand.TERMINATE))
 
-    def _on_process_ended(self, now: float, instance: Instance, process: Process, why: str) -> None:
+    def _on_process_ended(self, now: float, instance: Instance, process: Process, reason: str) -> None:
         """A process is no more: what next."""
         was_ready = process.ready_at <= now
         if not was_ready and process.end_reason not in EXPECTED_REASONS:
-            self._step_failed(instance.name, process.generation, why)
+            self._step_failed(instance.name, process.generation, reason)
         if process is instance.replacement:
             instance.replacement = None
-            self._actions.append(Notice(instance.name, "exited", f"the fresh process {why}; the old one stays", True))
+            self._actions.append(
+                Notice(instance.name, "exited", f"the fresh process {reason}; the old one stays", True)
+            )
             return
         if process is not instance.current:
             instance.exiting.pop(process.generation, None)
@@ -586,29 +592,29 @@
         if not instance.should_run or process.end_reason in EXPECTED_REASONS:
             instance.start_due_at = now if instance.should_run else None
             return
-        self._on_crash(now, instance, process, why)
+        self._on_crash(now, instance, process, reason)
 
-    def _on_crash(self, now: float, instance: Instance, process: Process, why: str) -> None:
+    def _on_crash(self, now: float, instance: Instance, process: Process, reason: str) -> None:
         policy = self.policy
-        instance.reason = why
+        instance.reason = reason
         instance.next_start_is_restart = True
         instance.crash_times.append(now)
         while instance.crash_times[0] <= now - policy.budget_window:
             instance.crash_times.popleft()
         steady = now - process.ready_at >= policy.steady_after
         instance.early_exits = 1 if steady else instance.early_exits + 1
-        blow = self._correlated_failure(now, instance, process)
+        failure = self._correlated_failure(now, instance, process)
         if instance.replacement is not None:
             instance.current, instance.replacement = instance.replacement, None
             instance.restarts += 1
             instance.next_start_is_restart = False
-            self._actions.append(Notice(instance.name, "exited", f"{why}; the fresh process takes over", True))
-        elif blow is not None:
-            self._schedule_recovery(now, blow)
+            self._actions.append(Notice(instance.name, "exited", f"{reason}; the fresh process takes over", True))
+        elif failure is not None:
+            self._schedule_recovery(now, failure)
         elif len(instance.crash_times) > policy.budget:
             instance.failed = True
             instance.reason = (
-                f"ended {len(instance.crash_times)} times within {policy.budget_window:g} s; last: {why}"
+                f"ended {len(instance.crash_times)} times within {policy.budget_window:g} s; last: {reason}"
             )
             instance.start_due_at = None
             self._actions.append(Notice(instance.name, "failed", instance.reason, True))
@@ -616,7 +622,7 @@
         else:
             delay = self._backoff(instance.early_exits)
             instance.start_due_at = now + delay
-            self._actions.append(Notice(instance.name, "exited", f"{why}; next start in {delay:.2f} s", True))
+            self._actions.append(Notice(instance.name, "exited", f"{reason}; next start in {delay:.2f} s", True))
             if delay > policy.hold:
                 self._actions.append(CloseListener(instance.name))
 
@@ -624,46 +630,50 @@
         """The blow that an end is part of, if it is one that budgets and backoffs leave out."""
         if self.failure_correlator is None or process.end_reason or instance.last_exit is None:
             return None
-        how = instance.last_exit
-        last = self.failure_correlator.latest
-        blow = self.failure_correlator.on_exit(now, instance.name, len(self.instances), how.signal, how.out_of_memory)
-        if blow is None:
+        status = instance.last_exit
+        previous = self.failure_correlator.latest
+        failure = self.failure_correlator.on_exit(
+            now, instance.name, len(self.instances), status.signal, status.out_of_memory
+        )
+        if failure is None:
             return None
         forgiven = self.failure_correlator.is_forgiven(now, self.policy.budget_window)
-        if blow is not last:
+        if failure is not previous:
             text = (
-                f"{len(blow.names)} of {blow.fleet_size} ended within "
-                f"{self.failure_correlator.policy.within:g} s, {blow.cause}"
+                f"{len(failure.names)} of {failure.fleet_size} ended within "
+                f"{self.failure_correlator.policy.within:g} s, {failure.cause}"
             )
             text += "; budgets are not charged" if forgiven else "; one too many: budgets are charged"
             self._actions.append(Notice("", "blow", text, True))
         if not forgiven:
             return None
-        for name in blow.names if blow is not last else (instance.name,):
-            fallen = self.instances.get(name)
-            if fallen is not None and fallen.crash_times:
-                fallen.crash_times.pop()
-                fallen.early_exits = max(0, fallen.early_exits - 1)
-        return blow
-
-    def _schedule_recovery(self, now: float, blow: CorrelatedFailure) -> None:
+        for name in failure.names if failure is not previous else (instance.name,):
+            affected = self.instances.get(name)
+            if affected is not None and affected.crash_times:
+                affected.crash_times.pop()
+                affected.early_exits = max(0, affected.early_exits - 1)
+        return failure
+
+    def _schedule_recovery(self, now: float, failure: CorrelatedFailure) -> None:
         """Start in waves what a blow has ended and nobody has started again yet."""
         assert self.failure_correlator is not None
-        down = [
+        stopped = [
             instance
-            for name in blow.names
+            for name in failure.names
             if (instance := self.instances.get(name)) is not None and instance.current is None and instance.should_run
         ]
-        due = self.failure_correlator.schedule_starts(blow, [(instance.name, instance.tier) for instance in down])
-        for instance in down:
+        start_times = self.failure_correlator.schedule_starts(
+            failure, [(instance.name, instance.tier) for instance in stopped]
+        )
+        for instance in stopped:
             instance.failed = False
             instance.next_start_is_restart = True
-            instance.start_due_at = max(now, due[instance.name])
+            instance.start_due_at = max(now, start_times[instance.name])
 
-    def _backoff(self, quick: int) -> float:
+    def _backoff(self, early_exits: int) -> float:
         """Exponential, with jitter: instances that fell together must not start together."""
         policy = self.policy
-        delay = min(policy.backoff_to, policy.backoff_from * 2.0 ** min(quick - 1, 60))
+        delay = min(policy.backoff_to, policy.backoff_from * 2.0 ** min(early_exits - 1, 60))
         return delay * (1.0 + policy.jitter * (2.0 * self._rng.random() - 1.0))
 
     # ---- operations ----------------------------------------------------------------------
@@ -685,8 +695,8 @@
         self._start_due(now)
         for instance in list(self.instances.values()):
             self._report_state_change(now, instance)
-        out, self._actions = self._actions, []
-        return out
+        actions, self._actions = self._actions, []
+        return actions
 
     def _finish(self, operation: Operation) -> None:
         ok = not operation.errors
@@ -795,23 +805,23 @@
         else:
             current = instance.current
             ready = current is not None and current.phase is Phase.READY and current.generation >= generation
-            if ready and not any(old < generation for old in instance.exiting):
+            if ready and not any(exiting < generation for exiting in instance.exiting):
                 self._step_done(operation, name, None)
 
     @staticmethod
-    def _step_done(operation: Operation, name: str, fault: str | None) -> None:
+    def _step_done(operation: Operation, name: str, error: str | None) -> None:
         operation.running_steps.pop(name, None)
-        if fault is None:
+        if error is None:
             operation.completed += 1
         else:
-            operation.errors.append(fault)
+            operation.errors.append(error)
 
-    def _step_failed(self, name: str, generation: int, why: str) -> None:
+    def _step_failed(self, name: str, generation: int, reason: str) -> None:
         """A process that was never ready has ended: whoever waits for just this one has failed."""
         for operation in self._rolling:
             step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.REPLACE, generation):
-                self._step_done(operation, name, f"{name}: the fresh process {why}")
+                self._step_done(operation, name, f"{name}: the fresh process {reason}")
 
     # ---- starting ------------------------------------------------------------------------
 
@@ -824,12 +834,12 @@
         """Start what is due, the longest due first, but only so many at a time."""
         if self.is_shutting_down:
             return
-        due = [
+        due_instances = [
             (i.start_due_at, i.name)
             for i in self.instances.values()
             if i.start_due_at is not None and i.start_due_at <= now
         ]
-        waiting = sorted(due, key=lambda pair: pair[0])  # stable: of equals, as the file has them
+        waiting = sorted(due_instances, key=lambda pair: pair[0])  # stable: of equals, as the file has them
         if not waiting:
             return
         starting = sum(
@@ -852,9 +862,9 @@
         if state is instance.reported_state:
             return
         instance.reported_state, instance.state_since = state, now
-        bad = state in (State.FAILED, State.BUSY)
+        is_problem = state in (State.FAILED, State.BUSY)
         text = f"generation {instance.generation}" if state is not State.FAILED else instance.reason
-        self._actions.append(Notice(instance.name, state.value, text, bad))
+        self._actions.append(Notice(instance.name, state.value, text, is_problem))
 
     # ---- what can be seen ----------------------------------------------------------------
 
--- a/weldroute/handover.py
+++ b/weldroute/handover.py
@@ -59,14 +59,14 @@
     body_bytes: int = 0  # bytes
 
 
-def should_yield(me: int, others: Iterable[ProcessEntry]) -> bool:
+def should_yield(own_generation: int, others: Iterable[ProcessEntry]) -> bool:
     """Whether the process of this generation leaves new connections to a newer one."""
-    return any(row.generation > me and row.stage is ProcessStage.SERVING for row in others)
+    return any(entry.generation > own_generation and entry.stage is ProcessStage.SERVING for entry in others)
 
 
-def next_generation(rows: Iterable[ProcessEntry]) -> int:
+def next_generation(entries: Iterable[ProcessEntry]) -> int:
     """The generation of a process that starts beside these."""
-    return 1 + max((row.generation for row in rows), default=0)
+    return 1 + max((entry.generation for entry in entries), default=0)
 
 
 class OpenRequestIds:
@@ -81,55 +81,57 @@
     ROW_WIDTH = SLOTS + 1
 
     def __init__(
-        self, values: MutableSequence[int] | memoryview[int], row: int, alive: Callable[[int], bool]
+        self, values: MutableSequence[int] | memoryview[int], row: int, is_alive: Callable[[int], bool]
     ) -> None:
         self._values = values  # WIDTH for each row
         self._row_start = row * self.ROW_WIDTH
-        self._is_alive = alive  # whether the process of a row is; asked only where a row seems to hold an id
+        self._is_alive = is_alive  # whether the process of a row is; asked only where a row seems to hold an id
         self._free_slots: list[int] = []
         self._slots_used = 0
         self.clear_row(row)
 
     @staticmethod
-    def digest(name: bytes) -> int:
+    def digest(request_id: bytes) -> int:
         """64 bits that nobody can aim at another's id; never 0."""
-        return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big", signed=True) or 1
+        return int.from_bytes(hashlib.blake2b(request_id, digest_size=8).digest(), "big", signed=True) or 1
 
     def clear_row(self, row: int) -> None:
         """Forget a row: its process is dead, or begins."""
-        at = row * self.ROW_WIDTH
-        for place in range(at, at + self._values[at] + 1):
-            self._values[place] = 0
+        start = row * self.ROW_WIDTH
+        for cell in range(start, start + self._values[start] + 1):
+            self._values[cell] = 0
 
-    def open(self, name: bytes) -> int:
+    def open(self, request_id: bytes) -> int:
         """A request with this id is open from here on; returns its place, or 0 where there is none."""
         if self._free_slots:
-            place = self._free_slots.pop()
+            slot = self._free_slots.pop()
         elif self._slots_used < self.SLOTS:
             self._slots_used += 1
-            place = self._slots_used
+            slot = self._slots_used
         else:
             return 0
-        self._values[self._row_start + place] = self.digest(name)
+        self._values[self._row_start + slot] = self.digest(request_id)
         self._values[self._row_start] = self._slots_used
-        return place
+        return slot
 
-    def close(self, place: int) -> None:
+    def close(self, slot: int) -> None:
         """The request at a place is over."""
-        if place:
-            self._values[self._row_start + place] = 0
-            self._free_slots.append(place)
+        if slot:
+            self._values[self._row_start + slot] = 0
+            self._free_slots.append(slot)
 
-    def is_open_elsewhere(self, name: bytes) -> bool:
+    def is_open_elsewhere(self, request_id: bytes) -> bool:
         """Whether another process that is alive has an open request with this id."""
         values = self._values
         digest = 0
-        for at in range(0, len(values), self.ROW_WIDTH):
-            high = values[at]
-            if at == self._row_start or not 0 < high <= self.SLOTS:
+        for row_start in range(0, len(values), self.ROW_WIDTH):
+            slots_used = values[row_start]
+            if row_start == self._row_start or not 0 < slots_used <= self.SLOTS:
                 continue
-            digest = digest or self.digest(name)
-            if digest in list(values[at + 1 : at + 1 + high]) and self._is_alive(at // self.ROW_WIDTH):
+            digest = digest or self.digest(request_id)
+            if digest in list(values[row_start + 1 : row_start + 1 + slots_used]) and self._is_alive(
+                row_start // self.ROW_WIDTH
+            ):
                 return True
         return False
 
@@ -137,38 +139,38 @@
 # ---- reading -----------------------------------------------------------------------------
 
 
-def _number(value: Any, what: str) -> float:
+def _number(value: Any, field_name: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
-        raise UnusableState(f"{what}: {value!r} is not a number")
+        raise UnusableState(f"{field_name}: {value!r} is not a number")
     return float(value)
 
 
-def _integer(value: Any, what: str) -> int:
+def _integer(value: Any, field_name: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise UnusableState(f"{what}: {value!r} is not a whole number")
+        raise UnusableState(f"{field_name}: {value!r} is not a whole number")
     return value
 
 
-def _entries(value: Any, what: str, width: int) -> list[list[Any]]:
+def _entries(value: Any, field_name: str, length: int) -> list[list[Any]]:
     if not isinstance(value, list) or len(value) > MAX_ENTRIES:
-        raise UnusableState(f"{what}: not a list, or too long")
-    for row in value:
-        if not isinstance(row, list) or len(row) != width:
-            raise UnusableState(f"{what}: {row!r} has not {width} values")
+        raise UnusableState(f"{field_name}: not a list, or too long")
+    for entry in value:
+        if not isinstance(entry, list) or len(entry) != length:
+            raise UnusableState(f"{field_name}: {entry!r} has not {length} values")
     return value
 
 
-def _object(value: Any, what: str) -> dict[str, Any]:
+def _object(value: Any, field_name: str) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise UnusableState(f"{what}: not an object")
+        raise UnusableState(f"{field_name}: not an object")
     return value
 
 
 def _versioned_object(value: Any) -> dict[str, Any]:
-    form = _object(value, "form")
-    if form.get("form") != FORMAT_VERSION:
-        raise UnusableState(f"form: {form.get('form')!r} is not {FORMAT_VERSION}")
-    return form
+    state = _object(value, "form")
+    if state.get("form") != FORMAT_VERSION:
+        raise UnusableState(f"form: {state.get('form')!r} is not {FORMAT_VERSION}")
+    return state
 
 
 # ---- what operators ordered ---------------------------------------------------------------
@@ -181,7 +183,7 @@
     version: int = 0
     evacuated: bool = False
     bans: tuple[tuple[str, ServerId, float], ...] = ()  # host, id, since
-    past_bans: tuple[tuple[ServerId, float, float], ...] = ()  # id, banned from, to
+    ended_bans: tuple[tuple[ServerId, float, float], ...] = ()  # id, banned from, to
 
     def serialize(self) -> dict[str, Any]:
         """The form."""
@@ -190,31 +192,31 @@
             "version": self.version,
             "evacuated": self.evacuated,
             "bans": [list(ban) for ban in self.bans],
-            "returned": [list(span) for span in self.past_bans],
+            "returned": [list(span) for span in self.ended_bans],
         }
 
 
 def parse_operator_orders(value: Any) -> OperatorOrders:
     """The orders out of their form; raises Unusable."""
-    form = _versioned_object(value)
-    evacuated = form.get("evacuated")
+    state = _versioned_object(value)
+    evacuated = state.get("evacuated")
     if not isinstance(evacuated, bool):
         raise UnusableState("evacuated: not true or false")
     bans = []
-    for host, server, since in _entries(form.get("bans"), "bans", 3):
+    for host, server, since in _entries(state.get("bans"), "bans", 3):
         if not isinstance(host, str) or not host:
             raise UnusableState(f"bans: {host!r} is not a name")
         bans.append((host, _integer(server, "bans"), _number(since, "bans")))
     returned = tuple(
-        (_integer(server, "returned"), _number(since, "returned"), _number(back, "returned"))
-        for server, since, back in _entries(form.get("returned"), "returned", 3)
+        (_integer(server, "returned"), _number(since, "returned"), _number(ended, "returned"))
+        for server, since, ended in _entries(state.get("returned"), "returned", 3)
     )
-    return OperatorOrders(_integer(form.get("version"), "version"), evacuated, tuple(bans), returned)
+    return OperatorOrders(_integer(state.get("version"), "version"), evacuated, tuple(bans), returned)
 
 
-def apply_operator_orders(balancer: Balancer, now: float, wanted: OperatorOrders) -> list[ServerId]:
+def apply_operator_orders(balancer: Balancer, now: float, orders: OperatorOrders) -> list[ServerId]:
     """Bring the bans to what is ordered; returns the servers whose ban begins or ends."""
-    bans = {server: since for _, server, since in wanted.bans}
+    bans = {server: since for _, server, since in orders.bans}
     changed = [server for server in (*balancer.bans, *bans) if (server in balancer.bans) is not (server in bans)]
     for server in changed:
         if server in bans:
@@ -222,9 +224,9 @@
             balancer.bans[server] = min(now, bans[server])
         else:
             balancer.unban(now, server)
-    for server, since, back in wanted.past_bans:
+    for server, since, ended in orders.ended_bans:
         if server not in balancer.bans and server not in balancer.past_bans and server not in changed:
-            balancer.past_bans[server] = (since, back)
+            balancer.past_bans[server] = (since, ended)
             balancer.apply_past_ban(now, server)
     return changed
 
@@ -238,12 +240,14 @@
     }
 
 
-def _parse_breaker(value: Any, what: str) -> dict[str, Any]:
-    form = _object(value, what)
-    values: dict[str, Any] = {name: _number(form[name], what) for name in BREAKER_FIELDS if name in form}
-    ring = [[_number(v, what) for v in bucket] for bucket in _entries(form.get("ring"), what, 4)]
-    if len(ring) > BUCKETS or any(a[0] >= b[0] for a, b in pairwise(ring)):
-        raise UnusableState(f"{what}: its window is out of order")
+def _parse_breaker(value: Any, field_name: str) -> dict[str, Any]:
+    state = _object(value, field_name)
+    values: dict[str, Any] = {name: _number(state[name], field_name) for name in BREAKER_FIELDS if name in state}
+    ring = [
+        [_number(number, field_name) for number in bucket] for bucket in _entries(state.get("ring"), field_name, 4)
+    ]
+    if len(ring) > BUCKETS or any(first[0] >= second[0] for first, second in pairwise(ring)):
+        raise UnusableState(f"{field_name}: its window is out of order")
     return values | {"ring": ring}
 
 
@@ -274,25 +278,25 @@
         for server in balancer.servers.values()
         if server.latency > 0.0 or server.breaker is not None or server.back
     ]
-    form: dict[str, Any] = {"form": FORMAT_VERSION, "at": now, "servers": servers}
-    form |= {name: getattr(balancer, name) for name in BALANCER_FIELDS}
-    entry = balancer.admission
-    if entry is not None:
-        form["entry"] = {name: getattr(entry, name) for name in (*ADMISSION_FIELDS, *ADMISSION_LIST_FIELDS)} | {
-            "breaker": _serialize_breaker(entry.breaker)
+    state: dict[str, Any] = {"form": FORMAT_VERSION, "at": now, "servers": servers}
+    state |= {name: getattr(balancer, name) for name in BALANCER_FIELDS}
+    admission = balancer.admission
+    if admission is not None:
+        state["entry"] = {name: getattr(admission, name) for name in (*ADMISSION_FIELDS, *ADMISSION_LIST_FIELDS)} | {
+            "breaker": _serialize_breaker(admission.breaker)
         }
-    return form
+    return state
 
 
-def _parse_admission(value: Any, entry: AdmissionControl) -> dict[str, Any]:
-    form = _object(value, "entry")
-    values: dict[str, Any] = {name: _number(form.get(name), f"entry.{name}") for name in ADMISSION_FIELDS}
+def _parse_admission(value: Any, admission: AdmissionControl) -> dict[str, Any]:
+    state = _object(value, "entry")
+    values: dict[str, Any] = {name: _number(state.get(name), f"entry.{name}") for name in ADMISSION_FIELDS}
     for name in ADMISSION_LIST_FIELDS:
-        numbers, have = form.get(name), getattr(entry, name)
-        if not isinstance(numbers, list) or len(numbers) != len(have):
-            raise UnusableState(f"entry.{name}: not {len(have)} numbers: classes or tenants have changed")
-        values[name] = [_number(v, f"entry.{name}") for v in numbers]
-    return values | {"breaker": _parse_breaker(form.get("breaker"), "entry.breaker")}
+        numbers, current = state.get(name), getattr(admission, name)
+        if not isinstance(numbers, list) or len(numbers) != len(current):
+            raise UnusableState(f"entry.{name}: not {len(current)} numbers: classes or tenants have changed")
+        values[name] = [_number(number, f"entry.{name}") for number in numbers]
+    return values | {"breaker": _parse_breaker(state.get("breaker"), "entry.breaker")}
 
 
 def adopt_learned_state(balancer: Balancer, now: float, value: Any) -> int:
@@ -300,32 +304,34 @@
 
     Returns how many servers it is known of; raises Unusable before anything is changed.
     """
-    form = _versioned_object(value)
-    age = now - _number(form.get("at"), "at")
+    state = _versioned_object(value)
+    age = now - _number(state.get("at"), "at")
     if not -1.0 <= age <= MAX_LEARNED_AGE:
         raise UnusableState(f"at: what was learned is {age:.1f} s old")
-    values = {name: _number(form.get(name), name) for name in BALANCER_FIELDS}
-    read: list[tuple[Server, dict[str, float], dict[str, Any] | None]] = []
-    for number, started, about, breaker in _entries(form.get("servers"), "servers", 4):
+    values = {name: _number(state.get(name), name) for name in BALANCER_FIELDS}
+    restored: list[tuple[Server, dict[str, float], dict[str, Any] | None]] = []
+    for number, started, figures_object, breaker in _entries(state.get("servers"), "servers", 4):
         _integer(number, "servers")
-        about = _object(about, "servers")
-        figures = {name: _number(about.get(name), f"servers.{name}") for name in SERVER_FIELDS}
-        window = None if breaker is None else _parse_breaker(breaker, "servers.breaker")
+        figures_object = _object(figures_object, "servers")
+        figures = {name: _number(figures_object.get(name), f"servers.{name}") for name in SERVER_FIELDS}
+        breaker_values = None if breaker is None else _parse_breaker(breaker, "servers.breaker")
         server = balancer.servers.get(number)
         if server is not None and server.row.started == _number(started, "servers.started"):
-            read.append((server, figures, window))
-    entry = balancer.admission
-    door = _parse_admission(form["entry"], entry) if entry is not None and "entry" in form else None
+            restored.append((server, figures, breaker_values))
+    admission = balancer.admission
+    admission_values = (
+        _parse_admission(state["entry"], admission) if admission is not None and "entry" in state else None
+    )
     for name, number in values.items():
         setattr(balancer, name, number)
-    for server, figures, window in read:
+    for server, figures, breaker_values in restored:
         for name, number in figures.items():
             setattr(server, name, number)
-        if window is not None:
+        if breaker_values is not None:
             server.breaker = Breaker()
-            _restore_breaker(server.breaker, window)
-    if entry is not None and door is not None:
-        _restore_breaker(entry.breaker, door.pop("breaker"))
-        for name, found in door.items():
-            setattr(entry, name, found)
-    return len(read)
+            _restore_breaker(server.breaker, breaker_values)
+    if admission is not None and admission_values is not None:
+        _restore_breaker(admission.breaker, admission_values.pop("breaker"))
+        for name, restored_value in admission_values.items():
+            setattr(admission, name, restored_value)
+    return len(restored)
