--- a/tests/loopback/test_fleet_lives.py
+++ b/tests/loopback/test_fleet_lives.py
@@ -100,7 +100,7 @@
     process.send_signal(signal.SIGSTOP)
     time.sleep(3.5)  # longer than hang_after and than what passes for a slow tick
     process.send_signal(signal.SIGCONT)
-    eventually(lambda: "the supervisor itself stood still" in fleet.logged())
+    eventually(lambda: "the supervisor itself was paused" in fleet.logged())
     eventually(lambda: fleet.states() == {"ready"})
     assert fleet.pids() == before
 
@@ -230,7 +230,7 @@
     flag.touch()
     done = fleet.fleet("restart")
     assert done.returncode == 1
-    assert b"the fresh process exited with code 5" in done.stderr and b"halted" in done.stderr
+    assert b"the replacement exited with code 5" in done.stderr and b"halted" in done.stderr
     assert done.stderr.count(b"\n") == 1
     assert fleet.pids() == before and fleet.states() == {"ready"}
     flag.unlink()
@@ -249,7 +249,7 @@
     fleet.write()
     flag.touch()
     done = fleet.fleet("reload")
-    assert done.returncode == 1 and b"halted: 2 left as they were" in done.stderr
+    assert done.returncode == 1 and b"halted: 2 left unchanged" in done.stderr
     assert fleet.pids() == before
     flag.unlink()
     done = fleet.fleet("reload")
--- a/tests/unit/test_fleet_states.py
+++ b/tests/unit/test_fleet_states.py
@@ -332,7 +332,7 @@
     if ("i1", 1) in world.alive:
         world.exit("i1", 1, ExitStatus(code=0))
     assert not world.done[operation].ok
-    assert "halted: 4 left as they were" in world.done[operation].text
+    assert "halted: 4 left unchanged" in world.done[operation].text
     assert world.state("i0") is State.READY and ("i0", 1) in world.alive  # the old one serves on
     world.pass_time(30.0, lively=True)
     assert len(world.spawned) == 8
@@ -374,12 +374,12 @@
     assert "i0: bad" in world.done[reload].text and "2 left" in world.done[reload].text
 
 
-def test_no_word_on_a_reload_is_a_fault() -> None:
+def test_reload_without_an_answer_fails() -> None:
     world = World()
     world.all_ready()
     reload = world.begin(world.fleet.reload(world.now, [("i0", Step.RELOAD)]))
     world.pass_time(CALM.reload_within + 0.2, lively=True)
-    assert not world.done[reload].ok and "no word" in world.done[reload].text
+    assert not world.done[reload].ok and "no answer to the reload" in world.done[reload].text
 
 
 def test_a_reload_replaces_one_that_is_only_starting() -> None:
@@ -537,7 +537,7 @@
     assert world.told[1:] == [("i0", 1, ProcessCommand.TERMINATE)]
     world.do(world.fleet.on_stalled(world.now, "i0", 1, "stopped"))
     assert world.told[2:] == [("i0", 1, ProcessCommand.KILL)]
-    assert any("stalled while it ended: stopped" in notice.text for notice in world.notices)
+    assert any("stalled while exiting: stopped" in notice.text for notice in world.notices)
     world.exit("i0", 1, ExitStatus(signal=9))
     assert world.fleet.view(world.now, "i0")["restarts"] == 0 and world.fleet.instances["i0"].state is State.READY
 
--- a/weldroute/fleet.py
+++ b/weldroute/fleet.py
@@ -1,28 +1,28 @@
-"""Supervision of a fleet of instances: start now, wait, give up, replace, which next. Sans I/O, without clocks.
-
-Every event is a method that takes the time (seconds, of any clock that never steps back) and returns the actions
-to carry out, in order. An instance is a name that should run; a process is one try at it, with a generation of
-its own. An instance has one *current* process, at most one *fresh* one that is to replace it, and any number that
-are *leaving*.
-
-States of an instance, and what each event makes of them ("-": nothing):
-
-| state    | start    | ready | silent           | exited                  | stop     | replace            |
-| -------- | -------- | ----- | ---------------- | ----------------------- | -------- | ------------------ |
-| stopped  | starting | -     | -                | -                       | -        | -                  |
-| waiting  | starting | -     | -                | -                       | stopped  | starting           |
-| starting | -        | ready | killed: waiting  | waiting, or failed      | stopping | -                  |
-| ready    | -        | -     | busy, or killed  | waiting, or failed      | stopping | ready, fresh beside |
-| busy     | -        | ready | killed: waiting  | waiting, or failed      | stopping | busy, fresh beside |
-| stopping | starting when it has ended | - | killed | stopped, or as wanted   | -        | -                  |
-| failed   | starting | -     | -                | -                       | stopped  | starting           |
-
-`waiting` ends by itself when the backoff is over. `exited` leads to `failed` when the budget of restarts is used.
-
-A process is *ready* when it has said so through its pipe and has answered a readiness check. It is *hung* when
-neither a sign of life nor an answer has come for `hang_after` and it has used no processor time meanwhile; one
-that does use the processor is *busy*, and is hung only after `busy_limit`. The supervisor's own pauses count
-against nobody.
+"""Supervision of a fleet of instances: when to start, restart, replace, kill and give up. Sans I/O, without clocks.
+
+Every event is a method that takes the time (seconds of any monotonic clock) and returns the actions to carry out, in
+order. An instance is a name that should run; a process is one attempt to run it, with a generation of its own. An
+instance has one *current* process, at most one *replacement* that is to become the current one, and any number of
+*exiting* ones.
+
+States of an instance, and the state that each event leads to ("-": no change):
+
+| state    | start    | ready | silent           | exit                    | stop     | replace                 |
+| -------- | -------- | ----- | ---------------- | ----------------------- | -------- | ----------------------- |
+| stopped  | starting | -     | -                | -                       | -        | -                       |
+| waiting  | starting | -     | -                | -                       | stopped  | starting                |
+| starting | -        | ready | killed: waiting  | waiting, or failed      | stopping | -                       |
+| ready    | -        | -     | busy, or killed  | waiting, or failed      | stopping | ready, with replacement |
+| busy     | -        | ready | killed: waiting  | waiting, or failed      | stopping | busy, with replacement  |
+| stopping | starting after the exit | - | killed | stopped, or as requested meanwhile | -  | -            |
+| failed   | starting | -     | -                | -                       | stopped  | starting                |
+
+`waiting` ends when the backoff is over. An exit leads to `failed` when the restart budget is used up.
+
+A process is *ready* when it has reported so through its pipe and has answered a readiness check. It is *hung* when
+it has sent no heartbeat and answered no check for `hang_after` and has used no processor time meanwhile; one that
+does use the processor is *busy*, and is hung only after `busy_limit`. Pauses of the supervisor itself are not counted
+as silence of any process.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 from weldroute.correlated_failures import CorrelatedFailure, CorrelationPolicy, FailureCorrelator
 
-MIN_VALUES = {"hang_after": 0.5, "ready_within": 0.1}  # below that the supervisor's own pace would decide
-MIN_PAUSE = 2.0  # seconds between two ticks from which on the supervisor itself was stopped
+MIN_VALUES = {"hang_after": 0.5, "ready_within": 0.1}  # seconds; below these the tick interval would decide
+MIN_PAUSE = 2.0  # seconds between two ticks above which the supervisor itself must have been paused
 
 
 class Phase(Enum):
-    """Of a process."""
+    """Phase of a process."""
 
     STARTING = "starting"
     READY = "ready"
-    EXITING = "leaving"  # told to end
+    EXITING = "leaving"  # was told to terminate
     KILLED = "killed"
 
 
 class State(Enum):
-    """Of an instance."""
+    """State of an instance; see the module's table."""
 
     STOPPED = "stopped"
     WAITING = "waiting"
@@ -63,7 +63,7 @@
 
 
 class ProcessCommand(Enum):
-    """What a process is told."""
+    """Command to a process; the supervisor sends it as a signal."""
 
     TERMINATE = "end"
     KILL = "kill"
@@ -71,7 +71,7 @@
 
 
 class Step(Enum):
-    """What an operation does with one instance."""
+    """What an operation does to one instance."""
 
     START = "start"
     STOP = "stop"
@@ -82,25 +82,25 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisionPolicy:
-    """When to restart, how long to wait; times in seconds."""
+    """When to restart and how long to wait; times in seconds."""
 
     ready_within: float = 10.0  # from the start of a process
-    start_at_once: int = 8  # processes that are starting at the same time
+    start_at_once: int = 8  # maximum number of processes in their start phase
     backoff_from: float = 0.2
     backoff_to: float = 30.0
-    jitter: float = 0.25  # part of the backoff that chance adds or takes
-    budget: int = 8  # restarts within budget_window...
-    budget_window: float = 120.0  # ...more than that is given up
-    steady_after: float = 10.0  # a process that was ready for so long starts the backoff anew
-    hold: float = 1.0  # a listener is kept open while its instance is away for no longer than this
-    hang_after: float = 5.0  # without a sign of life
-    busy_limit: float = 30.0  # without one, while the processor is in use
-    stop_within: float = 8.0  # between the order to end and the end by force
-    reload_within: float = 5.0  # for an instance's word on a reload
-    at_once: int = 2  # instances that a rolling operation works on together
+    jitter: float = 0.25  # fraction of the backoff that is randomly added or subtracted
+    budget: int = 8  # restarts within budget_window; the exit after them makes the instance fail
+    budget_window: float = 120.0
+    steady_after: float = 10.0  # a process that was ready for this long resets the backoff
+    hold: float = 1.0  # the listener stays open if the next start is at most this far away
+    hang_after: float = 5.0  # without a heartbeat or an answered check
+    busy_limit: float = 30.0  # likewise, while the process uses the processor
+    stop_within: float = 8.0  # from the command to terminate until the kill
+    reload_within: float = 5.0  # for an instance's answer to a reload
+    at_once: int = 2  # instances that a rolling operation works on concurrently
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         for option in fields(self):
             value = getattr(self, option.name)
             minimum = 1.0 if option.name in ("start_at_once", "at_once") else MIN_VALUES.get(option.name, 0.0)
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExitStatus:
-    """How a process ended: by a code or by a signal."""
+    """How a process ended: with an exit code or by a signal."""
 
     code: int | None = None
     signal: int | None = None
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spawn:
-    """Start a process."""
+    """Action: start a process."""
 
     name: str
     generation: int
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCommand:
-    """Signal a process."""
+    """Action: send a command to a process."""
 
     name: str
     generation: int
@@ -144,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseListener:
-    """Close the instance's listener, so that connections are refused at once and not left waiting."""
+    """Action: close the instance's listener, so that connections are refused at once instead of left waiting."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Something that operators want to know."""
+    """Action: report an event to operators; the name is empty if the event concerns the whole fleet."""
 
     name: str
     event: str
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationDone:
-    """An operation has ended."""
+    """Action: report the end of an operation."""
 
     operation: int
     ok: bool
@@ -172,7 +172,7 @@
 
 
 class Process:
-    """One try at an instance."""
+    """One attempt to run an instance."""
 
     __slots__ = (
         "answered_grew_at",
@@ -196,21 +196,21 @@
         self.generation = generation
         self.phase = Phase.STARTING
         self.started_at = now
-        self.deadline = deadline  # of the present phase
+        self.deadline = deadline  # of the current phase
         self.reported_ready = False
         self.ready_at = math.inf
-        self.heartbeat_at = now  # last word through the pipe
+        self.heartbeat_at = now  # last message through the pipe
         self.check_answered_at = -math.inf  # last answer to a readiness check
-        self.cpu_seconds = 0.0  # seconds of processor time used...
-        self.cpu_grew_at = now  # ...and when it last grew
-        self.answered_requests = 0  # requests answered...
-        self.answered_grew_at = now  # ...and when that last grew
+        self.cpu_seconds = 0.0  # processor time used
+        self.cpu_grew_at = now
+        self.answered_requests = 0
+        self.answered_grew_at = now
         self.busy = False
-        self.waits_for_backends = False  # it answers, and can serve nothing yet
-        self.end_reason = ""  # why it was told to end
+        self.waits_for_backends = False  # it answers checks, but cannot serve requests yet
+        self.end_reason = ""  # why the supervisor ends it; empty as long as it does not
 
     def discount_pause(self, pause: float) -> None:
-        """Forget a time in which nobody could listen to it."""
+        """Exclude a pause of the supervisor from all measured times: it received nothing during the pause."""
         self.deadline += pause
         self.heartbeat_at += pause
         self.check_answered_at += pause
@@ -219,11 +219,11 @@
 
 
 REASON_STOPPED, REASON_REPLACED = "asked", "replaced"
-EXPECTED_REASONS = frozenset({REASON_STOPPED, REASON_REPLACED})  # ends that are no fault of the instance's
+EXPECTED_REASONS = frozenset({REASON_STOPPED, REASON_REPLACED})  # exits that don't count as failures
 
 
 class Instance:
-    """One name that should run, or not."""
+    """One named member of the fleet, running or not."""
 
     def __init__(self, name: str, tier: int = 0) -> None:
         self.name = name
@@ -235,9 +235,9 @@
         self.exiting: dict[int, Process] = {}
         self.generation = 0
         self.start_due_at: float | None = None  # when to start the next process
-        self.next_start_is_restart = False  # the next start is a restart
+        self.next_start_is_restart = False
         self.restarts = 0
-        self.early_exits = 0  # ends in a row without a steady time before
+        self.early_exits = 0  # consecutive exits before `steady_after`
         self.crash_times: deque[float] = deque()
         self.failed = False
         self.reason = ""
@@ -247,12 +247,12 @@
 
     @property
     def processes(self) -> list[Process]:
-        """All that have not ended."""
+        """All processes that have not exited."""
         return [p for p in (self.current, self.replacement) if p is not None] + list(self.exiting.values())
 
     @property
     def state(self) -> State:
-        """See the table of the module."""
+        """Current state; see the module's table."""
         if self.current is not None:
             phase = self.current.phase
             if phase is Phase.READY:
@@ -265,13 +265,13 @@
         return State.WAITING
 
     def find_process(self, generation: int) -> Process | None:
-        """The process of a generation, if it has not ended."""
+        """The process of a generation, if it has not exited."""
         return next((p for p in self.processes if p.generation == generation), None)
 
 
 @dataclass
 class Operation:
-    """What operators asked for, while it is under way."""
+    """A request of the operators that is in progress."""
 
     operation_id: int
     label: str
@@ -283,12 +283,12 @@
     errors: list[str] = field(default_factory=list)
 
     def progress(self) -> str:
-        """For people."""
+        """Progress as text for operators."""
         return f"{self.label}: {self.completed} of {self.total} done"
 
 
 class Fleet:
-    """All instances of one supervisor."""
+    """All instances of one supervisor and the operations on them."""
 
     def __init__(
         self, policy: SupervisionPolicy, seed: int, correlation_policy: CorrelationPolicy | None = None
@@ -303,42 +303,41 @@
         )
         self._operation_count = 0
         self._last_tick_at: float | None = None
-        self._immediate: list[Operation] = []  # starts and stops: nothing to wait for
-        self._rolling: deque[Operation] = deque()  # the first is under way, the others wait for it
+        self._immediate: list[Operation] = []  # starts and stops: they don't wait for other operations
+        self._rolling: deque[Operation] = deque()  # the first is in progress, the others wait for it
         self._actions: list[Action] = []
-        self.may_begin_step: Callable[[float], bool] = lambda now: (
-            True
-        )  # whether a rolling operation may begin a step now
+        # Whether a rolling operation may begin a step at a time.
+        self.may_begin_step: Callable[[float], bool] = lambda now: True
 
-    # ---- what operators ask for ----------------------------------------------------------
+    # ---- commands of operators -----------------------------------------------------------
 
     def add(self, now: float, name: str, generation: int = 0, tier: int = 0) -> None:
-        """Take an instance into the fleet; it is not started by that. Generations go on from the one given."""
+        """Add an instance to the fleet without starting it. Generations continue from the one given."""
         self.instances[name] = instance = Instance(name, tier)
         instance.generation = generation
         instance.state_since = now
 
     def start(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
-        """Start instances that do not run; returns the operation's number."""
+        """Start instances that are not running; returns the operation's id and the actions."""
         return self._begin_immediate(now, "start", [(name, Step.START) for name in names])
 
     def stop(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
-        """Stop instances, and leave them stopped."""
+        """Stop instances and leave them stopped."""
         return self._begin_immediate(now, "stop", [(name, Step.STOP) for name in names])
 
     def restart(self, now: float, names: Iterable[str]) -> tuple[int, list[Action]]:
-        """Replace instances a few at a time: the fresh one is ready before the old one is told to end."""
+        """Replace instances a few at a time: the new process is ready before the old one is told to terminate."""
         return self._begin_rolling(now, "restart", [(name, Step.REPLACE) for name in names])
 
     def reload(self, now: float, steps: Iterable[tuple[str, Step]]) -> tuple[int, list[Action]]:
-        """Bring instances to a new configuration, each by the step that it needs, a few at a time.
+        """Apply a new configuration to instances a few at a time, each by the step that it needs.
 
-        One that is to start and is not in the fleet is added: a removal before it may still be under way.
+        An instance that is to start and is not in the fleet is added: an earlier removal may still be in progress.
         """
         return self._begin_rolling(now, "reload", list(steps))
 
     def shutdown(self, now: float) -> list[Action]:
-        """Stop everything, for good."""
+        """Stop all instances for good and end all operations."""
         self.is_shutting_down = True
         for operation in [*self._immediate, *self._rolling]:
             self._actions.append(
@@ -350,17 +349,17 @@
 
     @property
     def has_stopped(self) -> bool:
-        """Nothing runs any more after a shutdown."""
+        """Whether no process is left after a shutdown."""
         return self.is_shutting_down and not any(i.processes for i in self.instances.values())
 
     @property
     def has_rolling_operation(self) -> bool:
-        """A rolling operation is under way, or waits for its turn."""
+        """Whether a rolling operation is in progress or waits for its turn."""
         return bool(self._rolling)
 
     @property
     def progress_reports(self) -> list[str]:
-        """Progress of all operations that are under way or wait."""
+        """Progress of all operations in progress or waiting, as texts."""
         return [op.progress() for op in [*self._immediate, *self._rolling]]
 
     def _begin_immediate(self, now: float, label: str, steps: list[tuple[str, Step]]) -> tuple[int, list[Action]]:
@@ -377,7 +376,7 @@
         self._operation_count += 1
         return Operation(self._operation_count, label, deque(steps), max(1, max_concurrent), len(steps))
 
-    # ---- what processes do ---------------------------------------------------------------
+    # ---- events of processes -------------------------------------------------------------
 
     def _find_process(self, name: str, generation: int) -> tuple[Instance, Process] | None:
         instance = self.instances.get(name)
@@ -392,7 +391,7 @@
         return self._advance(now)
 
     def on_ready(self, now: float, name: str, generation: int) -> list[Action]:
-        """A process said through its pipe that it is ready."""
+        """A process reported through its pipe that it is ready."""
         found = self._find_process(name, generation)
         if found is not None:
             found[1].reported_ready = True
@@ -411,10 +410,9 @@
         return self._advance(now)
 
     def on_waiting_for_backends(self, now: float, name: str, generation: int) -> None:
-        """A process answered a readiness check: it is well, and can serve nothing yet.
+        """A process answered a readiness check that it is healthy but knows no backends yet.
 
-        Guards against ending it for what it waits for: one that knows no backend is not ready, however long that
-        takes, and holds up no other's start.
+        It is not killed for that, however long it takes, and it doesn't delay the starts of other processes.
         """
         found = self._find_process(name, generation)
         if found is not None:
@@ -425,7 +423,7 @@
                 process.deadline = now + self.policy.ready_within
 
     def on_heartbeat(self, now: float, name: str, generation: int, finished: int) -> None:
-        """A process gave a sign of life; `finished` counts the requests that it has answered."""
+        """A process sent a heartbeat; `finished` counts the requests that it has answered."""
         found = self._find_process(name, generation)
         if found is not None:
             process = found[1]
@@ -434,16 +432,16 @@
                 process.answered_requests, process.answered_grew_at = finished, now
 
     def on_cpu_time(self, now: float, name: str, generation: int, seconds: float, runnable: bool = False) -> None:
-        """How much processor time a process has used, and whether it runs or would if it had a processor.
+        """Record the processor time (seconds) that a process has used, and whether it is running or ready to run.
 
-        Guards one that is starved against passing for hung: it uses no processor time because it gets none.
+        A runnable process that is starved of processor time must not be taken for a hung one.
         """
         found = self._find_process(name, generation)
         if found is not None and (runnable or seconds > found[1].cpu_seconds):
             found[1].cpu_seconds, found[1].cpu_grew_at = seconds, now
 
     def silent_processes(self, now: float) -> list[tuple[str, int]]:
-        """Processes whose processor time is of interest: ready ones that have been silent for a while."""
+        """Ready processes that have been silent for a while: their processor time should be sampled."""
         return [
             (i.name, i.current.generation)
             for i in self.instances.values()
@@ -453,29 +451,30 @@
         ]
 
     def on_memory_exceeded(self, now: float, name: str, generation: int, text: str) -> list[Action]:
-        """A process holds more memory than it may: it is told to end, and started again."""
+        """A process exceeds its memory limit: it is told to terminate, and another one is started."""
         found = self._find_process(name, generation)
         if found is not None and found[1].phase in (Phase.STARTING, Phase.READY):
             self._terminate(now, found[1], f"out of memory: {text}", name)
         return self._advance(now)
 
     def on_stalled(self, now: float, name: str, generation: int, reason: str) -> list[Action]:
-        """A process stands still, as a closer watch has found: it is killed, and another started if one is due.
+        """The failure detector found a process stalled: it is killed, and another one is started if one is due.
 
-        One that was told to end is killed before its time is over: it does not end, and others can finish its work.
+        An exiting process is killed before its deadline: it will not exit by itself, and others can finish its
+        requests.
         """
         found = self._find_process(name, generation)
         if found is not None and found[1].phase in (Phase.STARTING, Phase.READY):
             self._kill(found[1], found[0], f"stalled: {reason}")
         elif found is not None and found[1].phase is Phase.EXITING:
             self._actions.append(
-                Notice(name, "killed", f"generation {generation}: stalled while it ended: {reason}", True)
+                Notice(name, "killed", f"generation {generation}: stalled while exiting: {reason}", True)
             )
             self._kill(found[1], found[0], found[1].end_reason)
         return self._advance(now)
 
     def on_reloaded(self, now: float, name: str, generation: int, error: str | None) -> list[Action]:
-        """A process's word on a reload: done, or why not."""
+        """A process answered a reload; `error` is None if it succeeded."""
         for operation in [*self._immediate, *self._rolling]:
             step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.RELOAD, generation):
@@ -483,7 +482,7 @@
         return self._advance(now)
 
     def on_exit(self, now: float, name: str, generation: int, status: ExitStatus) -> list[Action]:
-        """A process has ended."""
+        """A process has exited."""
         found = self._find_process(name, generation)
         if found is not None:
             instance, process = found
@@ -497,11 +496,11 @@
         return self._advance(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Time passes; to be called several times a second."""
+        """Apply all time limits; to be called several times a second."""
         gap = now - (now if self._last_tick_at is None else self._last_tick_at)
         self._last_tick_at = now
         if gap > MIN_PAUSE:
-            self._actions.append(Notice("", "paused", f"the supervisor itself stood still for {gap:.1f} s"))
+            self._actions.append(Notice("", "paused", f"the supervisor itself was paused for {gap:.1f} s"))
             for instance in self.instances.values():
                 for process in instance.processes:
                     process.discount_pause(gap)
@@ -545,7 +544,7 @@
         policy = self.policy
         silent = now - max(process.heartbeat_at, process.check_answered_at)
         unanswered = now - max(process.check_answered_at, process.ready_at)
-        idle = now - process.cpu_grew_at  # since the processor was last seen in use
+        idle = now - process.cpu_grew_at  # since it was last seen using the processor
         if silent > policy.hang_after and idle > policy.hang_after:
             self._kill(process, instance, f"hung: no sign of life for {silent:.1f} s and no processor time used")
         elif silent > policy.busy_limit:
@@ -575,14 +574,14 @@
         self._actions.append(SendCommand(name, process.generation, ProcessCommand.TERMINATE))
 
     def _on_process_ended(self, now: float, instance: Instance, process: Process, reason: str) -> None:
-        """A process is no more: what next."""
+        """Decide what follows the exit of a process."""
         was_ready = process.ready_at <= now
         if not was_ready and process.end_reason not in EXPECTED_REASONS:
             self._step_failed(instance.name, process.generation, reason)
         if process is instance.replacement:
             instance.replacement = None
             self._actions.append(
-                Notice(instance.name, "exited", f"the fresh process {reason}; the old one stays", True)
+                Notice(instance.name, "exited", f"the replacement {reason}; the old process stays", True)
             )
             return
         if process is not instance.current:
@@ -608,7 +607,7 @@
             instance.current, instance.replacement = instance.replacement, None
             instance.restarts += 1
             instance.next_start_is_restart = False
-            self._actions.append(Notice(instance.name, "exited", f"{reason}; the fresh process takes over", True))
+            self._actions.append(Notice(instance.name, "exited", f"{reason}; the replacement takes over", True))
         elif failure is not None:
             self._schedule_recovery(now, failure)
         elif len(instance.crash_times) > policy.budget:
@@ -627,7 +626,7 @@
                 self._actions.append(CloseListener(instance.name))
 
     def _correlated_failure(self, now: float, instance: Instance, process: Process) -> CorrelatedFailure | None:
-        """The blow that an end is part of, if it is one that budgets and backoffs leave out."""
+        """The correlated failure that an exit is part of, if restart budgets and backoffs don't count it."""
         if self.failure_correlator is None or process.end_reason or instance.last_exit is None:
             return None
         status = instance.last_exit
@@ -643,7 +642,7 @@
                 f"{len(failure.names)} of {failure.fleet_size} ended within "
                 f"{self.failure_correlator.policy.within:g} s, {failure.cause}"
             )
-            text += "; budgets are not charged" if forgiven else "; one too many: budgets are charged"
+            text += "; budgets are not charged" if forgiven else "; too many such failures: budgets are charged"
             self._actions.append(Notice("", "blow", text, True))
         if not forgiven:
             return None
@@ -655,7 +654,7 @@
         return failure
 
     def _schedule_recovery(self, now: float, failure: CorrelatedFailure) -> None:
-        """Start in waves what a blow has ended and nobody has started again yet."""
+        """Schedule staggered starts of the instances that a correlated failure ended and that are still down."""
         assert self.failure_correlator is not None
         stopped = [
             instance
@@ -671,7 +670,7 @@
             instance.start_due_at = max(now, start_times[instance.name])
 
     def _backoff(self, early_exits: int) -> float:
-        """Exponential, with jitter: instances that fell together must not start together."""
+        """Seconds until the next start: exponential, with jitter so that instances don't restart in step."""
         policy = self.policy
         delay = min(policy.backoff_to, policy.backoff_from * 2.0 ** min(early_exits - 1, 60))
         return delay * (1.0 + policy.jitter * (2.0 * self._rng.random() - 1.0))
@@ -679,7 +678,7 @@
     # ---- operations ----------------------------------------------------------------------
 
     def _advance(self, now: float) -> list[Action]:
-        """Carry operations on, start what is due, and note changes of state."""
+        """Advance operations, start due instances, report state changes; returns the collected actions."""
         for operation in list(self._immediate):
             self._advance_operation(now, operation)
             if not operation.running_steps and not operation.pending_steps:
@@ -709,11 +708,11 @@
         for name in list(operation.running_steps):
             self._check_step(now, operation, name)
         if operation.errors and operation.pending_steps and operation in self._rolling:
-            operation.errors.append(f"halted: {len(operation.pending_steps)} left as they were")
+            operation.errors.append(f"halted: {len(operation.pending_steps)} left unchanged")
             operation.pending_steps.clear()
         while operation.pending_steps and len(operation.running_steps) < operation.max_concurrent:
             if operation in self._rolling and not self.may_begin_step(now):
-                return  # what has begun goes on: a fresh process serves before the old one ends
+                return  # steps in progress continue: the replacement is ready before the old process exits
             name, step = operation.pending_steps.popleft()
             if name not in self.instances:
                 if step is not Step.START:
@@ -728,9 +727,9 @@
         generation = 0
         deadline = math.inf
         if step is Step.RELOAD and (instance.current is None or instance.current.phase is not Phase.READY):
-            step = Step.REPLACE  # it can't be told anything; a new process reads what is new
+            step = Step.REPLACE  # it cannot handle a reload now; a new process reads the new configuration
         if step is Step.REPLACE and not instance.should_run:
-            operation.total -= 1  # stopped on purpose: the next start reads what is new
+            operation.total -= 1  # stopped on purpose: its next start reads the new configuration
             return
         if step is Step.START:
             self._request_start(now, instance)
@@ -757,7 +756,7 @@
     def _request_stop(self, now: float, instance: Instance) -> None:
         instance.should_run = instance.failed = instance.next_start_is_restart = False
         instance.start_due_at = None
-        # At once: the processes go on accepting from their own copies as long as they answer, and no longer.
+        # At once: the processes keep accepting from their own copies of the listener while they run.
         self._actions.append(CloseListener(instance.name))
         if instance.replacement is not None:
             instance.exiting[instance.replacement.generation], instance.replacement = instance.replacement, None
@@ -765,7 +764,7 @@
             self._terminate(now, process, REASON_STOPPED, instance.name)
 
     def _replace(self, now: float, instance: Instance) -> int:
-        """Start a fresh process beside the current one; returns the generation that is to be ready."""
+        """Start a replacement beside the current process; returns the generation that must become ready."""
         if instance.current is None:
             self._request_start(now, instance)
             instance.start_due_at = now
@@ -773,14 +772,14 @@
         if instance.replacement is not None:
             return instance.replacement.generation
         if instance.current.phase is not Phase.READY:
-            # One that is starting may have read what is old, and has nothing to finish.
+            # A starting process may have read the old configuration, and it has no requests to finish.
             self._terminate(now, instance.current, REASON_REPLACED, instance.name)
             return instance.generation + 1
         instance.replacement = self._spawn(now, instance)
         return instance.replacement.generation
 
     def _check_step(self, now: float, operation: Operation, name: str) -> None:
-        """Whether an operation is through with an instance."""
+        """End an operation's step on an instance if it has succeeded or failed."""
         if name not in operation.running_steps:
             return
         step, generation, deadline = operation.running_steps[name]
@@ -801,7 +800,7 @@
                 self._step_done(operation, name, f"{name}: ended during the reload")
             elif now >= deadline:
                 within = self.policy.reload_within
-                self._step_done(operation, name, f"{name}: no word on the reload within {within:g} s")
+                self._step_done(operation, name, f"{name}: no answer to the reload within {within:g} s")
         else:
             current = instance.current
             ready = current is not None and current.phase is Phase.READY and current.generation >= generation
@@ -817,11 +816,11 @@
             operation.errors.append(error)
 
     def _step_failed(self, name: str, generation: int, reason: str) -> None:
-        """A process that was never ready has ended: whoever waits for just this one has failed."""
+        """A process exited before it was ready: fail the replacement steps that wait for it."""
         for operation in self._rolling:
             step = operation.running_steps.get(name)
             if step is not None and step[:2] == (Step.REPLACE, generation):
-                self._step_done(operation, name, f"{name}: the fresh process {reason}")
+                self._step_done(operation, name, f"{name}: the replacement {reason}")
 
     # ---- starting ------------------------------------------------------------------------
 
@@ -831,7 +830,7 @@
         return Process(instance.generation, now, now + self.policy.ready_within)
 
     def _start_due(self, now: float) -> None:
-        """Start what is due, the longest due first, but only so many at a time."""
+        """Start due instances, the longest overdue first, up to `start_at_once` at a time."""
         if self.is_shutting_down:
             return
         due_instances = [
@@ -839,7 +838,7 @@
             for i in self.instances.values()
             if i.start_due_at is not None and i.start_due_at <= now
         ]
-        waiting = sorted(due_instances, key=lambda pair: pair[0])  # stable: of equals, as the file has them
+        waiting = sorted(due_instances, key=lambda pair: pair[0])  # stable: ties keep the order of the configuration
         if not waiting:
             return
         starting = sum(
@@ -866,10 +865,10 @@
         text = f"generation {instance.generation}" if state is not State.FAILED else instance.reason
         self._actions.append(Notice(instance.name, state.value, text, is_problem))
 
-    # ---- what can be seen ----------------------------------------------------------------
+    # ---- reporting -----------------------------------------------------------------------
 
     def view(self, now: float, name: str) -> dict[str, Any]:
-        """One instance's state as plain values; `since` is how many seconds ago it began."""
+        """One instance's state as plain values; `since` is the number of seconds spent in that state."""
         instance = self.instances[name]
         current = instance.current
         return {
