--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -1,10 +1,10 @@
-"""Loaded by every interpreter of a test's fleet: kills or stops a process at a stage boundary, once.
+"""Test hooks, loaded by every interpreter of a test's fleet: signals a process at a stage boundary, once.
 
-With STALL_HOOKS, signals make an instance stall as nothing from outside could: USR1 has it spin, USR2 sleep for good,
-URG stop beating while it serves.
+A file `INSTANCE.STAGE` (or `any.STAGE`) in the folder STAGE_HOOKS selects the process and the stage; its content is
+the signal's number. The process that renames the file first sends the signal to itself.
 
-A file `INSTANCE.STAGE` (or `any.STAGE`) in the folder STAGE_HOOKS says which: its content is the signal's number. Who
-renames it first is the one.
+With STALL_HOOKS set, signals make an instance stall in ways that cannot be caused from outside: USR1 makes it spin,
+USR2 makes it sleep for good, and URG stops its heartbeat while it continues to serve.
 """
 
 import os
@@ -14,9 +14,9 @@
 
 
 def reached(stage: str) -> None:
-    """A stage boundary."""
-    for who in (os.environ.get("FLEET_INSTANCE", "?"), "any"):
-        path = os.path.join(FOLDER, f"{who}.{stage}")
+    """Send this process the signal that is requested for a stage, if any."""
+    for name in (os.environ.get("FLEET_INSTANCE", "?"), "any"):
+        path = os.path.join(FOLDER, f"{name}.{stage}")
         try:
             os.rename(path, f"{path}.{os.getpid()}")
         except OSError:
@@ -30,38 +30,42 @@
     from cometusher.inflight.tracker import InflightTracker
     from cometusher.proxy import Proxy
 
-    make = Proxy.__init__
+    proxy_init = Proxy.__init__
 
-    def made(self: Any, *arguments: Any) -> None:
+    def patched_proxy_init(self: Any, *arguments: Any) -> None:
         reached("starting")
-        make(self, *arguments)
-
-    Proxy.__init__ = made  # type: ignore
-    up = CallerConnection.connection_made
-    begin, take, end = InflightTracker.__init__, Proxy.handle_request, Proxy.on_attempt_ended
-
-    def begun(self: Any, *arguments: Any) -> None:
-        begin(self, *arguments)
+        proxy_init(self, *arguments)
+
+    Proxy.__init__ = patched_proxy_init  # type: ignore
+    connection_made = CallerConnection.connection_made
+    tracker_init, handle_request, on_attempt_ended = (
+        InflightTracker.__init__,
+        Proxy.handle_request,
+        Proxy.on_attempt_ended,
+    )
+
+    def patched_tracker_init(self: Any, *arguments: Any) -> None:
+        tracker_init(self, *arguments)
         self.on_stage = reached
 
-    def taken(self: Any, caller: Any, request: Any) -> Any:
+    def patched_handle_request(self: Any, caller: Any, request: Any) -> Any:
         if request.target != b"/up":
             reached("read")
-        return take(self, caller, request)
+        return handle_request(self, caller, request)
 
-    def opened(self: Any, transport: Any) -> None:
+    def patched_connection_made(self: Any, transport: Any) -> None:
         reached("accepted")
-        up(self, transport)
+        connection_made(self, transport)
 
-    CallerConnection.connection_made = opened  # type: ignore
+    CallerConnection.connection_made = patched_connection_made  # type: ignore
 
-    def ended(self: Any, *arguments: Any) -> None:
+    def patched_on_attempt_ended(self: Any, *arguments: Any) -> None:
         reached("ended")
-        end(self, *arguments)
+        on_attempt_ended(self, *arguments)
 
-    Proxy.on_attempt_ended = ended  # type: ignore
-    InflightTracker.__init__ = begun  # type: ignore
-    Proxy.handle_request = taken  # type: ignore
+    Proxy.on_attempt_ended = patched_on_attempt_ended  # type: ignore
+    InflightTracker.__init__ = patched_tracker_init  # type: ignore
+    Proxy.handle_request = patched_handle_request  # type: ignore
 
 
 if os.environ.get("STALL_HOOKS"):
@@ -71,30 +75,34 @@
 
     from cometusher.fleet import heartbeat
 
-    turn = heartbeat.turn
+    heartbeat_turn = heartbeat.turn
 
-    class Mute:
-        """A clock that stands."""
+    class StoppedClock:
+        """A clock that stands still."""
 
         @staticmethod
         def monotonic_ns(at: int = 0) -> int:
             return at
 
-    def spin(number: int, frame: Any) -> NoReturn:
+    def spin(signal_number: int, frame: Any) -> NoReturn:
         while True:
             sum(range(1000))
 
-    def hang(number: int, frame: Any) -> None:
+    def hang(signal_number: int, frame: Any) -> None:
         time.sleep(1000.0)
 
-    def mute(number: int, frame: Any) -> None:
+    def stop_heartbeat(signal_number: int, frame: Any) -> None:
         now = time.monotonic_ns()
-        Mute.monotonic_ns = staticmethod(lambda: now)  # type: ignore
-        heartbeat.time = Mute  # type: ignore
-
-    def stalls(*arguments: Any) -> None:
-        for number, deed in ((signal.SIGUSR1, spin), (signal.SIGUSR2, hang), (signal.SIGURG, mute)):
-            signal.signal(number, deed)
-        turn(*arguments)
-
-    heartbeat.turn = stalls  # type: ignore
+        StoppedClock.monotonic_ns = staticmethod(lambda: now)  # type: ignore
+        heartbeat.time = StoppedClock  # type: ignore
+
+    def turn_with_handlers(*arguments: Any) -> None:
+        for signal_number, handler in (
+            (signal.SIGUSR1, spin),
+            (signal.SIGUSR2, hang),
+            (signal.SIGURG, stop_heartbeat),
+        ):
+            signal.signal(signal_number, handler)
+        heartbeat_turn(*arguments)
+
+    heartbeat.turn = turn_with_handlers  # type: ignore
--- a/tests/loopback/test_stalled_instances.py
+++ b/tests/loopback/test_stalled_instances.py
@@ -14,8 +14,8 @@
 
 import pytest
 from fleetrig import asked, come, nothing_wrong, run, running
-from handrig import HOOKS, environ, hand_rig
 from rig import PATIENCE
+from takeover_rig import HOOKS, environment, takeover_rig
 
 from cometusher.fault_injection.environment import MIXED, Fleet, World
 from cometusher.fleet.control import ask
@@ -34,7 +34,7 @@
     fleet = made.add_fleet("f", count, 0, False, True, True)
     fleet.vigil_lines, fleet.policy = list(lines), dict(policy)
     hooks(folder).mkdir()
-    with environ(STALL_HOOKS="1", STAGE_HOOKS=str(hooks(folder)), PYTHONPATH=str(HOOKS)):
+    with environment(STALL_HOOKS="1", STAGE_HOOKS=str(hooks(folder)), PYTHONPATH=str(HOOKS)):
         async with running(made, rate):
             yield made, fleet
 
@@ -310,24 +310,24 @@
     would be two minutes."""
 
     async def test() -> None:
-        async with hand_rig(3, vigil=True, stop_within=120.0) as rig:
-            caller, rid = await rig.hold(0, "once")
+        async with takeover_rig(3, vigil=True, stop_within=120.0) as rig:
+            caller, rid = await rig.hold_request(0, "once")
             old = (await rig.fleet.pids())["p0"]
             rolling = asyncio.create_task(
                 asyncio.to_thread(ask, Path(rig.fleet.control), "restart", 3 * PATIENCE, names=["p0"])
             )
-            await rig.come(partial(rig.fleet.replaced, "p0", old), "a fresh process beside the old one")
+            await rig.wait_until(partial(rig.fleet.replaced, "p0", old), "a fresh process beside the old one")
             assert read_stat(old) is not None, "it drains, with the request in hand"
             os.kill(old, signal.SIGSTOP)
 
             async def adopted() -> bool:
-                return await rig.count("adopted") == 1
+                return await rig.takeover_count("adopted") == 1
 
-            await rig.come(adopted, "an heir")
+            await rig.wait_until(adopted, "an heir")
             assert read_stat(old) is None, "it was reaped before"
-            rig.gate.set()
+            rig.backends_may_answer.set()
             status, seen = await caller.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
+            assert status == 200 and seen.body.startswith(rid) and rig.request_count(rid) == 1
             assert "1 of 1 done" in (await rolling)["text"]
             assert (await rig.fleet.status())["vigil"]["replaced"] == 1
 
--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -1,4 +1,4 @@
-"""Work in hand survives the loss of its proxy: real processes, killed at every stage boundary, for every class."""
+"""In-flight requests survive the death of their proxy: real processes, killed at every stage boundary, per class."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from handrig import HandRig, hand_rig
 from rig import PATIENCE
+from takeover_rig import TakeoverRig, takeover_rig
 
 from cometusher.fleet.control import ask
 from cometusher.fleet.identity import read_stat
@@ -21,15 +21,19 @@
 
 CLASSES = ("view", "submit", "once")
 
-#: Stage at which the owner dies: what the caller gets, and how often backends have had the request, by class.
-OWNER = {
+#: By the stage at which the owner dies, and by class: the caller's status, and how often backends get the request.
+EXPECTED = {
     "accepted": {"view": (200, 1), "submit": (200, 1), "once": (200, 1)},
     "read": {"view": (503, 0), "submit": (503, 0), "once": (503, 0)},
     "taken": {"view": (200, 1), "submit": (200, 1), "once": (200, 1)},
     "sent": {"view": (200, 1), "submit": (200, 1), "once": (200, 1)},
     "running": {"view": (200, 1), "submit": (200, 1), "once": (200, 1)},
     "ended": {"view": (200, 2), "submit": (200, 2), "once": (502, 1)},
-    "answered": {"view": (200, 2), "submit": (200, 1), "once": (200, 1)},  # what is harmless to repeat is not kept
+    "answered": {
+        "view": (200, 2),
+        "submit": (200, 1),
+        "once": (200, 1),
+    },  # answers that are safe to repeat are not stored
     "given": {"view": (200, 1), "submit": (200, 1), "once": (200, 1)},
 }
 
@@ -38,289 +42,297 @@
     asyncio.run(test())
 
 
-async def strike(
-    rig: HandRig, caller: Caller, stage: str, owner: int, rid: bytes, data: bytes, pid: int = 0
+async def kill_owner_at(
+    rig: TakeoverRig, caller: Caller, stage: str, owner: int, request_id: bytes, data: bytes, pid: int = 0
 ) -> tuple[int, Seen]:
-    """Send a request, have its owner die at a stage, and wait for the answer."""
+    """Send a request, kill its owner at a stage, and wait for the answer."""
     name = f"p{owner}"
-    pid = pid or await rig.pid(owner)
+    pid = pid or await rig.pid_of(owner)
     if stage not in ("accepted", "running", "given"):
-        rig.at(stage, name)
+        rig.signal_at(stage, name)
     if stage == "running":
-        rig.gate.clear()
+        rig.backends_may_answer.clear()
     caller.writer.write(data)
     if stage == "running":
-        await rig.arrived(rid)
-        before = await rig.count("adopted")
+        await rig.wait_for_request(request_id)
+        before = await rig.takeover_count("adopted")
         os.kill(pid, signal.SIGKILL)
-        await rig.come(lambda: _more(rig, "adopted", before), "an heir")
-        rig.gate.set()
+        await rig.wait_until(lambda: _count_exceeds(rig, "adopted", before), "a successor")
+        rig.backends_may_answer.set()
     answer = await caller.answer()
     if stage == "given":
         os.kill(pid, signal.SIGKILL)
-    await rig.come(lambda: rig.fleet.replaced(name, pid), f"{name} died at {stage}")
+    await rig.wait_until(lambda: rig.fleet.replaced(name, pid), f"{name} died at {stage}")
     return answer
 
 
-async def _more(rig: HandRig, name: str, before: int) -> bool:
-    return await rig.count(name) > before
+async def _count_exceeds(rig: TakeoverRig, name: str, before: int) -> bool:
+    return await rig.takeover_count(name) > before
 
 
-async def renew(rig: HandRig, owner: int) -> None:
-    """Have a fresh process for an instance, which knows no connection to a backend yet."""
-    pid = await rig.pid(owner)
+async def replace_process(rig: TakeoverRig, owner: int) -> None:
+    """Replace an instance's process by a new one, which has no connection to a backend yet."""
+    pid = await rig.pid_of(owner)
     os.kill(pid, signal.SIGKILL)
-    await rig.come(lambda: rig.fleet.replaced(f"p{owner}", pid), f"a fresh p{owner}")
-    await rig.come(rig.fleet.ready, "all back")
+    await rig.wait_until(lambda: rig.fleet.replaced(f"p{owner}", pid), f"a fresh p{owner}")
+    await rig.wait_until(rig.fleet.ready, "all ready")
 
 
-async def goes_on(rig: HandRig, caller: Caller) -> None:
-    """The same connection serves the next request, wherever it is held now."""
-    rid, data = rig.message("view")
+async def assert_connection_serves(rig: TakeoverRig, caller: Caller) -> None:
+    """The same connection serves the next request, whichever process holds it now."""
+    request_id, data = rig.message("view")
     caller.writer.write(data)
     status, seen = await caller.answer()
-    assert status == 200 and seen.body.startswith(rid)
+    assert status == 200 and seen.body.startswith(request_id)
 
 
 @pytest.mark.parametrize(
-    ("stage", "kinds"),
+    ("stage", "classes"),
     [
-        # What waits for nothing is noted as it is sent: only a first connection makes it wait.
-        *((stage, CLASSES) for stage in sorted(OWNER) if stage != "taken"),
+        # A request that need not wait is recorded as it is sent; only a first connection to a backend makes it wait.
+        *((stage, CLASSES) for stage in sorted(EXPECTED) if stage != "taken"),
         *(("taken", (kind,)) for kind in CLASSES),
     ],
     ids=lambda value: value if isinstance(value, str) else "-".join(value),
 )
-def test_the_owner_is_killed_at_each_stage_for_each_class(stage: str, kinds: tuple[str, ...]) -> None:
+def test_owner_is_killed_at_each_stage_for_each_class(stage: str, classes: tuple[str, ...]) -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            for owner, kind in enumerate(kinds):
-                status, times = OWNER[stage][kind]
-                pid = await rig.pid(owner)
+        async with takeover_rig(3) as rig:
+            for owner, kind in enumerate(classes):
+                status, times = EXPECTED[stage][kind]
+                pid = await rig.pid_of(owner)
                 if stage == "accepted":
-                    rig.at(stage, f"p{owner}")
-                caller = await rig.caller(owner)
-                rid, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
-                found, seen = await strike(rig, caller, stage, owner, rid, data, pid)
-                assert (found, rig.times(rid)) == (status, times), (kind, rig.fleet.log()[-2000:])
-                assert rig.effects.get(rid, 0) == min(times, 1) or kind == "view"
+                    rig.signal_at(stage, f"p{owner}")
+                caller = await rig.connect(owner)
+                request_id, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
+                found, seen = await kill_owner_at(rig, caller, stage, owner, request_id, data, pid)
+                assert (found, rig.request_count(request_id)) == (status, times), (kind, rig.fleet.log()[-2000:])
+                assert rig.effects.get(request_id, 0) == min(times, 1) or kind == "view"
                 if status == 200:
-                    assert seen.body.startswith(rid)
-                    await goes_on(rig, caller)
-                assert not caller.reader._buffer, "nothing comes behind an answer"  # type: ignore[attr-defined]
-            assert await rig.count("lost") == 0
+                    assert seen.body.startswith(request_id)
+                    await assert_connection_serves(rig, caller)
+                assert not caller.reader._buffer, "nothing follows an answer"  # type: ignore[attr-defined]
+            assert await rig.takeover_count("lost") == 0
 
     run(test)
 
 
 @pytest.mark.parametrize("stage", ["offered", "noted", "adopted", "acts"])
-def test_the_heir_is_killed_at_each_stage_and_the_next_one_does_it(stage: str) -> None:
+def test_successor_is_killed_at_each_stage_and_the_next_one_takes_over(stage: str) -> None:
     async def test() -> None:
-        async with hand_rig(4) as rig:
+        async with takeover_rig(4) as rig:
             for owner, kind in enumerate(CLASSES):
-                for at in ("taken", "running") if stage != "acts" or kind != "view" else ("taken",):
-                    if at == "taken":
-                        # It may have been an heir, and hold a connection that its request would not wait for.
-                        await renew(rig, owner)
-                    path = rig.at(stage)
-                    caller = await rig.caller(owner)
-                    rid, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
-                    status, seen = await strike(rig, caller, at, owner, rid, data)
-                    assert (status, rig.times(rid)) == (200, 1), (kind, at, rig.fleet.log()[-3000:])
-                    assert seen.body.startswith(rid) and not path.exists(), "an heir died there"
-                    await rig.come(rig.fleet.ready, "all back")
+                for stage_of_owner in ("taken", "running") if stage != "acts" or kind != "view" else ("taken",):
+                    if stage_of_owner == "taken":
+                        # As an earlier successor it may hold a backend connection, and its request would not wait for one.
+                        await replace_process(rig, owner)
+                    path = rig.signal_at(stage)
+                    caller = await rig.connect(owner)
+                    request_id, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
+                    status, seen = await kill_owner_at(rig, caller, stage_of_owner, owner, request_id, data)
+                    assert (status, rig.request_count(request_id)) == (200, 1), (
+                        kind,
+                        stage_of_owner,
+                        rig.fleet.log()[-3000:],
+                    )
+                    assert seen.body.startswith(request_id) and not path.exists(), "a successor died there"
+                    await rig.wait_until(rig.fleet.ready, "all ready")
 
     run(test)
 
 
-def test_an_owner_that_is_stopped_is_killed_first_and_sends_not_one_byte_more() -> None:
-    """Fenced: its supervisor finds it hung, makes sure of its end, and only then another goes on."""
+def test_stopped_owner_is_killed_first_and_sends_nothing_more() -> None:
+    """Fencing: the supervisor detects the hang, makes sure the process has ended, and only then names a successor."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
-            pid = await rig.pid(0)
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
+            pid = await rig.pid_of(0)
             os.kill(pid, signal.SIGSTOP)
-            await rig.come(lambda: _more(rig, "adopted", 0), "an heir")
-            assert read_stat(pid) is None, "it was reaped before"
-            rig.gate.set()
+            await rig.wait_until(lambda: _count_exceeds(rig, "adopted", 0), "a successor")
+            assert read_stat(pid) is None, "it was reaped first"
+            rig.backends_may_answer.set()
             status, seen = await caller.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
-            await goes_on(rig, caller)
+            assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
+            await assert_connection_serves(rig, caller)
 
     run(test)
 
 
-def test_an_owner_that_is_continued_in_time_answers_itself() -> None:
+def test_owner_that_continues_in_time_answers_itself() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
-            pid = await rig.pid(0)
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
+            pid = await rig.pid_of(0)
             os.kill(pid, signal.SIGSTOP)
             await asyncio.sleep(0.1)
             os.kill(pid, signal.SIGCONT)
-            rig.gate.set()
+            rig.backends_may_answer.set()
             assert (await caller.answer())[0] == 200
-            assert (await rig.pid(0), rig.times(rid), await rig.count("left")) == (pid, 1, 0)
+            assert (await rig.pid_of(0), rig.request_count(request_id), await rig.takeover_count("left")) == (
+                pid,
+                1,
+                0,
+            )
 
     run(test)
 
 
-def test_an_heir_that_is_stopped_before_it_receives_loses_the_offer_to_another() -> None:
+def test_successor_stopped_before_it_receives_loses_the_offer_to_another() -> None:
     async def test() -> None:
-        async with hand_rig(3, extra="patience = 0.1\n") as rig:
-            caller, rid = await rig.hold(0, "submit")
-            owner, stopped = await rig.pid(0), await rig.pid(1)
-            await asyncio.sleep(1.1)  # both heirs have told that they have nothing in hand: the first is chosen
+        async with takeover_rig(3, extra="patience = 0.1\n") as rig:
+            caller, request_id = await rig.hold_request(0, "submit")
+            owner, stopped = await rig.pid_of(0), await rig.pid_of(1)
+            await asyncio.sleep(1.1)  # both successors have reported no open requests: the first is chosen
             os.kill(stopped, signal.SIGSTOP)
             os.kill(owner, signal.SIGKILL)
-            await rig.come(lambda: _more(rig, "adopted", 0), "an heir")
-            assert await rig.count("taken_back") == 1
+            await rig.wait_until(lambda: _count_exceeds(rig, "adopted", 0), "a successor")
+            assert await rig.takeover_count("taken_back") == 1
             os.kill(stopped, signal.SIGCONT)
-            rig.gate.set()
+            rig.backends_may_answer.set()
             assert (await caller.answer())[0] == 200
-            assert rig.times(rid) == 1
+            assert rig.request_count(request_id) == 1
 
     run(test)
 
 
-def test_an_heir_that_dies_as_it_receives_connections_without_work_leaves_them_to_the_next() -> None:
-    """They are in no book at that moment, and came to another's address."""
+def test_idle_connections_survive_a_successor_that_dies_while_it_receives_them() -> None:
+    """At that moment the connections are in no journal, and they were accepted at another instance's address."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            callers = [await rig.caller(0) for _ in range(4)]
+        async with takeover_rig(3) as rig:
+            callers = [await rig.connect(0) for _ in range(4)]
             for caller in callers[1:]:
-                await goes_on(rig, caller)
-            path = rig.at("moved")
-            os.kill(await rig.pid(0), signal.SIGKILL)
-            await rig.come(lambda: not path.exists(), "an heir died")
+                await assert_connection_serves(rig, caller)
+            path = rig.signal_at("moved")
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
+            await rig.wait_until(lambda: not path.exists(), "a successor died")
             for caller in callers:
-                await goes_on(rig, caller)
-            assert (await rig.count("closed"), await rig.count("lost")) == (0, 0)
+                await assert_connection_serves(rig, caller)
+            assert (await rig.takeover_count("closed"), await rig.takeover_count("lost")) == (0, 0)
 
     run(test)
 
 
-def test_connections_without_work_do_not_stay_with_an_heir_that_is_stopped() -> None:
+def test_idle_connections_do_not_stay_with_a_stopped_successor() -> None:
     async def test() -> None:
-        async with hand_rig(3, extra="patience = 0.1\n") as rig:
-            caller = await rig.caller(0)
-            await goes_on(rig, caller)
-            owner, stopped = await rig.pid(0), await rig.pid(1)
-            await asyncio.sleep(1.1)  # both have told that they have nothing in hand: the first is chosen
+        async with takeover_rig(3, extra="patience = 0.1\n") as rig:
+            caller = await rig.connect(0)
+            await assert_connection_serves(rig, caller)
+            owner, stopped = await rig.pid_of(0), await rig.pid_of(1)
+            await asyncio.sleep(1.1)  # both have reported no open requests: the first is chosen
             os.kill(stopped, signal.SIGSTOP)
             os.kill(owner, signal.SIGKILL)
-            await rig.come(lambda: _more(rig, "moved", 1), "moved twice")
-            await goes_on(rig, caller)
-            assert await rig.pid(1) == stopped, "and that was not for its end"
+            await rig.wait_until(lambda: _count_exceeds(rig, "moved", 1), "moved twice")
+            await assert_connection_serves(rig, caller)
+            assert await rig.pid_of(1) == stopped, "the connection moved although this process is alive"
             os.kill(stopped, signal.SIGCONT)
 
     run(test)
 
 
-def test_most_heirs_are_stopped_and_connections_without_work_find_the_one_that_is_not() -> None:
+def test_idle_connections_find_the_only_successor_that_is_not_stopped() -> None:
     async def test() -> None:
-        async with hand_rig(6, extra="patience = 0.1\n") as rig:
-            caller = await rig.caller(0)
-            await goes_on(rig, caller)
+        async with takeover_rig(6, extra="patience = 0.1\n") as rig:
+            caller = await rig.connect(0)
+            await assert_connection_serves(rig, caller)
             pids = await rig.fleet.pids()
-            await asyncio.sleep(1.1)  # all have told that they have nothing in hand
+            await asyncio.sleep(1.1)  # all have reported no open requests
             stopped = [pids[f"p{i}"] for i in range(1, 5)]
             for pid in stopped:
                 os.kill(pid, signal.SIGSTOP)
             os.kill(pids["p0"], signal.SIGKILL)
-            await goes_on(rig, caller)
-            assert await rig.count("closed") == 0
+            await assert_connection_serves(rig, caller)
+            assert await rig.takeover_count("closed") == 0
             for pid in stopped:
                 os.kill(pid, signal.SIGCONT)
 
     run(test)
 
 
-def test_when_all_are_killed_work_and_connections_wait_for_the_next_processes() -> None:
+def test_requests_and_connections_wait_for_new_processes_when_all_are_killed() -> None:
     async def test() -> None:
-        async with hand_rig(2) as rig:
-            rig.gate.clear()
-            idle, busy = await rig.caller(0), await rig.caller(1)
-            rid, data = rig.message("once", body=b"draft")
+        async with takeover_rig(2) as rig:
+            rig.backends_may_answer.clear()
+            idle, busy = await rig.connect(0), await rig.connect(1)
+            request_id, data = rig.message("once", body=b"draft")
             busy.writer.write(data)
-            await rig.arrived(rid)
+            await rig.wait_for_request(request_id)
             await rig.fleet.signal(["p0", "p1"], signal.SIGKILL)
-            rig.gate.set()
-            await goes_on(rig, idle)
+            rig.backends_may_answer.set()
+            await assert_connection_serves(rig, idle)
             status, seen = await busy.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
+            assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
 
     run(test)
 
 
-def test_supervisor_and_owner_killed_at_once_end_the_connection_where_all_can_see_it() -> None:
+def test_callers_connection_is_closed_when_supervisor_and_owner_are_killed_at_once() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
-            pid = await rig.pid(0)
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
+            pid = await rig.pid_of(0)
             assert rig.fleet.process is not None
             rig.fleet.process.kill()
             os.kill(pid, signal.SIGKILL)
             assert await caller.ended() == b""
-            rig.gate.set()
+            rig.backends_may_answer.set()
             await rig.fleet.process.wait()
-            assert rig.times(rid) == 1
+            assert rig.request_count(request_id) == 1
 
     run(test)
 
 
-def test_no_time_is_left_when_the_heir_comes() -> None:
+def test_no_time_is_left_when_the_successor_takes_over() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            rig.gate.clear()
+        async with takeover_rig(3) as rig:
+            rig.backends_may_answer.clear()
             for owner, (kind, status) in enumerate((("view", 503), ("submit", 504), ("once", 504))):
-                caller = await rig.caller(owner)
-                rid, data = rig.message(kind, body=b"" if kind == "view" else b"draft", budget="400m")
+                caller = await rig.connect(owner)
+                request_id, data = rig.message(kind, body=b"" if kind == "view" else b"draft", budget="400m")
                 caller.writer.write(data)
-                await rig.arrived(rid)
-                os.kill(await rig.pid(owner), signal.SIGSTOP)  # hung for longer than the caller gives
+                await rig.wait_for_request(request_id)
+                os.kill(await rig.pid_of(owner), signal.SIGSTOP)  # hangs for longer than the caller's deadline
                 found, seen = await caller.answer()
-                assert (found, rig.times(rid)) == (status, 1), kind
+                assert (found, rig.request_count(request_id)) == (status, 1), kind
                 assert status != 503 or b"refused" in seen.body
 
     run(test)
 
 
-def test_a_caller_that_has_gone_meanwhile_is_nobodys() -> None:
+def test_request_of_a_disconnected_caller_is_dropped() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            rig.at("taken", "p0", signal.SIGSTOP)
-            caller = await rig.caller(0)
-            rid, data = rig.message("once", body=b"draft")
+        async with takeover_rig(3) as rig:
+            rig.signal_at("taken", "p0", signal.SIGSTOP)
+            caller = await rig.connect(0)
+            request_id, data = rig.message("once", body=b"draft")
             caller.writer.write(data)
-            pid = await rig.pid(0)
-            await rig.come(lambda: (stat := read_stat(pid)) is not None and stat.state == "T", "stopped")
+            pid = await rig.pid_of(0)
+            await rig.wait_until(lambda: (stat := read_stat(pid)) is not None and stat.state == "T", "stopped")
             caller.leave()
             os.kill(pid, signal.SIGKILL)
-            await rig.come(lambda: _more(rig, "adopted", 0), "an heir")
-            await rig.come(lambda: "the caller has disconnected" in rig.fleet.log(), "the verdict")
-            await rig.come(lambda: _nothing_open(rig), "nothing in hand")
-            assert rig.times(rid) == 0
+            await rig.wait_until(lambda: _count_exceeds(rig, "adopted", 0), "a successor")
+            await rig.wait_until(lambda: "the caller has disconnected" in rig.fleet.log(), "the decision")
+            await rig.wait_until(lambda: _nothing_open(rig), "no open requests")
+            assert rig.request_count(request_id) == 0
 
     run(test)
 
 
-async def _nothing_open(rig: HandRig) -> bool:
-    return all(row["hand"].get("open") == 0 for row in (await rig.rows()).values())
+async def _nothing_open(rig: TakeoverRig) -> bool:
+    return all(row["hand"].get("open") == 0 for row in (await rig.instance_status()).values())
 
 
-def test_half_a_long_body_is_refused_and_its_rest_is_read() -> None:
-    """32 MB announced, a part of it read: nobody can have it whole, so it has certainly not run."""
+def test_incomplete_long_body_is_refused_and_its_rest_is_read() -> None:
+    """32 MB announced, a part of it read: no backend can have it complete, so it has certainly not run."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller = await rig.caller(0)
+        async with takeover_rig(3) as rig:
+            caller = await rig.connect(0)
             head = rig.message("once")[1].replace(b"\r\n\r\n", b"\r\nContent-Length: 33554432\r\n\r\n")
             caller.writer.write(head + b"x" * 200_000)
-            await rig.come(lambda: _open(rig, "p0"), "in hand")
-            os.kill(await rig.pid(0), signal.SIGKILL)
+            await rig.wait_until(lambda: _has_open_requests(rig, "p0"), "an open request")
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
             status, _ = await caller.answer()
             assert status == 503 and not rig.effects
             caller.writer.write(b"x" * 100_000)
@@ -329,56 +341,56 @@
     run(test)
 
 
-async def _open(rig: HandRig, name: str) -> bool:
-    return bool((await rig.rows())[name]["hand"].get("open"))
+async def _has_open_requests(rig: TakeoverRig, name: str) -> bool:
+    return bool((await rig.instance_status())[name]["hand"].get("open"))
 
 
-def test_a_long_answer_that_has_begun_is_cut_and_never_begun_again() -> None:
+def test_long_answer_that_has_begun_is_aborted_and_never_restarted() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
+        async with takeover_rig(3) as rig:
             begun = asyncio.Event()
 
             async def speak(seen: Seen, writer: Writer, body: bytes) -> None:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"y" * 150_000)
                 await begun.wait()
 
-            rig.speak = speak
-            caller = await rig.caller(0)
-            rid, data = rig.message("view")
+            rig.respond = speak
+            caller = await rig.connect(0)
+            request_id, data = rig.message("view")
             caller.writer.write(data)
             await asyncio.wait_for(caller.reader.readexactly(100_000), PATIENCE)
-            os.kill(await rig.pid(0), signal.SIGKILL)
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
             rest = await caller.ended()
             assert b"HTTP/1.1" not in rest and len(rest) < 300_000
             begun.set()
-            assert rig.times(rid) == 1
+            assert rig.request_count(request_id) == 1
 
     run(test)
 
 
-def test_a_backend_that_had_answered_before_anybody_read_it() -> None:
-    """The answer lies in the socket of the dead owner, who was stopped before it could read."""
+def test_unread_answer_of_a_backend_is_delivered_by_the_successor() -> None:
+    """The answer is in the socket of the dead owner, which was stopped before it could read it."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
-            pid = await rig.pid(0)
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
+            pid = await rig.pid_of(0)
             os.kill(pid, signal.SIGSTOP)
-            rig.gate.set()
-            await asyncio.sleep(0.05)  # the answer is on its way, or there
+            rig.backends_may_answer.set()
+            await asyncio.sleep(0.05)  # the answer is on its way, or has arrived
             os.kill(pid, signal.SIGKILL)
             status, seen = await caller.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
+            assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
 
     run(test)
 
 
 @pytest.mark.parametrize(("kind", "status", "times"), [("view", 200, 2), ("submit", 200, 2), ("once", 502, 1)])
-def test_a_reply_that_was_half_written_when_the_owner_died(kind: str, status: int, times: int) -> None:
-    """Half of it was read and is lost; the other half is no answer to anybody."""
+def test_answer_that_was_half_written_when_the_owner_died(kind: str, status: int, times: int) -> None:
+    """Half of the answer was read and is lost; the other half is no complete answer."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
+        async with takeover_rig(3) as rig:
             rest = asyncio.Event()
 
             async def speak(seen: Seen, writer: Writer, body: bytes) -> None:
@@ -390,87 +402,92 @@
                 await rest.wait()
                 writer.write(answer[30:])
 
-            rig.speak = speak
-            caller = await rig.caller(0)
-            rid, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
+            rig.respond = speak
+            caller = await rig.connect(0)
+            request_id, data = rig.message(kind, body=b"" if kind == "view" else b"draft")
             caller.writer.write(data)
-            await rig.arrived(rid)
-            await asyncio.sleep(0.1)  # the owner has read what there is: less than the time after which it gives up
-            os.kill(await rig.pid(0), signal.SIGKILL)
+            await rig.wait_for_request(request_id)
+            await asyncio.sleep(
+                0.1
+            )  # until the owner has read the first half; less than the time after which it gives the attempt up
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
             rest.set()
             found, seen = await caller.answer()
-            assert (found, rig.times(rid)) == (status, times), rig.fleet.log()[-2000:]
-            assert status != 200 or seen.body.startswith(rid)
+            assert (found, rig.request_count(request_id)) == (status, times), rig.fleet.log()[-2000:]
+            assert status != 200 or seen.body.startswith(request_id)
 
     run(test)
 
 
-def test_seven_in_ten_killed_with_hundreds_in_hand() -> None:
+def test_seven_of_ten_instances_killed_with_hundreds_of_requests_in_flight() -> None:
     async def test() -> None:
-        async with hand_rig(10, backends=12) as rig:
-            rig.gate.clear()
-            callers = [await rig.caller(i % 10) for i in range(300)]
-            asked = []
+        async with takeover_rig(10, backends=12) as rig:
+            rig.backends_may_answer.clear()
+            callers = [await rig.connect(i % 10) for i in range(300)]
+            request_ids = []
             for i, caller in enumerate(callers):
-                rid, data = rig.message(CLASSES[i % 3], body=b"" if i % 3 == 0 else b"draft", budget="8000m")
+                request_id, data = rig.message(CLASSES[i % 3], body=b"" if i % 3 == 0 else b"draft", budget="8000m")
                 caller.writer.write(data)
-                asked.append(rid)
-            await rig.come(lambda: len(rig.came) >= 300, "all at backends")
+                request_ids.append(request_id)
+            await rig.wait_until(lambda: len(rig.received) >= 300, "all at backends")
             await rig.fleet.signal([f"p{i}" for i in range(7)], signal.SIGKILL)
-            await rig.come(lambda: _adopted(rig, 210), "all adopted")
-            rig.gate.set()
+            await rig.wait_until(lambda: _has_adopted(rig, 210), "all adopted")
+            rig.backends_may_answer.set()
             answers = await asyncio.gather(*(caller.answer() for caller in callers))
             assert {status for status, _ in answers} == {200}
-            assert all(seen.body.startswith(rid + b" ") for (_, seen), rid in zip(answers, asked, strict=True))
-            assert len(rig.came) == 300 and set(rig.effects.values()) == {1}
+            assert all(
+                seen.body.startswith(request_id + b" ")
+                for (_, seen), request_id in zip(answers, request_ids, strict=True)
+            )
+            assert len(rig.received) == 300 and set(rig.effects.values()) == {1}
 
     run(test)
 
 
-async def _adopted(rig: HandRig, count: int) -> bool:
-    return await rig.count("adopted") >= count
+async def _has_adopted(rig: TakeoverRig, count: int) -> bool:
+    return await rig.takeover_count("adopted") >= count
 
 
-def test_a_full_book_leaves_work_uncovered_and_says_so() -> None:
+def test_full_journal_leaves_requests_uncovered_and_reports_it() -> None:
     async def test() -> None:
-        async with hand_rig(3, extra="entries = 1\n") as rig:
-            rig.gate.clear()
-            first, second = await rig.caller(0), await rig.caller(0)
+        async with takeover_rig(3, extra="entries = 1\n") as rig:
+            rig.backends_may_answer.clear()
+            first, second = await rig.connect(0), await rig.connect(0)
             rids = []
             for caller in (first, second):
-                rid, data = rig.message("once", body=b"draft")
+                request_id, data = rig.message("once", body=b"draft")
                 caller.writer.write(data)
-                await rig.arrived(rid)
-                rids.append(rid)
-            await rig.come(lambda: _uncovered(rig), "told")
-            os.kill(await rig.pid(0), signal.SIGKILL)
-            await rig.come(lambda: _adopted(rig, 1), "an heir")
-            assert await second.ended() == b"", "what is not covered ends visibly"
-            rig.gate.set()
+                await rig.wait_for_request(request_id)
+                rids.append(request_id)
+            await rig.wait_until(lambda: _has_uncovered(rig), "reported")
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
+            await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
+            assert await second.ended() == b"", "the connection of an uncovered request is closed"
+            rig.backends_may_answer.set()
             assert (await first.answer())[0] == 200
-            assert [rig.times(rid) for rid in rids] == [1, 1]
+            assert [rig.request_count(request_id) for request_id in rids] == [1, 1]
 
     run(test)
 
 
-async def _uncovered(rig: HandRig) -> bool:
-    return bool((await rig.rows())["p0"]["hand"].get("uncovered"))
+async def _has_uncovered(rig: TakeoverRig) -> bool:
+    return bool((await rig.instance_status())["p0"]["hand"].get("uncovered"))
 
 
-def test_a_process_that_drains_is_killed_and_its_work_goes_on() -> None:
-    """In the middle of a rolling restart."""
+def test_draining_process_is_killed_and_its_request_continues() -> None:
+    """As in a rolling restart."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
-            pid = await rig.pid(0)
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
+            pid = await rig.pid_of(0)
             os.kill(pid, signal.SIGTERM)
             await asyncio.sleep(0.1)
             os.kill(pid, signal.SIGKILL)
-            await rig.come(lambda: _adopted(rig, 1), "an heir")
-            rig.gate.set()
+            await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
+            rig.backends_may_answer.set()
             status, seen = await caller.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
+            assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
 
     run(test)
 
@@ -484,59 +501,59 @@
     return True
 
 
-def test_an_upgrade_is_under_way_when_its_owner_is_killed_and_its_heir_is_replaced() -> None:
-    """The old process is killed while it drains beside the fresh one; heirs are replaced with the work in hand."""
+def test_owner_is_killed_and_successor_replaced_during_a_rolling_restart() -> None:
+    """The old process is killed while it drains beside the new one; successors are replaced while the request is open."""
 
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            caller, rid = await rig.hold(0, "once")
+        async with takeover_rig(3) as rig:
+            caller, request_id = await rig.hold_request(0, "once")
             old = await rig.fleet.pids()
             rolling = asyncio.create_task(asyncio.to_thread(ask, Path(rig.fleet.control), "restart", 3 * PATIENCE))
-            await rig.come(lambda: rig.fleet.replaced("p0", old["p0"]), "a fresh process beside the old one")
-            assert read_stat(old["p0"]) is not None, "it drains, with the request in hand"
+            await rig.wait_until(lambda: rig.fleet.replaced("p0", old["p0"]), "a new process beside the old one")
+            assert read_stat(old["p0"]) is not None, "it drains, with the request in flight"
             os.kill(old["p0"], signal.SIGKILL)
-            await rig.come(lambda: _adopted(rig, 1), "an heir")
+            await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
             for name in ("p1", "p2"):
-                await rig.come(partial(rig.fleet.replaced, name, old[name]), f"a fresh {name}")
-            rig.gate.set()
+                await rig.wait_until(partial(rig.fleet.replaced, name, old[name]), f"a fresh {name}")
+            rig.backends_may_answer.set()
             status, seen = await caller.answer()
-            assert status == 200 and seen.body.startswith(rid) and rig.times(rid) == 1
+            assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
             assert "3 of 3 done" in (await rolling)["text"]
             for door in rig.fleet.doors:
-                await rig.come(lambda door=door: _listens(door), "operators reach the fresh process")
+                await rig.wait_until(lambda door=door: _listens(door), "operators reach the fresh process")
 
     run(test)
 
 
-# ---- the same work asked again -------------------------------------------------------------
+# ---- repeats of a key ----------------------------------------------------------------------
 
 
-def test_the_same_key_elsewhere_joins_what_is_in_hand_and_later_gets_what_is_kept() -> None:
+def test_same_key_elsewhere_follows_the_request_in_flight_and_later_gets_the_stored_answer() -> None:
     async def test() -> None:
-        async with hand_rig(3) as rig:
-            rig.gate.clear()
-            first, second = await rig.caller(0), await rig.caller(1)
-            rid, data = rig.message("submit", b"same", body=b"draft")
+        async with takeover_rig(3) as rig:
+            rig.backends_may_answer.clear()
+            first, second = await rig.connect(0), await rig.connect(1)
+            request_id, data = rig.message("submit", b"same", body=b"draft")
             first.writer.write(data)
-            await rig.arrived(rid)
-            _, again = rig.message("submit", b"same", body=b"draft")
-            second.writer.write(again)
-            await rig.come(lambda: _hand(rig, "p1", "joined"), "joined")
-            rig.gate.set()
+            await rig.wait_for_request(request_id)
+            _, repeat_data = rig.message("submit", b"same", body=b"draft")
+            second.writer.write(repeat_data)
+            await rig.wait_until(lambda: _has_counter(rig, "p1", "joined"), "joined")
+            rig.backends_may_answer.set()
             for caller in (first, second):
                 status, seen = await caller.answer()
-                assert status == 200 and seen.body.startswith(rid)
-            third = await rig.caller(2)
+                assert status == 200 and seen.body.startswith(request_id)
+            third = await rig.connect(2)
             third.writer.write(rig.message("submit", b"same", body=b"draft")[1])
             status, seen = await third.answer()
-            assert status == 200 and seen.body.startswith(rid), "kept"
-            assert len(rig.came) == 1
+            assert status == 200 and seen.body.startswith(request_id), "the stored answer"
+            assert len(rig.received) == 1
 
     run(test)
 
 
-async def _hand(rig: HandRig, name: str, figure: str) -> bool:
-    return bool((await rig.rows())[name]["hand"].get(figure))
+async def _has_counter(rig: TakeoverRig, name: str, figure: str) -> bool:
+    return bool((await rig.instance_status())[name]["hand"].get(figure))
 
 
 @pytest.mark.parametrize(
@@ -548,36 +565,40 @@
     ],
     ids=["body", "tenant", "target"],
 )
-def test_the_same_key_of_something_else_is_something_else(change: tuple[bytes, bytes]) -> None:
+def test_same_key_with_a_different_request_is_a_different_request(change: tuple[bytes, bytes]) -> None:
     async def test() -> None:
-        async with hand_rig(2) as rig:
-            first, second = await rig.caller(0), await rig.caller(1)
-            rid, data = rig.message("submit", b"same", body=b"draft")
+        async with takeover_rig(2) as rig:
+            first, second = await rig.connect(0), await rig.connect(1)
+            request_id, data = rig.message("submit", b"same", body=b"draft")
             first.writer.write(data)
             assert (await first.answer())[0] == 200
-            other, again = rig.message("submit", b"same", body=b"draft")
-            second.writer.write(again.replace(*change))
+            other, repeat_data = rig.message("submit", b"same", body=b"draft")
+            second.writer.write(repeat_data.replace(*change))
             status, seen = await second.answer()
-            assert status == 200 and seen.body.startswith(other) and rig.times(other) == rig.times(rid) == 1
+            assert (
+                status == 200
+                and seen.body.startswith(other)
+                and rig.request_count(other) == rig.request_count(request_id) == 1
+            )
 
     run(test)
 
 
-def test_the_same_key_at_two_instances_while_it_is_inherited() -> None:
+def test_same_key_at_several_instances_during_a_takeover() -> None:
     async def test() -> None:
-        async with hand_rig(4) as rig:
-            first, _ = await rig.hold(0, "submit", b"same")
-            others = [await rig.caller(i) for i in (1, 2, 3)]
+        async with takeover_rig(4) as rig:
+            first, _ = await rig.hold_request(0, "submit", b"same")
+            others = [await rig.connect(i) for i in (1, 2, 3)]
             for caller in others[:2]:
                 caller.writer.write(rig.message("submit", b"same", body=b"draft")[1])
-            await rig.come(partial(_hand, rig, "p1", "joined"), "joined")
-            await rig.come(partial(_hand, rig, "p2", "joined"), "joined")
-            os.kill(await rig.pid(0), signal.SIGKILL)
+            await rig.wait_until(partial(_has_counter, rig, "p1", "joined"), "joined")
+            await rig.wait_until(partial(_has_counter, rig, "p2", "joined"), "joined")
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
             others[2].writer.write(rig.message("submit", b"same", body=b"draft")[1])
-            await rig.come(lambda: _adopted(rig, 1), "an heir")
-            os.kill(await rig.pid(1), signal.SIGKILL)  # one of those that follow, and perhaps the heir
-            await rig.come(lambda: _adopted(rig, 2), "its work too")
-            rig.gate.set()
+            await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
+            os.kill(await rig.pid_of(1), signal.SIGKILL)  # one of the followers, and perhaps the successor
+            await rig.wait_until(lambda: _has_adopted(rig, 2), "its requests are adopted as well")
+            rig.backends_may_answer.set()
             for caller in (first, *others):
                 assert (await caller.answer())[0] == 200
             assert sum(rig.effects.values()) == 1
@@ -585,11 +606,11 @@
     run(test)
 
 
-def test_without_the_table_nothing_is_covered() -> None:
+def test_nothing_is_covered_without_a_takeover_table() -> None:
     async def test() -> None:
-        async with hand_rig(2, takeover=False) as rig:
-            caller, _ = await rig.hold(0, "once")
-            os.kill(await rig.pid(0), signal.SIGKILL)
+        async with takeover_rig(2, takeover=False) as rig:
+            caller, _ = await rig.hold_request(0, "once")
+            os.kill(await rig.pid_of(0), signal.SIGKILL)
             assert await caller.ended() == b""
 
     run(test)
