--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -124,7 +124,7 @@
             for owner, kind in enumerate(CLASSES):
                 for stage_of_owner in ("taken", "running") if stage != "acts" or kind != "view" else ("taken",):
                     if stage_of_owner == "taken":
-                        # As an earlier successor it may hold a backend connection, and its request would not wait for one.
+                        # As an earlier successor it may hold a backend connection; its request would not wait then.
                         await replace_process(rig, owner)
                     path = rig.signal_at(stage)
                     caller = await rig.connect(owner)
@@ -502,7 +502,7 @@
 
 
 def test_owner_is_killed_and_successor_replaced_during_a_rolling_restart() -> None:
-    """The old process is killed while it drains beside the new one; successors are replaced while the request is open."""
+    """The old process is killed while it drains beside the new one; successors are replaced meanwhile."""
 
     async def test() -> None:
         async with takeover_rig(3) as rig:
