--- a/weldroute/benchlink.py
+++ b/weldroute/benchlink.py
@@ -47,15 +47,15 @@
     """A line that violates the simulator's protocol."""
 
 
-def read_row(row: dict[str, Any]) -> ServerRow:
+def read_row(entry: dict[str, Any]) -> ServerRow:
     """Convert one entry of a `Register` message."""
     return ServerRow(
-        row["Backend"],
-        STATES[row.get("Readiness", "U")],
-        row.get("FailureDomain", 0),
-        row.get("Cluster", 0),
-        row.get("Units", 1.0),
-        row.get("StartTime", 0.0),
+        entry["Backend"],
+        STATES[entry.get("Readiness", "U")],
+        entry.get("FailureDomain", 0),
+        entry.get("Cluster", 0),
+        entry.get("Units", 1.0),
+        entry.get("StartTime", 0.0),
     )
 
 
@@ -163,7 +163,7 @@
     now: float | None = None
     replies: list[bytes] = []
     event: Any
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         try:
             event = orjson.loads(line)
             if not isinstance(event, dict) or "m" not in event:
@@ -184,12 +184,12 @@
                 now = None
                 continue
         except (ProtocolError, ValueError, KeyError, TypeError) as error:
-            return _report_error(errors, number, error)
+            return _report_error(errors, line_number, error)
         try:
             actions = adapter.handle(now, event)
         except (ProtocolError, KeyError, TypeError) as error:
             if isinstance(error, ProtocolError) or _in_adapter(error):
-                return _report_error(errors, number, error)
+                return _report_error(errors, line_number, error)
             replies.append(_bail_out(event, error))
             continue
         except Exception as error:
@@ -217,9 +217,9 @@
     return orjson.dumps({"m": "BailOut", "ProxyId": event.get("ProxyId", 0), "NoteText": text})
 
 
-def _report_error(errors: Any, number: int, error: BaseException) -> int:
+def _report_error(errors: Any, line_number: int, error: BaseException) -> int:
     text = f"missing field {error}" if isinstance(error, KeyError) else str(error)
-    print(f"benchlink: line {number}: {text}".replace("\n", " "), file=errors)
+    print(f"benchlink: line {line_number}: {text}".replace("\n", " "), file=errors)
     return 2
 
 
--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -590,7 +590,7 @@
 
     def count_warm(self, now: float, rules: Rules) -> None:
         """Recompute which fraction of the active subset is warm, and until when that holds."""
-        warm_at = [t for t in (s.cold_until(rules) for s in self.active) if t > now]
+        warm_at = [until for until in (s.cold_until(rules) for s in self.active) if until > now]
         self.next_warm_at = min(warm_at, default=float("inf"))
         self.warm_fraction = 1.0 - len(warm_at) / len(self.active) if self.active else 1.0
 
--- a/weldroute/operations.py
+++ b/weldroute/operations.py
@@ -95,23 +95,23 @@
 
     def listener_state(self, now: float) -> ListenerState:
         """Return how connections are handled at this time."""
-        drained = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE_TIMEOUT
+        idle_expired = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE_TIMEOUT
         if self._stopped_at is None:
             return ListenerState(
                 up=not self.evacuated,
                 listens=not (self._yielding or self.ejected),
                 closes_after_answer=self.evacuated or self._yielding or self.ejected,
-                keeps_idle=not drained,
+                keeps_idle=not idle_expired,
             )
-        since = now - self._stopped_at
-        listens = since < STOP_ACCEPT_PERIOD and not self._yielding
-        keep_elapsed = since >= self._keep
+        elapsed = now - self._stopped_at
+        listens = elapsed < STOP_ACCEPT_PERIOD and not self._yielding
+        keep_elapsed = elapsed >= self._keep
         return ListenerState(
             up=listens and not self.evacuated,
             listens=listens,
             closes_after_answer=keep_elapsed or self._yielding or self.evacuated,
-            keeps_idle=not keep_elapsed and not drained,
-            keeps_incomplete=since < self._keep + STOP_READ_PERIOD,
+            keeps_idle=not keep_elapsed and not idle_expired,
+            keeps_incomplete=elapsed < self._keep + STOP_READ_PERIOD,
         )
 
     # ---- events --------------------------------------------------------------------------
@@ -177,10 +177,10 @@
 
 def route(method: bytes, target: bytes) -> ManagementCall | CallResult:
     """Return the call of a request line, or the error result if it has none."""
-    found = ROUTES.get(target.partition(b"?")[0])
-    if found is None:
+    entry = ROUTES.get(target.partition(b"?")[0])
+    if entry is None:
         return CallResult(404, "no such call")
-    expected, call = found
+    expected, call = entry
     return call if method == expected else CallResult(405, f"the method is {expected.decode()}")
 
 
--- a/weldroute/slow_start.py
+++ b/weldroute/slow_start.py
@@ -30,8 +30,8 @@
 
     __slots__ = ("_updated_at", "_value", "_window")
 
-    def __init__(self, memory: float) -> None:
-        self._window = memory
+    def __init__(self, window: float) -> None:
+        self._window = window
         self._value = 0.0
         self._updated_at = 0.0
 
@@ -83,8 +83,8 @@
     """
     if warm is None:
         return demand
-    growth = min(MAX_GROWTH, GROWTH_SHARE * rules.fall_multiple)
-    return min(demand, max(WARM_SHARE * rules.fall_multiple * warm, growth * own / fraction))
+    growth_limit = min(MAX_GROWTH, GROWTH_SHARE * rules.fall_multiple)
+    return min(demand, max(WARM_SHARE * rules.fall_multiple * warm, growth_limit * own / fraction))
 
 
 def refill_credit(credit: float, elapsed: float, load: float, rules: Rules) -> float:
