--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -198,9 +198,7 @@
         self._hot_restart: Succession | None = None
         self.recovery: RecoveryController | None = None
         self.inflight: InflightTracker | None = None
-        self.traffic_counters: TrafficRecorder | None = (
-            None  # compared by the supervisor with those of other instances
-        )
+        self.traffic_counters: TrafficRecorder | None = None  # compared with other instances by the supervisor
         self.management: Management | None = None
         self.servers_by_host: dict[str, ServerId] = {}  # backends by their name in discovery
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
