--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -125,8 +125,8 @@
         self._write_blocked = False  # the write buffer towards the backend is full
         self.bytes_read = self.bytes_written = 0
         self.descriptor = -1
-        self.connection_key = 0
-        self.failure_domain = (0, 0)  # zone and cell of its server, set with `connection_key`
+        self.connection_id = 0
+        self.failure_domain = (0, 0)  # zone and cell of its server, set with `connection_id`
         self._has_unread_data: Callable[[], bool] = lambda: False
 
     # ---- transport callbacks -----------------------------------------------------------
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -97,7 +97,7 @@
         # For the request journal, if there is one: see `cometusher.inflight`.
         self.bytes_read = self.bytes_written = 0
         self.descriptor = self.journal_slot = -1
-        self.connection_key = 0
+        self.connection_id = 0
         self.last_request_bytes = b""  # the last request, if it arrived in one read
         #: Called once, when the connection is up and before anything is read from it.
         self.on_connected: Callable[[CallerConnection], None] | None = None
--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -239,23 +239,23 @@
     def on_connection_opened(self, caller: CallerConnection) -> None:
         """A caller's connection is established."""
         assert caller.transport is not None
-        caller.descriptor, caller.connection_key = self._network.named(caller.transport)
+        caller.descriptor, caller.connection_id = self._network.named(caller.transport)
         self._owners[caller.descriptor] = caller
         state = IDLE if caller.journal_slot == NONE else BUSY
         self.journal.record_connection(
-            caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, state
+            caller.descriptor, caller.connection_id, caller.bytes_read, caller.bytes_written, state
         )
 
     def on_connection_idle(self, caller: CallerConnection) -> None:
         """A connection without a record is between requests; for one with a record, its last answer shows that."""
         self.journal.record_connection(
-            caller.descriptor, caller.connection_key, caller.bytes_read, caller.bytes_written, IDLE
+            caller.descriptor, caller.connection_id, caller.bytes_read, caller.bytes_written, IDLE
         )
 
     def on_connection_leaving(self, caller: CallerConnection) -> None:
         """No answer is due on the connection any more, or none that another process could give."""
         if self._owners.get(caller.descriptor) is caller:
-            self.journal.record_connection(caller.descriptor, caller.connection_key, 0, 0, BUSY)
+            self.journal.record_connection(caller.descriptor, caller.connection_id, 0, 0, BUSY)
         self._release(caller)
 
     def on_connection_closed(self, caller: CallerConnection) -> None:
@@ -324,7 +324,7 @@
             self._proxy.clock.to_machine(exchange.deadline),
             self._network.monotonic(),
             caller.descriptor,
-            caller.connection_key,
+            caller.connection_id,
             caller.bytes_read,
             complete,
             not request.keep_alive,
@@ -426,9 +426,9 @@
         exchange: Any = attempt.owner
         connection = attempt.connection
         assert connection is not None
-        if not connection.connection_key:
+        if not connection.connection_id:
             assert connection.transport is not None
-            connection.descriptor, connection.connection_key = self._network.named(connection.transport)
+            connection.descriptor, connection.connection_id = self._network.named(connection.transport)
             server = self._proxy.balancer.servers.get(attempt.server)
             connection.failure_domain = (server.row.zone, server.row.cell) if server is not None else (0, 0)
         zone, cell = connection.failure_domain
@@ -446,7 +446,7 @@
                     exchange.deadline - offset,
                     attempt.sent_at - offset,
                     caller.descriptor,
-                    caller.connection_key,
+                    caller.connection_id,
                     caller.bytes_read,
                     not exchange.request.keep_alive,
                     previous,
@@ -454,7 +454,7 @@
                     zone,
                     cell,
                     connection.descriptor,
-                    connection.connection_key,
+                    connection.connection_id,
                     length,
                     connection.bytes_written,
                     connection.bytes_read,
@@ -477,7 +477,7 @@
             cell,
             attempt.sent_at - offset,
             connection.descriptor,
-            connection.connection_key,
+            connection.connection_id,
             length,
             connection.bytes_written,
             connection.bytes_read,
@@ -486,7 +486,7 @@
             self.on_stage("sent")
 
     def _mark_uncovered(self, caller: CallerConnection) -> int:
-        self.journal.record_connection(caller.descriptor, caller.connection_key, 0, 0, BUSY)
+        self.journal.record_connection(caller.descriptor, caller.connection_id, 0, 0, BUSY)
         return UNCOVERED
 
     def on_attempt_never_ran(self, attempt: Attempt, exchange: Exchange) -> None:
--- a/tests/unit/test_tcp_info.py
+++ b/tests/unit/test_tcp_info.py
@@ -58,9 +58,9 @@
 ) -> None:
     monkeypatch.setattr(tcp_info, "_queue_length", queue_length)
     kernel: Any = Kernel(arrivals)
-    seen = read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False)
-    assert seen is not None and (seen.written, seen.read) == (150, 70)
-    assert (seen.unread, seen.last_data_age) == (5 * arrivals, 0.04 if arrivals else 0.0)
+    counters = read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False)
+    assert counters is not None and (counters.written, counters.read) == (150, 70)
+    assert (counters.unread, counters.last_data_age) == (5 * arrivals, 0.04 if arrivals else 0.0)
 
 
 def test_connection_that_keeps_changing_has_no_counters(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,7 +76,9 @@
             accepted.sendall(b"x" * 30)
             client.sendall(b"y" * 20)
             assert accepted.recv(5) == b"yyyyy"
-            seen = read_counters(accepted, tcp_info.connection_id_of(accepted), False)
+            counters = read_counters(accepted, tcp_info.connection_id_of(accepted), False)
             assert (
-                seen is not None and (seen.written, seen.read, seen.unread) == (30, 5, 15) and not seen.closed_by_peer
+                counters is not None
+                and (counters.written, counters.read, counters.unread) == (30, 5, 15)
+                and not counters.closed_by_peer
             )
