--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -196,11 +196,13 @@
     ),
     Mutant(
         "a ban is not handed over",
-        "hot_restart",
-        "for server in apply_standing(proxy.balancer, proxy.clock.now(), standing):",
+        "serialization",
+        "for server in apply_operator_orders(proxy.balancer, proxy.clock.now(), orders):",
         "for server in ():",
     ),
-    Mutant("an evacuation is not handed over", "hot_restart", "proxy.operations.evacuate(proxy.loop.time())", "pass"),
+    Mutant(
+        "an evacuation is not handed over", "serialization", "proxy.operations.evacuate(proxy.loop.time())", "pass"
+    ),
     Mutant("an id stays taken for good", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
     Mutant(
         "the module keeps requests whose attempts end late",
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -145,7 +145,7 @@
                 assert await platform.operate(old, "include", b'{"who":"s-1"}') == 200
         callers.over = True
         await asyncio.gather(*tasks)
-        learned = sum("took over what was learned of 3" in platform.log(i + 1) for i in range(upgrades))
+        learned = sum("took over the learned state of 3" in platform.log(i + 1) for i in range(upgrades))
         return callers.count, learned
     finally:
         await platform.close()
--- a/cometusher/handover.py
+++ b/cometusher/handover.py
@@ -1,10 +1,10 @@
-"""What processes of one proxy share while one takes over from another; why: `docs/design/upgrade.md`.
+"""Storage that the processes of one proxy share during a hot restart; the design is in `docs/design/upgrade.md`.
 
-`standing` and `learned` hold one JSON object each behind its check sum and are replaced whole. `ledger` is one page
-of shared memory: a row of four numbers for each process, written by its owner alone, who holds the lock on the row;
-`open` has a row for each of them too: the ids of its open requests.
-What can't be read is logged and left aside; nothing here ends a process. Where all that lies is handed in: a folder,
-or the memory of a virtual world.
+`standing` (operator orders) and `learned` (learned state) hold one JSON object each, preceded by its checksum, and
+are replaced as a whole. `ledger` is one page of shared memory: a row of four numbers for each process, written only
+by the process that holds the lock on the row. `open` has a row for each process too: the ids of its open requests.
+Unreadable data is logged and ignored; nothing here ends a process. The storage itself is injected: a folder, or the
+memory of a simulated world.
 """
 
 from __future__ import annotations
@@ -33,42 +33,42 @@
 log = logging.getLogger(__name__)
 
 FOLDER_NAME = "cometusher"
-MAX_PROCESSES = 8  # processes at once: more than two only where upgrades follow each other closely
-ORDERS_CELL = 32  # the cell behind the rows: grows with every order of operators
+MAX_PROCESSES = 8  # at the same time; more than two only when hot restarts follow each other closely
+ORDERS_CELL = 32  # the cell after the rows: counts the operators' orders
 CELLS_PER_PROCESS = 4  # generation, stage, descriptors, bytes of bodies
-LEDGER_SIZE = 4096
+LEDGER_SIZE = 4096  # bytes: one page
 SharedCells = MutableSequence[int] | memoryview  # of 64 bits
-MAX_FILE_SIZE = 8 * 1024 * 1024
+MAX_FILE_SIZE = 8 * 1024 * 1024  # bytes
 
 
 class ProcessLocks(Protocol):
     """One lock for each row of the ledger; a dead process holds none."""
 
     def try_lock(self, row: int) -> bool:
-        """Hold a row's lock, if no other process does."""
+        """Acquire a row's lock; returns False if another process holds it."""
 
     def unlock(self, row: int) -> None:
-        """Let go of it."""
+        """Release a row's lock."""
 
 
 class HandoverStore(Protocol):
     """Named pieces of data, each replaced as a whole."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """A reader finds the old or the new one. Raises OSError."""
+        """Replace the data atomically: a reader finds the old or the new version. Raises OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """What is there, MAX_FILE + 1 bytes of it at most; None if nothing. Raises OSError."""
+        """The stored data, at most MAX_FILE_SIZE + 1 bytes of it; None if there is none. Raises OSError."""
 
     def revision(self, name: str) -> Hashable | None:
-        """Another value after each replacement; None if nothing is there."""
+        """A value that differs after each replacement; None if there is no data."""
 
 
 class ProcessLedger:
-    """What the processes of one proxy tell each other at every moment. Raises OSError where no row is free."""
+    """Shared memory with the current state of each process of one proxy. Raises OSError if no row is free."""
 
     def __init__(self, values: SharedCells, id_cells: SharedCells, locks: ProcessLocks) -> None:
-        self._values = values  # ROWS x FIELDS, shared
+        self._values = values  # shared: MAX_PROCESSES rows of CELLS_PER_PROCESS, then the ORDERS_CELL
         self._locks = locks
         self._row_start = -1
         for row in range(MAX_PROCESSES):
@@ -84,7 +84,7 @@
         self._values[self._row_start] = self.generation
 
     def _is_alive(self, row: int) -> bool:
-        """Whether the process of a row is; a dead one's row is cleared at once."""
+        """Whether the process of a row is alive; a dead one's row is cleared."""
         if not self._locks.try_lock(row):
             return True
         self._clear_row(row)
@@ -97,13 +97,13 @@
             self._values[row * CELLS_PER_PROCESS + cell] = 0
 
     def clear_dead(self) -> None:
-        """Clear the rows of processes that are dead: the kernel has taken back their locks."""
+        """Clear the rows of dead processes: the kernel has released their locks."""
         for row in range(MAX_PROCESSES):
             if row * CELLS_PER_PROCESS != self._row_start and self._values[row * CELLS_PER_PROCESS]:
                 self._is_alive(row)
 
     def others(self) -> list[ProcessEntry]:
-        """The rows of the others, as far as they make sense."""
+        """The valid entries of the other processes."""
         entries = []
         values = self._values
         for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS):
@@ -119,24 +119,24 @@
         return entries
 
     def should_yield(self) -> bool:
-        """Whether a newer process serves."""
+        """Whether a newer process serves, so that this one leaves new connections to it."""
         self.clear_dead()
         return should_yield(self.generation, self.others())
 
     def set_stage(self, stage: ProcessStage) -> None:
-        """Say how far this process is."""
+        """Publish the stage of this process."""
         self._values[self._row_start + 1] = stage
 
     def order_count(self) -> int:
-        """Another number after each order that any process was given."""
+        """A number that changes with each order that any of the processes receives."""
         return self._values[ORDERS_CELL]
 
     def count_order(self) -> None:
-        """An order was given, and is written."""
+        """Announce to the other processes that a new order has been stored."""
         self._values[ORDERS_CELL] += 1
 
     def descriptors_of_others(self) -> int:
-        """In use by the others."""
+        """Number of descriptors that the other processes use."""
         values, own_start = self._values, self._row_start
         return sum(
             values[start + 2]
@@ -145,7 +145,7 @@
         )
 
     def body_bytes_of_others(self) -> int:
-        """Bytes of bodies held by the others."""
+        """Number of bytes of bodies that the other processes hold."""
         values, own_start = self._values, self._row_start
         return sum(
             values[start + 3]
@@ -154,31 +154,31 @@
         )
 
     def report_descriptors(self, count: int) -> None:
-        """This process uses so many."""
+        """Publish the number of descriptors that this process uses."""
         self._values[self._row_start + 2] = count
 
     def report_body_bytes(self, count: int) -> None:
-        """This process holds so many bytes."""
+        """Publish the number of bytes of bodies that this process holds."""
         self._values[self._row_start + 3] = count
 
 
 class Handover:
-    """What one process shares with the others of its proxy."""
+    """Everything that one process shares with the others of its proxy."""
 
     def __init__(self, store: HandoverStore, ledger: ProcessLedger) -> None:
         self._store = store
         self.ledger = ledger
-        self._seen_revision: Hashable | None = None  # of the standing orders, when read or written last
+        self._seen_revision: Hashable | None = None  # of the operator orders, when last read or written
 
     def write(self, name: str, state: dict[str, Any]) -> None:
-        """Replace one of them as a whole. Raises OSError."""
+        """Replace a stored state as a whole. Raises OSError."""
         data = orjson.dumps(state)
         self._store.replace(name, b"%08x\n" % zlib.crc32(data) + data)
         if name == "standing":
             self._seen_revision = self._store.revision(name)
 
     def read(self, name: str) -> Any:
-        """What one holds; None where there is none or it is torn, which is logged."""
+        """A stored state; None if there is none, or if it cannot be read, which is logged."""
         try:
             data = self._store.read(name)
         except OSError as error:
@@ -189,14 +189,14 @@
         checksum, _, body = data.partition(b"\n")
         try:
             if len(data) > MAX_FILE_SIZE or checksum != b"%08x" % zlib.crc32(body):
-                raise UnusableState("its check sum does not fit")
+                raise UnusableState("wrong checksum")
             return orjson.loads(body)
         except (UnusableState, orjson.JSONDecodeError) as error:
-            log.warning("%s: left aside: %s", name, error)
+            log.warning("%s: ignored: %s", name, error)
             return None
 
     def new_orders(self) -> Any:
-        """The standing orders, if another process has written them since the last look; else None."""
+        """The operator orders if another process has written them since they were last read, else None."""
         revision = self._store.revision("standing")
         if revision is None or revision == self._seen_revision:
             return None
@@ -204,17 +204,17 @@
         return self.read("standing")
 
 
-# ---- in a folder -------------------------------------------------------------------------
+# ---- storage in a folder -----------------------------------------------------------------
 
 
 class FileRangeLocks:
-    """A lock on one byte of a file for each row; the kernel takes back those of the dead."""
+    """Locks one byte of a file per row; the kernel releases the locks of a dead process."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
     def try_lock(self, row: int) -> bool:
-        """Hold a row's lock, if no other process does."""
+        """Acquire a row's lock; returns False if another process holds it."""
         try:
             fcntl.lockf(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, row)
         except OSError:
@@ -222,24 +222,24 @@
         return True
 
     def unlock(self, row: int) -> None:
-        """Let go of it."""
+        """Release a row's lock."""
         fcntl.lockf(self._descriptor, fcntl.LOCK_UN, 1, row)
 
 
 class FolderStore:
-    """Files of a folder."""
+    """Stores each piece of data as a file of a folder."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
     def replace(self, name: str, data: bytes) -> None:
-        """A reader finds the old or the new one. Raises OSError."""
+        """Replace the data atomically: a reader finds the old or the new version. Raises OSError."""
         temporary = self._path / f"{name}.{os.getpid()}"
         temporary.write_bytes(data)
         temporary.replace(self._path / name)
 
     def read(self, name: str) -> bytes | None:
-        """What is there, if anything. Raises OSError."""
+        """The stored data, at most MAX_FILE_SIZE + 1 bytes of it; None if there is none. Raises OSError."""
         try:
             with (self._path / name).open("rb") as file:
                 return file.read(MAX_FILE_SIZE + 1)
@@ -247,7 +247,7 @@
             return None
 
     def revision(self, name: str) -> Hashable | None:
-        """When it was replaced, and by which file."""
+        """Modification time and inode of the file; None if there is none."""
         with contextlib.suppress(OSError):
             status = os.stat(self._path / name)
             return status.st_mtime_ns, status.st_ino
@@ -255,7 +255,7 @@
 
 
 def open_in_folder(parent: str) -> Handover:
-    """What processes share in a folder of a folder. Raises OSError where it can't be had."""
+    """Open the shared state in the subfolder FOLDER_NAME, created if missing. Raises OSError."""
     path = Path(parent) / FOLDER_NAME
     path.mkdir(mode=0o700, exist_ok=True)
     ledger_descriptor, values = _map_file(path / "ledger", LEDGER_SIZE)
@@ -264,7 +264,7 @@
 
 
 def _map_file(path: Path, size: int) -> tuple[int, memoryview]:
-    """A descriptor of a file of so many bytes, and its 64-bit cells in memory. Raises OSError."""
+    """Open and map a file of `size` bytes; returns its descriptor and its 64-bit cells. Raises OSError."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     os.ftruncate(descriptor, size)
     return descriptor, memoryview(mmap.mmap(descriptor, size)).cast("q")
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -1,7 +1,7 @@
-"""One proxy, several processes: what this one takes over at its start, shares while it runs, and leaves behind.
+"""Hot restart: what this process takes over at its start, shares with the proxy's other processes, and leaves behind.
 
-Imported only where the listener is inherited and there is a folder to share. Decisions are `weldroute.handover`'s,
-files are `cometusher.handover`'s.
+Imported only if the listener was passed to the process and a shared folder is configured. The decisions are in
+`weldroute.handover`, the storage is in `cometusher.handover`.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 log = logging.getLogger("cometusher.succession")  # the `subsystem` of its log records
 
-SAVE_INTERVAL = 1.0  # seconds between writings of what was learned
-MAX_EVICTED_PER_TICK = 16  # at one look
+SAVE_INTERVAL = 1.0  # seconds between writes of the learned state
+MAX_EVICTED_PER_TICK = 16  # connections
 
 
 class HotRestart:
-    """This process among those of its proxy."""
+    """Coordinates this process with the other processes of its proxy."""
 
     def __init__(self, proxy: Proxy, handover: Handover) -> None:
         self._proxy = proxy
         self._handover = handover
-        self._orders_version = 0  # of the standing orders
+        self._orders_version = 0  # of the operator orders that are in effect
         self._next_save_at = 0.0
         self._is_yielding = False
-        self._seen_order_count = 0  # orders
+        self._seen_order_count = 0
         ledger = self._handover.ledger
         self.open_ids = ledger.open_ids
         ledger.clear_dead()
@@ -48,19 +48,19 @@
         )
         proxy.memory.used_by_others, proxy.memory.report_usage = ledger.body_bytes_of_others, ledger.report_body_bytes
 
-    # ---- what others have left -----------------------------------------------------------
+    # ---- state from other processes ------------------------------------------------------
 
     def take_over(self) -> None:
-        """Begin with what another process knew, as far as there is something to believe."""
+        """Start with the state that another process has stored, if it is usable."""
         proxy = self._proxy
         learned = self._handover.read("learned")
         if learned is not None:
             try:
                 self._restore_list(learned)
                 restored = adopt_learned_state(proxy.balancer, proxy.clock.now(), learned)
-                log.info("took over what was learned of %d backends", restored)
+                log.info("took over the learned state of %d backends", restored)
             except (UnusableState, Unreadable) as error:
-                log.warning("what was learned is left aside: %s", error)
+                log.warning("learned state ignored: %s", error)
         self._apply_orders(self._handover.read("standing"))
 
     def _restore_list(self, learned: Any) -> None:
@@ -74,30 +74,30 @@
         try:
             orders = parse_operator_orders(state)
         except UnusableState as error:
-            log.warning("standing orders are left aside: %s", error)
+            log.warning("operator orders ignored: %s", error)
             return
         if orders.version < self._orders_version:
             return
         self._orders_version = orders.version
         restore_operator_orders(self._proxy, orders)
 
-    # ---- what this one tells -------------------------------------------------------------
+    # ---- state of this process -----------------------------------------------------------
 
     def on_operator_orders(self) -> None:
-        """Operators have ordered something: it is to outlive this process, and to reach the others."""
+        """Store the orders that operators have given, so that they outlive this process and reach the others."""
         self._orders_version += 1
         self._write("standing", collect_operator_orders(self._proxy, self._orders_version).serialize())
         self._handover.ledger.count_order()
 
     def on_serving(self) -> None:
-        """This process serves from here on."""
+        """This process begins to serve."""
         self.apply_new_orders()
         self._handover.ledger.set_stage(ProcessStage.SERVING)
 
     def apply_new_orders(self) -> None:
-        """Follow what operators have ordered of another process; called before every event.
+        """Apply orders that another process has received; called before every event.
 
-        Guards the yes that they had: it holds for all processes from that moment, not from their next look.
+        An order that was acknowledged to operators must hold for all processes at once, not from their next `tick`.
         """
         order_count = self._handover.ledger.order_count()
         if order_count != self._seen_order_count:
@@ -111,13 +111,13 @@
             self._proxy.apply_listener_state()
 
     def on_stopping(self) -> None:
-        """It has been told to end."""
+        """This process has been told to terminate."""
         self.tick()
         self._handover.ledger.set_stage(ProcessStage.STOPPING)
 
     def tick(self) -> None:
-        """See what the others do; called often."""
-        self._read_new_orders()  # a version before the count of orders does not count its own
+        """Follow the state of the other processes and save this one's; called several times a second."""
+        self._read_new_orders()  # versions of the program without the order count store orders without counting them
         proxy = self._proxy
         is_yielding = self._handover.ledger.should_yield()
         if is_yielding is not self._is_yielding:
@@ -136,7 +136,7 @@
             )
 
     def _free_descriptors(self) -> None:
-        """Guards against a newer process that finds no descriptors, while idle connections here hold them."""
+        """Evict idle connections, so that they don't hold the descriptors that the newer process needs."""
         descriptors = self._proxy.descriptors
         for _ in range(MAX_EVICTED_PER_TICK):
             if not descriptors.is_tight() or not (descriptors.evict_backend() or descriptors.evict_caller()):
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -1,5 +1,4 @@
-"""A proxy's state as the forms of `weldroute.handover`, and back into a proxy: one place for all that keeps or hands
-it over, an upgrade as well as a store."""
+"""Converts a proxy's state to and from the serialized state of `weldroute.handover`, for hot restarts and stores."""
 
 from __future__ import annotations
 
@@ -19,7 +18,7 @@
 
 
 def serialize_list(proxy: Proxy) -> dict[str, Any]:
-    """The list of backends as discovery would tell it whole."""
+    """The list of backends, in the format of a whole list from discovery."""
     hosts = []
     for host, server in proxy.servers_by_host.items():
         state, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
@@ -41,7 +40,7 @@
 
 
 def restore_list(proxy: Proxy, state: Any) -> Listing:
-    """Begin with a list that was written down, unless there is a newer one already; raises Unreadable."""
+    """Start with a stored list, unless a newer one is known already; raises Unreadable."""
     listing = read_listing(state, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
         proxy.discovery.resume(listing.seq)
@@ -50,7 +49,7 @@
 
 
 def collect_operator_orders(proxy: Proxy, version: int) -> OperatorOrders:
-    """What operators have ordered of this proxy, as a version of it."""
+    """The operators' orders that are in effect on this proxy, as the given version."""
     names = {server: host for host, server in proxy.servers_by_host.items()}
     balancer = proxy.balancer
     return OperatorOrders(
@@ -62,13 +61,13 @@
 
 
 def restore_operator_orders(proxy: Proxy, orders: OperatorOrders) -> None:
-    """Do as operators have ordered."""
+    """Apply stored operator orders: bans, and evacuation or rejoin."""
     proxy.servers_by_host.update((host, server) for host, server, _ in orders.bans)
     for server in apply_operator_orders(proxy.balancer, proxy.clock.now(), orders):
         log.info("backend %x: %s", server, "banned" if server in proxy.balancer.bans else "no longer banned")
         proxy.backends.drop_idle(server)
     if orders.evacuated is not proxy.operations.evacuated:
-        log.info("the proxy is %s", "evacuated" if orders.evacuated else "back")
+        log.info("the proxy %s", "is evacuated" if orders.evacuated else "has rejoined")
         if orders.evacuated:
             proxy.operations.evacuate(proxy.loop.time())
         else:
--- a/tests/loopback/test_upgrade.py
+++ b/tests/loopback/test_upgrade.py
@@ -104,7 +104,7 @@
             assert await p.operate(old, "exclude", b'{"who":"s-1"}') == 200
             await kept_of(p, 2)
             new = await p.launch()
-            assert "took over what was learned of 2 backends" in p.log(1)
+            assert "took over the learned state of 2 backends" in p.log(1)
             for _ in range(30):
                 assert await p.call() == (200, b"s-2")
             # Told to either while both live, it holds for both.
@@ -120,7 +120,7 @@
             third = await p.launch()
             assert await p.up() == 503, "a drain outlives an upgrade"
             assert await p.operate(third, "rejoin") == 200
-            await p.told(1, "the proxy is back")
+            await p.told(1, "the proxy has rejoined")
             assert await p.end(new) == 0
             assert await p.up() == 200
             for _ in range(10):
@@ -167,7 +167,8 @@
             (tmp_path / "cometusher" / "ledger").write_bytes(spoilt * 10)
             await p.launch()
             assert (await p.call())[0] == 200
-            assert "left aside" in p.log(0) and "Traceback" not in p.log(0)
+            assert all(f"{name}: ignored: wrong checksum" in p.log(0) for name in ("learned", "standing"))
+            assert "Traceback" not in p.log(0)
 
     run(test)
 
--- a/weldroute/handover.py
+++ b/weldroute/handover.py
@@ -1,16 +1,17 @@
-"""What one process of a proxy leaves to the next: what to write down, and what to believe of what is found.
+"""State that the processes of one proxy pass on to each other: its format, checks and use. Sans I/O.
 
-Sans-I/O. There are two forms, each a JSON object with its number in `form`:
+There are two kinds of state, each a JSON object with its format version in `form`:
 
-- *standing*: what operators have ordered and must outlive a process: bans, lately ended bans, the drain. Versions
-  grow; a reader takes the highest.
-- *learned*: the list of backends and what was learned of them. Older than MAX_AGE only its list is believed.
+- *operator orders* (stored as `standing`): what operators have ordered and must outlive a process: bans, recently
+  ended bans, evacuation. Versions increase; a reader uses the highest.
+- *learned state* (stored as `learned`): the list of backends and what was learned about them. When it is older than
+  MAX_LEARNED_AGE only its list is used.
 
-A value that can't be read makes the whole form `Unusable`: nothing of it is taken, and the start goes on without.
-Further subsystems add a key to a form; a reader ignores keys that it does not know.
+A value that cannot be parsed makes the whole state unusable (`UnusableState`): nothing of it is applied, and the
+process starts without it. Other subsystems may add keys to a state; a reader ignores keys that it does not know.
 
-Who serves is decided here too: each process has a `Row`, and yields to a newer one that serves. And `OpenIds` holds
-which requests are open in any of them.
+This module also decides which process serves: each process has a `ProcessEntry` and yields to a newer one that
+serves. `OpenRequestIds` records which requests are open in any of the processes.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 from weldroute.model import ServerId
 
 FORMAT_VERSION = 1
-MAX_LEARNED_AGE = 15.0  # seconds after which what was learned is of no use
-MAX_ENTRIES = 100_000  # of any list in a form
+MAX_LEARNED_AGE = 15.0  # seconds
+MAX_ENTRIES = 100_000  # of any list in a state
 
 BREAKER_FIELDS = ("baseline", "current", "k", "last_pass")
 SERVER_FIELDS = ("latency", "seen", "cold_credit", "cold_seen", "back")
@@ -38,11 +39,11 @@
 
 
 class UnusableState(Exception):
-    """A form that can't be believed; the text says why."""
+    """A serialized state that is invalid; the text gives the reason."""
 
 
 class ProcessStage(IntEnum):
-    """How far a process is."""
+    """Stage in the life of a process."""
 
     STARTING = 1
     SERVING = 2
@@ -51,58 +52,59 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEntry:
-    """What one process tells the others of the same proxy."""
+    """What one process shares about itself with the others of the same proxy."""
 
-    generation: int  # grows with every start
+    generation: int  # increases with every start
     stage: ProcessStage
     descriptors: int = 0  # in use
-    body_bytes: int = 0  # bytes
+    body_bytes: int = 0  # of buffered bodies
 
 
 def should_yield(own_generation: int, others: Iterable[ProcessEntry]) -> bool:
-    """Whether the process of this generation leaves new connections to a newer one."""
+    """Whether the process of a generation must leave new connections to a newer one."""
     return any(entry.generation > own_generation and entry.stage is ProcessStage.SERVING for entry in others)
 
 
 def next_generation(entries: Iterable[ProcessEntry]) -> int:
-    """The generation of a process that starts beside these."""
+    """The generation of a process that starts while others are running."""
     return 1 + max((entry.generation for entry in entries), default=0)
 
 
 class OpenRequestIds:
     """The ids of requests that are open in any process of a proxy.
 
-    Guards against an id that is open in one process and comes again in another: it would be a second copy of an
-    unsafe request. Each process writes a row of its own: how many places are in use at most, and a digest for each
-    open request, 0 where a place is free. Harm: past PLACES open requests the further ones are not seen by others.
+    Guards against an id that is open in one process and arrives again at another: that would be a second copy of an
+    unsafe request. Each process writes a row of its own: the highest slot used so far, then one cell per slot with
+    the digest of an open request, or 0 if the slot is free. Limitation: open requests beyond SLOTS are not visible
+    to the other processes.
     """
 
-    SLOTS = 1023  # for each process
+    SLOTS = 1023  # per process
     ROW_WIDTH = SLOTS + 1
 
     def __init__(
         self, values: MutableSequence[int] | memoryview[int], row: int, is_alive: Callable[[int], bool]
     ) -> None:
-        self._values = values  # WIDTH for each row
+        self._values = values  # ROW_WIDTH per row
         self._row_start = row * self.ROW_WIDTH
-        self._is_alive = is_alive  # whether the process of a row is; asked only where a row seems to hold an id
+        self._is_alive = is_alive  # of the process of a row; called only if the row seems to contain an id
         self._free_slots: list[int] = []
         self._slots_used = 0
         self.clear_row(row)
 
     @staticmethod
     def digest(request_id: bytes) -> int:
-        """64 bits that nobody can aim at another's id; never 0."""
+        """64 bits of a cryptographic hash, so that nobody can provoke a collision with another id; never 0."""
         return int.from_bytes(hashlib.blake2b(request_id, digest_size=8).digest(), "big", signed=True) or 1
 
     def clear_row(self, row: int) -> None:
-        """Forget a row: its process is dead, or begins."""
+        """Clear a row: its process is dead or just starting."""
         start = row * self.ROW_WIDTH
         for cell in range(start, start + self._values[start] + 1):
             self._values[cell] = 0
 
     def open(self, request_id: bytes) -> int:
-        """A request with this id is open from here on; returns its place, or 0 where there is none."""
+        """Record an open request; returns its slot, or 0 if none is free."""
         if self._free_slots:
             slot = self._free_slots.pop()
         elif self._slots_used < self.SLOTS:
@@ -115,13 +117,13 @@
         return slot
 
     def close(self, slot: int) -> None:
-        """The request at a place is over."""
+        """Free the slot of a finished request; 0 is allowed and does nothing."""
         if slot:
             self._values[self._row_start + slot] = 0
             self._free_slots.append(slot)
 
     def is_open_elsewhere(self, request_id: bytes) -> bool:
-        """Whether another process that is alive has an open request with this id."""
+        """Whether another live process has an open request with this id."""
         values = self._values
         digest = 0
         for row_start in range(0, len(values), self.ROW_WIDTH):
@@ -136,7 +138,7 @@
         return False
 
 
-# ---- reading -----------------------------------------------------------------------------
+# ---- parsing -----------------------------------------------------------------------------
 
 
 def _number(value: Any, field_name: str) -> float:
@@ -156,7 +158,7 @@
         raise UnusableState(f"{field_name}: not a list, or too long")
     for entry in value:
         if not isinstance(entry, list) or len(entry) != length:
-            raise UnusableState(f"{field_name}: {entry!r} has not {length} values")
+            raise UnusableState(f"{field_name}: {entry!r} does not have {length} values")
     return value
 
 
@@ -173,20 +175,20 @@
     return state
 
 
-# ---- what operators ordered ---------------------------------------------------------------
+# ---- operator orders ----------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrders:
-    """The operators' orders that hold for the proxy, whichever process has heard them."""
+    """The operators' orders that apply to the proxy, whichever process has received them."""
 
     version: int = 0
     evacuated: bool = False
     bans: tuple[tuple[str, ServerId, float], ...] = ()  # host, id, since
-    ended_bans: tuple[tuple[ServerId, float, float], ...] = ()  # id, banned from, to
+    ended_bans: tuple[tuple[ServerId, float, float], ...] = ()  # id, start and end of the ban
 
     def serialize(self) -> dict[str, Any]:
-        """The form."""
+        """The orders as a JSON object."""
         return {
             "form": FORMAT_VERSION,
             "version": self.version,
@@ -197,7 +199,7 @@
 
 
 def parse_operator_orders(value: Any) -> OperatorOrders:
-    """The orders out of their form; raises Unusable."""
+    """Parse serialized orders; raises UnusableState."""
     state = _versioned_object(value)
     evacuated = state.get("evacuated")
     if not isinstance(evacuated, bool):
@@ -207,15 +209,15 @@
         if not isinstance(host, str) or not host:
             raise UnusableState(f"bans: {host!r} is not a name")
         bans.append((host, _integer(server, "bans"), _number(since, "bans")))
-    returned = tuple(
+    ended_bans = tuple(
         (_integer(server, "returned"), _number(since, "returned"), _number(ended, "returned"))
         for server, since, ended in _entries(state.get("returned"), "returned", 3)
     )
-    return OperatorOrders(_integer(state.get("version"), "version"), evacuated, tuple(bans), returned)
+    return OperatorOrders(_integer(state.get("version"), "version"), evacuated, tuple(bans), ended_bans)
 
 
 def apply_operator_orders(balancer: Balancer, now: float, orders: OperatorOrders) -> list[ServerId]:
-    """Bring the bans to what is ordered; returns the servers whose ban begins or ends."""
+    """Set and lift bans as ordered; returns the servers whose ban begins or ends."""
     bans = {server: since for _, server, since in orders.bans}
     changed = [server for server in (*balancer.bans, *bans) if (server in balancer.bans) is not (server in bans)]
     for server in changed:
@@ -231,7 +233,7 @@
     return changed
 
 
-# ---- what was learned ---------------------------------------------------------------------
+# ---- learned state ------------------------------------------------------------------------
 
 
 def _serialize_breaker(breaker: Breaker) -> dict[str, Any]:
@@ -247,7 +249,7 @@
         [_number(number, field_name) for number in bucket] for bucket in _entries(state.get("ring"), field_name, 4)
     ]
     if len(ring) > BUCKETS or any(first[0] >= second[0] for first, second in pairwise(ring)):
-        raise UnusableState(f"{field_name}: its window is out of order")
+        raise UnusableState(f"{field_name}: its buckets are out of order")
     return values | {"ring": ring}
 
 
@@ -267,7 +269,7 @@
 
 
 def serialize_learned_state(balancer: Balancer, now: float) -> dict[str, Any]:
-    """What a balancer has learned."""
+    """What a balancer has learned, as a JSON object."""
     servers = [
         [
             server.row.server,
@@ -300,14 +302,14 @@
 
 
 def adopt_learned_state(balancer: Balancer, now: float, value: Any) -> int:
-    """Take over what another process has learned, of servers that the list still names with the same start.
+    """Adopt what another process has learned about the servers that are still listed with the same start time.
 
-    Returns how many servers it is known of; raises Unusable before anything is changed.
+    Returns the number of these servers; raises UnusableState before anything is changed.
     """
     state = _versioned_object(value)
     age = now - _number(state.get("at"), "at")
     if not -1.0 <= age <= MAX_LEARNED_AGE:
-        raise UnusableState(f"at: what was learned is {age:.1f} s old")
+        raise UnusableState(f"at: the learned state is {age:.1f} s old")
     values = {name: _number(state.get(name), name) for name in BALANCER_FIELDS}
     restored: list[tuple[Server, dict[str, float], dict[str, Any] | None]] = []
     for number, started, figures_object, breaker in _entries(state.get("servers"), "servers", 4):
