--- a/weldroute/failure_detector.py
+++ b/weldroute/failure_detector.py
@@ -30,7 +30,7 @@
 
 Two limits hold for all verdicts. No more than `share` of the fleet is acted upon at once: a killed process counts
 until another is ready in its place. And when more than `distrust` of the fleet looks stalled by silence alone, the
-observations are distrusted and no process is killed for silence; a state reported by the kernel is not subject to that.
+observations are distrusted and no process is killed for silence; a state reported by the kernel is exempt.
 A live process that performs worse than its peers (`weldroute.outlier_detection`) is never killed for it: most of its
 new connections go to others, and it gets them back in steps.
 
--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -22,7 +22,7 @@
 | full    | it has no descriptor for new connections, and its peers have                  | at once                |
 
 What affects all processes counts for none: a zone that no process reaches, backends that are slow for all, discovery
-that reports to no process. No other process would do better. This follows from the comparison and needs no extra rule.
+that reports to none. No other process would do better. This follows from the comparison and needs no extra rule.
 
 An outlier receives a share of the new connections that come for it, at first the smallest of TRAFFIC_SHARES, so that
 it keeps showing how it performs. At each step samples are gathered anew, over a window that is longer the smaller the
