--- a/tests/virtual/test_seed_search.py
+++ b/tests/virtual/test_seed_search.py
@@ -19,9 +19,9 @@
 RARE = Mutant(
     "a reset is reported as never ran, now and then",
     "backends",
-    "self._pool.end(attempt, Outcome.BROKEN, None, why)",
-    "rare = self.uses == 4 and len(attempt.body) == 3000 and attempt.server == 1\n"
-    "            self._pool.end(attempt, Outcome.UNREACHABLE if rare else Outcome.BROKEN, None, why)",
+    "self._pool.finish(attempt, Outcome.BROKEN, None, reason)",
+    "rare = self.use_count == 4 and len(attempt.body) == 3000 and attempt.server == 1\n"
+    "            self._pool.finish(attempt, Outcome.UNREACHABLE if rare else Outcome.BROKEN, None, reason)",
 )
 
 
