--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -38,8 +38,8 @@
     Mutant(
         "a late success is passed on as a second answer",
         "proxy",
-        "if not exchange.answered and how is Outcome.OK and",
-        "if how is Outcome.OK and",
+        "if not exchange.answered and outcome is Outcome.OK and",
+        "if outcome is Outcome.OK and",
     ),
     Mutant(
         "a draining backend counts as up", "discovery", '"terminating": State.DRAINING', '"terminating": State.UP'
@@ -47,14 +47,14 @@
     Mutant(
         "a reset is reported as never ran",
         "backends",
-        "self._pool.end(attempt, Outcome.BROKEN, None, why)",
-        "self._pool.end(attempt, Outcome.UNREACHABLE, None, why)",
+        "self._pool.finish(attempt, Outcome.BROKEN, None, reason)",
+        "self._pool.finish(attempt, Outcome.UNREACHABLE, None, reason)",
     ),
     Mutant(
         "a time-out is reported as never ran",
         "proxy",
-        'self.attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
-        'self.attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
+        'self.on_attempt_ended(attempt, Outcome.TIMEOUT, None, f"no answer by',
+        'self.on_attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
     ),
     Mutant(
         "a 500 is reported as never ran",
@@ -65,51 +65,56 @@
     Mutant(
         "a caller's descriptor is not given back",
         "callers",
-        "del self._connections[connection]\n            self._descriptors.give_caller()",
+        "del self._connections[connection]\n            self._descriptors.release_caller()",
         "del self._connections[connection]",
     ),
     Mutant(
         "a backend's descriptor is not given back",
         "backends",
-        "self.unpark(connection)\n        self._descriptors.give_backend()",
-        "self.unpark(connection)",
+        "self.remove_from_pool(connection)\n        self._descriptors.release_backend()",
+        "self.remove_from_pool(connection)",
     ),
     Mutant(
         "a failed connect keeps its descriptor",
         "backends",
-        "if held and not connection.made:",
-        "if held and connection.made:",
+        "if has_descriptor and not connection.connected:",
+        "if has_descriptor and connection.connected:",
     ),
     Mutant(
         "a failed accept keeps its descriptor",
         "callers",
-        'log.warning("accept failed: %s", fault)\n                self._descriptors.give_caller()',
+        'log.warning("accept failed: %s", fault)\n                self._descriptors.release_caller()',
         'log.warning("accept failed: %s", fault)',
     ),
     Mutant(
         "a body's memory is not given back",
         "callers",
-        "self._callers.memory.give(request.charged)\n        request.charged = 0",
-        "request.charged = 0",
+        "self._callers.memory.release(request.reserved_bytes)\n        request.reserved_bytes = 0",
+        "request.reserved_bytes = 0",
+    ),
+    Mutant(
+        "an idle connection is not looked at before use",
+        "backends",
+        "return not self._has_unread_data()",
+        "return True",
     ),
-    Mutant("an idle connection is not looked at before use", "backends", "return not self._pending()", "return True"),
     Mutant(
         "an attempt that is given up keeps its connection",
         "backends",
-        "attempt.connection.close()\n        return how_far",
-        "pass\n        return how_far",
+        "attempt.connection.close()\n        return progress",
+        "pass\n        return progress",
     ),
     Mutant(
         "a connection in use is taken again",
         "backends",
-        "self.unpark(connection)\n            self._busy[connection] = None\n            connection.start",
-        "self._busy[connection] = None\n            connection.start",
+        "self.remove_from_pool(connection)\n            self._busy[connection] = None\n            connection.send",
+        "self._busy[connection] = None\n            connection.send",
     ),
     Mutant(
         "the module is not told that a caller left",
         "callers",
-        "if taken is not None:\n            taken.caller_left()",
-        "if taken is not None:\n            pass",
+        "if accepted is not None:\n            accepted.on_caller_left()",
+        "if accepted is not None:\n            pass",
     ),
     Mutant(
         "a backend's start is not read",
@@ -123,8 +128,8 @@
     Mutant(
         "a caller's time is not respected",
         "proxy",
-        "budget = longest if budget is None else min(budget, longest)",
-        "budget = longest",
+        "budget = max_budget if budget is None else min(budget, max_budget)",
+        "budget = max_budget",
     ),
     Mutant(
         "an answer that was cut counts as whole",
@@ -135,20 +140,20 @@
     Mutant(
         "a drain closes the listener at once",
         "proxy",
-        "if emptied is None and not self.callers.posture.listens:",
-        "if emptied is None:",
+        "if all_closed is None and not self.callers.listener_state.listens:",
+        "if all_closed is None:",
     ),
     Mutant(
         "a drain does not wait for its answers",
         "proxy",
-        "while emptied is None or not emptied.done():",
-        "while emptied is None:",
+        "while all_closed is None or not all_closed.done():",
+        "while all_closed is None:",
     ),
     Mutant(
         "a drain never ends its connections",
         "callers",
-        "or self._callers.posture.closes or self._callers.crowded",
-        "or self._callers.crowded",
+        "or self._callers.listener_state.closes_after_answer\n            or self._callers.out_of_descriptors",
+        "or self._callers.out_of_descriptors",
     ),
     Mutant(
         "the wall clock decides deadlines",
@@ -165,20 +170,20 @@
     Mutant(
         "the listener is not watched again after a shortage",
         "callers",
-        "# Guards against a listener that waits for a descriptor while nobody gives one back by himself.\n"
+        "# Otherwise a paused listener would wait for a descriptor that no connection releases by itself.\n"
         "        self._resume_accepting()",
         "pass",
     ),
     Mutant(
         "a head that ends with a body behind it is too large",
         "http1",
-        "if self._head > MAX_HEAD:",
-        "if self._head + self._overhead > MAX_HEAD:",
+        "if self._head_bytes > MAX_HEAD:",
+        "if self._head_bytes + self._overhead_bytes > MAX_HEAD:",
     ),
     Mutant(
         "a request is taken while another is open",
         "callers",
-        "if self._request is not None or self._whole is not None:",
+        "if self._request is not None or self._complete_request is not None:",
         "if False:",
     ),
     Mutant("the end of a watch ends discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
@@ -191,24 +196,36 @@
     ),
     Mutant(
         "a ban is not handed over",
-        "hot_restart",
-        "for server in apply_standing(proxy.balancer, proxy.clock.now(), standing):",
+        "serialization",
+        "for server in apply_operator_orders(proxy.balancer, proxy.clock.now(), orders):",
         "for server in ():",
     ),
-    Mutant("an evacuation is not handed over", "hot_restart", "proxy.operations.evacuate(proxy.loop.time())", "pass"),
+    Mutant(
+        "an evacuation is not handed over", "serialization", "proxy.operations.evacuate(proxy.loop.time())", "pass"
+    ),
     Mutant("an id stays taken for good", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
     Mutant(
         "the module keeps requests whose attempts end late",
         "weldroute/decide",
-        "if request.done:\n            if not request.open:\n                self.requests.pop(rid, None)",
+        "if request.done:\n            if not request.open:\n                self.requests.pop(request_id, None)",
         "if request.done:\n            pass",
     ),
-    Mutant("the module is not told that a body is spent", "proxy", "self.balancer.spent(exchange.rid)", "pass"),
-    Mutant("a caller that was held is not read again", "stream", "if self._waiting <= WAITING // 2:", "if False:"),
+    Mutant(
+        "the module is not told that a body is spent",
+        "proxy",
+        "self.balancer.on_body_released(exchange.request_id)",
+        "pass",
+    ),
+    Mutant(
+        "a caller that was held is not read again",
+        "stream",
+        "if self._waiting_bytes <= MAX_WAITING_BYTES // 2:",
+        "if False:",
+    ),
     Mutant(
         "the other process's descriptors don't count",
         "budget",
-        "return self.used + self.others() >= self.limit",
+        "return self.used + self.used_by_others() >= self.limit",
         "return self.used >= self.limit",
     ),
     Mutant(
--- a/cometusher/cluster/transport.py
+++ b/cometusher/cluster/transport.py
@@ -1,7 +1,7 @@
-"""The sockets of links: one TCP connection a neighbour, as `weldroute.links` decides.
+"""The sockets of links: one TCP connection per peer, managed by `weldroute.links`.
 
-Nothing waits here for a neighbour. What finds no room in the connection's own buffer waits in its outbox, which is
-bounded, and whoever sends is not told.
+Nothing waits here for a peer. What does not fit the connection's write buffer waits in the peer's send queue, which
+is bounded, and the sender is not notified.
 """
 
 from __future__ import annotations
@@ -16,230 +16,241 @@
 
 from cometusher.cluster.frames import BadFrame, Message, Session, decode, encode
 from cometusher.config import ConfigError, read_address
-from weldroute.links import End, LinkPolicy, Links, stays
+from weldroute.links import LinkEnd, LinkManager, LinkPolicy, should_replace
 
 log = logging.getLogger("cometusher.mesh.wires")  # the `subsystem` of its log records
 
-TICK = 0.05  # seconds between looks at dials and at links that are silent
-BUFFER = 32 * 1024  # bytes that a connection may hold beside its outbox
-UNGREETED = 64  # accepted connections whose other end has not proven itself
+TICK_INTERVAL = 0.05  # seconds
+WRITE_BUFFER_BYTES = 32 * 1024  # that a connection may hold in addition to the peer's send queue
+MAX_PENDING_HANDSHAKES = 64  # accepted connections whose other end is not authenticated
 
-Hear = Callable[[str, Message], None]
+MessageHandler = Callable[[str, Message], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Me:
-    """Who this end is."""
+class LocalMember:
+    """Identity of this end of all links."""
 
     fleet: str
     name: str
-    life: int
-    address: str  # as others are told of it
+    life: int  # identifier of the process
+    address: str  # advertised to the other members
 
 
-class Wire(asyncio.Protocol):
-    """One connection."""
+class PeerConnection(asyncio.Protocol):
+    """One connection to a peer."""
 
-    def __init__(self, wires: Wires, dialled: str = "") -> None:
-        self._wires = wires
-        self.dialled = dialled  # the address; "": it was accepted
-        me = wires.me
-        self.session = Session(wires.key, me.fleet, me.name, me.life, me.address, bool(dialled))
+    def __init__(self, owner: ClusterTransport, dialled: str = "") -> None:
+        self._owner = owner
+        self.dialled = dialled  # the address; "": the connection was accepted
+        local = owner.local
+        self.session = Session(owner.key, local.fleet, local.name, local.life, local.address, bool(dialled))
         self.transport: asyncio.Transport | None = None
-        self.address = ""  # of the neighbour, once it is known
-        self.full = False
+        self.address = ""  # of the peer, once it is authenticated
+        self.write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(BUFFER)
+        self.transport.set_write_buffer_limits(WRITE_BUFFER_BYTES)
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.dialled:
-            self.transport.write(self.session.begin())
+            self.transport.write(self.session.start_handshake())
         else:
-            self._wires.accepted(self)
+            self._owner.on_accepted(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             for content in self.session.feed(data):
-                self._greeted()
+                self._after_frame()
                 if self.transport is None:
-                    return  # another link to the same neighbour stays
-                self._wires.came(self.address, decode(content))
-            self._greeted()
-        except BadFrame as fault:
-            self._wires.bad += 1
-            log.warning("a link from %s is ended: %s", self.address or self._far(), fault)
-            self.end()
-
-    def _far(self) -> str:
+                    return  # another link to the same peer was kept
+                self._owner.on_message(self.address, decode(content))
+            self._after_frame()
+        except BadFrame as error:
+            self._owner.invalid_links += 1
+            log.warning("closing the link from %s: %s", self.address or self._remote_address(), error)
+            self.disconnect()
+
+    def _remote_address(self) -> str:
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         return f"{peer[0]}:{peer[1]}" if peer else "nowhere"
 
-    def _greeted(self) -> None:
-        if self.session.answer and self.transport is not None:
-            answer, self.session.answer = self.session.answer, b""
-            self.transport.write(answer)
-        if self.session.up and not self.address and self.transport is not None:
+    def _after_frame(self) -> None:
+        """Write the session's reply, and report authentication and activity."""
+        if self.session.reply and self.transport is not None:
+            reply, self.session.reply = self.session.reply, b""
+            self.transport.write(reply)
+        if self.session.authenticated and not self.address and self.transport is not None:
             peer = self.session.peer
             assert peer is not None
             self.address = self.dialled or peer.address
-            self._wires.up(self, End(peer.name, peer.life, bool(self.dialled)))
+            self._owner.on_authenticated(self, LinkEnd(peer.name, peer.life, bool(self.dialled)))
         if self.address:
-            self._wires.heard(self.address)
+            self._owner.on_received(self.address)
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.full = False
-        self._wires.flush(self.address)
+        self.write_paused = False
+        self._owner.flush(self.address)
 
-    def connection_lost(self, fault: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        self._wires.lost(self)
+        self._owner.on_lost(self)
 
-    def end(self) -> None:
-        """At once: what it still held is for nobody."""
+    def disconnect(self) -> None:
+        """Close at once, discarding what is still buffered."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Wires:
+class ClusterTransport:
     """All links of one member."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, me: Me, key: bytes, policy: LinkPolicy, seed: int, hear: Hear
+        self,
+        loop: asyncio.AbstractEventLoop,
+        local: LocalMember,
+        key: bytes,
+        policy: LinkPolicy,
+        seed: int,
+        on_message: MessageHandler,
     ) -> None:
         """Raises ValueError for a key that is too short."""
-        Session(key, me.fleet, me.name, me.life, me.address, True)
-        self.me, self.key = me, key
-        self.links = Links(policy, seed)
-        self.bad = 0  # links that were ended for what came over them
+        Session(key, local.fleet, local.name, local.life, local.address, True)
+        self.local, self.key = local, key
+        self.links = LinkManager(policy, seed)
+        self.invalid_links = 0  # links closed for invalid input
         self._loop = loop
-        self._hear = hear
-        self._wires: dict[str, tuple[Wire, End]] = {}  # those that are up, by the neighbour's address
-        self._young: dict[Wire, float] = {}  # those whose handshake is not over, and since when
-        self._dials: set[asyncio.Task[None]] = set()
+        self._on_message = on_message
+        # Authenticated connections, by the address of the peer.
+        self._connections: dict[str, tuple[PeerConnection, LinkEnd]] = {}
+        self._handshaking: dict[PeerConnection, float] = {}  # not authenticated yet, and since when
+        self._dial_tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self._ticking: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
 
     async def start(self, listener: socket.socket) -> None:
-        """Accept on a listener, and follow the links from here on."""
-        self._server = await self._loop.create_server(lambda: Wire(self), sock=listener)
+        """Accept connections on a listener, and start the periodic work."""
+        self._server = await self._loop.create_server(lambda: PeerConnection(self), sock=listener)
         self._tick()
 
     async def close(self) -> None:
-        """End all."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Close the listener and all links."""
+        if self._timer is not None:
+            self._timer.cancel()
         if self._server is not None:
             self._server.close()
-        for task in self._dials:
+        for task in self._dial_tasks:
             task.cancel()
-        for wire in [*self._young, *(wire for wire, _ in self._wires.values())]:
-            wire.end()
+        for connection in [*self._handshaking, *(connection for connection, _ in self._connections.values())]:
+            connection.disconnect()
         await asyncio.sleep(0)
 
     def send(self, address: str, message: Message) -> None:
-        """A message for a neighbour: now, soon, or never; nobody waits for it, and nobody is told."""
-        kind, content = encode(message)
-        if self.links.put(self._loop.time(), address, kind, content) is None:
+        """Send a message to a peer if possible: it may be delayed or dropped, and the caller is not notified."""
+        priority, content = encode(message)
+        if self.links.enqueue(self._loop.time(), address, priority, content) is None:
             return
-        if address in self._wires:
+        if address in self._connections:
             self.flush(address)
         else:
-            self._dial()
+            self._dial_due()
 
     def flush(self, address: str) -> None:
-        """Write what waits for a neighbour, as far as its connection takes it."""
-        found = self._wires.get(address)
-        one = self.links.neighbours.get(address)
-        if found is None or one is None:
+        """Write the queued messages of a peer, as far as its connection takes them."""
+        found = self._connections.get(address)
+        peer = self.links.peers.get(address)
+        if found is None or peer is None:
             return
-        wire, now = found[0], self._loop.time()
-        while not wire.full and wire.transport is not None:
-            content = one.outbox.next(now)
+        connection, now = found[0], self._loop.time()
+        while not connection.write_paused and connection.transport is not None:
+            content = peer.send_queue.dequeue(now)
             if content is None:
                 return
-            wire.transport.write(wire.session.seal(content))
-            self.links.sent(now, address)
-
-    # ---- what wires tell -----------------------------------------------------------------
-
-    def accepted(self, wire: Wire) -> None:
-        """A connection has come. Guards against strangers who connect and say nothing."""
-        accepted = [one for one in self._young if not one.dialled]
-        if len(accepted) >= UNGREETED:
-            accepted[0].end()
-        self._young[wire] = self._loop.time()
-
-    def up(self, wire: Wire, end: End) -> None:
-        """Its other end has proven itself."""
-        self._young.pop(wire, None)
-        before = self._wires.get(wire.address)
-        if before is not None and not stays(self.me.name, before[1], end):
-            wire.end()
+            connection.transport.write(connection.session.seal(content))
+            self.links.on_sent(now, address)
+
+    # ---- events of connections -----------------------------------------------------------
+
+    def on_accepted(self, connection: PeerConnection) -> None:
+        """A connection was accepted.
+
+        If too many handshakes are pending, the oldest is closed: this bounds clients that connect and send nothing.
+        """
+        accepted = [pending for pending in self._handshaking if not pending.dialled]
+        if len(accepted) >= MAX_PENDING_HANDSHAKES:
+            accepted[0].disconnect()
+        self._handshaking[connection] = self._loop.time()
+
+    def on_authenticated(self, connection: PeerConnection, end: LinkEnd) -> None:
+        """The other end of a connection is authenticated; of two links to one peer, one is closed."""
+        self._handshaking.pop(connection, None)
+        previous = self._connections.get(connection.address)
+        if previous is not None and not should_replace(self.local.name, previous[1], end):
+            connection.disconnect()
             return
-        self._wires[wire.address] = wire, end
-        if before is not None:
-            before[0].end()
-        self.links.is_up(self._loop.time(), wire.address)
-        self.flush(wire.address)
+        self._connections[connection.address] = connection, end
+        if previous is not None:
+            previous[0].disconnect()
+        self.links.on_connected(self._loop.time(), connection.address)
+        self.flush(connection.address)
 
-    def heard(self, address: str) -> None:
-        """Something has come from a neighbour."""
-        self.links.heard(self._loop.time(), address)
+    def on_received(self, address: str) -> None:
+        """Something was received from a peer."""
+        self.links.on_received(self._loop.time(), address)
 
-    def came(self, address: str, message: Message) -> None:
-        """A message has come."""
-        self._hear(address, message)
+    def on_message(self, address: str, message: Message) -> None:
+        """A message was received from a peer."""
+        self._on_message(address, message)
 
-    def lost(self, wire: Wire) -> None:
+    def on_lost(self, connection: PeerConnection) -> None:
         """A connection has ended."""
-        self._young.pop(wire, None)
-        found = self._wires.get(wire.address)
-        if found is not None and found[0] is wire:
-            del self._wires[wire.address]
-        elif wire.address or not wire.dialled:
-            return  # another link stays, or a stranger has gone
-        self.links.failed(self._loop.time(), wire.address or wire.dialled)
+        self._handshaking.pop(connection, None)
+        found = self._connections.get(connection.address)
+        if found is not None and found[0] is connection:
+            del self._connections[connection.address]
+        elif connection.address or not connection.dialled:
+            return  # another link to the peer was kept, or the other end was never authenticated
+        self.links.on_disconnected(self._loop.time(), connection.address or connection.dialled)
 
     # ---- time ----------------------------------------------------------------------------
 
     def _tick(self) -> None:
         now = self._loop.time()
-        for address in self.links.questions(now):
-            wire = self._wires[address][0]
-            if wire.transport is not None and not wire.full:
-                wire.transport.write(wire.session.ask())
-        for address, why in self.links.over(now):
-            log.info("the link to %s is ended: %s", address, why)
-            found = self._wires.get(address)
+        for address in self.links.due_keepalives(now):
+            connection = self._connections[address][0]
+            if connection.transport is not None and not connection.write_paused:
+                connection.transport.write(connection.session.keepalive())
+        for address, reason in self.links.expired_links(now):
+            log.info("closing the link to %s: %s", address, reason)
+            found = self._connections.get(address)
             if found is not None:
-                found[0].end()
-        for wire, since in list(self._young.items()):
+                found[0].disconnect()
+        for connection, since in list(self._handshaking.items()):
             if now - since > self.links.policy.dial_for:
-                wire.end()
-        self._dial()
-        self._ticking = self._loop.call_later(TICK, self._tick)
+                connection.disconnect()
+        self._dial_due()
+        self._timer = self._loop.call_later(TICK_INTERVAL, self._tick)
 
-    def _dial(self) -> None:
-        for address in self.links.dials(self._loop.time()):
+    def _dial_due(self) -> None:
+        for address in self.links.start_dials(self._loop.time()):
             task = self._loop.create_task(self._connect(address))
-            self._dials.add(task)
-            task.add_done_callback(self._dials.discard)
+            self._dial_tasks.add(task)
+            task.add_done_callback(self._dial_tasks.discard)
 
     async def _connect(self, address: str) -> None:
         try:
             host, port = read_address(address, "member")
             async with asyncio.timeout(self.links.policy.dial_for):
-                _, wire = await self._loop.create_connection(lambda: Wire(self, address), host, port)
-        except (OSError, ConfigError) as fault:
-            self.links.failed(self._loop.time(), address)
-            log.debug("%s can't be reached: %s", address, fault)
+                _, connection = await self._loop.create_connection(lambda: PeerConnection(self, address), host, port)
+        except (OSError, ConfigError) as error:
+            self.links.on_disconnected(self._loop.time(), address)
+            log.debug("%s can't be reached: %s", address, error)
         else:
-            if wire.transport is not None and not wire.address:
-                self._young[wire] = self._loop.time()
+            if connection.transport is not None and not connection.address:
+                self._handshaking[connection] = self._loop.time()
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -14,8 +14,8 @@
 from weldroute.settings import read_settings
 
 if TYPE_CHECKING:
-    from cometusher.inflight.endpoint import Covered
-    from cometusher.recovery import Returning
+    from cometusher.inflight.endpoint import JournalAssignment
+    from cometusher.recovery import RecoveryConfig
 
 Address = tuple[str, int]
 
@@ -40,8 +40,8 @@
     management: Address | None = None  # where operators call
     accept_fd: int | None = None  # the listener that this process was started with
     shared: str | None = None  # a folder that processes of this proxy share, where one takes over from another
-    returning: Returning | None = None  # how to come back, where a supervisor has it switched on
-    covered: Covered | None = None  # where work in hand is noted, likewise
+    returning: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
+    covered: JournalAssignment | None = None  # where work in hand is noted, likewise
 
 
 def read_address(text: Any, name: str) -> Address:
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -17,15 +17,15 @@
 from cometusher import config
 from cometusher.config import Address, ConfigError, read_address
 from cometusher.toml_reader import Table, read_file
-from weldroute.correlated_failures import HerdPolicy
-from weldroute.failure_detector import VigilPolicy
-from weldroute.fleet import Policy
+from weldroute.correlated_failures import CorrelationPolicy
+from weldroute.failure_detector import FailureDetectorPolicy
+from weldroute.fleet import SupervisionPolicy
 from weldroute.leases import LeasePolicy
 from weldroute.members import MemberPolicy
-from weldroute.outlier_detection import Comparison
-from weldroute.recovery import Plan
-from weldroute.request_journal import BLOCK, Shelf, Size
-from weldroute.snapshots import Limits
+from weldroute.outlier_detection import OutlierPolicy
+from weldroute.recovery import RecoveryPlan
+from weldroute.request_journal import BLOCK_SIZE, JournalPool, JournalSize
+from weldroute.snapshots import AgeLimits
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 MOST = 1024  # instances
@@ -144,16 +144,16 @@
 class ComebackSpec:
     """How instances come back: what each may do, what it may believe, and what is a blow."""
 
-    plan: Plan
-    limits: Limits
-    herd: HerdPolicy
+    plan: RecoveryPlan
+    limits: AgeLimits
+    herd: CorrelationPolicy
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverSpec:
     """What is covered of work in hand, and at what pace it is handed on."""
 
-    shelf: Shelf = field(default_factory=Shelf)
+    shelf: JournalPool = field(default_factory=JournalPool)
     rests: float = 10.0  # seconds in which the answers of a dead process can be asked for: the longest window
     pace: int = 32  # pieces that one heir has to adopt at once
     patience: float = 0.25  # seconds until what an heir has not received is taken back
@@ -180,13 +180,13 @@
 
     place: Place
     spawn: str  # "fork" from the warmed supervisor, or "exec" of a new interpreter
-    policy: Policy
+    policy: SupervisionPolicy
     log: LogSpec
     instances: dict[str, InstanceSpec]
     comeback: ComebackSpec | None = None  # switched on by its table
     takeover: TakeoverSpec | None = None  # likewise
-    vigil: VigilPolicy | None = None  # likewise...
-    comparison: Comparison = field(default_factory=Comparison)  # ...with its comparison of siblings...
+    vigil: FailureDetectorPolicy | None = None  # likewise...
+    comparison: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
     recorded: Recorded | None = None  # ...and where to keep what the watch saw
     mesh: MeshSpec | None = None  # likewise
 
@@ -207,9 +207,9 @@
         return {"Ordinal": (int(settings.get("Ordinal") or 0) + names.index(name)) % total, "Instances": total}
 
 
-def _read_policy(table: Table) -> Policy:
+def _read_policy(table: Table) -> SupervisionPolicy:
     values: dict[str, Any] = {}
-    for item in fields(Policy):
+    for item in fields(SupervisionPolicy):
         default = item.default
         if isinstance(default, int):
             values[item.name] = table.whole(item.name, default)
@@ -217,7 +217,7 @@
             assert isinstance(default, float)
             values[item.name] = table.number(item.name, default)
     table.done()
-    return _checked(table, Policy(**values))
+    return _checked(table, SupervisionPolicy(**values))
 
 
 class _Checked(Protocol):
@@ -243,9 +243,9 @@
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
-    plan, limits, herd = Plan(), Limits(), HerdPolicy()
+    plan, limits, herd = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
     try:
-        plan = Plan(
+        plan = RecoveryPlan(
             instances=max(1, instances),
             returning=max(1, instances),
             calm=table.number("connects", plan.calm, 0.01, 1000.0),
@@ -255,8 +255,8 @@
             tries=table.number("tries", plan.tries, 0.1, 1e5),
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
-        limits = Limits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
-        herd = HerdPolicy(
+        limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
+        herd = CorrelationPolicy(
             share=table.number("herd_share", herd.share, 0.001, 1.0),
             least=table.whole("herd_least", herd.least, 2),
             within=table.number("herd_within", herd.within, 0.01, 600.0),
@@ -276,12 +276,12 @@
     """The table `[takeover]`; None where the file has none."""
     if not root.has("takeover"):
         return None
-    table, spec, size = root.table("takeover"), TakeoverSpec(), Size()
+    table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
     entries = table.whole("entries", size.entries, 1, 2**16)
-    kilobytes = table.whole("kilobytes", size.blocks * BLOCK // 1024, 64, 2**20)
-    own = Size(entries, kilobytes * 1024 // BLOCK, max((one.sockets for one in instances), default=1))
+    kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
+    own = JournalSize(entries, kilobytes * 1024 // BLOCK_SIZE, max((one.sockets for one in instances), default=1))
     # As many again: for those that take over from a process, and for what the dead leave.
-    shelf = Shelf(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", Shelf().keys, 64, 2**22))
+    shelf = JournalPool(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", JournalPool().keys, 64, 2**22))
     found = TakeoverSpec(
         shelf,
         table.number("rests", spec.rests, 0.0, 600.0),
@@ -292,19 +292,19 @@
     return found
 
 
-def _read_vigil(root: Table, base: Path) -> tuple[VigilPolicy | None, Comparison, Recorded | None]:
+def _read_vigil(root: Table, base: Path) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, Recorded | None]:
     """The table `[vigil]`, whose keys are those of all three; None where the file has none."""
     if not root.has("vigil"):
-        return None, Comparison(), None
+        return None, OutlierPolicy(), None
     table = root.table("vigil")
     record, most = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
     values, others = (
         {item.name: table.number(item.name, getattr(usual, item.name), 0.001, 1e6) for item in fields(usual)}
-        for usual in (VigilPolicy(), Comparison())
+        for usual in (FailureDetectorPolicy(), OutlierPolicy())
     )
     table.done()
     recorded = Recorded(base / record, most) if record else None
-    return _checked(table, VigilPolicy(**values)), _checked(table, Comparison(**others)), recorded
+    return _checked(table, FailureDetectorPolicy(**values)), _checked(table, OutlierPolicy(**others)), recorded
 
 
 def _read_mesh(root: Table, base: Path) -> MeshSpec | None:
--- a/cometusher/handover.py
+++ b/cometusher/handover.py
@@ -1,10 +1,10 @@
-"""What processes of one proxy share while one takes over from another; why: `docs/design/upgrade.md`.
+"""Storage that the processes of one proxy share during a hot restart; the design is in `docs/design/upgrade.md`.
 
-`standing` and `learned` hold one JSON object each behind its check sum and are replaced whole. `ledger` is one page
-of shared memory: a row of four numbers for each process, written by its owner alone, who holds the lock on the row;
-`open` has a row for each of them too: the ids of its open requests.
-What can't be read is logged and left aside; nothing here ends a process. Where all that lies is handed in: a folder,
-or the memory of a virtual world.
+`standing` (operator orders) and `learned` (learned state) hold one JSON object each, preceded by its checksum, and
+are replaced as a whole. `ledger` is one page of shared memory: a row of four numbers for each process, written only
+by the process that holds the lock on the row. `open` has a row for each process too: the ids of its open requests.
+Unreadable data is logged and ignored; nothing here ends a process. The storage itself is injected: a folder, or the
+memory of a simulated world.
 """
 
 from __future__ import annotations
@@ -21,228 +21,250 @@
 
 import orjson
 
-from weldroute.handover import OpenIds, Row, Stage, Unusable, next_generation, yields
+from weldroute.handover import (
+    OpenRequestIds,
+    ProcessEntry,
+    ProcessStage,
+    UnusableState,
+    next_generation,
+    should_yield,
+)
 
 log = logging.getLogger(__name__)
 
-FOLDER = "cometusher"
-ROWS = 8  # processes at once: more than two only where upgrades follow each other closely
-ORDERS = 32  # the cell behind the rows: grows with every order of operators
-FIELDS = 4  # generation, stage, descriptors, bytes of bodies
-PAGE = 4096
-Cells = MutableSequence[int] | memoryview  # of 64 bits
-MAX_FILE = 8 * 1024 * 1024
+FOLDER_NAME = "cometusher"
+MAX_PROCESSES = 8  # at the same time; more than two only when hot restarts follow each other closely
+ORDERS_CELL = 32  # the cell after the rows: counts the operators' orders
+CELLS_PER_PROCESS = 4  # generation, stage, descriptors, bytes of bodies
+LEDGER_SIZE = 4096  # bytes: one page
+SharedCells = MutableSequence[int] | memoryview  # of 64 bits
+MAX_FILE_SIZE = 8 * 1024 * 1024  # bytes
 
 
-class Locks(Protocol):
+class ProcessLocks(Protocol):
     """One lock for each row of the ledger; a dead process holds none."""
 
-    def take(self, row: int) -> bool:
-        """Hold a row's lock, if no other process does."""
+    def try_lock(self, row: int) -> bool:
+        """Acquire a row's lock; returns False if another process holds it."""
 
-    def free(self, row: int) -> None:
-        """Let go of it."""
+    def unlock(self, row: int) -> None:
+        """Release a row's lock."""
 
 
-class Store(Protocol):
+class HandoverStore(Protocol):
     """Named pieces of data, each replaced as a whole."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """A reader finds the old or the new one. Raises OSError."""
+        """Replace the data atomically: a reader finds the old or the new version. Raises OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """What is there, MAX_FILE + 1 bytes of it at most; None if nothing. Raises OSError."""
+        """The stored data, at most MAX_FILE_SIZE + 1 bytes of it; None if there is none. Raises OSError."""
 
-    def mark(self, name: str) -> Hashable | None:
-        """Another value after each replacement; None if nothing is there."""
+    def revision(self, name: str) -> Hashable | None:
+        """A value that differs after each replacement; None if there is no data."""
 
 
-class Ledger:
-    """What the processes of one proxy tell each other at every moment. Raises OSError where no row is free."""
+class ProcessLedger:
+    """Shared memory with the current state of each process of one proxy. Raises OSError if no row is free."""
 
-    def __init__(self, values: Cells, ids: Cells, locks: Locks) -> None:
-        self._values = values  # ROWS x FIELDS, shared
+    def __init__(self, values: SharedCells, id_cells: SharedCells, locks: ProcessLocks) -> None:
+        self._values = values  # shared: MAX_PROCESSES rows of CELLS_PER_PROCESS, then the ORDERS_CELL
         self._locks = locks
-        self._at = -1
-        for row in range(ROWS):
-            if locks.take(row):
-                self._at = row * FIELDS
+        self._row_start = -1
+        for row in range(MAX_PROCESSES):
+            if locks.try_lock(row):
+                self._row_start = row * CELLS_PER_PROCESS
                 break
         else:
             raise OSError("the ledger has no free row")
-        self.ids = OpenIds(ids, self._at // FIELDS, self._alive)
-        self._clear(self._at // FIELDS)
+        self.open_ids = OpenRequestIds(id_cells, self._row_start // CELLS_PER_PROCESS, self._is_alive)
+        self._clear_row(self._row_start // CELLS_PER_PROCESS)
         self.generation = next_generation(self.others())
-        self._values[self._at + 1] = Stage.STARTING
-        self._values[self._at] = self.generation
+        self._values[self._row_start + 1] = ProcessStage.STARTING
+        self._values[self._row_start] = self.generation
 
-    def _alive(self, row: int) -> bool:
-        """Whether the process of a row is; a dead one's row is cleared at once."""
-        if not self._locks.take(row):
+    def _is_alive(self, row: int) -> bool:
+        """Whether the process of a row is alive; a dead one's row is cleared."""
+        if not self._locks.try_lock(row):
             return True
-        self._clear(row)
-        self._locks.free(row)
+        self._clear_row(row)
+        self._locks.unlock(row)
         return False
 
-    def _clear(self, row: int) -> None:
-        self.ids.clear(row)
-        for field in range(FIELDS):
-            self._values[row * FIELDS + field] = 0
+    def _clear_row(self, row: int) -> None:
+        self.open_ids.clear_row(row)
+        for cell in range(CELLS_PER_PROCESS):
+            self._values[row * CELLS_PER_PROCESS + cell] = 0
 
-    def bury(self) -> None:
-        """Clear the rows of processes that are dead: the kernel has taken back their locks."""
-        for row in range(ROWS):
-            if row * FIELDS != self._at and self._values[row * FIELDS]:
-                self._alive(row)
+    def clear_dead(self) -> None:
+        """Clear the rows of dead processes: the kernel has released their locks."""
+        for row in range(MAX_PROCESSES):
+            if row * CELLS_PER_PROCESS != self._row_start and self._values[row * CELLS_PER_PROCESS]:
+                self._is_alive(row)
 
-    def others(self) -> list[Row]:
-        """The rows of the others, as far as they make sense."""
-        rows = []
+    def others(self) -> list[ProcessEntry]:
+        """The valid entries of the other processes."""
+        entries = []
         values = self._values
-        for at in range(0, ROWS * FIELDS, FIELDS):
-            if at != self._at and values[at] and values[at + 1] in Stage.__members__.values():
-                rows.append(Row(values[at], Stage(values[at + 1]), max(0, values[at + 2]), max(0, values[at + 3])))
-        return rows
-
-    def yields(self) -> bool:
-        """Whether a newer process serves."""
-        self.bury()
-        return yields(self.generation, self.others())
-
-    def stage(self, stage: Stage) -> None:
-        """Say how far this process is."""
-        self._values[self._at + 1] = stage
-
-    def orders(self) -> int:
-        """Another number after each order that any process was given."""
-        return self._values[ORDERS]
-
-    def ordered(self) -> None:
-        """An order was given, and is written."""
-        self._values[ORDERS] += 1
-
-    def descriptors(self) -> int:
-        """In use by the others."""
-        values, at = self._values, self._at
-        return sum(values[i + 2] for i in range(0, ROWS * FIELDS, FIELDS) if i != at)
-
-    def bodies(self) -> int:
-        """Bytes of bodies held by the others."""
-        values, at = self._values, self._at
-        return sum(values[i + 3] for i in range(0, ROWS * FIELDS, FIELDS) if i != at)
-
-    def tell_descriptors(self, count: int) -> None:
-        """This process uses so many."""
-        self._values[self._at + 2] = count
-
-    def tell_bodies(self, count: int) -> None:
-        """This process holds so many bytes."""
-        self._values[self._at + 3] = count
+        for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS):
+            if start != self._row_start and values[start] and values[start + 1] in ProcessStage.__members__.values():
+                entries.append(
+                    ProcessEntry(
+                        values[start],
+                        ProcessStage(values[start + 1]),
+                        max(0, values[start + 2]),
+                        max(0, values[start + 3]),
+                    )
+                )
+        return entries
+
+    def should_yield(self) -> bool:
+        """Whether a newer process serves, so that this one leaves new connections to it."""
+        self.clear_dead()
+        return should_yield(self.generation, self.others())
+
+    def set_stage(self, stage: ProcessStage) -> None:
+        """Publish the stage of this process."""
+        self._values[self._row_start + 1] = stage
+
+    def order_count(self) -> int:
+        """A number that changes with each order that any of the processes receives."""
+        return self._values[ORDERS_CELL]
+
+    def count_order(self) -> None:
+        """Announce to the other processes that a new order has been stored."""
+        self._values[ORDERS_CELL] += 1
+
+    def descriptors_of_others(self) -> int:
+        """Number of descriptors that the other processes use."""
+        values, own_start = self._values, self._row_start
+        return sum(
+            values[start + 2]
+            for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS)
+            if start != own_start
+        )
+
+    def body_bytes_of_others(self) -> int:
+        """Number of bytes of bodies that the other processes hold."""
+        values, own_start = self._values, self._row_start
+        return sum(
+            values[start + 3]
+            for start in range(0, MAX_PROCESSES * CELLS_PER_PROCESS, CELLS_PER_PROCESS)
+            if start != own_start
+        )
+
+    def report_descriptors(self, count: int) -> None:
+        """Publish the number of descriptors that this process uses."""
+        self._values[self._row_start + 2] = count
+
+    def report_body_bytes(self, count: int) -> None:
+        """Publish the number of bytes of bodies that this process holds."""
+        self._values[self._row_start + 3] = count
 
 
 class Handover:
-    """What one process shares with the others of its proxy."""
+    """Everything that one process shares with the others of its proxy."""
 
-    def __init__(self, store: Store, ledger: Ledger) -> None:
+    def __init__(self, store: HandoverStore, ledger: ProcessLedger) -> None:
         self._store = store
         self.ledger = ledger
-        self._seen: Hashable | None = None  # of the standing orders, when read or written last
+        self._seen_revision: Hashable | None = None  # of the operator orders, when last read or written
 
-    def write(self, name: str, form: dict[str, Any]) -> None:
-        """Replace one of them as a whole. Raises OSError."""
-        data = orjson.dumps(form)
+    def write(self, name: str, state: dict[str, Any]) -> None:
+        """Replace a stored state as a whole. Raises OSError."""
+        data = orjson.dumps(state)
         self._store.replace(name, b"%08x\n" % zlib.crc32(data) + data)
         if name == "standing":
-            self._seen = self._store.mark(name)
+            self._seen_revision = self._store.revision(name)
 
     def read(self, name: str) -> Any:
-        """What one holds; None where there is none or it is torn, which is logged."""
+        """A stored state; None if there is none, or if it cannot be read, which is logged."""
         try:
             data = self._store.read(name)
-        except OSError as fault:
-            log.warning("%s: not read: %s", name, fault.strerror)
+        except OSError as error:
+            log.warning("%s: not read: %s", name, error.strerror)
             return None
         if data is None:
             return None
-        head, _, body = data.partition(b"\n")
+        checksum, _, body = data.partition(b"\n")
         try:
-            if len(data) > MAX_FILE or head != b"%08x" % zlib.crc32(body):
-                raise Unusable("its check sum does not fit")
+            if len(data) > MAX_FILE_SIZE or checksum != b"%08x" % zlib.crc32(body):
+                raise UnusableState("wrong checksum")
             return orjson.loads(body)
-        except (Unusable, orjson.JSONDecodeError) as fault:
-            log.warning("%s: left aside: %s", name, fault)
+        except (UnusableState, orjson.JSONDecodeError) as error:
+            log.warning("%s: ignored: %s", name, error)
             return None
 
-    def news(self) -> Any:
-        """The standing orders, if another process has written them since the last look; else None."""
-        mark = self._store.mark("standing")
-        if mark is None or mark == self._seen:
+    def new_orders(self) -> Any:
+        """The operator orders if another process has written them since they were last read, else None."""
+        revision = self._store.revision("standing")
+        if revision is None or revision == self._seen_revision:
             return None
-        self._seen = mark
+        self._seen_revision = revision
         return self.read("standing")
 
 
-# ---- in a folder -------------------------------------------------------------------------
+# ---- storage in a folder -----------------------------------------------------------------
 
 
-class FileLocks:
-    """A lock on one byte of a file for each row; the kernel takes back those of the dead."""
+class FileRangeLocks:
+    """Locks one byte of a file per row; the kernel releases the locks of a dead process."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
-    def take(self, row: int) -> bool:
-        """Hold a row's lock, if no other process does."""
+    def try_lock(self, row: int) -> bool:
+        """Acquire a row's lock; returns False if another process holds it."""
         try:
             fcntl.lockf(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, row)
         except OSError:
             return False
         return True
 
-    def free(self, row: int) -> None:
-        """Let go of it."""
+    def unlock(self, row: int) -> None:
+        """Release a row's lock."""
         fcntl.lockf(self._descriptor, fcntl.LOCK_UN, 1, row)
 
 
-class Folder:
-    """Files of a folder."""
+class FolderStore:
+    """Stores each piece of data as a file of a folder."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
 
     def replace(self, name: str, data: bytes) -> None:
-        """A reader finds the old or the new one. Raises OSError."""
-        fresh = self._path / f"{name}.{os.getpid()}"
-        fresh.write_bytes(data)
-        fresh.replace(self._path / name)
+        """Replace the data atomically: a reader finds the old or the new version. Raises OSError."""
+        temporary = self._path / f"{name}.{os.getpid()}"
+        temporary.write_bytes(data)
+        temporary.replace(self._path / name)
 
     def read(self, name: str) -> bytes | None:
-        """What is there, if anything. Raises OSError."""
+        """The stored data, at most MAX_FILE_SIZE + 1 bytes of it; None if there is none. Raises OSError."""
         try:
             with (self._path / name).open("rb") as file:
-                return file.read(MAX_FILE + 1)
+                return file.read(MAX_FILE_SIZE + 1)
         except FileNotFoundError:
             return None
 
-    def mark(self, name: str) -> Hashable | None:
-        """When it was replaced, and by which file."""
+    def revision(self, name: str) -> Hashable | None:
+        """Modification time and inode of the file; None if there is none."""
         with contextlib.suppress(OSError):
-            found = os.stat(self._path / name)
-            return found.st_mtime_ns, found.st_ino
+            status = os.stat(self._path / name)
+            return status.st_mtime_ns, status.st_ino
         return None
 
 
-def in_folder(parent: str) -> Handover:
-    """What processes share in a folder of a folder. Raises OSError where it can't be had."""
-    path = Path(parent) / FOLDER
+def open_in_folder(parent: str) -> Handover:
+    """Open the shared state in the subfolder FOLDER_NAME, created if missing. Raises OSError."""
+    path = Path(parent) / FOLDER_NAME
     path.mkdir(mode=0o700, exist_ok=True)
-    ledger, values = _shared(path / "ledger", PAGE)
-    _, ids = _shared(path / "open", 8 * ROWS * OpenIds.WIDTH)
-    return Handover(Folder(path), Ledger(values, ids, FileLocks(ledger)))
+    ledger_descriptor, values = _map_file(path / "ledger", LEDGER_SIZE)
+    _, id_cells = _map_file(path / "open", 8 * MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
+    return Handover(FolderStore(path), ProcessLedger(values, id_cells, FileRangeLocks(ledger_descriptor)))
 
 
-def _shared(path: Path, size: int) -> tuple[int, memoryview]:
-    """A descriptor of a file of so many bytes, and its 64-bit cells in memory. Raises OSError."""
+def _map_file(path: Path, size: int) -> tuple[int, memoryview]:
+    """Open and map a file of `size` bytes; returns its descriptor and its 64-bit cells. Raises OSError."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     os.ftruncate(descriptor, size)
     return descriptor, memoryview(mmap.mmap(descriptor, size)).cast("q")
--- a/cometusher/inflight/endpoint.py
+++ b/cometusher/inflight/endpoint.py
@@ -1,4 +1,4 @@
-"""A process's side of what its supervisor gave it: the fleet's shelf of books, and the socket that offers come by."""
+"""An instance's end of the takeover channel: the fleet's pool of journals, and the socket that delivers offers."""
 
 from __future__ import annotations
 
@@ -17,133 +17,139 @@
 
 from cometusher.config import ConfigError
 from cometusher.inflight.offer import Offer, close_all, receive
-from cometusher.inflight.tracker import Received
-from weldroute.request_journal import Keys, Left, Row, Shelf, Size
+from cometusher.inflight.tracker import ReceivedOffer
+from weldroute.request_journal import ConnectionRecord, JournalPool, JournalSize, KeyIndex, OrphanedJournal
 
 log = logging.getLogger("cometusher.inhand.door")  # the `subsystem` of its log records
 
-SHELF, KEEPER, DOOR = 6, 7, 8  # descriptors that a process under a supervisor has them at
-AT_ONCE = 16  # offers at one wake-up
-CROWDED = 0.05  # seconds between looks whether there is room again
-POPULATE = 23  # MADV_POPULATE_WRITE of madvise(2), Linux 5.14; `mmap` has no name for it
-USUAL = 64 * 1024  # bytes of a book that a process uses at most times
+POOL_FD, HOLDER_FD, CHANNEL_FD = 6, 7, 8  # descriptor numbers in a process that a supervisor started
+MAX_OFFERS_PER_WAKEUP = 16
+ROOM_CHECK_INTERVAL = 0.05  # seconds between checks whether there is room for an offer again
+MADV_POPULATE_WRITE = 23  # of madvise(2), Linux 5.14; `mmap` has no name for it
+PREFAULTED_BYTES = 64 * 1024  # of a journal: what a process uses most of the time
 
 
 @dataclass(frozen=True, slots=True)
-class Covered:
-    """What a process is told of its book."""
+class JournalAssignment:
+    """The journal that a supervisor has assigned to a process."""
 
     process: int  # a number that its supervisor never uses again
-    book: int
-    shelf: Shelf
+    book: int  # number of the journal in the pool
+    shelf: JournalPool
 
 
-def read_covered(path: Path) -> Covered | None:
-    """The part of an instance's file that its supervisor wrote for it, if any; raises ConfigError."""
+def read_assignment(path: Path) -> JournalAssignment | None:
+    """Read the assignment, if any, from the file that the supervisor wrote for an instance; raises ConfigError."""
     try:
         values = orjson.loads(path.read_bytes()).get("takeover")
         if values is None:
             return None
-        shelf = values["shelf"]
-        return Covered(
-            int(values["process"]), int(values["book"]), Shelf(Size(**shelf["size"]), shelf["books"], shelf["keys"])
+        pool = values["shelf"]
+        return JournalAssignment(
+            int(values["process"]),
+            int(values["book"]),
+            JournalPool(JournalSize(**pool["size"]), pool["books"], pool["keys"]),
         )
-    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as fault:
-        raise ConfigError(f"{path}: takeover: {fault}") from None
+    except (OSError, orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError) as error:
+        raise ConfigError(f"{path}: takeover: {error}") from None
 
 
-def write_covered(covered: Covered) -> dict[str, Any]:
-    """That part, for `read_covered`."""
-    return asdict(covered)
+def assignment_values(assignment: JournalAssignment) -> dict[str, Any]:
+    """An assignment in the form that `read_assignment` reads."""
+    return asdict(assignment)
 
 
-def populate(mapping: mmap.mmap, begin: int, count: int) -> None:
-    """Have pages at hand: a request that is the first to touch one would wait for the kernel to find it."""
-    with contextlib.suppress(OSError):  # an older kernel: it is slower, that is all
-        mapping.madvise(POPULATE, begin, count)
+def prefault(mapping: mmap.mmap, begin: int, count: int) -> None:
+    """Fault pages in: otherwise the first request to touch one would wait for the kernel to allocate it."""
+    with contextlib.suppress(OSError):  # an older kernel: only slower
+        mapping.madvise(MADV_POPULATE_WRITE, begin, count)
 
 
 def _sockets(descriptors: list[int]) -> list[socket.socket | None]:
-    """Sockets of these; None, and closed, for what is none."""
-    found: list[socket.socket | None] = []
-    for number in descriptors:
+    """Sockets of these descriptors; a descriptor that is no socket is closed and gives None."""
+    sockets: list[socket.socket | None] = []
+    for descriptor in descriptors:
         try:
-            one = socket.socket(fileno=number)
-            one.setblocking(False)
-            found.append(one)
+            sock = socket.socket(fileno=descriptor)
+            sock.setblocking(False)
+            sockets.append(sock)
         except OSError:
-            close_all([number])
-            found.append(None)
-    return found
+            close_all([descriptor])
+            sockets.append(None)
+    return sockets
 
 
-class SocketDoor:
-    """Shared memory, and a socket whose other end the supervisor has."""
+class SocketTakeoverChannel:
+    """A takeover channel over shared memory and a socket whose other end the supervisor holds."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, covered: Covered) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, assignment: JournalAssignment) -> None:
         self._loop = loop
-        self.shelf = covered.shelf
-        self.process = covered.process
-        self.number = covered.book
-        mapping = mmap.mmap(SHELF, covered.shelf.bytes)
-        populate(mapping, 0, covered.shelf.front)
-        populate(mapping, covered.shelf.at(covered.book), USUAL)
+        self.pool = assignment.shelf
+        self.process = assignment.process
+        self.number = assignment.book
+        mapping = mmap.mmap(POOL_FD, assignment.shelf.bytes)
+        prefault(mapping, 0, assignment.shelf.index_bytes)
+        prefault(mapping, assignment.shelf.journal_offset(assignment.book), PREFAULTED_BYTES)
         self._memory = memoryview(mapping)
-        self._lefts: dict[int, Left] = {}  # books of others, as far as they were read
-        self.keys: Keys = covered.shelf.index(self._memory)
-        self._socket = socket.socket(fileno=os.dup(DOOR))
+        self._journals: dict[int, OrphanedJournal] = {}  # of other processes, as far as they were read
+        self.keys: KeyIndex = assignment.shelf.key_index(self._memory)
+        self._socket = socket.socket(fileno=os.dup(CHANNEL_FD))
         self._socket.setblocking(False)
-        self._offered: Callable[[Received], None] = lambda received: received.close()
-        self._room: Callable[[], bool] = lambda: True
+        self._on_offer: Callable[[ReceivedOffer], None] = lambda received: received.close()
+        self._has_room: Callable[[], bool] = lambda: True
 
     @property
     def memory(self) -> memoryview:
-        """This process's own book."""
-        return self.shelf.book(self._memory, self.number)
-
-    def left(self, book: int) -> Left:
-        """Any book; raises ValueError for one that is not there."""
-        left = self._lefts.get(book)
-        if left is None:
-            left = self._lefts[book] = Left(self.shelf.book(self._memory, book), self.shelf.size)
-        return left
-
-    def watch(self, offered: Callable[[Received], None], room: Callable[[], bool]) -> None:
-        """Call for each offer from here on, while there is room for one."""
-        self._offered, self._room = offered, room
+        """This process's own journal."""
+        return self.pool.journal_memory(self._memory, self.number)
+
+    def journal_of(self, number: int) -> OrphanedJournal:
+        """Any journal of the pool; raises ValueError for a number outside it."""
+        journal = self._journals.get(number)
+        if journal is None:
+            journal = self._journals[number] = OrphanedJournal(
+                self.pool.journal_memory(self._memory, number), self.pool.size
+            )
+        return journal
+
+    def start_receiving(self, on_offer: Callable[[ReceivedOffer], None], has_room: Callable[[], bool]) -> None:
+        """Call `on_offer` for each offer from here on, while `has_room()`."""
+        self._on_offer, self._has_room = on_offer, has_room
         self._listen()
 
     def _listen(self) -> None:
         self._loop.add_reader(self._socket.fileno(), self._read)
 
     def _read(self) -> None:
-        for _ in range(AT_ONCE):
-            if not self._room():
-                # What is not received can be taken back, and given to another.
+        for _ in range(MAX_OFFERS_PER_WAKEUP):
+            if not self._has_room():
+                # An offer that is not received can be withdrawn and made to another process.
                 self._loop.remove_reader(self._socket.fileno())
-                self._loop.call_later(CROWDED, self._listen)
+                self._loop.call_later(ROOM_CHECK_INTERVAL, self._listen)
                 return
             try:
                 offer = receive(self._socket)
             except (OSError, EOFError):
-                self._loop.remove_reader(self._socket.fileno())  # the lifeline tells of the rest
+                self._loop.remove_reader(self._socket.fileno())  # the lifeline reports that the supervisor is gone
                 return
             if offer is None:
                 return
-            self._offered(self._unpack(offer))
+            self._on_offer(self._unpack(offer))
 
-    def _unpack(self, offer: Offer) -> Received:
+    def _unpack(self, offer: Offer) -> ReceivedOffer:
         descriptors, offer.descriptors = offer.descriptors, []
         sockets = _sockets(descriptors)
         if offer.slot < 0:
-            rows = [Row(0, *row) for row in offer.rows]
-            there = [(row, one) for row, one in zip(rows, sockets, strict=False) if one is not None]
-            return Received(offer.book, offer.process, -1, 0, None, None, [], list(there))
-        rest = iter(sockets)
-        caller = next(rest, None)
-        tries = [next(rest, None) if there else None for there in offer.tries]
-        if offer.short:
-            received = Received(offer.book, offer.process, offer.slot, offer.term, None, caller, tries)
+            records = [ConnectionRecord(0, *row) for row in offer.rows]
+            idle = [(record, sock) for record, sock in zip(records, sockets, strict=False) if sock is not None]
+            return ReceivedOffer(offer.book, offer.process, -1, 0, None, None, [], list(idle))
+        remaining = iter(sockets)
+        caller = next(remaining, None)
+        attempts = [next(remaining, None) if sent else None for sent in offer.tries]
+        if offer.truncated:
+            received = ReceivedOffer(offer.book, offer.process, offer.slot, offer.term, None, caller, attempts)
             received.close()
             return received
-        return Received(offer.book, offer.process, offer.slot, offer.term, self.left(offer.book), caller, tries)
+        return ReceivedOffer(
+            offer.book, offer.process, offer.slot, offer.term, self.journal_of(offer.book), caller, attempts
+        )
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -1,5 +1,4 @@
-"""A proxy's state as the forms of `weldroute.handover`, and back into a proxy: one place for all that keeps or hands
-it over, an upgrade as well as a store."""
+"""Converts a proxy's state to and from the serialized state of `weldroute.handover`, for hot restarts and stores."""
 
 from __future__ import annotations
 
@@ -8,24 +7,24 @@
 
 from cometusher.discovery import Listing, read_listing
 from weldroute import ListKind, State
-from weldroute.handover import Standing, apply_standing
+from weldroute.handover import OperatorOrders, apply_operator_orders
 
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
 
 log = logging.getLogger("cometusher.forms")  # the `subsystem` of its log records
 
-HEALTH = {State.UP: "in_service", State.DRAINING: "terminating"}
+HEALTH_BY_STATE = {State.UP: "in_service", State.DRAINING: "terminating"}
 
 
-def write_list(proxy: Proxy) -> dict[str, Any]:
-    """The list of backends as discovery would tell it whole."""
+def serialize_list(proxy: Proxy) -> dict[str, Any]:
+    """The list of backends, in the format of a whole list from discovery."""
     hosts = []
-    for host, server in proxy.names.items():
-        known, dial = proxy.balancer.servers.get(server), proxy.backends.dial(server)
-        if known is None or dial is None or known.row.state not in HEALTH:
+    for host, server in proxy.servers_by_host.items():
+        state, dial = proxy.balancer.servers.get(server), proxy.backends.address_of(server)
+        if state is None or dial is None or state.row.state not in HEALTH_BY_STATE:
             continue
-        row, zones = known.row, proxy.config.zones
+        row, zones = state.row, proxy.config.zones
         hosts.append(
             {
                 "host": host,
@@ -33,42 +32,42 @@
                 "site": zones[row.zone] if row.zone < len(zones) else "",
                 "block": row.cell,
                 "share": row.size,
-                "health": HEALTH[row.state],
+                "health": HEALTH_BY_STATE[row.state],
                 "born_ms": round(row.started * 1000.0, 3),
             }
         )
     return {"seq": proxy.discovery.seq, "whole": True, "hosts": hosts}
 
 
-def take_list(proxy: Proxy, form: Any) -> Listing:
-    """Begin with a list that was written down, unless there is a newer one already; raises Unreadable."""
-    listing = read_listing(form, proxy.config.zones)
+def restore_list(proxy: Proxy, state: Any) -> Listing:
+    """Start with a stored list, unless a newer one is known already; raises Unreadable."""
+    listing = read_listing(state, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
         proxy.discovery.resume(listing.seq)
-        proxy.listed(ListKind.STALE, listing.entries)
+        proxy.on_list(ListKind.STALE, listing.entries)
     return listing
 
 
-def standing(proxy: Proxy, version: int) -> Standing:
-    """What operators have ordered of this proxy, as a version of it."""
-    names = {server: host for host, server in proxy.names.items()}
+def collect_operator_orders(proxy: Proxy, version: int) -> OperatorOrders:
+    """The operators' orders that are in effect on this proxy, as the given version."""
+    names = {server: host for host, server in proxy.servers_by_host.items()}
     balancer = proxy.balancer
-    return Standing(
+    return OperatorOrders(
         version,
         proxy.operations.evacuated,
         tuple((names[server], server, since) for server, since in balancer.bans.items() if server in names),
-        tuple((server, since, back) for server, (since, back) in balancer.returned.items()),
+        tuple((server, since, ended) for server, (since, ended) in balancer.past_bans.items()),
     )
 
 
-def take_standing(proxy: Proxy, orders: Standing) -> None:
-    """Do as operators have ordered."""
-    proxy.names.update((host, server) for host, server, _ in orders.bans)
-    for server in apply_standing(proxy.balancer, proxy.clock.now(), orders):
+def restore_operator_orders(proxy: Proxy, orders: OperatorOrders) -> None:
+    """Apply stored operator orders: bans, and evacuation or rejoin."""
+    proxy.servers_by_host.update((host, server) for host, server, _ in orders.bans)
+    for server in apply_operator_orders(proxy.balancer, proxy.clock.now(), orders):
         log.info("backend %x: %s", server, "banned" if server in proxy.balancer.bans else "no longer banned")
         proxy.backends.drop_idle(server)
     if orders.evacuated is not proxy.operations.evacuated:
-        log.info("the proxy is %s", "evacuated" if orders.evacuated else "back")
+        log.info("the proxy %s", "is evacuated" if orders.evacuated else "has rejoined")
         if orders.evacuated:
             proxy.operations.evacuate(proxy.loop.time())
         else:
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -20,17 +20,17 @@
 import orjson
 
 from cometusher.config import Address
-from cometusher.handover import ORDERS, ROWS, Handover, Ledger
+from cometusher.handover import MAX_PROCESSES, ORDERS_CELL, Handover, ProcessLedger
 from cometusher.runtime import Listener
 from cometusher.simulation.loop import MACHINE, VirtualLoop
-from weldroute.handover import OpenIds
-from weldroute.snapshots import Moment, Owner, Record, read_record
-from weldroute.takeover import Seen
+from weldroute.handover import OpenRequestIds
+from weldroute.snapshots import ClockReading, Owner, Record, read_record
+from weldroute.takeover import ConnectionCounters
 
 if TYPE_CHECKING:
-    from cometusher.inflight.endpoint import Covered
-    from cometusher.inflight.tracker import Door
-    from cometusher.recovery import Kept, Returning
+    from cometusher.inflight.endpoint import JournalAssignment
+    from cometusher.inflight.tracker import TakeoverChannel
+    from cometusher.recovery import RecordSink, RecoveryConfig
 
 WINDOW = 64 * 1024  # bytes under way and unread in one direction
 HIGH, LOW = 64 * 1024, 16 * 1024  # asyncio's own marks for its write buffer
@@ -361,13 +361,13 @@
         """In place of a descriptor."""
         return self.number
 
-    def seen(self) -> Seen | None:
+    def seen(self) -> ConnectionCounters | None:
         """What the kernel knows of it; None if it is gone."""
         if self._reset or self._gone:
             return None
         unread = sum(map(len, self._inbox))
         quiet = self._loop.time() - self._heard if unread else 0.0
-        return Seen(self.written, self.told, self._eof_came, unread, quiet)
+        return ConnectionCounters(self.written, self.told, self._eof_came, unread, quiet)
 
     def belongs(self, machine: Machine) -> None:
         """A process has accepted it, on a listener that several hold, or was handed it."""
@@ -762,8 +762,8 @@
     def __init__(self) -> None:
         self.data: dict[str, bytes] = {}
         self._marks: dict[str, int] = {}
-        self.page = [0] * (ORDERS + 1)
-        self.ids = [0] * (ROWS * OpenIds.WIDTH)
+        self.page = [0] * (ORDERS_CELL + 1)
+        self.ids = [0] * (MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
         self.holders: dict[int, Machine] = {}  # of the locks
 
     def replace(self, name: str, data: bytes) -> None:
@@ -775,7 +775,7 @@
         """What is there, if anything."""
         return self.data.get(name)
 
-    def mark(self, name: str) -> Hashable | None:
+    def revision(self, name: str) -> Hashable | None:
         """Another value after each replacement."""
         return self._marks.get(name)
 
@@ -793,7 +793,7 @@
         self._holders = memory.holders
         self._machine = machine
 
-    def take(self, row: int) -> bool:
+    def try_lock(self, row: int) -> bool:
         """Hold a row's lock, if no other process does."""
         holder = self._holders.get(row)
         if holder is not None and holder is not self._machine and not holder.dead:
@@ -801,7 +801,7 @@
         self._holders[row] = self._machine
         return True
 
-    def free(self, row: int) -> None:
+    def unlock(self, row: int) -> None:
         """Let go of it."""
         self._holders.pop(row, None)
 
@@ -840,7 +840,7 @@
 
     def put(self, kind: str, body: object) -> None:
         """Have a form written soon."""
-        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).write()
+        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
         self._surroundings.loop.call_later(WRITTEN, self._write, kind, orjson.loads(orjson.dumps(form)))
 
     def _write(self, kind: str, form: dict[str, Any]) -> None:
@@ -860,7 +860,7 @@
         epoch: float = 1.6e9,
         memory: Memory | None = None,
         disk: Disk | None = None,
-        covers: Callable[[Covered], Door] | None = None,
+        covers: Callable[[JournalAssignment], TakeoverChannel] | None = None,
     ) -> None:
         self._network = network
         self._memory = memory
@@ -911,15 +911,15 @@
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
-    def keep(self, returning: Returning) -> tuple[dict[str, Record], Kept]:
+    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
         return self._disk.read(), DiskKeeper(self._disk, returning.owner, self, MACHINE.get())
 
-    def moment(self) -> Moment:
+    def moment(self) -> ClockReading:
         """Now, by the clock that may step and by the one that does not."""
-        return Moment(self.unix_time(), "virtual", self._network.loop.time())
+        return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
-    def cover(self, covered: Covered) -> Door:
+    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand; raises OSError in a world without."""
         if self._covers is None:
             raise _fault(errno.ENOSYS)
@@ -930,7 +930,7 @@
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> Seen | None:
+    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a connection."""
         assert isinstance(connection, VirtualTransport)
         return connection.seen() if connection.number == name else None
@@ -944,4 +944,6 @@
         machine = MACHINE.get()
         if self._memory is None or machine is None:
             raise _fault(errno.ENOENT)
-        return Handover(self._memory, Ledger(self._memory.page, self._memory.ids, MemoryLocks(self._memory, machine)))
+        return Handover(
+            self._memory, ProcessLedger(self._memory.page, self._memory.ids, MemoryLocks(self._memory, machine))
+        )
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -24,9 +24,9 @@
 from cometusher import config
 from cometusher.backends import BackendConnection
 from cometusher.callers import CallerConnection
-from cometusher.inflight.endpoint import Covered
+from cometusher.inflight.endpoint import JournalAssignment
 from cometusher.proxy import Exchange, Proxy
-from cometusher.recovery import Returning
+from cometusher.recovery import RecoveryConfig
 from cometusher.simulation.container_audit import excess
 from cometusher.simulation.loop import Deadlock, Stuck, VirtualLoop, run
 from cometusher.simulation.network import (
@@ -45,9 +45,9 @@
 from standins.discovery import HostList, Watch
 from standins.messages import Seen
 from standins.service_backend import Keys, Node
-from weldroute.recovery import Plan as ReturnPlan
+from weldroute.recovery import RecoveryPlan as ReturnPlan
 from weldroute.settings import read_settings
-from weldroute.snapshots import Known, Limits, Owner
+from weldroute.snapshots import AgeLimits, KnownVersions, Owner
 
 EPOCH = 1.6e9  # Unix time at a world's beginning
 PORT = 9000
@@ -135,7 +135,7 @@
     calls: Address  # where operators call
     number: int  # grows with every start
     proxy: Proxy | None = None
-    covered: Covered | None = None  # its book of work in hand
+    covered: JournalAssignment | None = None  # its book of work in hand
 
 
 @dataclass(eq=False)
@@ -365,8 +365,8 @@
                 covered=covered,
             )
             process.proxy = proxy = Proxy(told, process.surroundings)
-            if proxy.comeback is not None:
-                proxy.comeback.report = hear
+            if proxy.recovery is not None:
+                proxy.recovery.report = hear
             if listener is None:
                 proxy.start()
             else:
@@ -387,16 +387,16 @@
             and door.process.proxy is not None
         ]
 
-    def _returning(self, door: Door) -> Returning | None:
+    def _returning(self, door: Door) -> RecoveryConfig | None:
         """What a supervisor would tell of its return."""
         if not self.plan.keeps:
             return None
         many = sum(each.tier == door.tier for each in self.doors)
-        limits = Limits()
+        limits = AgeLimits()
         owner = Owner("world", door.name, 1)
         plan = ReturnPlan(instances=many, returning=many, list_for=limits.list_for)
         version = door.standing["version"] if door.standing is not None else 0
-        return Returning(plan, limits, owner, Path("-"), Known(standing=version), door.standing)
+        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), door.standing)
 
     def start_door(self, door: Door) -> None:
         """A proxy begins, with one process."""
@@ -1315,7 +1315,7 @@
         timers = len(self.loop.timers_of(door.machine))
         near = [each for each in self.doors if each.tier == door.tier] if self.estates is not None else [door]
         work = sum(self.ledger.open_at(each.name) for each in near)  # heirs have that of others
-        offers = self.estates.estate.pace if self.estates is not None else 0  # that are on their way here
+        offers = self.estates.estate.max_pending if self.estates is not None else 0  # that are on their way here
         if timers > TIMERS + SPARE_TIMERS + offers + 3 * work and not self.ledger.held_up(now, door.name):
             self.ledger.violate(now, "bounded", f"{door.name} has {timers} timers for {work} requests")
         machines = [one.machine for one in (door.process, *door.others) if one is not None and not one.machine.dead]
--- a/tests/unit/test_tcp_info.py
+++ b/tests/unit/test_tcp_info.py
@@ -1,4 +1,4 @@
-"""The kernel's account of a connection is of one moment, whatever arrives while it is asked for."""
+"""The kernel's byte counters of a connection are consistent, whatever arrives while they are read."""
 
 from __future__ import annotations
 
@@ -9,28 +9,36 @@
 import pytest
 
 from cometusher.inflight import tcp_info
-from cometusher.inflight.tcp_info import ACKED, ACKED_AT, ESTABLISHED, HEARD, HEARD_AT, look, name_by
+from cometusher.inflight.tcp_info import (
+    BYTE_COUNTERS,
+    BYTE_COUNTERS_OFFSET,
+    ESTABLISHED,
+    LAST_DATA_AGE,
+    LAST_DATA_AGE_OFFSET,
+    address_pair_id,
+    read_counters,
+)
 
 
 class Kernel:
-    """A connection on which something arrives at each look, so many times."""
+    """A connection on which data arrives at each of the first reads, `arrivals` in number."""
 
     def __init__(self, arrivals: int) -> None:
-        self.left = arrivals
+        self.remaining_arrivals = arrivals
         self.acked, self.unsent, self.received, self.unread = 100, 50, 70, 0
 
-    def _arrives(self) -> None:
-        if self.left:
-            self.left -= 1
+    def _receive_data(self) -> None:
+        if self.remaining_arrivals:
+            self.remaining_arrivals -= 1
             self.acked, self.unsent = self.acked + 10, self.unsent - 10
             self.received, self.unread = self.received + 5, self.unread + 5
 
-    def getsockopt(self, *asked: Any) -> bytes:
-        info = bytearray(ACKED_AT + ACKED.size)
+    def getsockopt(self, *arguments: Any) -> bytes:
+        info = bytearray(BYTE_COUNTERS_OFFSET + BYTE_COUNTERS.size)
         info[0] = ESTABLISHED
-        HEARD.pack_into(info, HEARD_AT, 40)
-        ACKED.pack_into(info, ACKED_AT, self.acked, self.received)
-        self._arrives()
+        LAST_DATA_AGE.pack_into(info, LAST_DATA_AGE_OFFSET, 40)
+        BYTE_COUNTERS.pack_into(info, BYTE_COUNTERS_OFFSET, self.acked, self.received)
+        self._receive_data()
         return bytes(info)
 
     def getsockname(self) -> tuple[str, int]:
@@ -40,31 +48,37 @@
         return ("127.0.0.1", 2)
 
 
-def queue(kernel: Any, which: int) -> int:
-    return int(kernel.unsent if which == termios.TIOCOUTQ else kernel.unread)
+def queue_length(kernel: Any, request: int) -> int:
+    return int(kernel.unsent if request == termios.TIOCOUTQ else kernel.unread)
 
 
 @pytest.mark.parametrize("arrivals", [0, 1, 3])
-def test_what_arrives_between_two_calls_is_counted_once(arrivals: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tcp_info, "_queue", queue)
+def test_data_arriving_between_two_system_calls_is_counted_once(
+    arrivals: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(tcp_info, "_queue_length", queue_length)
     kernel: Any = Kernel(arrivals)
-    seen = look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False)
-    assert seen is not None and (seen.written, seen.read) == (150, 70)
-    assert (seen.unread, seen.quiet) == (5 * arrivals, 0.04 if arrivals else 0.0)
+    counters = read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False)
+    assert counters is not None and (counters.written, counters.read) == (150, 70)
+    assert (counters.unread, counters.last_data_age) == (5 * arrivals, 0.04 if arrivals else 0.0)
 
 
-def test_a_connection_that_never_rests_tells_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tcp_info, "_queue", queue)
+def test_connection_that_keeps_changing_has_no_counters(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(tcp_info, "_queue_length", queue_length)
     kernel: Any = Kernel(10**6)
-    assert look(kernel, name_by(kernel.getsockname(), kernel.getpeername()), False) is None
-
-
-def test_of_a_real_connection_all_that_programs_did_is_told() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as near:
-        far, _ = server.accept()
-        with far:
-            far.sendall(b"x" * 30)
-            near.sendall(b"y" * 20)
-            assert far.recv(5) == b"yyyyy"
-            seen = look(far, tcp_info.name_of(far), False)
-            assert seen is not None and (seen.written, seen.read, seen.unread) == (30, 5, 15) and not seen.ended
+    assert read_counters(kernel, address_pair_id(kernel.getsockname(), kernel.getpeername()), False) is None
+
+
+def test_counters_of_a_real_connection() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
+        accepted, _ = server.accept()
+        with accepted:
+            accepted.sendall(b"x" * 30)
+            client.sendall(b"y" * 20)
+            assert accepted.recv(5) == b"yyyyy"
+            counters = read_counters(accepted, tcp_info.connection_id_of(accepted), False)
+            assert (
+                counters is not None
+                and (counters.written, counters.read, counters.unread) == (30, 5, 15)
+                and not counters.closed_by_peer
+            )
--- a/weldroute/benchlink.py
+++ b/weldroute/benchlink.py
@@ -1,4 +1,4 @@
-"""Adapter between the simulator's wire (JSON lines) and the decision module; it decides nothing."""
+"""Adapter between the simulator's protocol (JSON lines) and the decisions; it decides nothing."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from weldroute.settings import read_settings
 
 STATES = {"U": State.UP, "L": State.DRAINING, "D": State.GONE}
-KINDS = {
+LIST_KINDS = {
     "stale_copy": ListKind.STALE,
     "whole": ListKind.WHOLE,
     "patch": ListKind.PATCH,
@@ -43,24 +43,24 @@
 }
 
 
-class WireFault(Exception):
-    """A line that the wire does not allow."""
+class ProtocolError(Exception):
+    """A line that violates the simulator's protocol."""
 
 
-def read_row(row: dict[str, Any]) -> ServerRow:
-    """One entry of a `Register`."""
+def read_row(entry: dict[str, Any]) -> ServerRow:
+    """Convert one entry of a `Register` message."""
     return ServerRow(
-        row["Backend"],
-        STATES[row.get("Readiness", "U")],
-        row.get("FailureDomain", 0),
-        row.get("Cluster", 0),
-        row.get("Units", 1.0),
-        row.get("StartTime", 0.0),
+        entry["Backend"],
+        STATES[entry.get("Readiness", "U")],
+        entry.get("FailureDomain", 0),
+        entry.get("Cluster", 0),
+        entry.get("Units", 1.0),
+        entry.get("StartTime", 0.0),
     )
 
 
 def write_action(instance: int, action: Action) -> dict[str, Any]:
-    """One action as a message of the wire."""
+    """Convert an action to a message of the protocol."""
     if isinstance(action, Send):
         return {
             "m": "Relay",
@@ -81,97 +81,101 @@
     if isinstance(action, Cancel):
         return {"m": "UndoSend", "ProxyId": instance, "Ref": action.request, "RoundNo": action.attempt}
     if isinstance(action, Timer):
-        return {"m": "Sleep", "ProxyId": instance, "When": action.at, "Tag": action.token}
+        return {"m": "Sleep", "ProxyId": instance, "When": action.due, "Tag": action.token}
     assert isinstance(action, Subscribe)
     return {"m": "Watch", "ProxyId": instance, "Want": True}
 
 
-class Link:
-    """All instances of one process, and the numbered lists that they share read-only."""
+class SimulatorAdapter:
+    """Holds all instances of one process, and the numbered lists that they share read-only."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.fresh: set[int] = set()
+        self.unstarted: set[int] = set()
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
-    def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        kind = KINDS[e["Mode"]]
+    def _on_members(self, balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        list_kind = LIST_KINDS[event["Mode"]]
         rows: tuple[ServerRow, ...] = ()
-        if kind is not ListKind.BROKEN:
-            if e["List"] not in self.lists:
-                raise WireFault(f"unknown list number {e['List']}")
-            rows = self.lists[e["List"]]
-        out = b.members(now, kind, rows)
-        if e["ProxyId"] in self.fresh:
-            self.fresh.discard(e["ProxyId"])
-            out += b.start(now)
-        return out
+        if list_kind is not ListKind.BROKEN:
+            if event["List"] not in self.lists:
+                raise ProtocolError(f"unknown list number {event['List']}")
+            rows = self.lists[event["List"]]
+        actions = balancer.members(now, list_kind, rows)
+        if event["ProxyId"] in self.unstarted:
+            self.unstarted.discard(event["ProxyId"])
+            actions += balancer.start(now)
+        return actions
 
     @staticmethod
-    def _call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        return b.request(now, e["Ref"], e.get("Kind", 0), e.get("ClientGroup", 0), e.get("Deadline"))
+    def _on_call(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        return balancer.request(
+            now, event["Ref"], event.get("Kind", 0), event.get("ClientGroup", 0), event.get("Deadline")
+        )
 
     @staticmethod
-    def _returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        how = OUTCOMES[e["How"]]
-        return b.outcome(now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False))
-
-    def event(self, now: float, e: dict[str, Any]) -> list[Action]:
-        """Hand one event to its instance; returns the instance's actions."""
-        name = e["m"]
+    def _on_returned(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        outcome = OUTCOMES[event["How"]]
+        return balancer.outcome(
+            now, event["Ref"], event.get("RoundNo", 0), outcome, event.get("CostTime", 0.0), event.get("Last", False)
+        )
+
+    def handle(self, now: float, event: dict[str, Any]) -> list[Action]:
+        """Pass an event to its instance; return the instance's actions. Raises ProtocolError."""
+        name = event["m"]
         if name == "Register":
-            self.lists[e["List"]] = tuple(read_row(row) for row in e.get("Rows") or ())
+            self.lists[event["List"]] = tuple(read_row(row) for row in event.get("Rows") or ())
             return []
-        instance = e["ProxyId"]
+        instance = event["ProxyId"]
         if name == "OpenInstance":
-            self.instances[instance] = Balancer(read_settings(e.get("Settings") or {}), e.get("Entropy", 0))
-            self.fresh.add(instance)
+            self.instances[instance] = Balancer(read_settings(event.get("Settings") or {}), event.get("Entropy", 0))
+            self.unstarted.add(instance)
             return []
         balancer = self.instances.get(instance)
         if balancer is None:
-            raise WireFault(f"instance {instance} was never opened")
+            raise ProtocolError(f"instance {instance} was never opened")
         if name == "Teardown":
             del self.instances[instance]
-            self.fresh.discard(instance)
+            self.unstarted.discard(instance)
             return []
         if name == "Members":
-            return self._members(balancer, now, e)
+            return self._on_members(balancer, now, event)
         handler = HANDLERS.get(name)
         if handler is None:
-            raise WireFault(f"unknown message {name!r}")
-        return handler(balancer, now, e)
+            raise ProtocolError(f"unknown message {name!r}")
+        return handler(balancer, now, event)
 
 
 HANDLERS: dict[str, Callable[[Balancer, float, dict[str, Any]], list[Action]]] = {
-    "Call": Link._call,
-    "Returned": Link._returned,
-    "Wake": lambda b, now, e: b.timer(now, e["Tag"]),
-    "Aborted": lambda b, now, e: b.gone(now, e["Ref"]),
-    "Started": lambda b, now, e: b.begun(now, e["Ref"], e.get("RoundNo", 0)),
+    "Call": SimulatorAdapter._on_call,
+    "Returned": SimulatorAdapter._on_returned,
+    "Wake": lambda b, now, e: b.on_timer(now, e["Tag"]),
+    "Aborted": lambda b, now, e: b.on_client_gone(now, e["Ref"]),
+    "Started": lambda b, now, e: b.on_stream_started(now, e["Ref"], e.get("RoundNo", 0)),
     "PingResult": lambda b, now, e: [],
     "NeighbourSays": lambda b, now, e: [],
 }
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: Any) -> int:
-    """Answer batches until the input ends; returns the exit code."""
-    link = Link()
+    """Answer batches until the input ends; return the exit code (2 for a protocol error)."""
+    adapter = SimulatorAdapter()
     now: float | None = None
     replies: list[bytes] = []
     event: Any
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         try:
             event = orjson.loads(line)
             if not isinstance(event, dict) or "m" not in event:
-                raise WireFault("not a message")
+                raise ProtocolError("not a message")
             name = event["m"]
             if name == "Tick":
                 if now is not None:
-                    raise WireFault("a Tick inside a batch")
+                    raise ProtocolError("a Tick inside a batch")
                 now = float(event["Time"])
                 continue
             if now is None:
-                raise WireFault(f"{name!r} outside a batch")
+                raise ProtocolError(f"{name!r} outside a batch")
             if name == "Flush":
                 replies.append(b'{"m":"Eor"}\n')
                 sink.write(b"\n".join(replies))
@@ -179,43 +183,43 @@
                 replies.clear()
                 now = None
                 continue
-        except (WireFault, ValueError, KeyError, TypeError) as fault:
-            return _reject(errors, number, fault)
+        except (ProtocolError, ValueError, KeyError, TypeError) as error:
+            return _report_error(errors, line_number, error)
         try:
-            actions = link.event(now, event)
-        except (WireFault, KeyError, TypeError) as fault:
-            if isinstance(fault, WireFault) or _in_adapter(fault):
-                return _reject(errors, number, fault)
-            replies.append(_bail(event, fault))
+            actions = adapter.handle(now, event)
+        except (ProtocolError, KeyError, TypeError) as error:
+            if isinstance(error, ProtocolError) or _in_adapter(error):
+                return _report_error(errors, line_number, error)
+            replies.append(_bail_out(event, error))
             continue
-        except Exception as fault:
-            replies.append(_bail(event, fault))
+        except Exception as error:
+            replies.append(_bail_out(event, error))
             continue
         if actions:
             instance = event["ProxyId"]
             for action in actions:
                 replies.append(orjson.dumps(write_action(instance, action)))
     if now is not None:
-        return _reject(errors, 0, WireFault("the input ended inside a batch"))
+        return _report_error(errors, 0, ProtocolError("the input ended inside a batch"))
     return 0
 
 
-def _in_adapter(fault: BaseException) -> bool:
-    """Whether the fault arose in reading the message (a missing or odd field), not in a decision."""
-    trace = fault.__traceback__
+def _in_adapter(error: BaseException) -> bool:
+    """Whether the error was raised while reading the message (a missing or invalid field), not in a decision."""
+    trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
     return trace is not None and trace.tb_frame.f_code.co_filename == __file__
 
 
-def _bail(event: dict[str, Any], fault: BaseException) -> bytes:
-    text = f"{type(fault).__name__}: {fault}"
+def _bail_out(event: dict[str, Any], error: BaseException) -> bytes:
+    text = f"{type(error).__name__}: {error}"
     return orjson.dumps({"m": "BailOut", "ProxyId": event.get("ProxyId", 0), "NoteText": text})
 
 
-def _reject(errors: Any, number: int, fault: BaseException) -> int:
-    what = f"missing field {fault}" if isinstance(fault, KeyError) else str(fault)
-    print(f"benchlink: line {number}: {what}".replace("\n", " "), file=errors)
+def _report_error(errors: Any, line_number: int, error: BaseException) -> int:
+    text = f"missing field {error}" if isinstance(error, KeyError) else str(error)
+    print(f"benchlink: line {line_number}: {text}".replace("\n", " "), file=errors)
     return 2
 
 
--- a/weldroute/handover.py
+++ b/weldroute/handover.py
@@ -1,16 +1,17 @@
-"""What one process of a proxy leaves to the next: what to write down, and what to believe of what is found.
+"""State that the processes of one proxy pass on to each other: its format, checks and use. Sans I/O.
 
-Sans-I/O. There are two forms, each a JSON object with its number in `form`:
+There are two kinds of state, each a JSON object with its format version in `form`:
 
-- *standing*: what operators have ordered and must outlive a process: bans, lately ended bans, the drain. Versions
-  grow; a reader takes the highest.
-- *learned*: the list of backends and what was learned of them. Older than MAX_AGE only its list is believed.
+- *operator orders* (stored as `standing`): what operators have ordered and must outlive a process: bans, recently
+  ended bans, evacuation. Versions increase; a reader uses the highest.
+- *learned state* (stored as `learned`): the list of backends and what was learned about them. When it is older than
+  MAX_LEARNED_AGE only its list is used.
 
-A value that can't be read makes the whole form `Unusable`: nothing of it is taken, and the start goes on without.
-Further subsystems add a key to a form; a reader ignores keys that it does not know.
+A value that cannot be parsed makes the whole state unusable (`UnusableState`): nothing of it is applied, and the
+process starts without it. Other subsystems may add keys to a state; a reader ignores keys that it does not know.
 
-Who serves is decided here too: each process has a `Row`, and yields to a newer one that serves. And `OpenIds` holds
-which requests are open in any of them.
+This module also decides which process serves: each process has a `ProcessEntry` and yields to a newer one that
+serves. `OpenRequestIds` records which requests are open in any of the processes.
 """
 
 from __future__ import annotations
@@ -23,26 +24,26 @@
 from itertools import pairwise
 from typing import Any
 
-from weldroute.decide import BUCKETS, Balancer, Breaker, Entry, Server
+from weldroute.decide import BUCKETS, AdmissionControl, Balancer, Breaker, Server
 from weldroute.model import ServerId
 
-FORM = 1
-MAX_AGE = 15.0  # seconds after which what was learned is of no use
-MAX_ROWS = 100_000  # of any list in a form
+FORMAT_VERSION = 1
+MAX_LEARNED_AGE = 15.0  # seconds
+MAX_ENTRIES = 100_000  # of any list in a state
 
-BREAKER = ("baseline", "current", "k", "last_pass")
-SERVER = ("latency", "seen", "cold_credit", "cold_seen", "back")
-BALANCER = ("pooled", "usual", "rate", "rate_at", "retry_tokens", "copy_tokens")
-ENTRY = ("sort_at", "filled", "aim", "pace", "recent", "paced_at", "since")
-ENTRY_LISTS = ("asked", "served", "chance", "quota", "quota_at")
+BREAKER_FIELDS = ("baseline", "current", "k", "last_pass")
+SERVER_FIELDS = ("latency", "seen", "cold_credit", "cold_seen", "back")
+BALANCER_FIELDS = ("pooled", "usual", "rate", "rate_at", "retry_tokens", "copy_tokens")
+ADMISSION_FIELDS = ("sort_at", "filled", "aim", "pace", "recent", "paced_at", "since")
+ADMISSION_LIST_FIELDS = ("asked", "served", "chance", "quota", "quota_at")
 
 
-class Unusable(Exception):
-    """A form that can't be believed; the text says why."""
+class UnusableState(Exception):
+    """A serialized state that is invalid; the text gives the reason."""
 
 
-class Stage(IntEnum):
-    """How far a process is."""
+class ProcessStage(IntEnum):
+    """Stage in the life of a process."""
 
     STARTING = 1
     SERVING = 2
@@ -50,171 +51,174 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """What one process tells the others of the same proxy."""
+class ProcessEntry:
+    """What one process shares about itself with the others of the same proxy."""
 
-    generation: int  # grows with every start
-    stage: Stage
+    generation: int  # increases with every start
+    stage: ProcessStage
     descriptors: int = 0  # in use
-    bodies: int = 0  # bytes
+    body_bytes: int = 0  # of buffered bodies
 
 
-def yields(me: int, others: Iterable[Row]) -> bool:
-    """Whether the process of this generation leaves new connections to a newer one."""
-    return any(row.generation > me and row.stage is Stage.SERVING for row in others)
+def should_yield(own_generation: int, others: Iterable[ProcessEntry]) -> bool:
+    """Whether the process of a generation must leave new connections to a newer one."""
+    return any(entry.generation > own_generation and entry.stage is ProcessStage.SERVING for entry in others)
 
 
-def next_generation(rows: Iterable[Row]) -> int:
-    """The generation of a process that starts beside these."""
-    return 1 + max((row.generation for row in rows), default=0)
+def next_generation(entries: Iterable[ProcessEntry]) -> int:
+    """The generation of a process that starts while others are running."""
+    return 1 + max((entry.generation for entry in entries), default=0)
 
 
-class OpenIds:
+class OpenRequestIds:
     """The ids of requests that are open in any process of a proxy.
 
-    Guards against an id that is open in one process and comes again in another: it would be a second copy of an
-    unsafe request. Each process writes a row of its own: how many places are in use at most, and a digest for each
-    open request, 0 where a place is free. Harm: past PLACES open requests the further ones are not seen by others.
+    Guards against an id that is open in one process and arrives again at another: that would be a second copy of an
+    unsafe request. Each process writes a row of its own: the highest slot used so far, then one cell per slot with
+    the digest of an open request, or 0 if the slot is free. Limitation: open requests beyond SLOTS are not visible
+    to the other processes.
     """
 
-    PLACES = 1023  # for each process
-    WIDTH = PLACES + 1
+    SLOTS = 1023  # per process
+    ROW_WIDTH = SLOTS + 1
 
     def __init__(
-        self, values: MutableSequence[int] | memoryview[int], row: int, alive: Callable[[int], bool]
+        self, values: MutableSequence[int] | memoryview[int], row: int, is_alive: Callable[[int], bool]
     ) -> None:
-        self._values = values  # WIDTH for each row
-        self._at = row * self.WIDTH
-        self._alive = alive  # whether the process of a row is; asked only where a row seems to hold an id
-        self._free: list[int] = []
-        self._high = 0
-        self.clear(row)
+        self._values = values  # ROW_WIDTH per row
+        self._row_start = row * self.ROW_WIDTH
+        self._is_alive = is_alive  # of the process of a row; called only if the row seems to contain an id
+        self._free_slots: list[int] = []
+        self._slots_used = 0
+        self.clear_row(row)
 
     @staticmethod
-    def digest(name: bytes) -> int:
-        """64 bits that nobody can aim at another's id; never 0."""
-        return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big", signed=True) or 1
-
-    def clear(self, row: int) -> None:
-        """Forget a row: its process is dead, or begins."""
-        at = row * self.WIDTH
-        for place in range(at, at + self._values[at] + 1):
-            self._values[place] = 0
-
-    def open(self, name: bytes) -> int:
-        """A request with this id is open from here on; returns its place, or 0 where there is none."""
-        if self._free:
-            place = self._free.pop()
-        elif self._high < self.PLACES:
-            self._high += 1
-            place = self._high
+    def digest(request_id: bytes) -> int:
+        """64 bits of a cryptographic hash, so that nobody can provoke a collision with another id; never 0."""
+        return int.from_bytes(hashlib.blake2b(request_id, digest_size=8).digest(), "big", signed=True) or 1
+
+    def clear_row(self, row: int) -> None:
+        """Clear a row: its process is dead or just starting."""
+        start = row * self.ROW_WIDTH
+        for cell in range(start, start + self._values[start] + 1):
+            self._values[cell] = 0
+
+    def open(self, request_id: bytes) -> int:
+        """Record an open request; returns its slot, or 0 if none is free."""
+        if self._free_slots:
+            slot = self._free_slots.pop()
+        elif self._slots_used < self.SLOTS:
+            self._slots_used += 1
+            slot = self._slots_used
         else:
             return 0
-        self._values[self._at + place] = self.digest(name)
-        self._values[self._at] = self._high
-        return place
-
-    def close(self, place: int) -> None:
-        """The request at a place is over."""
-        if place:
-            self._values[self._at + place] = 0
-            self._free.append(place)
-
-    def elsewhere(self, name: bytes) -> bool:
-        """Whether another process that is alive has an open request with this id."""
+        self._values[self._row_start + slot] = self.digest(request_id)
+        self._values[self._row_start] = self._slots_used
+        return slot
+
+    def close(self, slot: int) -> None:
+        """Free the slot of a finished request; 0 is allowed and does nothing."""
+        if slot:
+            self._values[self._row_start + slot] = 0
+            self._free_slots.append(slot)
+
+    def is_open_elsewhere(self, request_id: bytes) -> bool:
+        """Whether another live process has an open request with this id."""
         values = self._values
         digest = 0
-        for at in range(0, len(values), self.WIDTH):
-            high = values[at]
-            if at == self._at or not 0 < high <= self.PLACES:
+        for row_start in range(0, len(values), self.ROW_WIDTH):
+            slots_used = values[row_start]
+            if row_start == self._row_start or not 0 < slots_used <= self.SLOTS:
                 continue
-            digest = digest or self.digest(name)
-            if digest in list(values[at + 1 : at + 1 + high]) and self._alive(at // self.WIDTH):
+            digest = digest or self.digest(request_id)
+            if digest in list(values[row_start + 1 : row_start + 1 + slots_used]) and self._is_alive(
+                row_start // self.ROW_WIDTH
+            ):
                 return True
         return False
 
 
-# ---- reading -----------------------------------------------------------------------------
+# ---- parsing -----------------------------------------------------------------------------
 
 
-def _number(value: Any, what: str) -> float:
+def _number(value: Any, field_name: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
-        raise Unusable(f"{what}: {value!r} is not a number")
+        raise UnusableState(f"{field_name}: {value!r} is not a number")
     return float(value)
 
 
-def _whole(value: Any, what: str) -> int:
+def _integer(value: Any, field_name: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise Unusable(f"{what}: {value!r} is not a whole number")
+        raise UnusableState(f"{field_name}: {value!r} is not a whole number")
     return value
 
 
-def _rows(value: Any, what: str, width: int) -> list[list[Any]]:
-    if not isinstance(value, list) or len(value) > MAX_ROWS:
-        raise Unusable(f"{what}: not a list, or too long")
-    for row in value:
-        if not isinstance(row, list) or len(row) != width:
-            raise Unusable(f"{what}: {row!r} has not {width} values")
+def _entries(value: Any, field_name: str, length: int) -> list[list[Any]]:
+    if not isinstance(value, list) or len(value) > MAX_ENTRIES:
+        raise UnusableState(f"{field_name}: not a list, or too long")
+    for entry in value:
+        if not isinstance(entry, list) or len(entry) != length:
+            raise UnusableState(f"{field_name}: {entry!r} does not have {length} values")
     return value
 
 
-def _object(value: Any, what: str) -> dict[str, Any]:
+def _object(value: Any, field_name: str) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise Unusable(f"{what}: not an object")
+        raise UnusableState(f"{field_name}: not an object")
     return value
 
 
-def _form(value: Any) -> dict[str, Any]:
-    form = _object(value, "form")
-    if form.get("form") != FORM:
-        raise Unusable(f"form: {form.get('form')!r} is not {FORM}")
-    return form
+def _versioned_object(value: Any) -> dict[str, Any]:
+    state = _object(value, "form")
+    if state.get("form") != FORMAT_VERSION:
+        raise UnusableState(f"form: {state.get('form')!r} is not {FORMAT_VERSION}")
+    return state
 
 
-# ---- what operators ordered ---------------------------------------------------------------
+# ---- operator orders ----------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """The operators' orders that hold for the proxy, whichever process has heard them."""
+class OperatorOrders:
+    """The operators' orders that apply to the proxy, whichever process has received them."""
 
     version: int = 0
     evacuated: bool = False
     bans: tuple[tuple[str, ServerId, float], ...] = ()  # host, id, since
-    returned: tuple[tuple[ServerId, float, float], ...] = ()  # id, banned from, to
+    ended_bans: tuple[tuple[ServerId, float, float], ...] = ()  # id, start and end of the ban
 
-    def write(self) -> dict[str, Any]:
-        """The form."""
+    def serialize(self) -> dict[str, Any]:
+        """The orders as a JSON object."""
         return {
-            "form": FORM,
+            "form": FORMAT_VERSION,
             "version": self.version,
             "evacuated": self.evacuated,
             "bans": [list(ban) for ban in self.bans],
-            "returned": [list(span) for span in self.returned],
+            "returned": [list(span) for span in self.ended_bans],
         }
 
 
-def read_standing(value: Any) -> Standing:
-    """The orders out of their form; raises Unusable."""
-    form = _form(value)
-    evacuated = form.get("evacuated")
+def parse_operator_orders(value: Any) -> OperatorOrders:
+    """Parse serialized orders; raises UnusableState."""
+    state = _versioned_object(value)
+    evacuated = state.get("evacuated")
     if not isinstance(evacuated, bool):
-        raise Unusable("evacuated: not true or false")
+        raise UnusableState("evacuated: not true or false")
     bans = []
-    for host, server, since in _rows(form.get("bans"), "bans", 3):
+    for host, server, since in _entries(state.get("bans"), "bans", 3):
         if not isinstance(host, str) or not host:
-            raise Unusable(f"bans: {host!r} is not a name")
-        bans.append((host, _whole(server, "bans"), _number(since, "bans")))
-    returned = tuple(
-        (_whole(server, "returned"), _number(since, "returned"), _number(back, "returned"))
-        for server, since, back in _rows(form.get("returned"), "returned", 3)
+            raise UnusableState(f"bans: {host!r} is not a name")
+        bans.append((host, _integer(server, "bans"), _number(since, "bans")))
+    ended_bans = tuple(
+        (_integer(server, "returned"), _number(since, "returned"), _number(ended, "returned"))
+        for server, since, ended in _entries(state.get("returned"), "returned", 3)
     )
-    return Standing(_whole(form.get("version"), "version"), evacuated, tuple(bans), returned)
+    return OperatorOrders(_integer(state.get("version"), "version"), evacuated, tuple(bans), ended_bans)
 
 
-def apply_standing(balancer: Balancer, now: float, wanted: Standing) -> list[ServerId]:
-    """Bring the bans to what is ordered; returns the servers whose ban begins or ends."""
-    bans = {server: since for _, server, since in wanted.bans}
+def apply_operator_orders(balancer: Balancer, now: float, orders: OperatorOrders) -> list[ServerId]:
+    """Set and lift bans as ordered; returns the servers whose ban begins or ends."""
+    bans = {server: since for _, server, since in orders.bans}
     changed = [server for server in (*balancer.bans, *bans) if (server in balancer.bans) is not (server in bans)]
     for server in changed:
         if server in bans:
@@ -222,110 +226,114 @@
             balancer.bans[server] = min(now, bans[server])
         else:
             balancer.unban(now, server)
-    for server, since, back in wanted.returned:
-        if server not in balancer.bans and server not in balancer.returned and server not in changed:
-            balancer.returned[server] = (since, back)
-            balancer.recall(now, server)
+    for server, since, ended in orders.ended_bans:
+        if server not in balancer.bans and server not in balancer.past_bans and server not in changed:
+            balancer.past_bans[server] = (since, ended)
+            balancer.apply_past_ban(now, server)
     return changed
 
 
-# ---- what was learned ---------------------------------------------------------------------
+# ---- learned state ------------------------------------------------------------------------
 
 
-def _write_breaker(breaker: Breaker) -> dict[str, Any]:
-    return {name: getattr(breaker, name) for name in BREAKER if getattr(breaker, name) > float("-inf")} | {
-        "ring": [list(bucket) for bucket in breaker._ring]
+def _serialize_breaker(breaker: Breaker) -> dict[str, Any]:
+    return {name: getattr(breaker, name) for name in BREAKER_FIELDS if getattr(breaker, name) > float("-inf")} | {
+        "ring": [list(bucket) for bucket in breaker._buckets]
     }
 
 
-def _read_breaker(value: Any, what: str) -> dict[str, Any]:
-    form = _object(value, what)
-    values: dict[str, Any] = {name: _number(form[name], what) for name in BREAKER if name in form}
-    ring = [[_number(v, what) for v in bucket] for bucket in _rows(form.get("ring"), what, 4)]
-    if len(ring) > BUCKETS or any(a[0] >= b[0] for a, b in pairwise(ring)):
-        raise Unusable(f"{what}: its window is out of order")
+def _parse_breaker(value: Any, field_name: str) -> dict[str, Any]:
+    state = _object(value, field_name)
+    values: dict[str, Any] = {name: _number(state[name], field_name) for name in BREAKER_FIELDS if name in state}
+    ring = [
+        [_number(number, field_name) for number in bucket] for bucket in _entries(state.get("ring"), field_name, 4)
+    ]
+    if len(ring) > BUCKETS or any(first[0] >= second[0] for first, second in pairwise(ring)):
+        raise UnusableState(f"{field_name}: its buckets are out of order")
     return values | {"ring": ring}
 
 
-def _fill_breaker(breaker: Breaker, values: Mapping[str, Any]) -> None:
-    for name in BREAKER:
+def _restore_breaker(breaker: Breaker, values: Mapping[str, Any]) -> None:
+    for name in BREAKER_FIELDS:
         if name in values:
             setattr(breaker, name, values[name])
-    breaker._ring = deque(values["ring"])
-    breaker._requests = sum(bucket[1] for bucket in breaker._ring)
-    breaker._accepts = sum(bucket[2] for bucket in breaker._ring)
+    breaker._buckets = deque(values["ring"])
+    breaker._requests = sum(bucket[1] for bucket in breaker._buckets)
+    breaker._accepts = sum(bucket[2] for bucket in breaker._buckets)
     failing = 0
-    for bucket in reversed(breaker._ring):
+    for bucket in reversed(breaker._buckets):
         if bucket[2] or not bucket[3]:
             break
         failing += 1
-    breaker._failing = failing
+    breaker._failing_buckets = failing
 
 
-def write_learned(balancer: Balancer, now: float) -> dict[str, Any]:
-    """What a balancer has learned."""
+def serialize_learned_state(balancer: Balancer, now: float) -> dict[str, Any]:
+    """What a balancer has learned, as a JSON object."""
     servers = [
         [
             server.row.server,
             server.row.started,
-            {name: getattr(server, name) for name in SERVER},
-            _write_breaker(server.breaker) if server.breaker is not None else None,
+            {name: getattr(server, name) for name in SERVER_FIELDS},
+            _serialize_breaker(server.breaker) if server.breaker is not None else None,
         ]
         for server in balancer.servers.values()
         if server.latency > 0.0 or server.breaker is not None or server.back
     ]
-    form: dict[str, Any] = {"form": FORM, "at": now, "servers": servers}
-    form |= {name: getattr(balancer, name) for name in BALANCER}
-    entry = balancer.entry
-    if entry is not None:
-        form["entry"] = {name: getattr(entry, name) for name in (*ENTRY, *ENTRY_LISTS)} | {
-            "breaker": _write_breaker(entry.breaker)
+    state: dict[str, Any] = {"form": FORMAT_VERSION, "at": now, "servers": servers}
+    state |= {name: getattr(balancer, name) for name in BALANCER_FIELDS}
+    admission = balancer.admission
+    if admission is not None:
+        state["entry"] = {name: getattr(admission, name) for name in (*ADMISSION_FIELDS, *ADMISSION_LIST_FIELDS)} | {
+            "breaker": _serialize_breaker(admission.breaker)
         }
-    return form
+    return state
 
 
-def _read_entry(value: Any, entry: Entry) -> dict[str, Any]:
-    form = _object(value, "entry")
-    values: dict[str, Any] = {name: _number(form.get(name), f"entry.{name}") for name in ENTRY}
-    for name in ENTRY_LISTS:
-        numbers, have = form.get(name), getattr(entry, name)
-        if not isinstance(numbers, list) or len(numbers) != len(have):
-            raise Unusable(f"entry.{name}: not {len(have)} numbers: classes or tenants have changed")
-        values[name] = [_number(v, f"entry.{name}") for v in numbers]
-    return values | {"breaker": _read_breaker(form.get("breaker"), "entry.breaker")}
+def _parse_admission(value: Any, admission: AdmissionControl) -> dict[str, Any]:
+    state = _object(value, "entry")
+    values: dict[str, Any] = {name: _number(state.get(name), f"entry.{name}") for name in ADMISSION_FIELDS}
+    for name in ADMISSION_LIST_FIELDS:
+        numbers, current = state.get(name), getattr(admission, name)
+        if not isinstance(numbers, list) or len(numbers) != len(current):
+            raise UnusableState(f"entry.{name}: not {len(current)} numbers: classes or tenants have changed")
+        values[name] = [_number(number, f"entry.{name}") for number in numbers]
+    return values | {"breaker": _parse_breaker(state.get("breaker"), "entry.breaker")}
 
 
-def adopt_learned(balancer: Balancer, now: float, value: Any) -> int:
-    """Take over what another process has learned, of servers that the list still names with the same start.
+def adopt_learned_state(balancer: Balancer, now: float, value: Any) -> int:
+    """Adopt what another process has learned about the servers that are still listed with the same start time.
 
-    Returns how many servers it is known of; raises Unusable before anything is changed.
+    Returns the number of these servers; raises UnusableState before anything is changed.
     """
-    form = _form(value)
-    age = now - _number(form.get("at"), "at")
-    if not -1.0 <= age <= MAX_AGE:
-        raise Unusable(f"at: what was learned is {age:.1f} s old")
-    values = {name: _number(form.get(name), name) for name in BALANCER}
-    read: list[tuple[Server, dict[str, float], dict[str, Any] | None]] = []
-    for number, started, about, breaker in _rows(form.get("servers"), "servers", 4):
-        _whole(number, "servers")
-        about = _object(about, "servers")
-        figures = {name: _number(about.get(name), f"servers.{name}") for name in SERVER}
-        window = None if breaker is None else _read_breaker(breaker, "servers.breaker")
+    state = _versioned_object(value)
+    age = now - _number(state.get("at"), "at")
+    if not -1.0 <= age <= MAX_LEARNED_AGE:
+        raise UnusableState(f"at: the learned state is {age:.1f} s old")
+    values = {name: _number(state.get(name), name) for name in BALANCER_FIELDS}
+    restored: list[tuple[Server, dict[str, float], dict[str, Any] | None]] = []
+    for number, started, figures_object, breaker in _entries(state.get("servers"), "servers", 4):
+        _integer(number, "servers")
+        figures_object = _object(figures_object, "servers")
+        figures = {name: _number(figures_object.get(name), f"servers.{name}") for name in SERVER_FIELDS}
+        breaker_values = None if breaker is None else _parse_breaker(breaker, "servers.breaker")
         server = balancer.servers.get(number)
         if server is not None and server.row.started == _number(started, "servers.started"):
-            read.append((server, figures, window))
-    entry = balancer.entry
-    door = _read_entry(form["entry"], entry) if entry is not None and "entry" in form else None
+            restored.append((server, figures, breaker_values))
+    admission = balancer.admission
+    admission_values = (
+        _parse_admission(state["entry"], admission) if admission is not None and "entry" in state else None
+    )
     for name, number in values.items():
         setattr(balancer, name, number)
-    for server, figures, window in read:
+    for server, figures, breaker_values in restored:
         for name, number in figures.items():
             setattr(server, name, number)
-        if window is not None:
+        if breaker_values is not None:
             server.breaker = Breaker()
-            _fill_breaker(server.breaker, window)
-    if entry is not None and door is not None:
-        _fill_breaker(entry.breaker, door.pop("breaker"))
-        for name, found in door.items():
-            setattr(entry, name, found)
-    return len(read)
+            _restore_breaker(server.breaker, breaker_values)
+    if admission is not None and admission_values is not None:
+        _restore_breaker(admission.breaker, admission_values.pop("breaker"))
+        for name, restored_value in admission_values.items():
+            setattr(admission, name, restored_value)
+    return len(restored)
--- a/weldroute/links.py
+++ b/weldroute/links.py
@@ -1,26 +1,26 @@
-"""Links between neighbours: what waits and what is dropped, when to dial and at what pace, which of two stays.
+"""Connections to the other members of a fleet: send queues, dialling, and closing of dead links. Sans I/O, no clocks.
 
-Sans I/O, without clocks. A neighbour that is slow or silent costs memory up to a bound, and nobody's time: nothing
-here waits for it.
+A peer that is slow or silent costs memory up to a bound and delays nothing else: nothing here waits for it.
 
-What is on its way to a neighbour, in the order in which it goes out. When there is no room the last is dropped first,
-and of one kind the oldest, for what is newer says more. What has waited for longer than it is good for is not sent.
+Messages to a peer are sent in the order of their priority. When the queue is full, the lowest priority is dropped
+first, and of one priority the oldest message, because a newer one supersedes it. A message that has waited for longer
+than its priority allows is not sent.
 
-| kind  | what                                              | good for                      |
-| ----- | ------------------------------------------------- | ----------------------------- |
-| lease | who may act, and who may not any more             | `lease_for`: an asker's time  |
-| probe | are you there, and the answers                    | `probe_for`: a probe's time   |
-| news  | of members, bans, drains                          | as long as there is room      |
-| whole | all that is known                                 | as long as there is room      |
-| hint  | what would help, and nobody needs                 | as long as there is room      |
+| priority | content                                       | may wait                                       |
+| -------- | --------------------------------------------- | ---------------------------------------------- |
+| lease    | requests for leases, answers and releases     | `lease_for`: as long as a proposer waits       |
+| probe    | probes of members and their answers           | `probe_for`: as long as a probe lasts          |
+| news     | updates about members, bans, drains           | as long as there is room                       |
+| whole    | full exchanges of what is known               | as long as there is room                       |
+| hint     | useful information that nothing depends on    | as long as there is room                       |
 
-Dialling. A neighbour that can't be reached is dialled again after a pause that doubles, drawn from all of it (so
-that those that lost the same one together do not come together), and all dials of one member have a pace, for a
-fleet that starts at once has one seed. A link that has been silent for `silent` seconds although something was sent
-on it is ended: a cut that is silent one way looks like that.
+Dialling. A peer that can't be reached is dialled again after a pause that doubles, with jitter over nearly all of it,
+so that members that lost the same peer at once do not dial it at once. All dials of one member share a rate limit,
+because a whole fleet that starts at once may have a single seed. A link on which something was sent and nothing was
+received for `silent` seconds is closed: that is how a partition in one direction shows.
 
-Two that dial each other have two links: the one that the lesser name dialled stays. If the process at the other end
-is another than before, the older link is a dead one's, and the newer stays.
+Two members that dial each other have two links: the one dialled by the member with the lesser name is kept. If the
+remote process is another one than before, the older link belongs to a process that has ended, and the newer is kept.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 from weldroute.checks import check_numbers
 
-PAUSE = 1.0  # seconds between two looks from which on this process itself stood still
+STALL_THRESHOLD = 1.0  # seconds between two checks from which on this process itself was paused
 
 
-class Kind(IntEnum):
-    """Of what is sent, in the order in which it goes out."""
+class Priority(IntEnum):
+    """Priority of a message; lower values are sent first."""
 
     LEASE = 0
     PROBE = 1
@@ -48,241 +48,252 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPolicy:
-    """Times in seconds."""
-
-    waiting: int = 256 * 1024  # bytes that wait for one neighbour
-    messages: int = 1024  # ...and messages
-    lease_for: float = 1.0
-    probe_for: float = 1.0
-    again_from: float = 0.2  # before a neighbour that could not be reached is dialled again...
-    again_to: float = 5.0  # ...at most
+    """Limits and timeouts of links; times in seconds."""
+
+    waiting: int = 256 * 1024  # bytes queued for one peer
+    messages: int = 1024  # messages queued for one peer
+    lease_for: float = 1.0  # that a message about leases may wait
+    probe_for: float = 1.0  # that a probe may wait
+    again_from: float = 0.2  # shortest backoff before a peer is dialled again
+    again_to: float = 5.0  # longest backoff
     dial_for: float = 2.0  # that a dial and its handshake may take
-    dials: float = 20.0  # a second, of all neighbours
+    dials: float = 20.0  # per second, to all peers together
     burst: float = 10.0  # dials that may be saved up
-    silent: float = 3.0
-    idle: float = 60.0  # after which a link that nobody uses is ended
-    most: int = 256  # neighbours
+    silent: float = 3.0  # without an answer, after which a link is closed
+    idle: float = 60.0  # without use, after which a link is closed
+    most: int = 256  # peers
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
         check_numbers(self)
         if self.again_to < self.again_from:
             raise ValueError("again_to: below again_from")
 
-    def good_for(self, kind: Kind) -> float:
-        """Seconds for which a message of a kind may wait."""
-        return {Kind.LEASE: self.lease_for, Kind.PROBE: self.probe_for}.get(kind, math.inf)
+    def max_age(self, priority: Priority) -> float:
+        """Seconds for which a message of this priority may wait."""
+        return {Priority.LEASE: self.lease_for, Priority.PROBE: self.probe_for}.get(priority, math.inf)
 
 
-class Outbox:
-    """What waits for one neighbour."""
+class SendQueue:
+    """Messages queued for one peer."""
 
     def __init__(self, policy: LinkPolicy) -> None:
         self._policy = policy
-        self._queues: tuple[deque[tuple[float, bytes]], ...] = tuple(deque() for _ in Kind)
-        self._sizes = [0] * len(Kind)  # bytes, by kind
+        self._queues: tuple[deque[tuple[float, bytes]], ...] = tuple(deque() for _ in Priority)
+        self._sizes = [0] * len(Priority)  # bytes, by priority
         self.bytes = 0
         self.count = 0
-        self.dropped = [0] * len(Kind)  # for want of room, by kind...
-        self.late = 0  # ...and for having waited too long
-
-    def put(self, now: float, kind: Kind, data: bytes) -> bool:
-        """Let a message wait; whether it does. Others may be dropped for it, never one that goes out before it."""
-        self._age(now)
-        later = [one for one in reversed(Kind) if one >= kind]
-        given_up = sum(self._sizes[one] for one in later), sum(len(self._queues[one]) for one in later)
-        if not self._fits(len(data), *given_up):
-            self.dropped[kind] += 1
+        self.dropped = [0] * len(Priority)  # messages dropped for want of room, by priority
+        self.expired = 0  # messages dropped for having waited too long
+
+    def enqueue(self, now: float, priority: Priority, data: bytes) -> bool:
+        """Queue a message; False if it was dropped. Others may be dropped for it, of no higher priority."""
+        self._drop_expired(now)
+        droppable = [level for level in reversed(Priority) if level >= priority]
+        freed = sum(self._sizes[level] for level in droppable), sum(len(self._queues[level]) for level in droppable)
+        if not self._fits(len(data), *freed):
+            self.dropped[priority] += 1
             return False
         while not self._fits(len(data)):
-            worst = next(one for one in later if self._queues[one])
-            self._take(worst)
-            self.dropped[worst] += 1
-        self._queues[kind].append((now, data))
-        self._sizes[kind] += len(data)
+            lowest = next(level for level in droppable if self._queues[level])
+            self._pop(lowest)
+            self.dropped[lowest] += 1
+        self._queues[priority].append((now, data))
+        self._sizes[priority] += len(data)
         self.bytes += len(data)
         self.count += 1
         return True
 
-    def _fits(self, size: int, freed: int = 0, gone: int = 0) -> bool:
-        """Whether there is room for so many bytes, with some that wait given up."""
+    def _fits(self, size: int, freed_bytes: int = 0, freed_count: int = 0) -> bool:
+        """Whether there is room for one more message of `size` bytes once some queued ones are dropped."""
         policy = self._policy
-        return self.bytes - freed + size <= policy.waiting and self.count - gone < policy.messages
+        return self.bytes - freed_bytes + size <= policy.waiting and self.count - freed_count < policy.messages
 
-    def _take(self, kind: Kind) -> bytes:
-        _, data = self._queues[kind].popleft()
-        self._sizes[kind] -= len(data)
+    def _pop(self, priority: Priority) -> bytes:
+        _, data = self._queues[priority].popleft()
+        self._sizes[priority] -= len(data)
         self.bytes -= len(data)
         self.count -= 1
         return data
 
-    def _age(self, now: float) -> None:
-        for kind in (Kind.LEASE, Kind.PROBE):
-            queue, good = self._queues[kind], self._policy.good_for(kind)
-            while queue and now - queue[0][0] > good:
-                self._take(kind)
-                self.late += 1
-
-    def next(self, now: float) -> bytes | None:
-        """What goes out now."""
-        self._age(now)
-        for kind in Kind:
-            if self._queues[kind]:
-                return self._take(kind)
+    def _drop_expired(self, now: float) -> None:
+        for priority in (Priority.LEASE, Priority.PROBE):
+            queue, max_age = self._queues[priority], self._policy.max_age(priority)
+            while queue and now - queue[0][0] > max_age:
+                self._pop(priority)
+                self.expired += 1
+
+    def dequeue(self, now: float) -> bytes | None:
+        """Remove and return the next message to send; None if there is none."""
+        self._drop_expired(now)
+        for priority in Priority:
+            if self._queues[priority]:
+                return self._pop(priority)
         return None
 
 
 @dataclass(slots=True)
-class Neighbour:
-    """What is known of the way to one address."""
+class Peer:
+    """State of the link to one address."""
 
-    outbox: Outbox
-    failed: int = 0  # dials in a row
-    dial_at: float = -math.inf  # not before
-    dialling: float = math.nan  # since when; nan: it is not
-    up: bool = False
-    used: float = 0.0  # when something was last to be sent
-    spoke: float = 0.0  # when it was last heard...
-    asked: float = math.inf  # ...and the first moment since at which something was sent to it
-    questioned: bool = False  # it was asked for a sign of life since then
+    send_queue: SendQueue
+    failures: int = 0  # dials that failed in a row
+    next_dial: float = -math.inf  # earliest time of the next dial
+    dialling_since: float = math.nan  # nan: no dial in progress
+    connected: bool = False
+    last_used: float = 0.0  # when a message was last queued
+    last_received: float = 0.0
+    awaiting_since: float = math.inf  # first send since then: how long an answer has been outstanding
+    keepalive_sent: bool = False  # a keepalive was sent since something was last received
 
 
-class Links:
-    """All neighbours of one member, by address."""
+class LinkManager:
+    """All links of one member, by the address of the peer."""
 
     def __init__(self, policy: LinkPolicy, seed: int) -> None:
+        """Raises ValueError for an invalid policy."""
         policy.check()
         self.policy = policy
-        self.neighbours: dict[str, Neighbour] = {}
+        self.peers: dict[str, Peer] = {}
         self._rng = Random(seed)
         self._tokens = policy.burst
-        self._filled = -math.inf
-        self._looked = math.inf
-        self.refused = 0  # messages to more neighbours than there may be
-        self.ended = {"silent": 0, "idle": 0}
-
-    def put(self, now: float, address: str, kind: Kind, data: bytes) -> Neighbour | None:
-        """A message for an address; None where there are too many neighbours."""
-        one = self.neighbours.get(address)
-        if one is None:
-            if len(self.neighbours) >= self.policy.most and not self._make_room():
+        self._tokens_updated = -math.inf
+        self._last_check = math.inf
+        self.refused = 0  # messages refused because there are too many peers
+        self.closed = {"silent": 0, "idle": 0}
+
+    def enqueue(self, now: float, address: str, priority: Priority, data: bytes) -> Peer | None:
+        """Queue a message for an address; None if there are too many peers."""
+        peer = self.peers.get(address)
+        if peer is None:
+            if len(self.peers) >= self.policy.most and not self._evict_disconnected():
                 self.refused += 1
                 return None
-            one = self.neighbours[address] = Neighbour(Outbox(self.policy))
-        one.used = now
-        one.outbox.put(now, kind, data)
-        return one
-
-    def _make_room(self) -> bool:
-        down = [address for address, one in self.neighbours.items() if not one.up and math.isnan(one.dialling)]
-        if not down:
+            peer = self.peers[address] = Peer(SendQueue(self.policy))
+        peer.last_used = now
+        peer.send_queue.enqueue(now, priority, data)
+        return peer
+
+    def _evict_disconnected(self) -> bool:
+        """Make room by removing the disconnected peer used least recently; False if there is none."""
+        disconnected = [
+            address for address, peer in self.peers.items() if not peer.connected and math.isnan(peer.dialling_since)
+        ]
+        if not disconnected:
             return False
-        del self.neighbours[min(down, key=lambda address: self.neighbours[address].used)]
+        del self.peers[min(disconnected, key=lambda address: self.peers[address].last_used)]
         return True
 
     # ---- dialling ------------------------------------------------------------------------
 
-    def dials(self, now: float) -> list[str]:
-        """Addresses to dial now."""
+    def start_dials(self, now: float) -> list[str]:
+        """Return the addresses to dial now; they count as being dialled from here on."""
         policy = self.policy
-        if math.isfinite(self._filled):
-            self._tokens = min(policy.burst, self._tokens + policy.dials * max(0.0, now - self._filled))
-        self._filled = now
+        if math.isfinite(self._tokens_updated):
+            self._tokens = min(policy.burst, self._tokens + policy.dials * max(0.0, now - self._tokens_updated))
+        self._tokens_updated = now
         due = [
-            (one.dial_at, address)
-            for address, one in self.neighbours.items()
-            if not one.up and math.isnan(one.dialling) and one.outbox.count and now >= one.dial_at
+            (peer.next_dial, address)
+            for address, peer in self.peers.items()
+            if not peer.connected
+            and math.isnan(peer.dialling_since)
+            and peer.send_queue.count
+            and now >= peer.next_dial
         ]
         chosen = [address for _, address in sorted(due)[: int(self._tokens)]]
         for address in chosen:
             self._tokens -= 1.0
-            self.neighbours[address].dialling = now
+            self.peers[address].dialling_since = now
         return chosen
 
-    def is_up(self, now: float, address: str) -> Neighbour:
-        """A link to it is up, whoever dialled it."""
-        one = self.neighbours.get(address)
-        if one is None:
-            one = self.neighbours[address] = Neighbour(Outbox(self.policy))
-        one.up, one.dialling, one.failed = True, math.nan, 0
-        one.spoke, one.asked, one.questioned, one.used = now, math.inf, False, now
-        return one
-
-    def failed(self, now: float, address: str) -> None:
-        """A dial came to nothing, or a link has ended."""
-        one = self.neighbours.get(address)
-        if one is None:
+    def on_connected(self, now: float, address: str) -> Peer:
+        """A link to the peer is up, whichever end dialled it."""
+        peer = self.peers.get(address)
+        if peer is None:
+            peer = self.peers[address] = Peer(SendQueue(self.policy))
+        peer.connected, peer.dialling_since, peer.failures = True, math.nan, 0
+        peer.last_received, peer.awaiting_since, peer.keepalive_sent, peer.last_used = now, math.inf, False, now
+        return peer
+
+    def on_disconnected(self, now: float, address: str) -> None:
+        """A dial has failed, or a link has ended."""
+        peer = self.peers.get(address)
+        if peer is None:
             return
-        one.up, one.dialling = False, math.nan
-        longest = min(self.policy.again_to, self.policy.again_from * 2.0 ** min(one.failed, 16))
-        one.failed += 1
-        one.dial_at = now + longest * self._rng.uniform(0.1, 1.0)
-
-    # ---- links that are up ---------------------------------------------------------------
-
-    def sent(self, now: float, address: str) -> None:
-        """Something was written to it."""
-        one = self.neighbours[address]
-        one.asked = min(one.asked, now)
-
-    def heard(self, now: float, address: str) -> None:
-        """Something has come from it."""
-        one = self.neighbours.get(address)
-        if one is not None:
-            one.spoke, one.asked, one.questioned = now, math.inf, False
-
-    def questions(self, now: float) -> list[str]:
-        """Links on which to ask for a sign of life now. To be called often, before `over`."""
-        late, self._looked = now - self._looked, now
+        peer.connected, peer.dialling_since = False, math.nan
+        backoff = min(self.policy.again_to, self.policy.again_from * 2.0 ** min(peer.failures, 16))
+        peer.failures += 1
+        peer.next_dial = now + backoff * self._rng.uniform(0.1, 1.0)
+
+    # ---- connected links -----------------------------------------------------------------
+
+    def on_sent(self, now: float, address: str) -> None:
+        """Something was written to the peer."""
+        peer = self.peers[address]
+        peer.awaiting_since = min(peer.awaiting_since, now)
+
+    def on_received(self, now: float, address: str) -> None:
+        """Something was received from the peer."""
+        peer = self.peers.get(address)
+        if peer is not None:
+            peer.last_received, peer.awaiting_since, peer.keepalive_sent = now, math.inf, False
+
+    def due_keepalives(self, now: float) -> list[str]:
+        """Return the links on which to send a keepalive now. To be called often, before `expired_links`."""
+        gap, self._last_check = now - self._last_check, now
         found = []
-        for address, one in self.neighbours.items():
-            if late > PAUSE and math.isfinite(one.asked):
-                one.asked = now  # what has come meanwhile is still unread
-            if one.up and not one.questioned and now - one.asked >= self.policy.silent / 3.0:
-                one.questioned = True
+        for address, peer in self.peers.items():
+            if gap > STALL_THRESHOLD and math.isfinite(peer.awaiting_since):
+                peer.awaiting_since = now  # answers that came during the pause are still unread
+            if peer.connected and not peer.keepalive_sent and now - peer.awaiting_since >= self.policy.silent / 3.0:
+                peer.keepalive_sent = True
                 found.append(address)
         return found
 
-    def over(self, now: float) -> list[tuple[str, str]]:
-        """Links to end now, and why; each is to be followed by `failed`."""
+    def expired_links(self, now: float) -> list[tuple[str, str]]:
+        """Return the links to close now, with the reason; call `on_disconnected` once each has ended."""
         found = []
-        for address, one in self.neighbours.items():
-            if one.up and now - one.asked >= self.policy.silent:
+        for address, peer in self.peers.items():
+            if peer.connected and now - peer.awaiting_since >= self.policy.silent:
                 found.append((address, "silent"))
-            elif one.up and now - max(one.used, one.spoke) >= self.policy.idle:
+            elif peer.connected and now - max(peer.last_used, peer.last_received) >= self.policy.idle:
                 found.append((address, "idle"))
-        for _, why in found:
-            self.ended[why] += 1
+        for _, reason in found:
+            self.closed[reason] += 1
         return found
 
     def view(self, now: float) -> list[dict[str, object]]:
-        """All neighbours for operators, by address."""
+        """All peers for operators, sorted by address."""
         return [
             {
                 "address": address,
-                "up": one.up,
-                "failed": one.failed,
-                "waiting": one.outbox.count,
-                "waiting_bytes": one.outbox.bytes,
-                "late": one.outbox.late,
-                "dropped": {kind.name.lower(): one.outbox.dropped[kind] for kind in Kind if one.outbox.dropped[kind]},
-                "silent_for": round(now - one.spoke, 2) if one.up else None,
+                "up": peer.connected,
+                "failed": peer.failures,
+                "waiting": peer.send_queue.count,
+                "waiting_bytes": peer.send_queue.bytes,
+                "late": peer.send_queue.expired,
+                "dropped": {
+                    priority.name.lower(): peer.send_queue.dropped[priority]
+                    for priority in Priority
+                    if peer.send_queue.dropped[priority]
+                },
+                "silent_for": round(now - peer.last_received, 2) if peer.connected else None,
             }
-            for address, one in sorted(self.neighbours.items())
+            for address, peer in sorted(self.peers.items())
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """One end of a link, as the other sees it."""
+class LinkEnd:
+    """The remote end of a link."""
 
     name: str
-    life: int
-    dialled: bool = field(default=False)  # by this member, not by the other
+    life: int  # identifier of the remote process
+    dialled: bool = field(default=False)  # this member dialled the link
 
 
-def stays(me: str, old: End, new: End) -> bool:
-    """Whether the newer of two links to one neighbour stays, and not the older."""
+def should_replace(local_name: str, old: LinkEnd, new: LinkEnd) -> bool:
+    """Whether the newer of two links to one peer replaces the older one."""
     if old.life != new.life or old.dialled is new.dialled:
-        return True  # the older one's process, or its connection, is gone
-    return new.dialled is (me < new.name)
+        return True  # the process or the connection of the older link is gone
+    return new.dialled is (local_name < new.name)
--- a/weldroute/operations.py
+++ b/weldroute/operations.py
@@ -1,20 +1,21 @@
-"""What operators ask of one proxy, and what follows from it: the ways of leaving, and the verdicts on calls.
+"""The lifecycle of one proxy process, and the calls to its management address.
 
-Sans-I/O: every event takes the time, and nothing here reads a clock. There is one state machine for all ways of
-leaving, whoever asks for it: the operators' drain, SIGTERM, or a newer process on the same listener.
+Sans-I/O: every event takes the time, and nothing here reads a clock. One state machine covers all ways of taking a
+process out of service: the operators' drain, SIGTERM, a newer process on the same listener, and ejection.
 
-| state | left by | `/up` | listens | answers end connections | idle kept | unfinished kept |
+| state | left by | `/up` | listens | closes after answer | idle kept | incomplete kept |
 | --- | --- | --- | --- | --- | --- | --- |
-| SERVING | evacuate, yielded, stop | yes | yes | no | yes | yes |
-| EVACUATED | rejoin, stop | no | yes | yes | for EVACUATE_IDLE | yes |
-| YIELDING | resumed, stop | as before | no | yes | yes | yes |
-| ASIDE | its supervisor, stop | as before | no | yes | yes | yes |
-| STOPPING | nothing | no once deaf | for STOP_ACCEPT | from `keep` on | for `keep` | STOP_READ longer |
+| SERVING | evacuate, a newer process, ejection, stop | yes | yes | no | yes | yes |
+| EVACUATED | rejoin, stop | no | yes | yes | for EVACUATE_IDLE_TIMEOUT | yes |
+| YIELDING | the newer process going away, stop | as before | no | yes | yes | yes |
+| EJECTED | its supervisor, stop | as before | no | yes | yes | yes |
+| STOPPING | nothing | while it listens | for STOP_ACCEPT_PERIOD | from `keep` on | for `keep` | + STOP_READ_PERIOD |
 
-ASIDE is a process that fares worse than its siblings: its supervisor accepts for it, and gives it what it may have.
+EJECTED is a process that performs worse than its peers: its supervisor accepts on its behalf and gives it the
+connections that it may have.
 
-A process that stops while its successor serves the same listener stops listening and ends connections with their
-answers from the first moment: their callers have somewhere to go.
+A process that stops while its successor serves the same listener stops listening, and ends connections with their
+answers, at once: its callers can connect to the successor.
 """
 
 from __future__ import annotations
@@ -23,129 +24,129 @@
 from dataclasses import dataclass
 from enum import Enum
 
-EVACUATE_IDLE = 1.4  # seconds in which a connection may bring one more request after a drain began
-STOP_ACCEPT = 0.45  # seconds after the order to stop in which new connections are taken
-STOP_READ = 0.25  # seconds for the rest of a request once no further one is wanted
+EVACUATE_IDLE_TIMEOUT = 1.4  # seconds after the start of a drain in which a connection may send one more request
+STOP_ACCEPT_PERIOD = 0.45  # seconds after the order to stop in which new connections are accepted
+STOP_READ_PERIOD = 0.25  # seconds for the rest of an incomplete request once no further ones are accepted
 
 
-class Stance(Enum):
-    """What this process is doing about its callers."""
+class LifecycleState(Enum):
+    """State of this process towards its callers."""
 
     SERVING = "serving"
     EVACUATED = "evacuated"
     YIELDING = "yielding"
-    ASIDE = "aside"
+    EJECTED = "aside"
     STOPPING = "stopping"
 
 
 @dataclass(frozen=True, slots=True)
-class Posture:
-    """What holds for callers at one moment."""
+class ListenerState:
+    """How the listener and the callers' connections are handled in a state."""
 
-    up: bool = True  # the answer to the front
+    up: bool = True  # the answer to `/up`
     listens: bool = True
-    closes: bool = False  # every answer ends its connection
+    closes_after_answer: bool = False  # every answer ends its connection
     keeps_idle: bool = True
-    keeps_partial: bool = True  # requests of which a part has come
+    keeps_incomplete: bool = True  # requests of which only a part has arrived
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """The answer to a call: a status of HTTP, and why."""
+class CallResult:
+    """The answer to a management call: an HTTP status and a text."""
 
     status: int
     text: str
 
     @property
-    def yes(self) -> bool:
-        """Whether it was done."""
+    def succeeded(self) -> bool:
+        """Whether the status is a success."""
         return 200 <= self.status < 300
 
 
-DONE = Verdict(200, "done")
-ALREADY = Verdict(200, "already so")
-STOPPING = Verdict(409, "this process is stopping")
-NOT_YET = Verdict(503, "not yet")
-UNKNOWN = Verdict(404, "no backend of this id")
+DONE = CallResult(200, "done")
+ALREADY_DONE = CallResult(200, "already so")
+STOPPING = CallResult(409, "this process is stopping")
+NOT_YET = CallResult(503, "not yet")
+UNKNOWN_BACKEND = CallResult(404, "no backend of this id")
 
 
 class Operations:
-    """The stance of one proxy process."""
+    """The lifecycle of one proxy process."""
 
     def __init__(self) -> None:
-        self.evacuated = False  # by operators; outlives this process
+        self.evacuated = False  # by operators; the order outlives this process
         self._evacuated_at = 0.0
         self._yielding = False  # a newer process serves the same listener
-        self.aside = False  # its supervisor accepts on the same listener
+        self.ejected = False  # its supervisor accepts on the same listener instead
         self._stopped_at: float | None = None
         self._keep = 0.0
-        self.serving = False  # it listens, and knows where to send
+        self.serving = False  # it listens and knows its backends
 
     @property
-    def stance(self) -> Stance:
-        """The state."""
+    def state(self) -> LifecycleState:
+        """The current state; the first that applies of stopping, yielding, evacuated and ejected."""
         if self._stopped_at is not None:
-            return Stance.STOPPING
+            return LifecycleState.STOPPING
         if self._yielding:
-            return Stance.YIELDING
+            return LifecycleState.YIELDING
         if self.evacuated:
-            return Stance.EVACUATED
-        return Stance.ASIDE if self.aside else Stance.SERVING
+            return LifecycleState.EVACUATED
+        return LifecycleState.EJECTED if self.ejected else LifecycleState.SERVING
 
-    def posture(self, now: float) -> Posture:
-        """What holds at this moment."""
-        drained = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE
+    def listener_state(self, now: float) -> ListenerState:
+        """Return how connections are handled at this time."""
+        idle_expired = self.evacuated and now - self._evacuated_at >= EVACUATE_IDLE_TIMEOUT
         if self._stopped_at is None:
-            return Posture(
+            return ListenerState(
                 up=not self.evacuated,
-                listens=not (self._yielding or self.aside),
-                closes=self.evacuated or self._yielding or self.aside,
-                keeps_idle=not drained,
+                listens=not (self._yielding or self.ejected),
+                closes_after_answer=self.evacuated or self._yielding or self.ejected,
+                keeps_idle=not idle_expired,
             )
-        since = now - self._stopped_at
-        listens = since < STOP_ACCEPT and not self._yielding
-        over = since >= self._keep
-        return Posture(
+        elapsed = now - self._stopped_at
+        listens = elapsed < STOP_ACCEPT_PERIOD and not self._yielding
+        keep_elapsed = elapsed >= self._keep
+        return ListenerState(
             up=listens and not self.evacuated,
             listens=listens,
-            closes=over or self._yielding or self.evacuated,
-            keeps_idle=not over and not drained,
-            keeps_partial=since < self._keep + STOP_READ,
+            closes_after_answer=keep_elapsed or self._yielding or self.evacuated,
+            keeps_idle=not keep_elapsed and not idle_expired,
+            keeps_incomplete=elapsed < self._keep + STOP_READ_PERIOD,
         )
 
     # ---- events --------------------------------------------------------------------------
 
-    def evacuate(self, now: float) -> Verdict:
-        """Operators want this proxy emptied; twice is once."""
+    def evacuate(self, now: float) -> CallResult:
+        """Start a drain, ordered by operators; a repeated order has no further effect."""
         if self._stopped_at is not None:
             return STOPPING
         if self.evacuated:
-            return ALREADY
+            return ALREADY_DONE
         self.evacuated = True
         self._evacuated_at = now
         return DONE
 
-    def rejoin(self) -> Verdict:
-        """Operators want it back, whether or not it is empty yet."""
+    def rejoin(self) -> CallResult:
+        """End a drain, ordered by operators, whether or not the proxy is empty yet."""
         if self._stopped_at is not None:
             return STOPPING
         if not self.evacuated:
-            return ALREADY
+            return ALREADY_DONE
         self.evacuated = False
         return DONE
 
-    def yielded(self, to_newer: bool) -> None:
-        """A newer process serves the listener now, or has gone again."""
-        self._yielding = to_newer
+    def on_newer_process(self, serves: bool) -> None:
+        """Note that a newer process serves the listener, or went away again."""
+        self._yielding = serves
 
     def stop(self, now: float, keep: float) -> None:
-        """The order to end: those that stay connected are served for `keep` seconds more."""
+        """Stop for good: callers that stay connected are served for `keep` more seconds."""
         if self._stopped_at is None:
             self._stopped_at = now
-            self._keep = max(keep, STOP_ACCEPT)  # what connects until then is to be served
+            self._keep = max(keep, STOP_ACCEPT_PERIOD)  # callers that connect until then must be served
 
-    def ready(self) -> Verdict:
-        """Whether this process can serve."""
+    def readiness(self) -> CallResult:
+        """Report whether this process can serve."""
         if self._stopped_at is not None:
             return STOPPING
         return DONE if self.serving else NOT_YET
@@ -154,8 +155,8 @@
 # ---- calls -------------------------------------------------------------------------------
 
 
-class Call(Enum):
-    """What can be asked at the second address."""
+class ManagementCall(Enum):
+    """Calls to the management address."""
 
     READY = "ready"
     EXCLUDE = "exclude"
@@ -164,27 +165,27 @@
     REJOIN = "rejoin"
 
 
-ROUTES: Mapping[bytes, tuple[bytes, Call]] = {
-    b"/api/ready": (b"GET", Call.READY),
-    b"/api/exclude": (b"POST", Call.EXCLUDE),
-    b"/api/include": (b"POST", Call.INCLUDE),
-    b"/api/evacuate": (b"POST", Call.EVACUATE),
-    b"/api/rejoin": (b"POST", Call.REJOIN),
+ROUTES: Mapping[bytes, tuple[bytes, ManagementCall]] = {
+    b"/api/ready": (b"GET", ManagementCall.READY),
+    b"/api/exclude": (b"POST", ManagementCall.EXCLUDE),
+    b"/api/include": (b"POST", ManagementCall.INCLUDE),
+    b"/api/evacuate": (b"POST", ManagementCall.EVACUATE),
+    b"/api/rejoin": (b"POST", ManagementCall.REJOIN),
 }
 MAX_CALL_BODY = 4096  # bytes; an id has a few dozen
 
 
-def route(method: bytes, target: bytes) -> Call | Verdict:
-    """The call that a request line stands for, or the verdict on one that stands for none."""
-    found = ROUTES.get(target.partition(b"?")[0])
-    if found is None:
-        return Verdict(404, "no such call")
-    wanted, call = found
-    return call if method == wanted else Verdict(405, f"the method is {wanted.decode()}")
+def route(method: bytes, target: bytes) -> ManagementCall | CallResult:
+    """Return the call of a request line, or the error result if it has none."""
+    entry = ROUTES.get(target.partition(b"?")[0])
+    if entry is None:
+        return CallResult(404, "no such call")
+    expected, call = entry
+    return call if method == expected else CallResult(405, f"the method is {expected.decode()}")
 
 
-def who(body: object) -> str | Verdict:
-    """The id that an exclude or include names, out of its JSON body."""
+def read_backend_id(body: object) -> str | CallResult:
+    """Return the backend id in the JSON body of an exclude or include call, or the error result."""
     if not isinstance(body, dict) or not isinstance(body.get("who"), str) or not body["who"]:
-        return Verdict(400, 'the body is not {"who":"ID"}')
+        return CallResult(400, 'the body is not {"who":"ID"}')
     return str(body["who"])
