--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterator
 from typing import Any
 
-CONTAINERS = (dict, list, set, deque, bytearray)
-OURS = ("cometusher.", "weldroute.")
-NOT_OURS = ("cometusher.simulation.",)
+CONTAINER_TYPES = (dict, list, set, deque, bytearray)
+AUDITED_MODULES = ("cometusher.", "weldroute.")
+EXCLUDED_MODULES = ("cometusher.simulation.",)
 
 #: What may be there in silence: so many, and so many more for each backend of the list.
-STATED: dict[str, tuple[int, int]] = {
+BOUNDS: dict[str, tuple[int, int]] = {
     "Backends._backends": (0, 1),
     "Backends._owners": (0, 1),
     "Backends._close_races": (3, 0),
@@ -58,17 +58,17 @@
 }
 
 
-def excess(root: object, nodes: int) -> dict[str, tuple[int, int]]:
+def containers_over_bound(root: object, nodes: int) -> dict[str, tuple[int, int]]:
     """What holds more than is stated, where discovery lists so many backends: how many, and the bound."""
     found = {}
     for name, count in containers(root).items():
-        fixed, each = STATED.get(name, (0, 0))
+        fixed, each = BOUNDS.get(name, (0, 0))
         if count > fixed + each * nodes:
             found[name] = (count, fixed + each * nodes)
     return found
 
 
-def _parts(thing: object) -> Iterator[tuple[str, Any]]:
+def _attributes(thing: object) -> Iterator[tuple[str, Any]]:
     """The attributes of an object, slots and all."""
     yield from getattr(thing, "__dict__", {}).items()
     for kind in type(thing).__mro__:
@@ -78,9 +78,9 @@
                 yield name, getattr(thing, name)
 
 
-def _ours(thing: object) -> bool:
+def _is_audited(thing: object) -> bool:
     module = type(thing).__module__
-    return module.startswith(OURS) and not module.startswith(NOT_OURS)
+    return module.startswith(AUDITED_MODULES) and not module.startswith(EXCLUDED_MODULES)
 
 
 def containers(root: object) -> dict[str, int]:
@@ -90,7 +90,7 @@
     waiting: list[tuple[str, object]] = [(type(root).__name__, root)]
     while waiting:
         name, thing = waiting.pop()
-        if isinstance(thing, CONTAINERS):
+        if isinstance(thing, CONTAINER_TYPES):
             found[name] = max(found.get(name, 0), len(thing))
             inner: list[tuple[str, object]] = []
             if not isinstance(thing, bytearray):
@@ -98,8 +98,8 @@
                 inner += [(f"{name}[]", item) for item in (thing if isinstance(thing, dict) else ())]
         elif isinstance(thing, tuple):
             inner = [(name, item) for item in thing]
-        elif _ours(thing):
-            inner = [(f"{type(thing).__name__}.{part}", value) for part, value in _parts(thing)]
+        elif _is_audited(thing):
+            inner = [(f"{type(thing).__name__}.{part}", value) for part, value in _attributes(thing)]
         else:
             continue
         for part, value in inner:
--- a/cometusher/simulation/loop.py
+++ b/cometusher/simulation/loop.py
@@ -26,9 +26,9 @@
 T = TypeVar("T")
 
 #: The machine that the running code belongs to; tasks and callbacks inherit it with their context.
-MACHINE: contextvars.ContextVar[Machine | None] = contextvars.ContextVar("machine", default=None)
-STUCK = 4.0  # seconds of processor time after which one callback counts as one that never yields
-STILL = 100_000  # callbacks at one moment, after which time stands still for good
+CURRENT_MACHINE: contextvars.ContextVar[Machine | None] = contextvars.ContextVar("machine", default=None)
+STUCK_CPU_TIMEOUT = 4.0  # seconds of processor time after which one callback counts as one that never yields
+MAX_STEPS_PER_INSTANT = 100_000  # callbacks at one moment, after which time stands still for good
 
 
 class Deadlock(Exception):
@@ -41,30 +41,30 @@
 
 #: Typed loosely: what the abstract loop asks for and a world has no use for (subprocesses, threads, signals, name
 #: look-ups) stays unimplemented, and raises NotImplementedError there.
-_Base: Any = asyncio.AbstractEventLoop
+_LoopBase: Any = asyncio.AbstractEventLoop
 
 
-class VirtualLoop(_Base):  # type: ignore[misc]
+class VirtualLoop(_LoopBase):  # type: ignore[misc]
     """One world's loop; not thread-safe, and needing no thread."""
 
     def __init__(self, seed: int = 0) -> None:
         self.rng = Random(seed)
         self.network: VirtualNetwork | None = None
-        self.faults: list[dict[str, Any]] = []  # what went to the exception handler
+        self.unhandled_errors: list[dict[str, Any]] = []  # what went to the exception handler
         self.steps = 0
         self._now = 0.0
         self._ready: collections.deque[asyncio.Handle] = collections.deque()
         self._timers: list[tuple[float, float, int, asyncio.TimerHandle]] = []
-        self._count = 0
+        self._timer_count = 0
         self._running = False
         self._closed = False
         self._stopping = False
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._seen_step = -1
-        self._still_from = 0  # the step at which time moved last
-        self._stuck: Stuck | None = None
+        self._watchdog_step = -1
+        self._last_advance_step = 0  # the step at which time moved last
+        self._stuck_error: Stuck | None = None
         self.after_step: Callable[[], None] | None = None  # called after every callback
-        self.graveyard: list[asyncio.Task[Any]] = []  # of processes that died; kept, or their ends would run
+        self.dead_tasks: list[asyncio.Task[Any]] = []  # of processes that died; kept, or their ends would run
 
     # ---- time ----------------------------------------------------------------------------
 
@@ -98,12 +98,12 @@
     ) -> asyncio.TimerHandle:
         """Run a callback at a time; of those with the same time, the seed says which is first."""
         self._check_open()
-        machine = MACHINE.get() if context is None else context.get(MACHINE)
-        if machine is not None and machine.coarse:
-            when = machine.coarse * math.ceil(when / machine.coarse - 1e-9)
+        machine = CURRENT_MACHINE.get() if context is None else context.get(CURRENT_MACHINE)
+        if machine is not None and machine.timer_granularity:
+            when = machine.timer_granularity * math.ceil(when / machine.timer_granularity - 1e-9)
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        self._count += 1
-        heapq.heappush(self._timers, (when, self.rng.random(), self._count, handle))
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self.rng.random(), self._timer_count, handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
@@ -111,7 +111,7 @@
 
     # ---- running -------------------------------------------------------------------------
 
-    def _round(self) -> None:
+    def _run_once(self) -> None:
         """What is ready now, after a jump to the next timer if nothing is."""
         while self._timers and self._timers[0][3].cancelled():
             heapq.heappop(self._timers)
@@ -119,7 +119,7 @@
             if not self._timers:
                 raise Deadlock("nothing is ready and no timer is set")
             if self._timers[0][0] > self._now:
-                self._now, self._still_from = self._timers[0][0], self.steps
+                self._now, self._last_advance_step = self._timers[0][0], self.steps
         while self._timers and self._timers[0][0] <= self._now:
             handle = heapq.heappop(self._timers)[3]
             if not handle.cancelled():
@@ -128,16 +128,16 @@
             handle_ = self._ready.popleft()
             if handle_.cancelled():
                 continue
-            machine = handle_._context.get(MACHINE)  # type: ignore[attr-defined]
+            machine = handle_._context.get(CURRENT_MACHINE)  # type: ignore[attr-defined]
             if machine is not None and machine.stopped:
-                machine.hold(handle_)
+                machine.defer(handle_)
                 continue
             self.steps += 1
             handle_._run()
-            if self.steps - self._still_from > STILL:
+            if self.steps - self._last_advance_step > MAX_STEPS_PER_INSTANT:
                 raise Stuck(f"time stands still: {handle_!r}")
-            if self._stuck is not None:
-                raise self._stuck  # the handle took it for a fault of the callback
+            if self._stuck_error is not None:
+                raise self._stuck_error  # the handle took it for a fault of the callback
             if self.after_step is not None:
                 self.after_step()
 
@@ -148,12 +148,12 @@
             raise RuntimeError("a loop is running already")
         self._running = True
         asyncio._set_running_loop(self)
-        before = self._watch()
+        before = self._start_watchdog()
         try:
             while not self._stopping:
-                self._round()
+                self._run_once()
         finally:
-            self._unwatch(before)
+            self._stop_watchdog(before)
             asyncio._set_running_loop(None)
             self._running = self._stopping = False
 
@@ -175,21 +175,23 @@
         """End after the present round."""
         self._stopping = True
 
-    def _watch(self) -> Any:
+    def _start_watchdog(self) -> Any:
         """Processor time, not real time: a slow machine does not count as a stuck callback."""
 
         def look(number: int, frame: FrameType | None) -> None:
-            if self._seen_step == self.steps and frame is not None:
-                self._stuck = Stuck(f"a callback never yields: {frame.f_code.co_qualname}, line {frame.f_lineno}")
-                raise self._stuck
-            self._seen_step = self.steps
+            if self._watchdog_step == self.steps and frame is not None:
+                self._stuck_error = Stuck(
+                    f"a callback never yields: {frame.f_code.co_qualname}, line {frame.f_lineno}"
+                )
+                raise self._stuck_error
+            self._watchdog_step = self.steps
 
         before = signal.signal(signal.SIGVTALRM, look)
-        signal.setitimer(signal.ITIMER_VIRTUAL, STUCK / 2.0, STUCK / 2.0)
+        signal.setitimer(signal.ITIMER_VIRTUAL, STUCK_CPU_TIMEOUT / 2.0, STUCK_CPU_TIMEOUT / 2.0)
         return before
 
     @staticmethod
-    def _unwatch(before: Any) -> None:
+    def _stop_watchdog(before: Any) -> None:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0.0)
         signal.signal(signal.SIGVTALRM, before)
 
@@ -205,11 +207,11 @@
         """End for good."""
         if self._running:
             raise RuntimeError("it runs")
-        for task in self.graveyard:
+        for task in self.dead_tasks:
             # What a dead process would still do is done while the loop takes it, and comes to nothing.
             with contextlib.suppress(RuntimeError):
                 task.get_coro().close()
-        self.graveyard.clear()
+        self.dead_tasks.clear()
         self._closed = True
         self._ready.clear()
         self._timers.clear()
@@ -238,18 +240,18 @@
         task = asyncio.Task(coro, loop=self, name=None if name is None else str(name), context=context)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        machine = MACHINE.get() if context is None else context.get(MACHINE)
+        machine = CURRENT_MACHINE.get() if context is None else context.get(CURRENT_MACHINE)
         if machine is not None:
             machine.tasks[task] = None
-            task.add_done_callback(machine.forget)
+            task.add_done_callback(machine.on_task_done)
         return task
 
-    def bury(self, tasks: list[asyncio.Task[Any]]) -> None:
+    def discard_tasks(self, tasks: list[asyncio.Task[Any]]) -> None:
         """Tasks of a process that died: they never go on, and nobody complains of it."""
         for task in tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             self._tasks.discard(task)
-        self.graveyard += tasks
+        self.dead_tasks += tasks
 
     @property
     def tasks(self) -> set[asyncio.Task[Any]]:
@@ -257,14 +259,14 @@
         return {task for task in self._tasks if not task.done()}
 
     @property
-    def timers(self) -> int:
+    def timer_count(self) -> int:
         """Timers that are set."""
         return sum(not handle.cancelled() for _, _, _, handle in self._timers)
 
     def timers_of(self, machine: Machine) -> list[asyncio.TimerHandle]:
         """Timers that the code on one machine has set."""
         handles = (handle for _, _, _, handle in sorted(self._timers, key=lambda row: row[:3]))
-        return [h for h in handles if not h.cancelled() and h._context.get(MACHINE) is machine]  # type: ignore[attr-defined]
+        return [h for h in handles if not h.cancelled() and h._context.get(CURRENT_MACHINE) is machine]  # type: ignore[attr-defined]
 
     # ---- faults --------------------------------------------------------------------------
 
@@ -277,7 +279,7 @@
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         """Keep what nobody caught."""
-        self.faults.append(context)
+        self.unhandled_errors.append(context)
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
         """The same."""
@@ -285,7 +287,7 @@
 
     # ---- the network ---------------------------------------------------------------------
 
-    def _network(self) -> VirtualNetwork:
+    def _require_network(self) -> VirtualNetwork:
         if self.network is None:
             raise RuntimeError("this loop has no network")
         return self.network
@@ -294,13 +296,13 @@
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, **unused: Any
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
         """Connect; raises OSError as a socket would."""
-        return await self._network().connect(protocol_factory, (host, port))
+        return await self._require_network().connect(protocol_factory, (host, port))
 
     async def create_server(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, **unused: Any
     ) -> Any:
         """Listen, and accept whatever comes."""
-        return self._network().serve(protocol_factory, (host, port))
+        return self._require_network().serve(protocol_factory, (host, port))
 
 
 def run(loop: VirtualLoop, main: Coroutine[Any, Any, T]) -> T:
--- a/cometusher/simulation/script.py
+++ b/cometusher/simulation/script.py
@@ -24,11 +24,11 @@
 
 from cometusher.config import ConfigError
 
-KINDS = ("view", "submit", "pay")
+REQUEST_CLASSES = ("view", "submit", "pay")
 
 
 @dataclass(frozen=True)
-class Ask:
+class PlannedRequest:
     """One request: seconds, bytes; `leaves` is when its caller goes away, `slow` how long it writes."""
 
     number: int
@@ -77,12 +77,12 @@
     covers: int = 0  # whether work in hand of the first tier is taken over from proxies that are killed
     shared: int = 0  # whether listeners are the platform's, and processes of one proxy share a folder
     lazy: float = 0.0  # seconds that a program may take to see what has come
-    requests: tuple[Ask, ...] = ()
+    requests: tuple[PlannedRequest, ...] = ()
     faults: tuple[Fault, ...] = ()
 
 
 #: What can befall whom, and what `by` means there. (None: it means nothing.)
-FAULTS: dict[str, tuple[tuple[str, ...], Callable[[Random], float] | None]] = {
+FAULT_KINDS: dict[str, tuple[tuple[str, ...], Callable[[Random], float] | None]] = {
     "kill": (("proxy", "backend", "discovery"), None),  # and started again after `for`
     "pause": (("proxy", "backend", "discovery"), None),
     "silent": (("proxy", "backend"), None),
@@ -116,13 +116,13 @@
     "rollback": (("proxy",), None),  # killed, and what it kept is as it was in the middle of the time before
     "burst": (("proxy",), lambda rng: float(rng.randint(20, 60))),  # requests at once, told by their own lines
 }
-RETURNS = ("blow", "forget", "rollback")  # drawn apart: the plans of older seeds stay as they were
-INSTANT = ("reload", "step", "burst", "upgrade", "twins")
-LONG = (100_000, 300_000, 900_000)  # bytes of messages that go on while they come...
-LONG_FROM = 64 * 1024  # ...which those above this do...
+RESTART_FAULTS = ("blow", "forget", "rollback")  # drawn apart: the plans of older seeds stay as they were
+INSTANT_FAULTS = ("reload", "step", "burst", "upgrade", "twins")
+LONG_SIZES = (100_000, 300_000, 900_000)  # bytes of messages that go on while they come...
+LONG_THRESHOLD = 64 * 1024  # ...which those above this do...
 LONG_SHARE = 0.04  # ...and how many are
 #: What goes wrong with an upgrade, by its number.
-UPGRADES = (
+UPGRADE_TROUBLES = (
     "nothing",
     "what was learned is torn",
     "the new process dies",
@@ -131,7 +131,7 @@
 )
 
 
-def shape(world: str, rng: Random) -> dict[str, Any]:
+def world_shape(world: str, rng: Random) -> dict[str, Any]:
     """What a named world is made of; raises KeyError."""
     return {
         "one": {"backends": rng.randint(2, 4)},
@@ -144,7 +144,7 @@
 WORLDS = ("one", "zone", "fleet", "tiers")
 
 
-def counts(plan: Plan) -> dict[str, int]:
+def target_counts(plan: Plan) -> dict[str, int]:
     """How many there are of what can be named in a fault."""
     nodes = plan.zones * plan.backends
     return {
@@ -170,33 +170,33 @@
         copies=int(rng.random() < 0.7),
         cancel=int(rng.random() < 0.8),
         lazy=rng.choice((0.0, 0.001, 0.004)),
-        **shape(name, rng),
+        **world_shape(name, rng),
     )
     plan = replace(plan, shared=int(rng.random() < 0.3))
-    plan = replace(plan, faults=tuple(sorted(_faults(rng, plan), key=lambda fault: fault.at)))
+    plan = replace(plan, faults=tuple(sorted(_draw_faults(rng, plan), key=lambda fault: fault.at)))
     if any(fault.what == "double" for fault in plan.faults):
         # A cut just between an answer and its copy lets the copy come after the next request was written: HTTP/1.1
         # has nothing by which a proxy could tell it from that one's answer.
         plan = replace(plan, cut=0.0)
     if any(fault.what == "upgrade" for fault in plan.faults):
         plan = replace(plan, shared=1)
-    plan = replace(plan, requests=tuple(_asks(rng, plan)))
+    plan = replace(plan, requests=tuple(_draw_requests(rng, plan)))
     if plan.shared:
         return plan
-    plan = _returns(Random(f"returns {world} {seed}"), plan)
-    return plan if plan.keeps else _covered(Random(f"covers {world} {seed}"), plan)
+    plan = _add_restart_faults(Random(f"returns {world} {seed}"), plan)
+    return plan if plan.keeps else _add_takeover_faults(Random(f"covers {world} {seed}"), plan)
 
 
-def _returns(rng: Random, plan: Plan) -> Plan:
+def _add_restart_faults(rng: Random, plan: Plan) -> Plan:
     """A part of the worlds keeps state and has blows; not those with upgrades, whose processes share otherwise."""
     if rng.random() >= 0.3:
         return plan
     found = list(plan.faults)
     for _ in range(rng.choice((1, 1, 2, 3))):
-        what = rng.choice(RETURNS)
+        what = rng.choice(RESTART_FAULTS)
         at = round(rng.uniform(0.8, plan.seconds - 0.5), 3)
-        amount = FAULTS[what][1]
-        whom = f"proxy/{0 if what == 'blow' else rng.randrange(counts(plan)['proxy'])}"
+        amount = FAULT_KINDS[what][1]
+        whom = f"proxy/{0 if what == 'blow' else rng.randrange(target_counts(plan)['proxy'])}"
         seconds = round(rng.choice((0.05, 0.3, 1.0)) * rng.uniform(0.5, 1.5), 3)
         found.append(Fault(at, what, whom, seconds, amount(rng) if amount else 0.0))
         if rng.random() < 0.5:
@@ -204,7 +204,7 @@
     return replace(plan, keeps=1, faults=tuple(sorted(found, key=lambda fault: fault.at)))
 
 
-def _covered(rng: Random, plan: Plan) -> Plan:
+def _add_takeover_faults(rng: Random, plan: Plan) -> Plan:
     """A part of the worlds with several proxies of the first tier hands work in hand on when they are killed."""
     count = plan.zones * plan.proxies
     if plan.tiers > 1 or count < 2 or rng.random() >= 0.5:
@@ -222,24 +222,26 @@
     return replace(plan, covers=1, faults=tuple(sorted(found, key=lambda fault: fault.at)))
 
 
-def _faults(rng: Random, plan: Plan) -> list[Fault]:
-    many = counts(plan)
+def _draw_faults(rng: Random, plan: Plan) -> list[Fault]:
+    many = target_counts(plan)
     found: list[Fault] = []
     for _ in range(rng.choice((0, 1, 2, 3, 4, 5, 7))):
-        what = rng.choice(sorted(set(FAULTS) - set(RETURNS)))
-        whose, amount = FAULTS[what]
+        what = rng.choice(sorted(set(FAULT_KINDS) - set(RESTART_FAULTS)))
+        whose, amount = FAULT_KINDS[what]
         whom = rng.choice(whose)
         at = round(rng.uniform(0.3, plan.seconds - 0.5), 3)
         if found and rng.random() < 0.2:
             at = found[-1].at  # two at one tick
-        seconds = 0.0 if what in INSTANT else round(rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.5, 1.5), 3)
+        seconds = (
+            0.0 if what in INSTANT_FAULTS else round(rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.5, 1.5), 3)
+        )
         found.append(Fault(at, what, f"{whom}/{rng.randrange(many[whom])}", seconds, amount(rng) if amount else 0.0))
     for fault in list(found):
-        found += _company(rng, fault)
+        found += _companion_faults(rng, fault)
     return found
 
 
-def _company(rng: Random, fault: Fault) -> list[Fault]:
+def _companion_faults(rng: Random, fault: Fault) -> list[Fault]:
     """What is drawn beside some faults, since they are worst together."""
     found = []
     before = max(0.1, round(fault.at - 0.4, 3))
@@ -254,7 +256,7 @@
     return found
 
 
-def _asks(rng: Random, plan: Plan) -> list[Ask]:
+def _draw_requests(rng: Random, plan: Plan) -> list[PlannedRequest]:
     rate = rng.choice((10.0, 25.0, 50.0))
     at = 0.2
     times: list[float] = []
@@ -263,12 +265,12 @@
     for fault in plan.faults:
         if fault.what == "burst":
             times += [fault.at + 0.0005 * i for i in range(int(fault.by))]
-    return [_ask(rng, number, at, plan) for number, at in enumerate(sorted(times), 1)]
+    return [_draw_request(rng, number, at, plan) for number, at in enumerate(sorted(times), 1)]
 
 
-def _ask(rng: Random, number: int, at: float, plan: Plan) -> Ask:
-    kind = rng.choices(KINDS, (6, 3, 2))[0]
-    ask = Ask(
+def _draw_request(rng: Random, number: int, at: float, plan: Plan) -> PlannedRequest:
+    kind = rng.choices(REQUEST_CLASSES, (6, 3, 2))[0]
+    ask = PlannedRequest(
         number,
         round(at, 4),
         kind,
@@ -281,23 +283,23 @@
     )
     # A line made narrow would take longer for these than there is time; theirs counts from the last byte.
     if plan.bandwidth >= 1e7 and rng.random() < LONG_SHARE and not any(f.what == "narrow" for f in plan.faults):
-        ask = replace(ask, want=rng.choice((200, *LONG)))
-        if ask.want > LONG_FROM:
+        ask = replace(ask, want=rng.choice((200, *LONG_SIZES)))
+        if ask.want > LONG_THRESHOLD:
             ask = replace(ask, dawdle=round(rng.choice((0.0, rng.uniform(0.1, 1.0))), 3))
         if kind != "view":
-            ask = replace(ask, body=rng.choice(LONG))
+            ask = replace(ask, body=rng.choice(LONG_SIZES))
     return ask
 
 
 # ---- the text ------------------------------------------------------------------------------
 
-_HEADS: dict[str, tuple[str, ...]] = {
+_STATEMENTS: dict[str, tuple[str, ...]] = {
     "world": ("seed", "seconds"),
     "shape": ("zones", "tiers", "proxies", "backends"),
     "link": ("latency", "jitter", "bandwidth", "cut", "lazy"),
     "limits": ("sockets", "copies", "cancel", "shared", "keeps", "covers"),
 }
-_ASK = {
+_REQUEST_OPTIONS = {
     "zone": int,
     "budget": float,
     "want": int,
@@ -307,19 +309,21 @@
     "dawdle": float,
     "again": int,
 }
-_FAULT = {"for": ("seconds", float), "by": ("by", float)}
-_DEFAULT = Ask(0, 0.0, "view")
+_FAULT_OPTIONS = {"for": ("seconds", float), "by": ("by", float)}
+_DEFAULT_REQUEST = PlannedRequest(0, 0.0, "view")
 
 
 def write(plan: Plan) -> str:
     """The script of a plan."""
     lines = []
-    for head, names in _HEADS.items():
+    for head, names in _STATEMENTS.items():
         values = " ".join(f"{name} {getattr(plan, name):.12g}" for name in names)
         lines.append(f"world {plan.world} {values}" if head == "world" else f"{head} {values}")
     for ask in plan.requests:
         extra = "".join(
-            f" {name} {getattr(ask, name):g}" for name in _ASK if getattr(ask, name) != getattr(_DEFAULT, name)
+            f" {name} {getattr(ask, name):g}"
+            for name in _REQUEST_OPTIONS
+            if getattr(ask, name) != getattr(_DEFAULT_REQUEST, name)
         )
         lines.append(f"request {ask.number} at {ask.at:.12g} {ask.kind}{extra}")
     for fault in plan.faults:
@@ -335,7 +339,7 @@
     name: str
     line: int = 0
     values: dict[str, Any] = field(default_factory=dict)
-    requests: list[Ask] = field(default_factory=list)
+    requests: list[PlannedRequest] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
 
     def wrong(self, text: str) -> ConfigError:
@@ -365,37 +369,37 @@
         kinds: dict[str, Callable[[str], Any]] = {
             item.name: float if item.type == "float" else int for item in fields(Plan)
         }
-        if head in _HEADS:
+        if head in _STATEMENTS:
             if head == "world":
                 if not rest:
                     raise self.wrong("world: no name")
                 self.values["world"], *rest = rest
-            self.values |= self.pairs(rest, {name: kinds[name] for name in _HEADS[head]})
+            self.values |= self.pairs(rest, {name: kinds[name] for name in _STATEMENTS[head]})
         elif head == "request":
             self.request(rest)
         elif head == "fault":
             self.fault(rest)
         else:
-            raise self.wrong(f"{head!r} is not one of {', '.join([*_HEADS, 'request', 'fault'])}")
+            raise self.wrong(f"{head!r} is not one of {', '.join([*_STATEMENTS, 'request', 'fault'])}")
 
     def request(self, words: list[str]) -> None:
-        if len(words) < 4 or words[1] != "at" or words[3] not in KINDS:
-            raise self.wrong(f"request: not of the form NUMBER at SECONDS {'|'.join(KINDS)}")
+        if len(words) < 4 or words[1] != "at" or words[3] not in REQUEST_CLASSES:
+            raise self.wrong(f"request: not of the form NUMBER at SECONDS {'|'.join(REQUEST_CLASSES)}")
         number, at = self.number(int, "request", words[0]), self.number(float, "at", words[2])
         if any(ask.number == number for ask in self.requests[-1:]):
             raise self.wrong(f"request: there is a {number} already")
-        self.requests.append(Ask(number, at, words[3], **self.pairs(words[4:], dict(_ASK))))
+        self.requests.append(PlannedRequest(number, at, words[3], **self.pairs(words[4:], dict(_REQUEST_OPTIONS))))
 
     def fault(self, words: list[str]) -> None:
-        if len(words) < 4 or words[0] != "at" or words[2] not in FAULTS:
-            names = ", ".join(sorted(FAULTS))
+        if len(words) < 4 or words[0] != "at" or words[2] not in FAULT_KINDS:
+            names = ", ".join(sorted(FAULT_KINDS))
             raise self.wrong(f"fault: not of the form at SECONDS WHAT WHOM; WHAT is one of {names}")
-        extra = self.pairs(words[4:], {name: kind for name, (_, kind) in _FAULT.items()})
-        whose = FAULTS[words[2]][0]
+        extra = self.pairs(words[4:], {name: kind for name, (_, kind) in _FAULT_OPTIONS.items()})
+        whose = FAULT_KINDS[words[2]][0]
         kind, slash, number = words[3].partition("/")
         if kind not in whose or not slash or not number.isdigit():
             raise self.wrong(f"{words[2]}: {words[3]!r} is not {' or '.join(f'{one}/NUMBER' for one in whose)}")
-        values = {_FAULT[name][0]: value for name, value in extra.items()}
+        values = {_FAULT_OPTIONS[name][0]: value for name, value in extra.items()}
         self.faults.append(Fault(self.number(float, "at", words[1]), words[2], words[3], **values))
 
     def plan(self) -> Plan:
@@ -403,9 +407,13 @@
         for name in ("seconds", "zones", "tiers", "proxies", "backends", "latency", "bandwidth", "sockets"):
             if not 0 < getattr(plan, name) < 1e12:
                 raise self.wrong(f"{name}: must be above 0")
-        if counts(plan)["proxy"] + counts(plan)["backend"] > 200 or plan.tiers > 2 or not 0.0 <= plan.cut < 0.95:
+        if (
+            target_counts(plan)["proxy"] + target_counts(plan)["backend"] > 200
+            or plan.tiers > 2
+            or not 0.0 <= plan.cut < 0.95
+        ):
             raise self.wrong("a world has at most 2 tiers and 200 machines, and cut is under 0.95")
-        many = counts(plan)
+        many = target_counts(plan)
         for fault in plan.faults:
             kind, _, number = fault.whom.partition("/")
             if int(number) >= many[kind]:
--- a/cometusher/simulation/seed_search.py
+++ b/cometusher/simulation/seed_search.py
@@ -18,16 +18,16 @@
 from pathlib import Path
 from typing import TypeVar
 
-from cometusher.simulation.script import Ask, Fault, Plan, draw
-from cometusher.simulation.world import Result, play
+from cometusher.simulation.script import Fault, Plan, PlannedRequest, draw
+from cometusher.simulation.world import Result, run_plan
 
-T = TypeVar("T", Ask, Fault)
-TRIES = 400  # runs that shrinking one plan may take, unless told otherwise
-LINES = 12  # of an account that are kept of a failing run
+T = TypeVar("T", PlannedRequest, Fault)
+MAX_SHRINK_RUNS = 400  # runs that shrinking one plan may take, unless told otherwise
+MAX_VIOLATIONS = 12  # of an account that are kept of a failing run
 
 
 @dataclass(frozen=True)
-class Finding:
+class SeedResult:
     """What one seed did, small enough to send between processes."""
 
     seed: int
@@ -39,34 +39,34 @@
     requests: int
 
 
-def ready() -> None:
+def freeze_heap() -> None:
     """A worker has all that it needs: what is alive now need not be looked at again."""
     gc.collect()
     gc.freeze()
 
 
-def look(world: str, seed: int) -> Finding:
+def run_seed(world: str, seed: int) -> SeedResult:
     """Run one seed."""
-    result = play(draw(seed, world))
-    return Finding(
+    result = run_plan(draw(seed, world))
+    return SeedResult(
         seed,
         result.plan.world,
         result.digest,
         tuple(result.oracles),
-        tuple(str(violation) for violation in result.violations[:LINES]),
+        tuple(str(violation) for violation in result.violations[:MAX_VIOLATIONS]),
         result.seconds,
-        sum(result.ended.values()),
+        sum(result.outcomes.values()),
     )
 
 
-def hunt(seeds: Iterable[int], world: str = "any", jobs: int = 0) -> Iterator[Finding]:
+def search(seeds: Iterable[int], world: str = "any", jobs: int = 0) -> Iterator[SeedResult]:
     """Run seeds, in their order, on so many processes (0: one for each core)."""
     jobs = jobs or multiprocessing.cpu_count()
     if jobs == 1:
-        yield from map(functools.partial(look, world), seeds)
+        yield from map(functools.partial(run_seed, world), seeds)
         return
-    with multiprocessing.get_context("spawn").Pool(jobs, initializer=ready) as pool:
-        yield from pool.imap(functools.partial(look, world), seeds, chunksize=4)
+    with multiprocessing.get_context("spawn").Pool(jobs, initializer=freeze_heap) as pool:
+        yield from pool.imap(functools.partial(run_seed, world), seeds, chunksize=4)
 
 
 @dataclass
@@ -74,18 +74,18 @@
     """Takes away what a failure does not need."""
 
     oracle: str
-    run: Callable[[Plan], Result] = play
-    most: int = TRIES
-    tries: int = 0
+    run: Callable[[Plan], Result] = run_plan
+    max_runs: int = MAX_SHRINK_RUNS
+    runs: int = 0
 
     def fails(self, plan: Plan) -> bool:
         """Whether a plan still breaks the rule."""
-        if self.tries >= self.most:
+        if self.runs >= self.max_runs:
             return False
-        self.tries += 1
+        self.runs += 1
         return self.oracle in self.run(plan).oracles
 
-    def without(self, items: Sequence[T], fails: Callable[[tuple[T, ...]], bool]) -> tuple[T, ...]:
+    def minimize(self, items: Sequence[T], fails: Callable[[tuple[T, ...]], bool]) -> tuple[T, ...]:
         """The fewest items, by taking away ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
         kept = tuple(items)
         if kept and fails(()):
@@ -107,30 +107,30 @@
     def shrink(self, plan: Plan) -> Plan:
         """The smallest plan that was found; the same one if nothing can go."""
         plan = self._fewer_faults(plan)
-        requests = self.without(plan.requests, lambda some: self.fails(replace(plan, requests=some)))
+        requests = self.minimize(plan.requests, lambda some: self.fails(replace(plan, requests=some)))
         plan = self._fewer_faults(replace(plan, requests=requests))
-        for changes in self._plainer(plan):
+        for changes in self._simplifications(plan):
             fresh = replace(plan, **changes)  # type: ignore[arg-type]
             if fresh != plan and self.fails(fresh):
                 plan = fresh
         return plan
 
     def _fewer_faults(self, plan: Plan) -> Plan:
-        faults = self.without(plan.faults, lambda some: self.fails(replace(plan, faults=some)))
+        faults = self.minimize(plan.faults, lambda some: self.fails(replace(plan, faults=some)))
         return replace(plan, faults=faults)
 
     @staticmethod
-    def _plainer(plan: Plan) -> list[dict[str, float]]:
+    def _simplifications(plan: Plan) -> list[dict[str, float]]:
         last = max([ask.at for ask in plan.requests] + [f.at + f.seconds for f in plan.faults] + [0.5])
         return [{"seconds": round(min(plan.seconds, last + 1.0), 1)}, {"cut": 0.0}, {"jitter": 0.0}]
 
 
-def shrink(plan: Plan, most: int = TRIES) -> tuple[Plan, str]:
+def shrink(plan: Plan, most: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
     """The smallest plan that fails as this one does, and the rule that it breaks; ValueError if it breaks none."""
-    oracles = play(plan).oracles
+    oracles = run_plan(plan).oracles
     if not oracles:
         raise ValueError("the plan breaks no rule")
-    return Shrinker(oracles[0], most=most).shrink(plan), oracles[0]
+    return Shrinker(oracles[0], max_runs=most).shrink(plan), oracles[0]
 
 
 def in_fresh_processes(code: str, folder: Path, hash_seeds: Iterable[int]) -> set[str]:
--- a/cometusher/simulation/simulate.py
+++ b/cometusher/simulation/simulate.py
@@ -7,12 +7,12 @@
 
 from cometusher.config import ConfigError
 from cometusher.simulation import script, seed_search
-from cometusher.simulation.world import Result, play
+from cometusher.simulation.world import Result, run_plan
 
-EVERY = 500  # seeds between lines of progress
+PROGRESS_INTERVAL = 500  # seeds between lines of progress
 
 
-def seeds(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """`A..B`, B not counted; raises ConfigError."""
     first, dots, last = text.partition("..")
     if not dots or not first.isdigit() or not last.isdigit() or int(first) >= int(last):
@@ -20,7 +20,7 @@
     return range(int(first), int(last))
 
 
-def load(name: str) -> script.Plan:
+def load_plan(name: str) -> script.Plan:
     """The plan in a file; raises ConfigError."""
     path = Path(name)
     try:
@@ -34,9 +34,9 @@
 def _show(result: Result, trace: bool) -> int:
     if trace:
         print("\n".join(result.lines))
-    for violation in result.violations[: None if trace else seed_search.LINES]:
+    for violation in result.violations[: None if trace else seed_search.MAX_VIOLATIONS]:
         print(f"broken: {violation}")
-    ended = ", ".join(f"{n} {how}" for how, n in result.ended.items())
+    ended = ", ".join(f"{n} {how}" for how, n in result.outcomes.items())
     size = f"{result.seconds:.1f} virtual seconds, {result.steps} steps"
     print(f"{ended or 'no requests'}; {size}; digest {result.digest}")
     return 1 if result.violations else 0
@@ -50,13 +50,13 @@
     return path
 
 
-def _hunt(options: argparse.Namespace) -> int:
-    wanted = seeds(options.seeds)
-    failed: list[seed_search.Finding] = []
+def _search(options: argparse.Namespace) -> int:
+    wanted = parse_seeds(options.seeds)
+    failed: list[seed_search.SeedResult] = []
     virtual = 0.0
     requests = done = 0
     clock = seed_search.Stopwatch()
-    for found in seed_search.hunt(wanted, options.world, options.jobs):
+    for found in seed_search.search(wanted, options.world, options.jobs):
         done += 1
         virtual += found.seconds
         requests += found.requests
@@ -65,7 +65,7 @@
             print(f"seed {found.seed} ({found.world}): {found.text[0]}", flush=True)
             if options.first:
                 break
-        if done % EVERY == 0:
+        if done % PROGRESS_INTERVAL == 0:
             print(f"{done} seeds, {len(failed)} failed, {60.0 * done / clock.seconds():.0f} a minute", flush=True)
     spent = clock.seconds()
     print(
@@ -85,13 +85,13 @@
     if options.jobs < 0:
         raise ConfigError(f"--jobs: {options.jobs} is below 0")
     if options.replay:
-        return _show(play(load(options.replay), options.steps), options.trace)
+        return _show(run_plan(load_plan(options.replay), options.steps), options.trace)
     if options.seed is not None:
         plan = script.draw(options.seed, options.world)
         if options.script:
             print(script.write(plan), end="")
             return 0
-        return _show(play(plan, options.steps), options.trace)
+        return _show(run_plan(plan, options.steps), options.trace)
     if options.seeds:
-        return _hunt(options)
+        return _search(options)
     raise ConfigError("simulate: one of --seeds, --seed and --replay is needed")
--- a/tests/virtual/test_loop.py
+++ b/tests/virtual/test_loop.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from cometusher.simulation.loop import MACHINE, Deadlock, Stuck, VirtualLoop, run
+from cometusher.simulation.loop import CURRENT_MACHINE, Deadlock, Stuck, VirtualLoop, run
 from cometusher.simulation.network import Link, Machine, VirtualNetwork
 
 Main = Callable[[], Coroutine[Any, Any, Any]]
@@ -28,7 +28,7 @@
     loop = VirtualLoop(seed)
     VirtualNetwork(loop, Link(latency=0.0005, jitter=1.0, cut=0.6))
     result = run(loop, main())
-    assert loop.faults == []
+    assert loop.unhandled_errors == []
     return result
 
 
@@ -319,7 +319,7 @@
 
 
 def test_a_callback_that_never_yields_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cometusher.simulation.loop.STUCK", 0.2)
+    monkeypatch.setattr("cometusher.simulation.loop.STUCK_CPU_TIMEOUT", 0.2)
 
     async def forever() -> None:
         while True:
@@ -331,7 +331,7 @@
 
 def test_a_plain_callback_that_never_yields_is_reported_too(monkeypatch: pytest.MonkeyPatch) -> None:
     """asyncio's handles catch whatever a callback raises; the loop tells it all the same."""
-    monkeypatch.setattr("cometusher.simulation.loop.STUCK", 0.2)
+    monkeypatch.setattr("cometusher.simulation.loop.STUCK_CPU_TIMEOUT", 0.2)
 
     def forever() -> None:
         while True:
@@ -365,32 +365,32 @@
 def world(seed: int = 0) -> tuple[VirtualLoop, VirtualNetwork, Machine, Machine]:
     loop = VirtualLoop(seed)
     network = VirtualNetwork(loop)
-    return loop, network, network.machine("10.0.0.1"), network.machine("10.0.0.2")
+    return loop, network, network.add_machine("10.0.0.1"), network.add_machine("10.0.0.2")
 
 
 def test_descriptors_run_out_on_both_sides_and_come_back() -> None:
     loop, _, here, there = world()
-    here.limit, there.limit = 2, 1
+    here.descriptor_limit, there.descriptor_limit = 2, 1
 
     async def listen() -> Any:
         return await loop.create_server(Peer, "10.0.0.2", 80)
 
     async def main() -> None:
         await loop.create_task(listen(), context=there.context())
-        MACHINE.set(here)
+        CURRENT_MACHINE.set(here)
         peers = [Peer(), Peer()]
         for peer in peers:
             await loop.create_connection(lambda p=peer: p, "10.0.0.2", 80)  # type: ignore[misc]
         with pytest.raises(OSError, match="Too many open files"):
             await loop.create_connection(Peer, "10.0.0.2", 80)
         await asyncio.sleep(1.0)
-        assert (here.used, there.used) == (2, 1)  # the second waits in the queue
+        assert (here.descriptors_used, there.descriptors_used) == (2, 1)  # the second waits in the queue
         peers[0].transport.close()
         await asyncio.sleep(5.0)
-        assert (here.used, there.used) == (1, 1)  # and has its place now
+        assert (here.descriptors_used, there.descriptors_used) == (1, 1)  # and has its place now
         peers[1].transport.close()
         await asyncio.sleep(5.0)
-        assert (here.used, there.used) == (0, 0)
+        assert (here.descriptors_used, there.descriptors_used) == (0, 0)
 
     run(loop, main())
 
@@ -399,7 +399,7 @@
     loop, network, here, there = world()
 
     async def main() -> None:
-        MACHINE.set(here)
+        CURRENT_MACHINE.set(here)
         listener = network.listen(("10.0.0.2", 80), backlog=1)
         await loop.create_connection(Peer, "10.0.0.2", 80)
         with pytest.raises(TimeoutError):
@@ -426,7 +426,7 @@
 
     async def main() -> None:
         await loop.create_task(listen(), context=there.context())
-        MACHINE.set(here)
+        CURRENT_MACHINE.set(here)
         client = Peer()
         await loop.create_connection(lambda: client, "10.0.0.2", 80)
         await asyncio.sleep(1.0)
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -15,7 +15,7 @@
 from cometusher.demo import WINDOW, settings
 from cometusher.proxy import Proxy
 from cometusher.simulation.loop import VirtualLoop, run
-from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualSurroundings
+from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualRuntime
 from cometusher.simulation.seed_search import in_fresh_processes
 from standins.discovery import HostList
 from standins.load import Figures, Kind, Load
@@ -46,9 +46,9 @@
         self.network = VirtualNetwork(self.loop, Link(latency=0.002, jitter=0.5))
         self.seed = seed
         self.rate = rate
-        self.machines = [self.network.machine(f"10.2.0.{i + 1}") for i in range(backends)]
-        self.front = self.network.machine(FRONT[0], descriptors=256)
-        self.clients = self.network.machine("10.3.0.1", descriptors=10000)
+        self.machines = [self.network.add_machine(f"10.2.0.{i + 1}") for i in range(backends)]
+        self.front = self.network.add_machine(FRONT[0], descriptors=256)
+        self.clients = self.network.add_machine("10.3.0.1", descriptors=10000)
         self.proxy: Proxy | None = None
         self.load = Load([FRONT], KINDS, ["univ-central"], rate, seed)
         self.services: list[Node] = []
@@ -73,7 +73,7 @@
             await self._on(machine, lambda n=node, m=machine: n.start(m.address))  # type: ignore[misc]
             entries.append(node.entry(dial=f"{machine.address}:{node.port}"))
         hosts = HostList(entries)
-        await self._on(self.network.machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
+        await self._on(self.network.add_machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
         raw = settings(1, 0)
         told = config.Config(
             name="p",
@@ -88,7 +88,7 @@
         )
 
         def start() -> None:
-            self.proxy = Proxy(told, VirtualSurroundings(self.network))
+            self.proxy = Proxy(told, VirtualRuntime(self.network))
             self.proxy.start()
 
         await self._on(self.front, start)
@@ -110,7 +110,7 @@
         stop = asyncio.Event()
         self.loop.call_at(seconds, stop.set)
         await self.loop.create_task(self.load.run(stop), context=self.clients.context())
-        assert self.loop.faults == []  # here: what is cancelled at the end makes asyncio's streams complain
+        assert self.loop.unhandled_errors == []  # here: what is cancelled at the end makes asyncio's streams complain
         return self.load.figures
 
 
--- a/tests/virtual/test_script.py
+++ b/tests/virtual/test_script.py
@@ -21,7 +21,7 @@
 
 def test_every_fault_is_drawn_some_time() -> None:
     seen = {fault.what for seed in range(300) for fault in script.draw(seed).faults}
-    assert seen == set(script.FAULTS)
+    assert seen == set(script.FAULT_KINDS)
 
 
 def test_two_faults_of_one_tick_are_drawn_and_keep_their_order() -> None:
@@ -37,7 +37,7 @@
 
 def test_comments_and_empty_lines_say_nothing() -> None:
     plan = script.read("# a world\n\nworld one seed 3 seconds 2  # short\nrequest 1 at 0.5 view\n")
-    assert plan.seed == 3 and plan.seconds == 2.0 and plan.requests == (script.Ask(1, 0.5, "view"),)
+    assert plan.seed == 3 and plan.seconds == 2.0 and plan.requests == (script.PlannedRequest(1, 0.5, "view"),)
 
 
 @pytest.mark.parametrize(
--- a/tests/virtual/test_seed_search.py
+++ b/tests/virtual/test_seed_search.py
@@ -12,7 +12,7 @@
 
 from cometusher.simulation import script, seed_search
 from cometusher.simulation.oracles import Violation
-from cometusher.simulation.world import Result, play
+from cometusher.simulation.world import Result, run_plan
 
 ROOT = Path(__file__).parent.parent.parent
 WINDOW = "1375..1385"  # around one of the few of the first 1,760 seeds that meet the defect below
@@ -60,7 +60,7 @@
     shrinker = seed_search.Shrinker("planted", run)
     small = shrinker.shrink(plan)
     assert small.faults == (plan.faults[3],) and small.requests == (plan.requests[7], plan.requests[50])
-    assert shrinker.tries < 100
+    assert shrinker.runs < 100
 
 
 def test_a_plan_that_breaks_nothing_is_not_shrunk() -> None:
@@ -70,7 +70,7 @@
 
 def test_one_seed_is_shown_and_its_script_replays_to_the_same_digest(tmp_path: Path) -> None:
     shown = simulate(ROOT, "--seed", "3", "--trace")
-    digest = play(script.draw(3)).digest
+    digest = run_plan(script.draw(3)).digest
     assert shown.returncode == 0 and " wrote " in shown.stdout and shown.stdout.rstrip().endswith(digest)
     printed = simulate(ROOT, "--seed", "3", "--script")
     path = tmp_path / "three.world"
--- a/tests/virtual/test_staleness.py
+++ b/tests/virtual/test_staleness.py
@@ -16,7 +16,7 @@
 from cometusher.demo import settings
 from cometusher.proxy import Proxy
 from cometusher.simulation.loop import VirtualLoop, run
-from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualSurroundings
+from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualRuntime
 from weldroute import State
 from weldroute.settings import read_settings
 
@@ -108,7 +108,7 @@
 async def staleness(loop: VirtualLoop, failure: str, silently: bool, at: float, mode: str) -> tuple[float, int]:
     """Seconds from discovery's being well to the proxy's knowing of the change, and the calls up to then."""
     network = VirtualNetwork(loop, Link(latency=0.002, jitter=0.5))
-    machine = network.machine(ADDRESS[0])
+    machine = network.add_machine(ADDRESS[0])
     service = Service(network, machine)
     raw = settings(1, 0) | {"RegistryMode": mode}
     told = config.Config(
@@ -125,11 +125,11 @@
     await loop.create_task(service.start(), context=machine.context())
 
     async def begin() -> Proxy:
-        proxy = Proxy(told, VirtualSurroundings(network))
+        proxy = Proxy(told, VirtualRuntime(network))
         proxy.start()
         return proxy
 
-    proxy = await loop.create_task(begin(), context=network.machine("10.1.0.1", descriptors=256).context())
+    proxy = await loop.create_task(begin(), context=network.add_machine("10.1.0.1", descriptors=256).context())
 
     async def state() -> State | None:
         server = proxy.balancer.servers.get(1)
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -9,7 +9,7 @@
 
 from cometusher.inflight import tracker
 from cometusher.simulation import script
-from cometusher.simulation.world import Result, play
+from cometusher.simulation.world import Result, run_plan
 from weldroute import takeover
 from weldroute.model import PriorAttempt
 from weldroute.request_journal import AttemptRecord
@@ -41,19 +41,19 @@
 
 
 def played(seed: int, covers: int = 1) -> Result:
-    return play(script.read(world(seed, covers)))
+    return run_plan(script.read(world(seed, covers)))
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_killed_proxies_lose_nothing_and_nothing_takes_effect_twice(seed: int) -> None:
     result = played(seed)
     assert not result.violations, result.violations
-    assert result.ended.get("served", 0) >= played(seed, covers=0).ended.get("served", 0)
+    assert result.outcomes.get("served", 0) >= played(seed, covers=0).outcomes.get("served", 0)
 
 
 def test_without_it_requests_are_lost_and_with_it_hardly_any() -> None:
     def lost(covers: int) -> int:
-        ended = [played(seed, covers).ended for seed in range(6)]
+        ended = [played(seed, covers).outcomes for seed in range(6)]
         return sum(count for each in ended for how, count in each.items() if how in ("lost", "with the dead"))
 
     assert lost(0) >= 10 and lost(1) <= lost(0) // 10
@@ -90,13 +90,13 @@
 @pytest.mark.parametrize("first", range(0, 120, 10))
 def test_drawn_worlds_in_which_proxies_are_killed_break_no_rule(first: int) -> None:
     plans = [script.draw(seed, "fleet") for seed in range(first, first + 10)]
-    broken = [(plan.seed, f"{one}") for plan in plans if plan.covers for one in play(plan).violations]
+    broken = [(plan.seed, f"{one}") for plan in plans if plan.covers for one in run_plan(plan).violations]
     assert not broken
 
 
 def idle_world(*lines: str) -> Result:
     """Two proxies on one address each; what goes to the first that is killed goes on at the other."""
-    return play(
+    return run_plan(
         script.read(
             "\n".join(
                 [
@@ -118,7 +118,7 @@
     later = [f"request {n} at {3.4 + 0.01 * n:.2f} view budget 1.5" for n in range(7, 20)]
     kills = [f"fault at 2.{n} kill proxy/{n} for 0.05" for n in (0, 1)]
     result = idle_world(*asks, *later, *kills)
-    assert not result.violations and set(result.ended) == {"served"}, (result.violations, result.ended)
+    assert not result.violations and set(result.outcomes) == {"served"}, (result.violations, result.outcomes)
 
 
 def test_what_waited_unread_at_a_stalled_proxy_has_only_the_rest_of_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/virtual/test_worlds.py
+++ b/tests/virtual/test_worlds.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cometusher.simulation import script, seed_search
-from cometusher.simulation.world import play
+from cometusher.simulation.world import run_plan
 
 ROOT = Path(__file__).parent.parent.parent
 SCRIPTS = sorted((Path(__file__).parent / "scripts").glob("*.world"))
@@ -18,29 +18,29 @@
 
 
 def test_the_corpus_breaks_no_rule() -> None:
-    failed = [(found.seed, found.world, found.text[0]) for found in seed_search.hunt(SEEDS) if found.oracles]
+    failed = [(found.seed, found.world, found.text[0]) for found in seed_search.search(SEEDS) if found.oracles]
     assert failed == []
 
 
 @pytest.mark.parametrize("path", SCRIPTS, ids=lambda path: path.stem)
 def test_past_failures_stay_mended(path: Path) -> None:
-    result = play(script.read(path.read_text(), path.name))
-    assert result.violations == [] and sum(result.ended.values()) > 0
+    result = run_plan(script.read(path.read_text(), path.name))
+    assert result.violations == [] and sum(result.outcomes.values()) > 0
 
 
-@pytest.mark.parametrize("what", sorted(script.FAULTS))
+@pytest.mark.parametrize("what", sorted(script.FAULT_KINDS))
 def test_each_fault_is_caused_and_survived(what: str) -> None:
     """In every kind of world, for all that it can befall; requests come throughout."""
     for seed, world in enumerate(script.WORLDS):
         plan = script.draw(seed + 1, world)
-        many = script.counts(plan)
-        whose, amount = script.FAULTS[what]
+        many = script.target_counts(plan)
+        whose, amount = script.FAULT_KINDS[what]
         faults = tuple(
             script.Fault(
                 1.0 + i,
                 what,
                 f"{whom}/{seed % many[whom]}",
-                0.0 if what in script.INSTANT else 0.8,
+                0.0 if what in script.INSTANT_FAULTS else 0.8,
                 15.0 if amount else 0.0,
             )
             for i, whom in enumerate(whose)
@@ -50,18 +50,18 @@
             faults = tuple(replace(fault, by=0.04) for fault in faults)
         if what == "narrow":
             faults = tuple(replace(fault, by=1e5) for fault in faults)
-        result = play(replace(plan, faults=faults, requests=plan.requests[:120]))
+        result = run_plan(replace(plan, faults=faults, requests=plan.requests[:120]))
         assert [str(violation) for violation in result.violations] == []
         struck = [line for line in result.lines if f" fault {what} " in line]
-        assert len(struck) == len(faults) and result.ended["served"] > 20
+        assert len(struck) == len(faults) and result.outcomes["served"] > 20
 
 
 def test_a_world_without_faults_serves_all() -> None:
     for seed, world in enumerate(script.WORLDS):
         plan = script.draw(seed, world)
         asks = tuple(replace(ask, leaves=0.0, slow=0.0, budget=1.5) for ask in plan.requests[:60])
-        result = play(replace(plan, faults=(), requests=asks))
-        assert result.violations == [] and set(result.ended) == {"served"} and result.ended["served"] >= 60
+        result = run_plan(replace(plan, faults=(), requests=asks))
+        assert result.violations == [] and set(result.outcomes) == {"served"} and result.outcomes["served"] >= 60
 
 
 BOTH = """
@@ -87,11 +87,12 @@
 )
 def test_two_faults_on_one_tick_in_both_orders(one: str, other: str) -> None:
     requests = "\n".join(
-        f"request {i} at {0.2 + 0.04 * i:.2f} {script.KINDS[i % 3]} zone {i % 2} want 200" for i in range(1, 100)
+        f"request {i} at {0.2 + 0.04 * i:.2f} {script.REQUEST_CLASSES[i % 3]} zone {i % 2} want 200"
+        for i in range(1, 100)
     )
     digests = []
     for first, second in ((one, other), (other, one)):
-        result = play(script.read(BOTH.format(requests=requests, first=first, second=second)))
+        result = run_plan(script.read(BOTH.format(requests=requests, first=first, second=second)))
         assert [str(violation) for violation in result.violations] == []
         faults = [line.split()[2:4] for line in result.lines if " fault " in line]
         assert faults == [first.split()[:2], second.split()[:2]]
@@ -101,20 +102,20 @@
 
 def test_a_seed_does_the_same_in_every_process_with_every_hash_seed_and_number_of_workers() -> None:
     code = (
-        "from cometusher.simulation.seed_search import look; "
-        "print(*(look('any', seed).digest for seed in (3, 11, 19)))"
+        "from cometusher.simulation.seed_search import run_seed; "
+        "print(*(run_seed('any', seed).digest for seed in (3, 11, 19)))"
     )
     outputs = seed_search.in_fresh_processes(code, ROOT, (0, 1, 4242))
     assert len(outputs) == 1
-    apart = {found.seed: found.digest for found in seed_search.hunt(range(20), jobs=3)}
-    alone = {found.seed: found.digest for found in seed_search.hunt(range(19, -1, -1), jobs=1)}
+    apart = {found.seed: found.digest for found in seed_search.search(range(20), jobs=3)}
+    alone = {found.seed: found.digest for found in seed_search.search(range(19, -1, -1), jobs=1)}
     assert apart == alone and len(set(alone.values())) == 20
     assert outputs == {f"{alone[3]} {alone[11]} {alone[19]}"}
 
 
 def test_real_time_and_real_sockets_do_not_leak_in(monkeypatch: pytest.MonkeyPatch) -> None:
     plan = script.draw(7, "fleet")
-    want = play(plan).digest
+    want = run_plan(plan).digest
 
     def poison(*_: object, **__: object) -> float:
         raise AssertionError("a world looked at the real clock or network")
@@ -124,10 +125,10 @@
             patch.setattr(time, name, poison)
         patch.setattr(socket, "socket", poison)
         patch.setattr(socket, "create_connection", poison)
-        result = play(plan)
+        result = run_plan(plan)
     assert result.digest == want and result.violations == []
 
 
 def test_looking_after_every_step_changes_nothing() -> None:
     plan = script.draw(2, "one")
-    assert play(plan, every_step=True).digest == play(plan).digest
+    assert run_plan(plan, every_step=True).digest == run_plan(plan).digest
