--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,7 +29,7 @@
 sys.path.insert(0, str(ROOT))
 
 from cometusher.demo import settings  # noqa: E402
-from cometusher.fleet.control import ControlError, NoSupervisor, ask  # noqa: E402
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request  # noqa: E402
 from cometusher.fleet.identity import Identity, read_stat  # noqa: E402
 from standins.backend import Backend, serve_ok  # noqa: E402
 from standins.discovery import HostList  # noqa: E402
@@ -107,7 +107,7 @@
     def rows(self) -> list[dict[str, Any]]:
         """The status of all instances; empty while nobody answers."""
         try:
-            rows: list[dict[str, Any]] = ask(self.control, "status", 20.0)["instances"]
+            rows: list[dict[str, Any]] = send_request(self.control, "status", 20.0)["instances"]
         except (NoSupervisor, ControlError):
             return []
         self.pids |= {row["pid"] for row in rows if row["pid"]}
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -30,7 +30,7 @@
 import cpu  # noqa: E402
 
 from cometusher.cluster.host import ClusterHost  # noqa: E402
-from cometusher.fleet.spec import MeshSpec  # noqa: E402
+from cometusher.fleet.spec import ClusterSpec  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 from weldroute.members import MemberState, StateChange  # noqa: E402
@@ -45,7 +45,7 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         own = f"127.0.0.1:{ports[number]}"
-        spec = MeshSpec(("127.0.0.1", ports[number]), own, f"m{number}", (f"127.0.0.1:{ports[0]}",), secret)
+        spec = ClusterSpec(("127.0.0.1", ports[number]), own, f"m{number}", (f"127.0.0.1:{ports[0]}",), secret)
         mesh = ClusterHost(spec, "bench", loop)
         sent = 0
         send = mesh.transport.send
--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -31,7 +31,7 @@
 from apart import alone, burn  # noqa: E402
 
 from cometusher.fault_injection.environment import World, signal_all  # noqa: E402
-from cometusher.fleet.observations import Look, judge_again, read_evidence  # noqa: E402
+from cometusher.fleet.observations import ObservationRound, read_observations, replay_detector  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from weldroute.failure_detector import FailureDetectorPolicy, Response  # noqa: E402
 
@@ -72,13 +72,13 @@
                 await asyncio.to_thread(one.join)
 
 
-def by_silence(looks: Iterator[Look], excused: bool = True) -> Iterator[Look]:
+def by_silence(looks: Iterator[ObservationRound], excused: bool = True) -> Iterator[ObservationRound]:
     """Without the kernel's word that one is stopped; nor, unless `excused`, that it waited for a processor."""
     for look in looks:
-        seen = {key: replace(one, stopped=False) for key, one in look.seen.items()}
+        seen = {key: replace(one, stopped=False) for key, one in look.observations.items()}
         if not excused:
             seen = {key: replace(one, cpu_wait=0.0) for key, one in seen.items()}
-        yield replace(look, seen=seen)
+        yield replace(look, observations=seen)
 
 
 @dataclass(frozen=True)
@@ -101,14 +101,14 @@
         return quantile(self.times, part) if self.times else float("inf")
 
 
-def stopped(looks: list[Look]) -> list[tuple[tuple[str, int], float, float]]:
+def stopped(looks: list[ObservationRound]) -> list[tuple[tuple[str, int], float, float]]:
     """Each stop: of whom, its last turn, and the last look that saw it stopped."""
     found: dict[tuple[str, int], tuple[float, float]] = {}
     done = []
     for look in looks:
-        for key, one in look.seen.items():
+        for key, one in look.observations.items():
             if one.stopped:
-                found[key] = (one.last_heartbeat, look.at)
+                found[key] = (one.last_heartbeat, look.time)
             elif key in found:
                 done.append((key, *found.pop(key)))
     return done
@@ -117,13 +117,14 @@
 def judge(threshold: float, calm: Path, stops: Path, excused: bool = True) -> Judged:
     """Both recordings, by one threshold."""
     policy = FailureDetectorPolicy(suspect=threshold, certain=max(threshold, 12.0), hung_for=1e3, spinning_for=1e3)
-    quiet = list(read_evidence(calm))
+    quiet = list(read_observations(calm))
     alarms = sum(
-        act.response is Response.DIVERT_ACCEPTS for _, act in judge_again(by_silence(iter(quiet), excused), policy)
+        act.response is Response.DIVERT_ACCEPTS
+        for _, act in replay_detector(by_silence(iter(quiet), excused), policy)
     )
-    hours = sum(len(look.seen) * look.every for look in quiet) / 3600.0
-    looks = list(read_evidence(stops))
-    judged = judge_again(by_silence(iter(looks), excused), policy)
+    hours = sum(len(look.observations) * look.interval for look in quiet) / 3600.0
+    looks = list(read_observations(stops))
+    judged = replay_detector(by_silence(iter(looks), excused), policy)
     acts = [(at, act.key) for at, act in judged if act.response is Response.DIVERT_ACCEPTS]
     times, missed = [], 0
     for key, turned, until in stopped(looks):
--- a/cometusher/cluster/host.py
+++ b/cometusher/cluster/host.py
@@ -13,7 +13,7 @@
 from cometusher.cluster.frames import Message
 from cometusher.cluster.node import MembershipRunner
 from cometusher.cluster.transport import ClusterTransport, LocalMember
-from cometusher.fleet.spec import MeshSpec, read_secret
+from cometusher.fleet.spec import ClusterSpec, read_secret
 from cometusher.runtime import open_listener
 from weldroute import leases, replicated_map
 from weldroute.links import LinkPolicy
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        spec: MeshSpec,
+        spec: ClusterSpec,
         fleet: str,
         loop: asyncio.AbstractEventLoop,
         management_addresses: ManagementAddresses = tuple,
--- a/cometusher/demo.py
+++ b/cometusher/demo.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.discovery import HostList
 from standins.load import Figures, Kind, Load
 from standins.ports import free_ports
@@ -166,7 +166,7 @@
     until = time.monotonic() + READY
     while time.monotonic() < until and process.returncode is None:
         with contextlib.suppress(NoSupervisor, ControlError):
-            rows = ask(control, "status", 5.0)["instances"]
+            rows = send_request(control, "status", 5.0)["instances"]
             if all(row["state"] == "ready" for row in rows):
                 return True
         await asyncio.sleep(0.1)
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -19,9 +19,9 @@
 import orjson
 
 from cometusher.demo import COLD_FOR, COLD_FROM, TENANTS, WINDOW, ZONES, settings
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import Identity
-from cometusher.fleet.supervisor_state import KIND as FLEET_KIND
+from cometusher.fleet.supervisor_state import RECORD_KIND as FLEET_KIND
 from cometusher.recovery import RECORD_KINDS as KEPT_KINDS
 from cometusher.store.records import RecordFile
 from standins.backend import Backend
@@ -302,7 +302,7 @@
     async def status(self) -> dict[str, Any]:
         """What the supervisor tells; empty where there is none, or none that answers."""
         try:
-            return await asyncio.to_thread(ask, Path(self.control), "status", 5.0)
+            return await asyncio.to_thread(send_request, Path(self.control), "status", 5.0)
         except (NoSupervisor, ControlError):
             return {}
 
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -13,22 +13,22 @@
 
 import orjson
 
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import Identity
-from cometusher.fleet.spec import FleetSpec, Place, read_place, read_spec
+from cometusher.fleet.spec import FleetLocation, FleetSpec, read_location, read_spec
 from weldroute.correlated_failures import RECOVERY_PHASES
 from weldroute.fleet import OperationDone
 
-ANSWER = 10.0  # seconds for an answer that needs no work
-LONGEST = 3600.0  # seconds for an operation on the whole fleet
+QUERY_TIMEOUT = 10.0  # seconds for an answer that needs no work
+OPERATION_TIMEOUT = 3600.0  # seconds for an operation on the whole fleet
 
 
-def _say(code: int, text: str) -> None:
+def _report(code: int, text: str) -> None:
     stream = sys.stdout if code == 0 else sys.stderr
     print(f"cometusher: {text}".replace("\n", " "), file=stream)
 
 
-def _print(values: dict[str, Any]) -> None:
+def _print_json(values: dict[str, Any]) -> None:
     sys.stdout.write(orjson.dumps(values).decode() + "\n")
 
 
@@ -40,56 +40,56 @@
     path = Path(options.config)
     if options.action == "start":
         return _start(read_spec(path), options)
-    actions: dict[str, Callable[[Place, argparse.Namespace], int]] = {
-        "status": partial(_view, show=_show_status),
-        "explain": partial(_view, show=_show_notes),
-        "members": partial(_view, show=_show_members),
-        "leases": partial(_view, show=_show_leases),
-        "bans": partial(_view, show=_show_bans),
+    actions: dict[str, Callable[[FleetLocation, argparse.Namespace], int]] = {
+        "status": partial(_query_and_show, show=_show_status),
+        "explain": partial(_query_and_show, show=_show_notes),
+        "members": partial(_query_and_show, show=_show_members),
+        "leases": partial(_query_and_show, show=_show_leases),
+        "bans": partial(_query_and_show, show=_show_bans),
         "stop": _stop,
     }
-    return actions.get(options.action, _operate)(read_place(path), options)
+    return actions.get(options.action, _operate)(read_location(path), options)
 
 
-def _asked(
-    place: Place, command: str, timeout: float, options: argparse.Namespace, named: bool = True
+def _query(
+    place: FleetLocation, command: str, timeout: float, options: argparse.Namespace, named: bool = True
 ) -> dict[str, Any] | None:
     """The supervisor's answer; None if there is none to be had, which is told then."""
     try:
-        return ask(place.control, command, timeout, names=options.names if named else [])
+        return send_request(place.control_socket, command, timeout, names=options.names if named else [])
     except (NoSupervisor, ControlError) as fault:
         if options.json:
-            _print({"ok": False, "error": str(fault)})
-        _say(1, str(fault))
+            _print_json({"ok": False, "error": str(fault)})
+        _report(1, str(fault))
         return None
 
 
-def _operate(place: Place, options: argparse.Namespace) -> int:
+def _operate(place: FleetLocation, options: argparse.Namespace) -> int:
     # A supervisor that hangs is told at once.
-    if _asked(place, "status", ANSWER, options, named=False) is None:
+    if _query(place, "status", QUERY_TIMEOUT, options, named=False) is None:
         return 1
-    answer = _asked(place, options.action, LONGEST, options)
+    answer = _query(place, options.action, OPERATION_TIMEOUT, options)
     if answer is None:
         return 1
-    _print(answer) if options.json else _say(0, str(answer.get("text", "done")))
+    _print_json(answer) if options.json else _report(0, str(answer.get("text", "done")))
     return 0
 
 
 def _start(spec: FleetSpec, options: argparse.Namespace) -> int:
     unknown = [name for name in options.names if name not in spec.instances]
     if unknown:
-        _say(1, f"{spec.place.path}: no such instance: {', '.join(unknown)}")
+        _report(1, f"{spec.location.file}: no such instance: {', '.join(unknown)}")
         return 1
     if options.names:
         try:
-            ask(spec.place.control, "status", ANSWER)
+            send_request(spec.location.control_socket, "status", QUERY_TIMEOUT)
         except NoSupervisor:
             pass  # then this becomes the supervisor
         except ControlError as fault:
-            _say(1, str(fault))
+            _report(1, str(fault))
             return 1
         else:
-            return _operate(spec.place, options)
+            return _operate(spec.location, options)
     return _supervise(spec, options)
 
 
@@ -97,12 +97,12 @@
     from cometusher.fleet import supervisor
     from cometusher.fleet.daemon import daemonize
 
-    report: Callable[[int, str], None] = _say
+    report: Callable[[int, str], None] = _report
     if options.daemon:
         if spec.log.target == "stderr":
-            _say(2, f"{spec.place.path}: log.target: a daemon has no standard error; name a file")
+            _report(2, f"{spec.location.file}: log.target: a daemon has no standard error; name a file")
             return 2
-        report = daemonize(_say)
+        report = daemonize(_report)
 
     def started(done: OperationDone) -> None:
         if options.daemon or not done.ok:
@@ -116,12 +116,12 @@
     return 0
 
 
-def _view(place: Place, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]) -> int:
+def _query_and_show(place: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]) -> int:
     """What the supervisor answers to the action's own name, as JSON or for people."""
-    answer = _asked(place, options.action, ANSWER, options)
+    answer = _query(place, options.action, QUERY_TIMEOUT, options)
     if answer is None:
         return 1
-    _print(answer) if options.json else show(answer)
+    _print_json(answer) if options.json else show(answer)
     return 0
 
 
@@ -214,18 +214,18 @@
     print(f"  {answer['pending']} orders that instances here have not carried out yet")
 
 
-def _stop(place: Place, options: argparse.Namespace) -> int:
+def _stop(place: FleetLocation, options: argparse.Namespace) -> int:
     if options.names:
         return _operate(place, options)
-    answer = _asked(place, "stop", ANSWER, options)
+    answer = _query(place, "stop", QUERY_TIMEOUT, options)
     if answer is None:
         return 1
     who = Identity.of(int(answer["pid"]))
-    deadline = time.monotonic() + ANSWER + 2.0 * float(answer["within"])
-    while who is not None and who.alive():
+    deadline = time.monotonic() + QUERY_TIMEOUT + 2.0 * float(answer["within"])
+    while who is not None and who.is_alive():
         if time.monotonic() > deadline:
-            _say(1, f"the supervisor, pid {who.pid}, has not ended")
+            _report(1, f"the supervisor, pid {who.pid}, has not ended")
             return 1
         time.sleep(0.02)
-    _print({"ok": True, "text": "stopped"}) if options.json else _say(0, "stopped")
+    _print_json({"ok": True, "text": "stopped"}) if options.json else _report(0, "stopped")
     return 0
--- a/cometusher/fleet/control.py
+++ b/cometusher/fleet/control.py
@@ -22,8 +22,8 @@
 
 VERSION = 1
 MAX_REQUEST = 64 * 1024  # bytes
-REQUEST_TIME = 2.0  # seconds for a whole request
-MOST = 32  # connections at once
+REQUEST_TIMEOUT = 2.0  # seconds for a whole request
+MAX_CONNECTIONS = 32  # connections at once
 _UCRED = "3i"  # struct ucred of unix(7): pid, uid, gid
 
 Handler = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
@@ -59,7 +59,7 @@
             sock.bind(str(self._path))
         finally:
             os.umask(before)
-        self._server = await asyncio.start_unix_server(self._take, sock=sock, limit=MAX_REQUEST)
+        self._server = await asyncio.start_unix_server(self._on_connection, sock=sock, limit=MAX_REQUEST)
 
     async def stop(self) -> None:
         """Let answers that are under way go out, and close."""
@@ -70,20 +70,20 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=1.0)
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        crowded = len(self._tasks) >= MOST
+        crowded = len(self._tasks) >= MAX_CONNECTIONS
         self._tasks.add(task)
         try:
             answer = (
                 {"ok": False, "error": "too many control connections"}
                 if crowded
-                else await self._answer(reader, writer)
+                else await self._handle_request(reader, writer)
             )
             if answer is not None:
                 writer.write(orjson.dumps({"version": VERSION} | answer) + b"\n")
-                async with asyncio.timeout(REQUEST_TIME):
+                async with asyncio.timeout(REQUEST_TIMEOUT):
                     await writer.drain()
         except (OSError, TimeoutError):
             pass  # it went away, or does not read
@@ -91,16 +91,18 @@
             self._tasks.discard(task)
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> dict[str, Any] | None:
+    async def _handle_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> dict[str, Any] | None:
         if peer_uid(writer.get_extra_info("socket")) not in self._uids:
             return {"ok": False, "error": "not your fleet"}
         try:
-            async with asyncio.timeout(REQUEST_TIME):
+            async with asyncio.timeout(REQUEST_TIMEOUT):
                 line = await reader.readuntil(b"\n")
         except asyncio.LimitOverrunError:
             return {"ok": False, "error": f"a request may have {MAX_REQUEST} bytes"}
         except TimeoutError:
-            return {"ok": False, "error": f"no whole request within {REQUEST_TIME:g} s"}
+            return {"ok": False, "error": f"no whole request within {REQUEST_TIMEOUT:g} s"}
         except asyncio.IncompleteReadError:
             return None
         try:
@@ -121,7 +123,7 @@
     """Nobody answers at a control socket."""
 
 
-def ask(path: Path, command: str, timeout: float, **values: Any) -> dict[str, Any]:
+def send_request(path: Path, command: str, timeout: float, **values: Any) -> dict[str, Any]:
     """One request from a command line; raises NoSupervisor or ControlError. `timeout` in seconds."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(timeout)
--- a/cometusher/fleet/daemon.py
+++ b/cometusher/fleet/daemon.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Callable
 
-MAX_WORD = 4096  # bytes of the daemon's word on its start
+MAX_REPORT = 4096  # bytes of the daemon's word on its start
 
 
 def daemonize(report: Callable[[int, str], None]) -> Callable[[int, str], None]:
@@ -20,7 +20,7 @@
     if (first := os.fork()) > 0:
         os.close(writer)
         os.waitpid(first, 0)
-        _await_word(reader, report)
+        _await_report(reader, report)
     os.close(reader)
     os.setsid()
     if os.fork() > 0:
@@ -35,16 +35,16 @@
     def tell(code: int, text: str) -> None:
         nonlocal writer
         if writer >= 0:
-            os.write(writer, f"{code} {text}".encode()[:MAX_WORD])
+            os.write(writer, f"{code} {text}".encode()[:MAX_REPORT])
             os.close(writer)
             writer = -1
 
     return tell
 
 
-def _await_word(reader: int, report: Callable[[int, str], None]) -> None:
+def _await_report(reader: int, report: Callable[[int, str], None]) -> None:
     word = b""
-    while data := os.read(reader, MAX_WORD):
+    while data := os.read(reader, MAX_REPORT):
         word += data
     code, _, text = word.decode(errors="replace").partition(" ")
     if not code.isdigit():
--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -19,61 +19,61 @@
 if TYPE_CHECKING:
     from cometusher.proxy import Proxy
 
-BOARD = 9  # the descriptor that a process under a supervisor has it at
-TURNED, ASIDE = 0, 1  # cells
-ROW = 8 * CELL_COUNT  # bytes
-ROWS = 4096  # processes that can be alive at once
+BOARD_FD = 9  # the descriptor that a process under a supervisor has it at
+LAST_TURN_CELL, EJECTED_CELL = 0, 1  # cells
+ROW_BYTES = 8 * CELL_COUNT  # bytes
+MAX_ROWS = 4096  # processes that can be alive at once
 
 
-def turn(proxy: Proxy, row: int, every: float) -> None:
+def start_heartbeat(proxy: Proxy, row: int, every: float) -> None:
     """Beat from here on, `every` so many seconds; keep an account, and heed the supervisor's word."""
-    cells = memoryview(mmap.mmap(BOARD, ROWS * ROW))[row * ROW : (row + 1) * ROW].cast("q")
+    cells = memoryview(mmap.mmap(BOARD_FD, MAX_ROWS * ROW_BYTES))[row * ROW_BYTES : (row + 1) * ROW_BYTES].cast("q")
     counting = proxy.traffic_counters = TrafficRecorder(cells)
 
     def beat() -> None:
-        cells[TURNED] = time.monotonic_ns()
+        cells[LAST_TURN_CELL] = time.monotonic_ns()
         counting.publish_state(proxy.discovery.seq, proxy.callers.out_of_descriptors)
-        proxy.set_ejected(bool(cells[ASIDE]))
+        proxy.set_ejected(bool(cells[EJECTED_CELL]))
         proxy.loop.call_later(every, beat)
 
     beat()
 
 
-class Board:
+class HeartbeatBoard:
     """The supervisor's side: all rows."""
 
     def __init__(self) -> None:
         self.descriptor = os.memfd_create("board", os.MFD_CLOEXEC)
-        os.ftruncate(self.descriptor, ROWS * ROW)
-        self._cells = memoryview(mmap.mmap(self.descriptor, ROWS * ROW)).cast("q")
-        self._free = list(range(ROWS - 1, -1, -1))
+        os.ftruncate(self.descriptor, MAX_ROWS * ROW_BYTES)
+        self._cells = memoryview(mmap.mmap(self.descriptor, MAX_ROWS * ROW_BYTES)).cast("q")
+        self._free = list(range(MAX_ROWS - 1, -1, -1))
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """A row of zeros; raises OSError where there is none."""
         if not self._free:
             raise OSError("no row of the board is free")
         row = self._free.pop()
-        self._row(row)[:] = memoryview(bytes(ROW)).cast("q")
+        self._row(row)[:] = memoryview(bytes(ROW_BYTES)).cast("q")
         return row
 
     def _row(self, row: int) -> memoryview:
         return self._cells[row * CELL_COUNT : (row + 1) * CELL_COUNT]
 
-    def give(self, row: int) -> None:
+    def release(self, row: int) -> None:
         """Its process has been reaped: nobody writes to it any more."""
         self._free.append(row)
 
-    def turned(self, row: int) -> float:
+    def last_turn(self, row: int) -> float:
         """Seconds of the machine's clock; 0 if its process has not begun to beat."""
-        return self._cells[row * CELL_COUNT + TURNED] / 1e9
+        return self._cells[row * CELL_COUNT + LAST_TURN_CELL] / 1e9
 
-    def account(self, row: int, tier: int) -> TrafficCounters:
+    def traffic_counters(self, row: int, tier: int) -> TrafficCounters:
         """What its process has counted."""
         return read_counters(self._row(row).tolist(), tier)
 
-    def set_aside(self, row: int, aside: bool) -> None:
+    def set_ejected(self, row: int, aside: bool) -> None:
         """Tell its process whether to leave new connections to others."""
-        self._cells[row * CELL_COUNT + ASIDE] = aside
+        self._cells[row * CELL_COUNT + EJECTED_CELL] = aside
 
     def close(self) -> None:
         """The supervisor ends."""
--- a/cometusher/fleet/identity.py
+++ b/cometusher/fleet/identity.py
@@ -23,7 +23,7 @@
 from cometusher.fleet.spec import write_private
 
 _FLOCK = "hhqqi4x"  # struct flock of Linux on 64 bits: type, whence, start, length, pid
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def boot_id() -> str:
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stat:
+class ProcessStat:
     """What proc(5) tells of a process."""
 
     state: str
@@ -46,18 +46,18 @@
 RUNNABLE = "R"  # a state: it runs, or waits for a processor; all others wait for something else
 
 
-def read_stat(pid: int) -> Stat | None:
+def read_stat(pid: int) -> ProcessStat | None:
     """None if there is no such process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
     rest = text[text.rindex(")") + 2 :].split()  # the name may hold anything, also brackets and spaces
-    cpu = (int(rest[11]) + int(rest[12])) / TICKS
-    return Stat(rest[0], int(rest[1]), int(rest[2]), cpu, int(rest[19]), int(rest[17]))
+    cpu = (int(rest[11]) + int(rest[12])) / CLOCK_TICKS_PER_SECOND
+    return ProcessStat(rest[0], int(rest[1]), int(rest[2]), cpu, int(rest[19]), int(rest[17]))
 
 
-def read_schedule(pid: int) -> tuple[float, float]:
+def read_schedstat(pid: int) -> tuple[float, float]:
     """Seconds of processor time, and of waiting for it, of a process's first thread, to the nanosecond.
 
     schedstat of proc(5); zeros if the process is gone, or the kernel does not count.
@@ -89,7 +89,7 @@
         return Identity(pid, stat.started, boot_id(), uid) if stat is not None else None
 
     @staticmethod
-    def read(value: Any) -> Identity | None:
+    def parse(value: Any) -> Identity | None:
         """Out of a file; None for anything that is not whole."""
         if not isinstance(value, dict):
             return None
@@ -103,7 +103,7 @@
         """For a file."""
         return asdict(self)
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether this very process is there, and no zombie.
 
         The state is that of its first thread. While another one is still ending, as a killed one does that waits for
@@ -124,7 +124,7 @@
         except OSError:
             return False
         try:
-            if not self.alive():
+            if not self.is_alive():
                 return False
             signal.pidfd_send_signal(descriptor, number)
         except OSError:
@@ -134,7 +134,7 @@
         return True
 
 
-class Held(Exception):
+class LockHeld(Exception):
     """Another one has what is wanted; the text says who."""
 
 
@@ -146,18 +146,18 @@
         self._pid_file = pid_file
         self._descriptor = -1
 
-    def hold(self) -> None:
+    def acquire(self) -> None:
         """Take the lock and say so in the pid file; raises Held, or OSError."""
         self._descriptor = os.open(self._lock_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
         try:
             fcntl.lockf(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except (BlockingIOError, PermissionError):
-            raise Held(self._holder()) from None
+            raise LockHeld(self._describe_holder()) from None
         identity = Identity.of(os.getpid())
         assert identity is not None
         write_private(self._pid_file, orjson.dumps(identity.as_values() | {"since": time.time()}) + b"\n")
 
-    def _holder(self) -> str:
+    def _describe_holder(self) -> str:
         """Who holds it: the kernel knows, whatever stands in the pid file."""
         asked = struct.pack(_FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         pid = int(struct.unpack(_FLOCK, fcntl.fcntl(self._descriptor, fcntl.F_GETLK, asked))[4])
@@ -167,8 +167,8 @@
         since = ""
         with contextlib.suppress(OSError, ValueError, TypeError):
             values = orjson.loads(self._pid_file.read_bytes())
-            written = Identity.read(values)
-            if written is not None and written.pid == pid and written.alive():
+            written = Identity.parse(values)
+            if written is not None and written.pid == pid and written.is_alive():
                 since = time.strftime(", since %Y-%m-%d %H:%M:%S", time.localtime(float(values["since"])))
         return f"{text}, pid {pid}{since}"
 
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -30,27 +30,27 @@
 if TYPE_CHECKING:
     from cometusher.inflight.tracker import ReceivedOffer
 
-LISTENER, STATUS, LIFELINE = 3, 4, 5
-BEAT = 1.0  # seconds between signs of life
-MOST_WAITING = 64  # lines that wait for room in the pipe
-COUNTED = ("served", "refused", "failed", "malformed", "left")
+LISTENER_FD, STATUS_FD, LIFELINE_FD = 3, 4, 5
+HEARTBEAT_INTERVAL = 1.0  # seconds between signs of life
+MAX_QUEUED_LINES = 64  # lines that wait for room in the pipe
+REPORTED_COUNTERS = ("served", "refused", "failed", "malformed", "left")
 
 
-class Channel:
+class SupervisorChannel:
     """The way to the supervisor; a `service.Parent`."""
 
     def __init__(self, name: str, generation: str) -> None:
-        self._mark = f"{name}/{generation}".encode()
-        self._lines: deque[bytes] = deque(maxlen=MOST_WAITING)
+        self._instance_id = f"{name}/{generation}".encode()
+        self._lines: deque[bytes] = deque(maxlen=MAX_QUEUED_LINES)
         self._proxy: Proxy | None = None
-        os.set_blocking(STATUS, False)
+        os.set_blocking(STATUS_FD, False)
 
-    def _say(self, **values: Any) -> None:
+    def _send(self, **values: Any) -> None:
         """Write a line; one that finds no room waits for the next beat, for the supervisor may be paused."""
         self._lines.append(orjson.dumps(values) + b"\n")
         try:
             while self._lines:
-                os.write(STATUS, self._lines[0])
+                os.write(STATUS_FD, self._lines[0])
                 self._lines.popleft()
         except OSError:
             pass  # no room, or no supervisor: the lifeline tells
@@ -58,57 +58,57 @@
     def started(self, proxy: Proxy, stop: asyncio.Event) -> None:
         """Say so, and watch the lifeline from here on."""
         self._proxy = proxy
-        proxy.identity_headers = [(b"x-instance", self._mark)]
+        proxy.identity_headers = [(b"x-instance", self._instance_id)]
         loop = asyncio.get_running_loop()
 
         def orphaned() -> None:
-            loop.remove_reader(LIFELINE)
+            loop.remove_reader(LIFELINE_FD)
             logging.warning("the supervisor is gone; ending in order")
             stop.set()
 
-        loop.add_reader(LIFELINE, orphaned)
-        self._say(event="ready")
+        loop.add_reader(LIFELINE_FD, orphaned)
+        self._send(event="ready")
         if proxy.recovery is not None:
-            proxy.recovery.report = self._tell_comeback
-            self._tell_comeback(proxy.recovery.status())
+            proxy.recovery.report = self._report_recovery
+            self._report_recovery(proxy.recovery.status())
         if proxy.inflight is not None:
-            proxy.inflight.report_declined = self._tell_declined
+            proxy.inflight.report_declined = self._report_declined
         if os.environ.get("FLEET_VIGIL") == "1":
-            self._turn(proxy)
-        self._beat(loop)
+            self._start_heartbeat(proxy)
+        self._report_counters(loop)
 
     @staticmethod
-    def _turn(proxy: Proxy) -> None:
+    def _start_heartbeat(proxy: Proxy) -> None:
         """Beat on the supervisor's board, as its file for this process says."""
-        from cometusher.fleet.heartbeat import turn
+        from cometusher.fleet.heartbeat import start_heartbeat
 
         told = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
-        turn(proxy, int(told["row"]), float(told["beat"]))
+        start_heartbeat(proxy, int(told["row"]), float(told["beat"]))
 
-    def _tell_declined(self, offer: ReceivedOffer) -> None:
-        self._say(event="declined", process=offer.process, slot=offer.slot, term=offer.term)
+    def _report_declined(self, offer: ReceivedOffer) -> None:
+        self._send(event="declined", process=offer.process, slot=offer.slot, term=offer.term)
 
-    def _tell_comeback(self, values: dict[str, Any]) -> None:
-        self._say(event="comeback", **values)
+    def _report_recovery(self, values: dict[str, Any]) -> None:
+        self._send(event="comeback", **values)
 
-    def _beat(self, loop: asyncio.AbstractEventLoop) -> None:
-        loop.call_later(BEAT, self._beat, loop)
+    def _report_counters(self, loop: asyncio.AbstractEventLoop) -> None:
+        loop.call_later(HEARTBEAT_INTERVAL, self._report_counters, loop)
         assert self._proxy is not None
         tallies = self._proxy.counters
         hand = {"hand": self._proxy.inflight.counters()} if self._proxy.inflight is not None else {}
-        counts = {name: tallies.get(name, 0) for name in COUNTED}
-        self._say(event="beat", open=self._proxy.open_requests, **counts, **hand)
+        counts = {name: tallies.get(name, 0) for name in REPORTED_COUNTERS}
+        self._send(event="beat", open=self._proxy.open_requests, **counts, **hand)
 
     def reloaded(self, why: str | None) -> None:
         """What came of a reload."""
-        self._say(event="reloaded", why=why)
+        self._send(event="reloaded", why=why)
 
     def stopping(self) -> None:
         """Nothing new is taken."""
-        self._say(event="stopping")
+        self._send(event="stopping")
 
 
-def _with_more(settings: Config) -> Config:
+def _with_supervisor_values(settings: Config) -> Config:
     """What the supervisor has told of this instance's return and of its book, if switched on; raises ConfigError."""
     path = Path(os.environ["LB_CONFIG"])
     if os.environ.get("FLEET_COMEBACK") == "1":
@@ -122,7 +122,7 @@
     return settings
 
 
-def _be_kept() -> None:
+def _start_descriptor_holder() -> None:
     """Have a keeper, before there is a second thread. Without one, what is in hand dies with this process."""
     from cometusher.inflight import descriptor_holder
     from cometusher.inflight.endpoint import HOLDER_FD
@@ -140,12 +140,12 @@
     name = os.environ.get("FLEET_INSTANCE", "?")
     logs.to_pipe(sys.stderr.fileno(), name)
     try:
-        settings = _with_more(config.load(os.environ))
+        settings = _with_supervisor_values(config.load(os.environ))
     except config.ConfigError as fault:
         logging.error("%s", fault)
         return 2
     if settings.covered is not None:
-        _be_kept()
-    listener = socket.socket(fileno=LISTENER)
-    uvloop.run(service.serve(settings, listener, Channel(name, os.environ.get("FLEET_GENERATION", "0"))))
+        _start_descriptor_holder()
+    listener = socket.socket(fileno=LISTENER_FD)
+    uvloop.run(service.serve(settings, listener, SupervisorChannel(name, os.environ.get("FLEET_GENERATION", "0"))))
     return 0
--- a/cometusher/fleet/listeners.py
+++ b/cometusher/fleet/listeners.py
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_PASSED = 3  # SD_LISTEN_FDS_START
+FIRST_PASSED_FD = 3  # SD_LISTEN_FDS_START
 LISTEN_STATE = "0A"  # in /proc/net/tcp
 
 
-class Taken(Exception):
+class AddressUnavailable(Exception):
     """An address can't be listened on; the text says which and who has it."""
 
 
@@ -34,7 +34,7 @@
         return []
     count = environ.get("LISTEN_FDS", "")
     found = []
-    for descriptor in range(FIRST_PASSED, FIRST_PASSED + (int(count) if count.isdigit() else 0)):
+    for descriptor in range(FIRST_PASSED_FD, FIRST_PASSED_FD + (int(count) if count.isdigit() else 0)):
         try:
             os.set_inheritable(descriptor, False)
             found.append(socket.socket(fileno=descriptor))
@@ -43,7 +43,7 @@
     return found
 
 
-def _inodes(address: Address) -> set[str]:
+def _listening_inodes(address: Address) -> set[str]:
     """Inodes of the sockets that listen on an address, or on all addresses with its port."""
     wanted = ipaddress.ip_address(address[0])
     found = set()
@@ -65,9 +65,9 @@
     return found
 
 
-def who_listens(address: Address) -> str:
+def describe_listener(address: Address) -> str:
     """The process that has an address, for people."""
-    inodes = _inodes(address)
+    inodes = _listening_inodes(address)
     for entry in os.scandir("/proc") if inodes else ():
         if not entry.name.isdigit():
             continue
@@ -98,9 +98,9 @@
             try:
                 self._open[name] = open_listener(address)
             except OSError as fault:
-                who = f" by {who_listens(address)}" if fault.errno == errno.EADDRINUSE else ""
+                who = f" by {describe_listener(address)}" if fault.errno == errno.EADDRINUSE else ""
                 text = "taken" if fault.errno == errno.EADDRINUSE else str(fault.strerror or fault)
-                raise Taken(f"{name}: {address[0]}:{address[1]} is {text}{who}") from None
+                raise AddressUnavailable(f"{name}: {address[0]}:{address[1]} is {text}{who}") from None
         return self._open[name]
 
     def find(self, name: str) -> socket.socket | None:
--- a/cometusher/fleet/log_collector.py
+++ b/cometusher/fleet/log_collector.py
@@ -23,14 +23,14 @@
 from cometusher import logs
 from cometusher.fleet.spec import LogSpec
 
-STORE = 1024 * 1024  # bytes that wait for the target, at most
+MAX_QUEUED_BYTES = 1024 * 1024  # bytes that wait for the target, at most
 MAX_LINE = 16 * 1024  # bytes of a line that an instance writes by itself
-READ = 64 * 1024  # bytes taken from one instance at one wake-up
-RETRY = 0.05  # seconds between looks at a target that took nothing
-REOPEN = 1.0  # seconds between tries to open one that could not be opened
+READ_SIZE = 64 * 1024  # bytes taken from one instance at one wake-up
+RETRY_INTERVAL = 0.05  # seconds between looks at a target that took nothing
+REOPEN_INTERVAL = 1.0  # seconds between tries to open one that could not be opened
 
 
-class Target:
+class LogTarget:
     """Where records end: standard error or a file; rotated by size, reopened on demand."""
 
     def __init__(self, spec: LogSpec) -> None:
@@ -74,7 +74,7 @@
     def write(self, data: bytes) -> int:
         """Write what goes without waiting; returns how many bytes went. At most a pipe's piece at a time."""
         if self._file < 0:
-            if time.monotonic() - self._opened_at < REOPEN:
+            if time.monotonic() - self._opened_at < REOPEN_INTERVAL:
                 return 0
             self.reopen()
             if self._file < 0:
@@ -112,15 +112,15 @@
         self.reopen()
 
 
-class Sink:
+class LogSink:
     """Renders records and hands them to the target; bounded, counting, and never waiting."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, target: Target, who: str) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, target: LogTarget, who: str) -> None:
         self._loop = loop
         self.target = target
-        self._who = who
-        self._store: deque[bytes] = deque()
-        self._held = 0
+        self._instance_name = who
+        self._queue: deque[bytes] = deque()
+        self._queued_bytes = 0
         self._retry: asyncio.TimerHandle | None = None
         self.dropped = 0  # since the last record about it
         self.dropped_total = 0
@@ -128,23 +128,23 @@
     def write(self, values: dict[str, Any]) -> None:
         """Take one record."""
         line = logs.RENDER[self.target.spec.form](values) + b"\n"
-        if self._held + len(line) > STORE:
+        if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
             self.drop(1)
             return
-        self._store.append(line)
-        self._held += len(line)
+        self._queue.append(line)
+        self._queued_bytes += len(line)
         if self._retry is None:
             self.flush()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         """Say what was lost, as soon as there is room for it."""
-        if self.dropped and self._held < STORE // 2:
+        if self.dropped and self._queued_bytes < MAX_QUEUED_BYTES // 2:
             count, self.dropped = self.dropped, 0
             self.write(
                 {
                     "ts": time.time(),
                     "level": "warning",
-                    "instance": self._who,
+                    "instance": self._instance_name,
                     "subsystem": "log",
                     "event": "dropped",
                     "text": f"{count} records were dropped: the log target took none",
@@ -159,17 +159,17 @@
     def flush(self) -> None:
         """Write on what waits, as far as it goes."""
         self._retry = None
-        self._tell_dropped()
-        while self._store:
-            line = self._store[0]
+        self._report_dropped()
+        while self._queue:
+            line = self._queue[0]
             count = self.target.write(line)
-            self._held -= count
+            self._queued_bytes -= count
             if count < len(line):
-                self._store[0] = line[count:]
-                self._retry = self._loop.call_later(RETRY, self.flush)
+                self._queue[0] = line[count:]
+                self._retry = self._loop.call_later(RETRY_INTERVAL, self.flush)
                 return
-            self._store.popleft()
-        self._tell_dropped()
+            self._queue.popleft()
+        self._report_dropped()
 
     def close(self) -> None:
         """The end: one last try."""
@@ -181,44 +181,44 @@
         self.target.close()
 
 
-class SinkHandler(logging.Handler):
+class LogSinkHandler(logging.Handler):
     """The supervisor's own records."""
 
-    def __init__(self, sink: Sink, who: str) -> None:
+    def __init__(self, sink: LogSink, who: str) -> None:
         super().__init__()
         self._sink = sink
-        self._who = who
+        self._instance_name = who
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record."""
         try:
-            values = logs.as_fields(record, getattr(record, "instance", None) or self._who)
+            values = logs.as_fields(record, getattr(record, "instance", None) or self._instance_name)
             self._sink.write(values)
         except Exception:
             self.handleError(record)
 
 
-class Stream:
+class ProcessOutput:
     """What one process says: structured records, or plain lines of whatever it runs."""
 
-    def __init__(self, sink: Sink, name: str, descriptor: int) -> None:
+    def __init__(self, sink: LogSink, name: str, descriptor: int) -> None:
         self._sink = sink
         self._name = name
         self._descriptor = descriptor
-        self._rest = b""
+        self._partial_line = b""
 
     def read(self) -> bool:
         """Take what has come, up to a bound; False at its end."""
         try:
-            data = os.read(self._descriptor, READ)
+            data = os.read(self._descriptor, READ_SIZE)
         except BlockingIOError:
             return True
         except OSError:
             data = b""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MAX_LINE or (not data and self._rest):
-            lines.append(self._rest[:MAX_LINE])
-            self._rest = b""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > MAX_LINE or (not data and self._partial_line):
+            lines.append(self._partial_line[:MAX_LINE])
+            self._partial_line = b""
         for line in lines:
             if line.strip():
                 self._sink.write(self._record(line))
--- a/cometusher/fleet/notify.py
+++ b/cometusher/fleet/notify.py
@@ -22,8 +22,8 @@
             self._socket.setblocking(False)
         usec = environ.get("WATCHDOG_USEC", "")
         mine = environ.get("WATCHDOG_PID", str(os.getpid())) == str(os.getpid())
-        self.watchdog = int(usec) / 2e6 if usec.isdigit() and mine else 0.0  # seconds between signs of life
-        self._beat_at = 0.0
+        self.watchdog_interval = int(usec) / 2e6 if usec.isdigit() and mine else 0.0  # seconds between signs of life
+        self._fed_at = 0.0
 
     def send(self, *lines: str) -> None:
         """Send states; a manager that does not read must not stop us."""
@@ -43,8 +43,8 @@
         """The end has begun."""
         self.send("STOPPING=1")
 
-    def beat(self, now: float) -> None:
+    def feed_watchdog(self, now: float) -> None:
         """A sign of life, as often as the watchdog wants."""
-        if self.watchdog and now - self._beat_at >= self.watchdog:
-            self._beat_at = now
+        if self.watchdog_interval and now - self._fed_at >= self.watchdog_interval:
+            self._fed_at = now
             self.send("WATCHDOG=1")
--- a/cometusher/fleet/observations.py
+++ b/cometusher/fleet/observations.py
@@ -20,54 +20,56 @@
 
 log = logging.getLogger("cometusher.fleet.evidence")  # the `subsystem` of its log records
 
-LINES = 64  # that are written at once
+FLUSH_LINES = 64  # that are written at once
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ObservationRound:
     """All that one look saw."""
 
-    at: float  # seconds of the machine's clock
-    every: float
-    wanted: int
-    seen: Mapping[Key, Observation]
+    time: float  # seconds of the machine's clock
+    interval: float
+    wanted_count: int
+    observations: Mapping[Key, Observation]
 
 
-class Recorder:
+class ObservationRecorder:
     """Keeps looks, as far as there is room."""
 
     def __init__(self, path: Path, most: int) -> None:
         self._path = path
-        self._left = most  # bytes
+        self._bytes_left = most  # bytes
         self._lines: list[bytes] = []
         path.write_bytes(b"")
 
-    def keep(self, look: Look) -> None:
+    def record(self, look: ObservationRound) -> None:
         """One more."""
-        if self._left <= 0:
+        if self._bytes_left <= 0:
             return
-        rows = [[*key, *astuple(evidence)] for key, evidence in look.seen.items()]  # an Enum is written as its value
-        self._lines.append(orjson.dumps([look.at, look.every, look.wanted, rows]) + b"\n")
-        if len(self._lines) >= LINES:
+        rows = [
+            [*key, *astuple(evidence)] for key, evidence in look.observations.items()
+        ]  # an Enum is written as its value
+        self._lines.append(orjson.dumps([look.time, look.interval, look.wanted_count, rows]) + b"\n")
+        if len(self._lines) >= FLUSH_LINES:
             self.flush()
 
     def flush(self) -> None:
         """Write what is due."""
         data, self._lines = b"".join(self._lines), []
-        if len(data) > self._left:
-            self._left = 0
+        if len(data) > self._bytes_left:
+            self._bytes_left = 0
             log.warning("%s is full: no more evidence is kept", self._path)
             return
-        self._left -= len(data)
+        self._bytes_left -= len(data)
         try:
             with self._path.open("ab") as file:
                 file.write(data)
         except OSError as fault:
-            self._left = 0
+            self._bytes_left = 0
             log.warning("no more evidence is kept: %s: %s", self._path, fault.strerror)
 
 
-def read_evidence(path: Path) -> Iterator[Look]:
+def read_observations(path: Path) -> Iterator[ObservationRound]:
     """The looks of a file, in their order; one that was cut ends it.
 
     Raises OSError, and ValueError naming the line.
@@ -81,14 +83,16 @@
                 (str(name), int(generation)): replace(Observation(*rest), lifecycle=Lifecycle(life))
                 for name, generation, *rest, life in rows
             }
-            yield Look(float(at), float(every), int(wanted), seen)
+            yield ObservationRound(float(at), float(every), int(wanted), seen)
         except (orjson.JSONDecodeError, TypeError, ValueError) as fault:
             raise ValueError(f"{path}:{number}: {fault}") from None
 
 
-def judge_again(looks: Iterator[Look], policy: FailureDetectorPolicy) -> Iterator[tuple[float, Decision]]:
+def replay_detector(
+    looks: Iterator[ObservationRound], policy: FailureDetectorPolicy
+) -> Iterator[tuple[float, Decision]]:
     """What would be done, and when, with these thresholds."""
     vigil = FailureDetector(policy)
     for look in looks:
-        for act in vigil.tick(look.at, look.seen, look.wanted, look.every):
-            yield look.at, act
+        for act in vigil.tick(look.time, look.observations, look.wanted_count, look.interval):
+            yield look.time, act
--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -22,15 +22,15 @@
 
 from cometusher.fleet import instance
 from cometusher.fleet.identity import Identity
-from cometusher.fleet.spec import FleetSpec, InstanceSpec, as_file, write_private
+from cometusher.fleet.spec import FleetSpec, InstanceSpec, serialize_config, write_private
 
 if TYPE_CHECKING:
-    from cometusher.fleet.orphans import Holding
+    from cometusher.fleet.orphans import ProcessResources
 
-ROOT = Path(__file__).resolve().parent.parent.parent
-HIGH = 64  # descriptors are moved above this before they get their numbers
-FAULT = 70  # exit code of a process that could not get ready to run (EX_SOFTWARE, sysexits.h)
-OURS = ("LB_", "FLEET_", "LISTEN_", "WATCHDOG_", "NOTIFY_SOCKET")
+REPOSITORY_ROOT = Path(__file__).resolve().parent.parent.parent
+MIN_TEMPORARY_FD = 64  # descriptors are moved above this before they get their numbers
+EXIT_SETUP_FAILED = 70  # exit code of a process that could not get ready to run (EX_SOFTWARE, sysexits.h)
+RESERVED_PREFIXES = ("LB_", "FLEET_", "LISTEN_", "WATCHDOG_", "NOTIFY_SOCKET")
 
 
 @dataclass(slots=True)
@@ -42,18 +42,18 @@
     pid: int
     identity: Identity
     pidfd: int
-    status: int  # to read from
-    log: int  # to read from
-    lifeline: int  # to hold open
+    status_fd: int  # to read from
+    log_fd: int  # to read from
+    lifeline_fd: int  # to hold open
     spec: InstanceSpec  # what it runs with
-    told: InstanceSpec  # ...and what it was told last, before its word on that
-    place: dict[str, int]  # on the ring of backends, for as long as it runs
-    figures: dict[str, Any] = field(default_factory=dict)
-    comeback: dict[str, Any] = field(default_factory=dict)  # what it last said of its return...
-    hand: dict[str, Any] = field(default_factory=dict)  # ...and of its work in hand
-    holding: Holding | None = None  # what it would leave behind, where that is switched on
-    row: int = -1  # of the board that it beats on, where that is switched on
-    rest: bytes = b""  # of a status line that is not whole
+    requested_spec: InstanceSpec  # ...and what it was told last, before its word on that
+    ring_position: dict[str, int]  # on the ring of backends, for as long as it runs
+    request_counters: dict[str, Any] = field(default_factory=dict)
+    recovery_status: dict[str, Any] = field(default_factory=dict)  # what it last said of its return...
+    inflight_counters: dict[str, Any] = field(default_factory=dict)  # ...and of its work in hand
+    resources: ProcessResources | None = None  # what it would leave behind, where that is switched on
+    board_row: int = -1  # of the board that it beats on, where that is switched on
+    partial_line: bytes = b""  # of a status line that is not whole
 
     def signal(self, number: int) -> None:
         """Signal it; nothing happens if it has ended, for it is not reaped before this object is dropped."""
@@ -67,36 +67,36 @@
 
     def close(self) -> None:
         """Close what is held for it."""
-        for descriptor in (self.pidfd, self.status, self.log, self.lifeline):
+        for descriptor in (self.pidfd, self.status_fd, self.log_fd, self.lifeline_fd):
             os.close(descriptor)
 
 
-def _environment(spec: FleetSpec, one: InstanceSpec, generation: int) -> dict[str, str]:
-    more = {"FLEET_COMEBACK": "1"} if spec.comeback is not None else {}
+def _child_environment(spec: FleetSpec, one: InstanceSpec, generation: int) -> dict[str, str]:
+    more = {"FLEET_COMEBACK": "1"} if spec.recovery is not None else {}
     more |= {"FLEET_TAKEOVER": "1"} if spec.takeover is not None else {}
-    more |= {"FLEET_VIGIL": "1"} if spec.vigil is not None else {}
-    environ = {k: v for k, v in os.environ.items() if not k.startswith(OURS)}
-    path = [str(ROOT), *filter(None, [environ.get("PYTHONPATH")])]
+    more |= {"FLEET_VIGIL": "1"} if spec.failure_detection is not None else {}
+    environ = {k: v for k, v in os.environ.items() if not k.startswith(RESERVED_PREFIXES)}
+    path = [str(REPOSITORY_ROOT), *filter(None, [environ.get("PYTHONPATH")])]
     return (
         environ
         | more
         | {
             "PYTHONPATH": os.pathsep.join(path),
-            "LB_CONFIG": str(spec.place.instance_file(one.name)),
+            "LB_CONFIG": str(spec.location.instance_file(one.name)),
             "LB_NAME": one.name,
             "FLEET_INSTANCE": one.name,
             "FLEET_GENERATION": str(generation),
-            "FLEET_STATUS_FD": str(instance.STATUS),
-            "FLEET_LIFELINE_FD": str(instance.LIFELINE),
+            "FLEET_STATUS_FD": str(instance.STATUS_FD),
+            "FLEET_LIFELINE_FD": str(instance.LIFELINE_FD),
             "LISTEN_FDS": "1",
             "LISTEN_PID": str(os.getpid()),
         }
     )
 
 
-def _arrange(descriptors: dict[int, int]) -> None:
+def _assign_descriptors(descriptors: dict[int, int]) -> None:
     """Give descriptors their numbers, and close all others: lifelines of other instances among them."""
-    high = {number: fcntl.fcntl(source, fcntl.F_DUPFD, HIGH) for number, source in descriptors.items()}
+    high = {number: fcntl.fcntl(source, fcntl.F_DUPFD, MIN_TEMPORARY_FD) for number, source in descriptors.items()}
     for number, source in high.items():
         os.dup2(source, number, inheritable=True)
     for entry in os.listdir("/proc/self/fd"):
@@ -105,17 +105,17 @@
                 os.close(int(entry))
 
 
-def _limit(sockets: int) -> None:
+def _limit_descriptors(sockets: int) -> None:
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     wanted = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, wanted))
 
 
-def _become(
+def _run_child(
     spec: FleetSpec, one: InstanceSpec, generation: int, descriptors: dict[int, int], mask: set[int]
 ) -> NoReturn:
     """In the child: leave everything of the supervisor behind, and run; does not return."""
-    code = FAULT
+    code = EXIT_SETUP_FAILED
     try:
         os.setpgid(0, 0)
         # A signal that the child gets must not wake up the supervisor through the descriptor that both have.
@@ -124,10 +124,10 @@
             signal.signal(number, signal.SIG_DFL)
         for number in (signal.SIGHUP, signal.SIGPIPE):
             signal.signal(number, signal.SIG_IGN)
-        _arrange(descriptors)
-        _limit(one.sockets)
+        _assign_descriptors(descriptors)
+        _limit_descriptors(one.sockets)
         os.umask(0o077)
-        environ = _environment(spec, one, generation)
+        environ = _child_environment(spec, one, generation)
         if one.command or spec.spawn == "exec":
             command = one.command or (sys.executable, "-m", "cometusher", "instance")
             signal.pthread_sigmask(signal.SIG_SETMASK, mask)
@@ -158,9 +158,9 @@
     given: dict[int, int] | None = None,
 ) -> Child:
     """Start a process; `more` goes into its file, and it has the descriptors `given` by number. Raises OSError."""
-    place = spec.ring_place(one.name)
-    values = one.placed(place) | {"seed": secrets.token_hex(8)} | (more or {})
-    write_private(spec.place.instance_file(one.name), as_file(values))
+    place = spec.ring_position(one.name)
+    values = one.at_ring_position(place) | {"seed": secrets.token_hex(8)} | (more or {})
+    write_private(spec.location.instance_file(one.name), serialize_config(values))
     opened: list[int] = []
     try:
         for _ in range(3):
@@ -173,7 +173,7 @@
         try:
             pid = os.fork()
             if pid == 0:
-                _become(
+                _run_child(
                     spec,
                     one,
                     generation,
@@ -181,9 +181,9 @@
                         0: null,
                         1: log_w,
                         2: log_w,
-                        instance.LISTENER: listener.fileno(),
-                        instance.STATUS: status_w,
-                        instance.LIFELINE: lifeline_r,
+                        instance.LISTENER_FD: listener.fileno(),
+                        instance.STATUS_FD: status_w,
+                        instance.LIFELINE_FD: lifeline_r,
                     }
                     | (given or {}),
                     {int(number) for number in mask},
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -27,16 +27,16 @@
 from weldroute.request_journal import BLOCK_SIZE, JournalPool, JournalSize
 from weldroute.snapshots import AgeLimits
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-MOST = 1024  # instances
-SPARE_BOOKS = 8
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+MAX_INSTANCES = 1024  # instances
+SPARE_JOURNALS = 8
 MAX_SOCKET_PATH = 100  # bytes
 MIN_SECRET, MAX_SECRET = 32, 1024  # bytes
-MAX_MEMBER = 128  # characters of a name
-RELOADABLE = frozenset({"discovery", "limits", "known"})  # what an instance takes over while it runs
+MAX_MEMBER_NAME = 128  # characters of a name
+RELOADABLE_KEYS = frozenset({"discovery", "limits", "known"})  # what an instance takes over while it runs
 
 
-def as_file(values: dict[str, Any]) -> bytes:
+def serialize_config(values: dict[str, Any]) -> bytes:
     """An instance's own file."""
     return orjson.dumps(values, option=orjson.OPT_INDENT_2)
 
@@ -62,16 +62,16 @@
     @property
     def version(self) -> str:
         """Names the configuration; the same content has the same name everywhere."""
-        return hashlib.sha256(as_file(self.values) + repr(self.command).encode()).hexdigest()[:12]
+        return hashlib.sha256(serialize_config(self.values) + repr(self.command).encode()).hexdigest()[:12]
 
-    def placed(self, place: dict[str, int]) -> dict[str, Any]:
+    def at_ring_position(self, place: dict[str, int]) -> dict[str, Any]:
         """Its configuration at a place of the ring, as a process of it is told."""
         settings = self.values.get("settings")
         return self.values | {"settings": settings | place} if isinstance(settings, dict) else self.values
 
     def needs_restart(self, fresh: InstanceSpec) -> bool:
         """Whether the change to another configuration is more than a running instance can take over."""
-        fixed, other = ({k: v for k, v in spec.values.items() if k not in RELOADABLE} for spec in (self, fresh))
+        fixed, other = ({k: v for k, v in spec.values.items() if k not in RELOADABLE_KEYS} for spec in (self, fresh))
         return (fixed, self.command) != (other, fresh.command) or self.sockets != fresh.sockets
 
 
@@ -86,81 +86,83 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recorded:
+class ObservationFileSpec:
     """Where what the watch saw is kept."""
 
     path: Path
-    most: int  # bytes
+    max_bytes: int  # bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FleetLocation:
     """Where a fleet lives: all that a command needs to reach it."""
 
     name: str
-    path: Path  # of the file
-    state: Path
+    file: Path  # of the file
+    state_directory: Path
 
     @property
     def lock_file(self) -> Path:
         """Held by the one supervisor of this state directory."""
-        return self.state / "supervisor.lock"
+        return self.state_directory / "supervisor.lock"
 
     @property
     def pid_file(self) -> Path:
         """Tells who holds the lock; never believed without it."""
-        return self.state / "supervisor.pid"
+        return self.state_directory / "supervisor.pid"
 
     @property
-    def control(self) -> Path:
+    def control_socket(self) -> Path:
         """The control socket."""
-        return self.state / "control.sock"
+        return self.state_directory / "control.sock"
 
     @property
     def roster(self) -> Path:
         """The processes that the supervisor has started, for the one after it."""
-        return self.state / "instances.json"
+        return self.state_directory / "instances.json"
 
     @property
     def store(self) -> Path:
         """The folder of records that outlive processes."""
-        return self.state / "store"
+        return self.state_directory / "store"
 
-    def records(self, name: str) -> Path:
+    def records_file(self, name: str) -> Path:
         """An instance's own records."""
         return self.store / f"{name}.records"
 
     @property
-    def fleet_records(self) -> Path:
+    def fleet_records_file(self) -> Path:
         """The supervisor's own; no instance's name begins with a dot."""
         return self.store / ".fleet.records"
 
     def instance_file(self, name: str) -> Path:
         """An instance's own configuration."""
-        return self.state / f"instance-{name}.json"
+        return self.state_directory / f"instance-{name}.json"
 
 
 @dataclass(frozen=True, slots=True)
-class ComebackSpec:
+class RecoverySpec:
     """How instances come back: what each may do, what it may believe, and what is a blow."""
 
     plan: RecoveryPlan
     limits: AgeLimits
-    herd: CorrelationPolicy
+    correlation: CorrelationPolicy
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverSpec:
     """What is covered of work in hand, and at what pace it is handed on."""
 
-    shelf: JournalPool = field(default_factory=JournalPool)
-    rests: float = 10.0  # seconds in which the answers of a dead process can be asked for: the longest window
+    journal_pool: JournalPool = field(default_factory=JournalPool)
+    answer_retention: float = (
+        10.0  # seconds in which the answers of a dead process can be asked for: the longest window
+    )
     pace: int = 32  # pieces that one heir has to adopt at once
     patience: float = 0.25  # seconds until what an heir has not received is taken back
 
 
 @dataclass(frozen=True, slots=True)
-class MeshSpec:
+class ClusterSpec:
     """How this supervisor talks with those of other machines."""
 
     listen: Address
@@ -178,19 +180,19 @@
 class FleetSpec:
     """A fleet's whole file."""
 
-    place: Place
+    location: FleetLocation
     spawn: str  # "fork" from the warmed supervisor, or "exec" of a new interpreter
     policy: SupervisionPolicy
     log: LogSpec
     instances: dict[str, InstanceSpec]
-    comeback: ComebackSpec | None = None  # switched on by its table
+    recovery: RecoverySpec | None = None  # switched on by its table
     takeover: TakeoverSpec | None = None  # likewise
-    vigil: FailureDetectorPolicy | None = None  # likewise...
-    comparison: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
-    recorded: Recorded | None = None  # ...and where to keep what the watch saw
-    mesh: MeshSpec | None = None  # likewise
+    failure_detection: FailureDetectorPolicy | None = None  # likewise...
+    outliers: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
+    observation_file: ObservationFileSpec | None = None  # ...and where to keep what the watch saw
+    cluster: ClusterSpec | None = None  # likewise
 
-    def ring_place(self, name: str) -> dict[str, int]:
+    def ring_position(self, name: str) -> dict[str, int]:
         """Which of how many before its tier an instance is, as settings; nothing for a command of the operators' own.
 
         Guards against all of a fleet taking the same part of a long list for their own, since their common file says
@@ -217,18 +219,18 @@
             assert isinstance(default, float)
             values[item.name] = table.number(item.name, default)
     table.done()
-    return _checked(table, SupervisionPolicy(**values))
+    return _validated(table, SupervisionPolicy(**values))
 
 
-class _Checked(Protocol):
+class _Checkable(Protocol):
     def check(self) -> None:
         """Raise ValueError naming the first field that makes no sense."""
 
 
-P = TypeVar("P", bound=_Checked)
+P = TypeVar("P", bound=_Checkable)
 
 
-def _checked(table: Table, policy: P) -> P:
+def _validated(table: Table, policy: P) -> P:
     """A policy that makes sense; the error of one that does not names the key."""
     try:
         policy.check()
@@ -238,7 +240,7 @@
     return policy
 
 
-def _read_comeback(root: Table, instances: int) -> ComebackSpec | None:
+def _read_recovery(root: Table, instances: int) -> RecoverySpec | None:
     """The table `[comeback]`; None where the file has none."""
     if not root.has("comeback"):
         return None
@@ -269,7 +271,7 @@
     except ValueError as fault:
         raise table.fault("", str(fault)) from None
     table.done()
-    return ComebackSpec(plan, limits, herd)
+    return RecoverySpec(plan, limits, herd)
 
 
 def _read_takeover(root: Table, instances: Collection[InstanceSpec]) -> TakeoverSpec | None:
@@ -281,10 +283,10 @@
     kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
     own = JournalSize(entries, kilobytes * 1024 // BLOCK_SIZE, max((one.sockets for one in instances), default=1))
     # As many again: for those that take over from a process, and for what the dead leave.
-    shelf = JournalPool(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", JournalPool().keys, 64, 2**22))
+    shelf = JournalPool(own, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22))
     found = TakeoverSpec(
         shelf,
-        table.number("rests", spec.rests, 0.0, 600.0),
+        table.number("rests", spec.answer_retention, 0.0, 600.0),
         table.whole("pace", spec.pace, 1, 10_000),
         table.number("patience", spec.patience, 0.02, 60.0),
     )
@@ -292,7 +294,9 @@
     return found
 
 
-def _read_vigil(root: Table, base: Path) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, Recorded | None]:
+def _read_failure_detection(
+    root: Table, base: Path
+) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, ObservationFileSpec | None]:
     """The table `[vigil]`, whose keys are those of all three; None where the file has none."""
     if not root.has("vigil"):
         return None, OutlierPolicy(), None
@@ -303,25 +307,25 @@
         for usual in (FailureDetectorPolicy(), OutlierPolicy())
     )
     table.done()
-    recorded = Recorded(base / record, most) if record else None
-    return _checked(table, FailureDetectorPolicy(**values)), _checked(table, OutlierPolicy(**others)), recorded
+    recorded = ObservationFileSpec(base / record, most) if record else None
+    return _validated(table, FailureDetectorPolicy(**values)), _validated(table, OutlierPolicy(**others)), recorded
 
 
-def _read_mesh(root: Table, base: Path) -> MeshSpec | None:
+def _read_cluster(root: Table, base: Path) -> ClusterSpec | None:
     """The table `[mesh]`; None where the file has none."""
     if not root.has("mesh"):
         return None
     table, usual = root.table("mesh"), MemberPolicy()
     listen = table.address("listen")
-    if not _numeric(listen):
+    if not _is_numeric(listen):
         raise table.fault("listen", "not an IP address and a port from 1 to 65535")
     address = "{}:{}".format(*table.address("address", "{}:{}".format(*listen)))
     seeds, grantors = _read_members(table, "seeds"), _read_members(table, "grantors")
     if len(set(grantors)) != len(grantors):
         raise table.fault("grantors", "one is there twice")
     name, zone = table.text("name", address), table.text("zone", "")
-    if len(name) > MAX_MEMBER:
-        raise table.fault("name", f"longer than {MAX_MEMBER} characters")
+    if len(name) > MAX_MEMBER_NAME:
+        raise table.fault("name", f"longer than {MAX_MEMBER_NAME} characters")
     values: dict[str, Any] = {}
     for item in fields(MemberPolicy):
         default = getattr(usual, item.name)
@@ -330,8 +334,8 @@
     lease = LeasePolicy(length=table.number("lease", LeasePolicy().length, 0.5, 600.0))
     secret = base / table.text("secret")
     table.done()
-    policy = _checked(table, MemberPolicy(**values))
-    return MeshSpec(listen, address, name, seeds, secret, zone, policy, grantors, lease)
+    policy = _validated(table, MemberPolicy(**values))
+    return ClusterSpec(listen, address, name, seeds, secret, zone, policy, grantors, lease)
 
 
 def _read_members(table: Table, key: str) -> tuple[str, ...]:
@@ -339,7 +343,7 @@
     found = table.texts(key)
     for one in found:
         try:
-            good = _numeric(read_address(one, key))
+            good = _is_numeric(read_address(one, key))
         except ConfigError:
             good = False
         if not good:
@@ -374,7 +378,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Common:
+class _CommonSettings:
     """Settings that hold for an instance unless it has its own."""
 
     config: str = ""
@@ -386,8 +390,8 @@
     command: tuple[str, ...] = ()
 
 
-def _read_common(table: Table, base: _Common) -> _Common:
-    return _Common(
+def _read_common(table: Table, base: _CommonSettings) -> _CommonSettings:
+    return _CommonSettings(
         config=table.text("config", base.config),
         discovery=table.text("discovery", base.discovery),
         zone=table.text("zone", base.zone),
@@ -398,7 +402,7 @@
     )
 
 
-def _numeric(address: Address) -> bool:
+def _is_numeric(address: Address) -> bool:
     """Whether it is an IP address and a port.
 
     A name would have to be looked up, which blocks and needs threads; neither goes with forking.
@@ -410,7 +414,7 @@
     return 1 <= address[1] <= 65535
 
 
-class _Reader:
+class _InstanceReader:
     """Builds instances, and reads each file that they name once."""
 
     def __init__(self, base: Path) -> None:
@@ -419,7 +423,7 @@
         self.instances: dict[str, InstanceSpec] = {}
         self._addresses: dict[Address, str] = {}
 
-    def _load(self, table: Table, name: str) -> dict[str, Any]:
+    def _load_config(self, table: Table, name: str) -> dict[str, Any]:
         if name not in self._files:
             path = self.base / name
             try:
@@ -434,29 +438,29 @@
         return self._files[name]
 
     def add(
-        self, table: Table, name: str, listen: Address, common: _Common, management: Address | None = None
+        self, table: Table, name: str, listen: Address, common: _CommonSettings, management: Address | None = None
     ) -> None:
         """Check one instance whole, and take it in."""
-        if not NAME.fullmatch(name):
+        if not NAME_PATTERN.fullmatch(name):
             raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
         if name in self.instances:
             raise table.fault("name", f"{name!r} is there twice")
         if listen in self._addresses:
             raise table.fault("listen", f"{listen[0]}:{listen[1]} is also {self._addresses[listen]!r}'s")
-        if not _numeric(listen):
+        if not _is_numeric(listen):
             raise table.fault("listen", "not an IP address and a port from 1 to 65535")
-        if len(self.instances) >= MOST:
-            raise table.fault("", f"more than {MOST} instances")
+        if len(self.instances) >= MAX_INSTANCES:
+            raise table.fault("", f"more than {MAX_INSTANCES} instances")
         if not common.config and not common.command:
             raise table.fault("config", "missing")
-        values = dict(self._load(table, common.config)) if common.config else {}
+        values = dict(self._load_config(table, common.config)) if common.config else {}
         values |= {"name": name, "listen": f"{listen[0]}:{listen[1]}"}
         values["limits"] = {**values.get("limits", {}), "memory_mb": common.memory_mb, "sockets": common.sockets}
         if common.discovery:
             values["discovery"] = common.discovery
         if management is not None:
             values["management"] = "{}:{}".format(*management)
-        self._place(values, common)
+        self._apply_place(values, common)
         if not common.command:
             try:
                 config.check(values)
@@ -466,7 +470,7 @@
         self.instances[name] = InstanceSpec(name, listen, values, common.command, common.memory_mb, common.sockets)
 
     @staticmethod
-    def _place(values: dict[str, Any], common: _Common) -> None:
+    def _apply_place(values: dict[str, Any], common: _CommonSettings) -> None:
         settings = values.get("settings")
         if isinstance(settings, dict):
             if common.zone:
@@ -477,7 +481,7 @@
             values["settings"] = settings
 
 
-def _read_range(table: Table, reader: _Reader, common: _Common) -> None:
+def _read_range(table: Table, reader: _InstanceReader, common: _CommonSettings) -> None:
     pattern = table.text("name")
     if pattern.count("{}") != 1:
         raise table.fault("name", f"{pattern!r} needs one {{}} for the number")
@@ -492,28 +496,28 @@
         reader.add(table, pattern.replace("{}", str(i)), (host, port), own)
 
 
-def _read_place(path: Path, head: Table) -> Place:
+def _read_location(path: Path, head: Table) -> FleetLocation:
     name = head.text("name", "fleet")
-    if not NAME.fullmatch(name):
+    if not NAME_PATTERN.fullmatch(name):
         raise head.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
-    place = Place(name, path, path.parent / head.text("state"))
-    if len(os.fsencode(place.control)) > MAX_SOCKET_PATH:
+    place = FleetLocation(name, path, path.parent / head.text("state"))
+    if len(os.fsencode(place.control_socket)) > MAX_SOCKET_PATH:
         raise head.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
     return place
 
 
-def read_place(path: Path) -> Place:
+def read_location(path: Path) -> FleetLocation:
     """Read of a fleet's file only where the fleet lives; raises ConfigError."""
     path = Path(os.path.abspath(path))
-    return _read_place(path, read_file(path).table("fleet"))
+    return _read_location(path, read_file(path).table("fleet"))
 
 
 def read_spec(path: Path) -> FleetSpec:
     """Read a fleet's file and all that it names; raises ConfigError naming file, line and key."""
     path = Path(os.path.abspath(path))
     spec = build_spec(path, read_file(path))
-    if spec.mesh is not None:
-        read_secret(spec.mesh.secret)
+    if spec.cluster is not None:
+        read_secret(spec.cluster.secret)
     return spec
 
 
@@ -521,15 +525,15 @@
     """A fleet out of its file's values; raises ConfigError naming file, line and key."""
     base = path.parent
     head = root.table("fleet")
-    place = _read_place(path, head)
+    place = _read_location(path, head)
     spawn = head.choice("spawn", "fork", ("fork", "exec"))
     head.done()
     policy = _read_policy(root.table("policy"))
     log = _read_log(root.table("log"), base)
     table = root.table("common")
-    common = _read_common(table, _Common())
+    common = _read_common(table, _CommonSettings())
     table.done()
-    reader = _Reader(base)
+    reader = _InstanceReader(base)
     for table in root.tables("instance"):
         listen, own, name_ = table.address("listen"), _read_common(table, common), table.text("name")
         management = table.address("management") if table.has("management") else None
@@ -537,10 +541,10 @@
         reader.add(table, name_, listen, own, management)
     for table in root.tables("range"):
         _read_range(table, reader, common)
-    comeback = _read_comeback(root, len(reader.instances))
+    comeback = _read_recovery(root, len(reader.instances))
     takeover = _read_takeover(root, reader.instances.values())
-    vigil, comparison, recorded = _read_vigil(root, base)
-    mesh = _read_mesh(root, base)
+    vigil, comparison, recorded = _read_failure_detection(root, base)
+    mesh = _read_cluster(root, base)
     root.done()
     if not reader.instances:
         raise ConfigError(f"{path}: instance: there is none")
@@ -558,7 +562,7 @@
     os.replace(rest, path)
 
 
-def prepare_state(path: Path) -> None:
+def prepare_state_directory(path: Path) -> None:
     """Make the state directory, for its owner only; raises ConfigError where it can't be used."""
     try:
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -26,12 +26,19 @@
 from cometusher.config import Address, ConfigError, read_address
 from cometusher.fleet import process
 from cometusher.fleet.control import ControlError, ControlServer
-from cometusher.fleet.identity import RUNNABLE, Held, Identity, StateLock, read_stat
-from cometusher.fleet.listeners import Listeners, Taken, passed_sockets
-from cometusher.fleet.log_collector import Sink, SinkHandler, Stream, Target
+from cometusher.fleet.identity import RUNNABLE, Identity, LockHeld, StateLock, read_stat
+from cometusher.fleet.listeners import AddressUnavailable, Listeners, passed_sockets
+from cometusher.fleet.log_collector import LogSink, LogSinkHandler, LogTarget, ProcessOutput
 from cometusher.fleet.notify import ServiceManager
 from cometusher.fleet.process import Child
-from cometusher.fleet.spec import FleetSpec, InstanceSpec, as_file, prepare_state, read_spec, write_private
+from cometusher.fleet.spec import (
+    FleetSpec,
+    InstanceSpec,
+    prepare_state_directory,
+    read_spec,
+    serialize_config,
+    write_private,
+)
 from weldroute.fleet import (
     Action,
     CloseListener,
@@ -50,36 +57,36 @@
 
 if TYPE_CHECKING:
     from cometusher.cluster.host import ClusterHost
-    from cometusher.fleet.orphans import Estates
-    from cometusher.fleet.supervisor_state import Memory
-    from cometusher.fleet.watchdog import Watch
+    from cometusher.fleet.orphans import OrphanedRequests
+    from cometusher.fleet.supervisor_state import SupervisorState
+    from cometusher.fleet.watchdog import Watchdog
 
 log = logging.getLogger(__name__)
 
-KEEP = 0.2  # seconds from a change until it is kept
-TICK = 0.1  # seconds
-LOOK = 1.0  # seconds between looks at memory
-PROBE = 1.0  # seconds between readiness checks of a process that is ready...
-PROBE_FRESH = 0.05  # ...and of one that is not yet
-PROBE_TIME = 1.0  # seconds for an answer
-SIGNALS = {
+STATE_WRITE_DELAY = 0.2  # seconds from a change until it is kept
+TICK_INTERVAL = 0.1  # seconds
+MEMORY_CHECK_INTERVAL = 1.0  # seconds between looks at memory
+PROBE_INTERVAL = 1.0  # seconds between readiness checks of a process that is ready...
+STARTING_PROBE_INTERVAL = 0.05  # ...and of one that is not yet
+PROBE_TIMEOUT = 1.0  # seconds for an answer
+COMMAND_SIGNALS = {
     ProcessCommand.TERMINATE: signal.SIGTERM,
     ProcessCommand.KILL: signal.SIGKILL,
     ProcessCommand.RELOAD: signal.SIGHUP,
 }
-PAGE = os.sysconf("SC_PAGE_SIZE")
-MAX_STATUS = 16 * 1024  # bytes of a status line
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
+MAX_STATUS_LINE = 16 * 1024  # bytes of a status line
 
 
-def resident(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Bytes of memory that a process holds; 0 if it is gone."""
     try:
-        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_SIZE
     except (OSError, IndexError):
         return 0
 
 
-def descriptors(pid: int) -> int:
+def descriptor_count(pid: int) -> int:
     """Descriptors that a process holds; 0 if it is gone."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
@@ -87,7 +94,7 @@
         return 0
 
 
-def kernel_kills() -> int:
+def oom_kill_count() -> int:
     """How many processes the kernel has killed for memory since boot (oom_kill of /proc/vmstat)."""
     with contextlib.suppress(OSError, ValueError):
         for line in Path("/proc/vmstat").read_text().splitlines():
@@ -96,20 +103,20 @@
     return 0
 
 
-def counts(values: Any) -> dict[str, int]:
+def integer_values(values: Any) -> dict[str, int]:
     """What a process tells in whole numbers, out of whatever it wrote."""
     return {k: v for k, v in values.items() if isinstance(v, int)} if isinstance(values, dict) else {}
 
 
-class Answer(Enum):
+class ProbeResult(Enum):
     """To a readiness check."""
 
     UP = "up"
-    WAITS = "waits"  # it is well, and has nothing to serve from yet
-    NONE = "none"  # no answer, not up, or another's
+    WAITING = "waits"  # it is well, and has nothing to serve from yet
+    FAILED = "none"  # no answer, not up, or another's
 
 
-async def probe(address: tuple[str, int], mark: bytes) -> Answer:
+async def probe(address: tuple[str, int], mark: bytes) -> ProbeResult:
     """One readiness check: `GET /up` over the listener, answered with 200 by the process that is meant.
 
     During a replacement two processes accept from one listener; the header X-Instance tells which answered. A
@@ -120,7 +127,7 @@
     with socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setblocking(False)
         try:
-            async with asyncio.timeout(PROBE_TIME):
+            async with asyncio.timeout(PROBE_TIMEOUT):
                 await loop.sock_connect(sock, (host, address[1]))
                 await loop.sock_sendall(sock, b"GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n")
                 head = b""
@@ -130,14 +137,14 @@
                         break
                     head += data
         except (OSError, TimeoutError):
-            return Answer.NONE
+            return ProbeResult.FAILED
     status, *rows = head.partition(b"\r\n\r\n")[0].split(b"\r\n")
     values = {name.strip().lower(): value.strip() for name, _, value in (row.partition(b":") for row in rows)}
     if values.get(b"x-instance", mark) != mark:
-        return Answer.NONE
+        return ProbeResult.FAILED
     if status.split(b" ")[1:2] == [b"200"]:
-        return Answer.UP
-    return Answer.WAITS if values.get(b"x-comeback") == b"nothing" else Answer.NONE
+        return ProbeResult.UP
+    return ProbeResult.WAITING if values.get(b"x-comeback") == b"nothing" else ProbeResult.FAILED
 
 
 class Supervisor:
@@ -146,26 +153,26 @@
     def __init__(self, spec: FleetSpec, environ: Mapping[str, str]) -> None:
         self.spec = spec
         self.loop = asyncio.get_running_loop()
-        herd = spec.comeback.herd if spec.comeback is not None else None
+        herd = spec.recovery.correlation if spec.recovery is not None else None
         self.fleet = Fleet(spec.policy, secrets.randbits(64), herd)
-        self.memory: Memory | None = None
-        self.estates: Estates | None = None
-        self.watch: Watch | None = None
-        self.mesh: ClusterHost | None = None
-        self._keep_due = False
+        self.stored_state: SupervisorState | None = None
+        self.orphans: OrphanedRequests | None = None
+        self.watchdog: Watchdog | None = None
+        self.cluster: ClusterHost | None = None
+        self._state_write_due = False
         self.children: dict[Key, Child] = {}
         self.manager = ServiceManager(environ)
         self.listeners = Listeners(passed_sockets(environ))
-        self.sink = Sink(self.loop, Target(spec.log), spec.place.name)
-        self.control = ControlServer(spec.place.control, self._serve)
-        self._waiting: dict[int, asyncio.Future[OperationDone]] = {}
+        self.sink = LogSink(self.loop, LogTarget(spec.log), spec.location.name)
+        self.control = ControlServer(spec.location.control_socket, self._handle_request)
+        self._operation_futures: dict[int, asyncio.Future[OperationDone]] = {}
         self._probes: dict[Key, asyncio.Task[None]] = {}
         self._reloads: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
-        self._look_at = 0.0
-        self._kills = [kernel_kills()] * 2  # at the last two looks
+        self._memory_check_at = 0.0
+        self._oom_kills = [oom_kill_count()] * 2  # at the last two looks
         self._roster_due = False
-        handler = SinkHandler(self.sink, spec.place.name)
+        handler = LogSinkHandler(self.sink, spec.location.name)
         logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
 
     # ---- life ----------------------------------------------------------------------------
@@ -175,27 +182,33 @@
 
         Raises Taken, OSError or ConfigError.
         """
-        if self.spec.comeback is not None:
-            from cometusher.fleet.supervisor_state import Memory
+        if self.spec.recovery is not None:
+            from cometusher.fleet.supervisor_state import SupervisorState
 
-            self.memory = Memory(self.spec)
+            self.stored_state = SupervisorState(self.spec)
         if self.spec.takeover is not None:
-            from cometusher.fleet.orphans import Estates
+            from cometusher.fleet.orphans import OrphanedRequests
 
-            self.estates = Estates(self.spec.takeover, self.loop, self._heirs)
-        if self.spec.vigil is not None:
-            from cometusher.fleet.observations import Recorder
-            from cometusher.fleet.watchdog import Watch
+            self.orphans = OrphanedRequests(self.spec.takeover, self.loop, self._successors)
+        if self.spec.failure_detection is not None:
+            from cometusher.fleet.observations import ObservationRecorder
+            from cometusher.fleet.watchdog import Watchdog
 
-            self.watch = Watch(self.spec.vigil, self.spec.comparison, self.loop, self, self.estates is not None)
-            if self.spec.recorded is not None:
-                self.watch.recorder = Recorder(self.spec.recorded.path, self.spec.recorded.most)
-        if self.spec.mesh is not None:
+            self.watchdog = Watchdog(
+                self.spec.failure_detection, self.spec.outliers, self.loop, self, self.orphans is not None
+            )
+            if self.spec.observation_file is not None:
+                self.watchdog.recorder = ObservationRecorder(
+                    self.spec.observation_file.path, self.spec.observation_file.max_bytes
+                )
+        if self.spec.cluster is not None:
             from cometusher.cluster.host import ClusterHost
 
-            self.mesh = ClusterHost(self.spec.mesh, self.spec.place.name, self.loop, self._doors)
-            self.fleet.may_begin_step = self.mesh.may_roll_out
-        await self._settle_predecessor()
+            self.cluster = ClusterHost(
+                self.spec.cluster, self.spec.location.name, self.loop, self._management_addresses
+            )
+            self.fleet.may_begin_step = self.cluster.may_roll_out
+        await self._end_predecessor()
         for one in self.spec.instances.values():
             self.listeners.get(one.name, one.listen)
         await self.control.start()
@@ -205,37 +218,37 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self._reload_by_signal)
-        self.loop.add_signal_handler(signal.SIGUSR1, self._reopen)
+        self.loop.add_signal_handler(signal.SIGUSR1, self._reopen_log)
         # What is alive now is shared with every process that is forked, as long as no collection walks it.
         gc.collect()
         gc.freeze()
         now = self.loop.time()
-        wanted = self._take_up(now, list(names))
+        wanted = self._restore_instances(now, list(names))
         for name in set(self.spec.instances) - set(wanted):
             self.listeners.release(name)
         self._tick()
-        if self.watch is not None:
-            self.watch.start()
-        if self.mesh is not None:
-            await self.mesh.start()
+        if self.watchdog is not None:
+            self.watchdog.start()
+        if self.cluster is not None:
+            await self.cluster.start()
         log.info("supervisor %d of %d instances starts", os.getpid(), len(self.spec.instances))
-        done = await self._finish(self.fleet.start(now, wanted))
+        done = await self._begin_operation(self.fleet.start(now, wanted))
         if not self.fleet.is_shutting_down:
             self.manager.ready(done.text)
         return done
 
-    def _take_up(self, now: float, names: list[str]) -> list[str]:
+    def _restore_instances(self, now: float, names: list[str]) -> list[str]:
         """Add all instances; returns those to start: where an earlier supervisor was killed, as it had them."""
-        memory = self.memory
+        memory = self.stored_state
         for name, one in self.spec.instances.items():
-            past = memory.past if memory is not None else None
+            past = memory.prior if memory is not None else None
             self.fleet.add(now, name, past.generations.get(name, 0) if past is not None else 0, one.tier)
             if past is not None:
                 self.fleet.instances[name].restarts = past.restarts.get(name, 0)
         wanted = names or list(self.spec.instances)
         if memory is None or self.fleet.failure_correlator is None:
             return wanted
-        past = memory.past
+        past = memory.prior
         if past.unclean and not names:
             wanted = [name for name in wanted if past.wanted.get(name, True) and name not in past.failed]
             for name in set(past.failed) & set(self.spec.instances):
@@ -244,26 +257,26 @@
         cause = "the supervisor before ended without order" if past.unclean else "start"
         self.fleet.failure_correlator.on_unclean_start(now, wanted, len(self.spec.instances), cause)
         log.info("epoch %d: %s", memory.epoch, cause, extra={"event": "epoch"})
-        self._keep()
+        self._schedule_state_write()
         return wanted
 
-    async def ended(self) -> None:
+    async def wait_ended(self) -> None:
         """Wait for the end, and clean up."""
         await self._ended.wait()
         for task in self._probes.values():
             task.cancel()
-        if self.mesh is not None:
-            await self.mesh.close()
+        if self.cluster is not None:
+            await self.cluster.close()
         await self.control.stop()
         self.listeners.release_all()
         with contextlib.suppress(OSError):
-            self.spec.place.roster.unlink()
-        if self.memory is not None:
-            self.memory.close(self.fleet)
-        if self.watch is not None:
-            self.watch.close()
-        if self.estates is not None:
-            self.estates.close()
+            self.spec.location.roster.unlink()
+        if self.stored_state is not None:
+            self.stored_state.close(self.fleet)
+        if self.watchdog is not None:
+            self.watchdog.close()
+        if self.orphans is not None:
+            self.orphans.close()
         log.info("supervisor stopped")
         self.sink.close()
 
@@ -272,12 +285,12 @@
         if not self.fleet.is_shutting_down:
             log.info("stopping")
             self.manager.stopping()
-            if self.watch is not None:
-                self.watch.released(self.spec.instances)
+            if self.watchdog is not None:
+                self.watchdog.on_listeners_closing(self.spec.instances)
             self.listeners.release_all()
-            self._do(self.fleet.shutdown(self.loop.time()))
+            self._execute(self.fleet.shutdown(self.loop.time()))
 
-    async def _settle_predecessor(self) -> None:
+    async def _end_predecessor(self) -> None:
         """Wait for what a supervisor that was killed has left behind, and end what does not end by itself.
 
         Its instances have noticed by their lifelines and are ending in order. One that is stopped or hung can't
@@ -285,145 +298,156 @@
         """
         left = []
         with contextlib.suppress(OSError, orjson.JSONDecodeError):
-            rows = orjson.loads(self.spec.place.roster.read_bytes())
-            found = [Identity.read(row) for row in rows] if isinstance(rows, list) else []
-            left = [one for one in found if one is not None and one.uid == os.geteuid() and one.alive()]
+            rows = orjson.loads(self.spec.location.roster.read_bytes())
+            found = [Identity.parse(row) for row in rows] if isinstance(rows, list) else []
+            left = [one for one in found if one is not None and one.uid == os.geteuid() and one.is_alive()]
         if not left:
             return
         log.warning("%d processes of an earlier supervisor are ending", len(left))
         deadline = self.loop.time() + self.spec.policy.stop_within
         while left and self.loop.time() < deadline:
             await asyncio.sleep(0.05)
-            left = [one for one in left if one.alive()]
+            left = [one for one in left if one.is_alive()]
         for one in left:
             log.warning("pid %d of an earlier supervisor does not end; killed", one.pid)
             one.signal(signal.SIGKILL)
-        while any(one.alive() for one in left):
+        while any(one.is_alive() for one in left):
             await asyncio.sleep(0.02)
 
     def _tick(self) -> None:
         now = self.loop.time()
-        self.manager.beat(now)
-        if now >= self._look_at:
-            self._look_at = now + LOOK
-            self._look(now)
+        self.manager.feed_watchdog(now)
+        if now >= self._memory_check_at:
+            self._memory_check_at = now + MEMORY_CHECK_INTERVAL
+            self._check_memory(now)
         for name, generation in self.fleet.silent_processes(now):
             child = self.children.get((name, generation))
             stat = read_stat(child.pid) if child is not None else None
             if stat is not None:
                 self.fleet.on_cpu_time(now, name, generation, stat.cpu, stat.state == RUNNABLE)
-        if self.mesh is not None:
-            self.mesh.request_rollout(self.fleet.has_rolling_operation)
-        self._do(self.fleet.tick(now))
+        if self.cluster is not None:
+            self.cluster.request_rollout(self.fleet.has_rolling_operation)
+        self._execute(self.fleet.tick(now))
         if not self._ended.is_set():
-            self.loop.call_later(TICK, self._tick)
+            self.loop.call_later(TICK_INTERVAL, self._tick)
 
-    def _look(self, now: float) -> None:
+    def _check_memory(self, now: float) -> None:
         """Memory of all, and what the kernel has killed."""
-        self._kills = [self._kills[1], kernel_kills()]
+        self._oom_kills = [self._oom_kills[1], oom_kill_count()]
         for child in list(self.children.values()):
             one = self.spec.instances.get(child.name)
             limit = one.memory_mb * 1024 * 1024 if one is not None else 0
-            held = resident(child.pid)
+            held = resident_bytes(child.pid)
             if limit and held > limit:
                 text = f"{held >> 20} MB, over {limit >> 20} MB"
-                self._do(self.fleet.on_memory_exceeded(now, child.name, child.generation, text))
+                self._execute(self.fleet.on_memory_exceeded(now, child.name, child.generation, text))
 
     # ---- actions -------------------------------------------------------------------------
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Spawn):
                 self._spawn(action)
             elif isinstance(action, SendCommand):
-                self._tell(action)
+                self._send_command(action)
             elif isinstance(action, CloseListener):
-                if self.watch is not None:
-                    self.watch.released([action.name])
+                if self.watchdog is not None:
+                    self.watchdog.on_listeners_closing([action.name])
                 self.listeners.release(action.name)
             elif isinstance(action, Notice):
                 level = logging.WARNING if action.is_problem else logging.INFO
                 log.log(level, "%s", action.text, extra={"event": action.event, "instance": action.name or None})
-                self._keep()
+                self._schedule_state_write()
             else:
-                self._done(action)
+                self._on_operation_done(action)
         if self.fleet.has_stopped and not self.children:
             self._ended.set()
 
-    def _done(self, done: OperationDone) -> None:
+    def _on_operation_done(self, done: OperationDone) -> None:
         log.log(logging.INFO if done.ok else logging.WARNING, "%s", done.text, extra={"event": "operation"})
-        future = self._waiting.pop(done.operation, None)
+        future = self._operation_futures.pop(done.operation, None)
         if future is not None and not future.done():
             future.set_result(done)
 
-    def _finish(self, begun: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
+    def _begin_operation(self, begun: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
         """The end of an operation that has just begun."""
         ident, actions = begun
-        future = self._waiting[ident] = self.loop.create_future()
-        self._do(actions)
+        future = self._operation_futures[ident] = self.loop.create_future()
+        self._execute(actions)
         return future
 
     def _spawn(self, action: Spawn) -> None:
         one = self.spec.instances.get(action.name)
         try:
             if one is None:
-                raise Taken("no longer in the file")
+                raise AddressUnavailable("no longer in the file")
             listener = self.listeners.get(one.name, one.listen)
             child = self._start_process(one, action.generation, listener)
-        except (OSError, Taken) as fault:
+        except (OSError, AddressUnavailable) as fault:
             text = f"could not be started: {fault}"
-            self._do(self.fleet.on_spawn_failed(self.loop.time(), action.name, action.generation, text))
+            self._execute(self.fleet.on_spawn_failed(self.loop.time(), action.name, action.generation, text))
             return
         self.children[child.name, child.generation] = child
-        stream = Stream(self.sink, child.name, child.log)
-        self.loop.add_reader(child.log, self._read_log, child, stream)
-        self.loop.add_reader(child.status, self._read_status, child)
-        self.loop.add_reader(child.pidfd, self._reap, child, stream)
+        stream = ProcessOutput(self.sink, child.name, child.log_fd)
+        self.loop.add_reader(child.log_fd, self._read_log, child, stream)
+        self.loop.add_reader(child.status_fd, self._read_status, child)
+        self.loop.add_reader(child.pidfd, self._on_child_exit, child, stream)
         self._write_roster()
 
     def _start_process(self, one: InstanceSpec, generation: int, listener: socket.socket) -> Child:
-        more = self._returning(one.name)
+        more = self._recovery_values(one.name)
         if one.command:
             return process.spawn(self.spec, one, generation, listener, more)
-        if self.watch is None:
-            return self._start_covered(one, generation, listener, more, {})
-        row = self.watch.board.take()
+        if self.watchdog is None:
+            return self._start_with_takeover(one, generation, listener, more, {})
+        row = self.watchdog.board.allocate()
         try:
-            child = self._start_covered(one, generation, listener, more | self.watch.told(row), self.watch.pass_on())
+            child = self._start_with_takeover(
+                one,
+                generation,
+                listener,
+                more | self.watchdog.heartbeat_values(row),
+                self.watchdog.child_descriptors(),
+            )
         except OSError:
-            self.watch.board.give(row)
+            self.watchdog.board.release(row)
             raise
-        child.row = row
+        child.board_row = row
         return child
 
-    def _start_covered(
+    def _start_with_takeover(
         self, one: InstanceSpec, generation: int, listener: socket.socket, more: dict[str, Any], given: dict[int, int]
     ) -> Child:
-        if self.estates is None:
+        if self.orphans is None:
             return process.spawn(self.spec, one, generation, listener, more, given)
-        holding = self.estates.make(one.name, one.tier, one.listen[1])
+        holding = self.orphans.allocate(one.name, one.tier, one.listen[1])
         try:
             child = process.spawn(
-                self.spec, one, generation, listener, more | self.estates.told(holding), given | holding.pass_on()
+                self.spec,
+                one,
+                generation,
+                listener,
+                more | self.orphans.assignment_values(holding),
+                given | holding.child_descriptors(),
             )
         except OSError:
-            self.estates.dropped(holding)
+            self.orphans.on_spawn_failed(holding)
             raise
-        child.holding = holding
-        self.estates.started(holding)
+        child.resources = holding
+        self.orphans.on_started(holding)
         return child
 
     # ---- what the watch asks for: `cometusher.fleet.watchdog.Hands` --------------------------
 
-    def watched(self) -> list[tuple[Child, Phase]]:
+    def processes_with_heartbeat(self) -> list[tuple[Child, Phase]]:
         """Processes that beat or are about to, and how far they are.
 
         None while the fleet ends: what a killed one leaves then nobody inherits, and it may yet answer by itself.
         """
-        ones = self._in_phases() if not self.fleet.is_shutting_down else ()
-        return [(child, phase) for child, phase in ones if child.row >= 0]
+        ones = self._processes_with_phase() if not self.fleet.is_shutting_down else ()
+        return [(child, phase) for child, phase in ones if child.board_row >= 0]
 
-    def wanted(self) -> int:
+    def wanted_count(self) -> int:
         """How many instances should run."""
         return sum(instance.should_run for instance in self.fleet.instances.values())
 
@@ -431,50 +455,50 @@
         """What an instance's callers connect to, while it is open here."""
         return self.listeners.find(name)
 
-    def pass_on(self, key: Key, connections: list[socket.socket], itself: bool = False) -> None:
+    def distribute(self, key: Key, connections: list[socket.socket], itself: bool = False) -> None:
         """Connections that were accepted for a process go to others of its tier, or to it."""
         child = self.children.get(key)
-        if self.estates is None or child is None or child.holding is None:
+        if self.orphans is None or child is None or child.resources is None:
             for one in connections:
                 one.close()
             return
-        self.estates.accepted(child.holding, connections, itself)
+        self.orphans.distribute_accepted(child.resources, connections, itself)
 
-    def tier(self, name: str) -> int:
+    def tier_of(self, name: str) -> int:
         """Of an instance."""
         one = self.spec.instances.get(name)
         return one.tier if one is not None else 0
 
     def replace(self, key: Key, why: str) -> None:
         """Have a process killed, and followed by another."""
-        self._do(self.fleet.on_stalled(self.loop.time(), *key, why))
+        self._execute(self.fleet.on_stalled(self.loop.time(), *key, why))
 
-    def _in_phases(self) -> Iterator[tuple[Child, Phase]]:
+    def _processes_with_phase(self) -> Iterator[tuple[Child, Phase]]:
         for (name, generation), child in self.children.items():
             instance = self.fleet.instances.get(name)
             at = instance.find_process(generation) if instance is not None else None
             if at is not None:
                 yield child, at.phase
 
-    def _heirs(self, tier: int) -> list[tuple[int, int]]:
+    def _successors(self, tier: int) -> list[tuple[int, int]]:
         """Who could inherit in a tier: processes, and the requests that they have in hand."""
         found = []
-        for child, phase in self._in_phases():
+        for child, phase in self._processes_with_phase():
             one = self.spec.instances.get(child.name)
-            if phase is Phase.READY and child.holding is not None and one is not None and one.tier == tier:
-                found.append((child.holding.process, int(child.figures.get("open", 0))))
+            if phase is Phase.READY and child.resources is not None and one is not None and one.tier == tier:
+                found.append((child.resources.process, int(child.request_counters.get("open", 0))))
         return [] if self.fleet.is_shutting_down else found
 
-    def _doors(self) -> Iterator[tuple[Key, Address]]:
+    def _management_addresses(self) -> Iterator[tuple[Key, Address]]:
         """Processes that are ready, and where operators call them, if they can."""
-        for child, phase in self._in_phases():
+        for child, phase in self._processes_with_phase():
             door = child.spec.values.get("management")
             if phase is Phase.READY and door:
                 yield (child.name, child.generation), read_address(str(door), "management")
 
-    def _returning(self, name: str) -> dict[str, Any]:
+    def _recovery_values(self, name: str) -> dict[str, Any]:
         """What a process is told of its return, as a part of its file."""
-        spec, memory, herd = self.spec.comeback, self.memory, self.fleet.failure_correlator
+        spec, memory, herd = self.spec.recovery, self.stored_state, self.fleet.failure_correlator
         if spec is None or memory is None or herd is None:
             return {}
         from cometusher.recovery import RecoveryConfig, write_recovery_config
@@ -482,59 +506,59 @@
         plan = replace(
             spec.plan, instances=len(self.fleet.instances), returning=herd.recovering_count(self.loop.time(), name)
         )
-        owner = Owner(self.spec.place.name, name, memory.epoch)
-        known = memory.known(name)
+        owner = Owner(self.spec.location.name, name, memory.epoch)
+        known = memory.known_versions(name)
         return {
             "comeback": write_recovery_config(
                 RecoveryConfig(
-                    plan, spec.limits, owner, self.spec.place.records(name), known, memory.orders.get(name)
+                    plan, spec.limits, owner, self.spec.location.records_file(name), known, memory.orders.get(name)
                 )
             )
         }
 
-    def _keep(self) -> None:
+    def _schedule_state_write(self) -> None:
         """Have the fleet's state kept, soon and once for many changes."""
-        if self.memory is not None and not self._keep_due:
-            self._keep_due = True
-            self.loop.call_later(KEEP, self._keep_now)
+        if self.stored_state is not None and not self._state_write_due:
+            self._state_write_due = True
+            self.loop.call_later(STATE_WRITE_DELAY, self._write_state)
 
-    def _keep_now(self) -> None:
-        self._keep_due = False
-        if self.memory is not None and not self._ended.is_set():
-            self.memory.write(self.fleet)
+    def _write_state(self) -> None:
+        self._state_write_due = False
+        if self.stored_state is not None and not self._ended.is_set():
+            self.stored_state.write(self.fleet)
 
-    def _tell(self, action: SendCommand) -> None:
+    def _send_command(self, action: SendCommand) -> None:
         child = self.children.get((action.name, action.generation))
         if child is None:
             return
         if action.command is ProcessCommand.RELOAD:
             # One that is no longer in the file will be removed; it has nothing to take over.
-            child.told = self.spec.instances.get(action.name, child.spec)
+            child.requested_spec = self.spec.instances.get(action.name, child.spec)
             try:
-                content = as_file(child.told.placed(child.place))
-                write_private(self.spec.place.instance_file(action.name), content)
+                content = serialize_config(child.requested_spec.at_ring_position(child.ring_position))
+                write_private(self.spec.location.instance_file(action.name), content)
             except OSError as fault:
                 text = f"its file can't be written: {fault.strerror}"
-                self._do(self.fleet.on_reloaded(self.loop.time(), action.name, action.generation, text))
+                self._execute(self.fleet.on_reloaded(self.loop.time(), action.name, action.generation, text))
                 return
-        child.signal(SIGNALS[action.command])
+        child.signal(COMMAND_SIGNALS[action.command])
 
     # ---- processes -----------------------------------------------------------------------
 
-    def _read_log(self, child: Child, stream: Stream) -> None:
+    def _read_log(self, child: Child, stream: ProcessOutput) -> None:
         if not stream.read():
-            self.loop.remove_reader(child.log)
+            self.loop.remove_reader(child.log_fd)
 
     def _read_status(self, child: Child) -> None:
         try:
-            data = os.read(child.status, 65536)
+            data = os.read(child.status_fd, 65536)
         except BlockingIOError:
             return
         if not data:
-            self.loop.remove_reader(child.status)
+            self.loop.remove_reader(child.status_fd)
             return
-        *lines, child.rest = (child.rest + data).split(b"\n")
-        child.rest = child.rest[:MAX_STATUS]
+        *lines, child.partial_line = (child.partial_line + data).split(b"\n")
+        child.partial_line = child.partial_line[:MAX_STATUS_LINE]
         for line in lines:
             try:
                 values = orjson.loads(line)
@@ -542,44 +566,49 @@
             except (orjson.JSONDecodeError, KeyError, TypeError):
                 log.warning("%s: a status line can't be read", child.name)
                 continue
-            self._status(child, event, values)
+            self._on_status(child, event, values)
 
-    def _status(self, child: Child, event: str, values: dict[str, Any]) -> None:
+    def _on_status(self, child: Child, event: str, values: dict[str, Any]) -> None:
         now = self.loop.time()
         if event == "beat":
-            child.figures, child.hand = counts(values), counts(values.get("hand"))
-            finished = sum(v for k, v in child.figures.items() if k != "open")
+            child.request_counters, child.inflight_counters = (
+                integer_values(values),
+                integer_values(values.get("hand")),
+            )
+            finished = sum(v for k, v in child.request_counters.items() if k != "open")
             self.fleet.on_heartbeat(now, child.name, child.generation, finished)
         elif event == "ready":
             if (child.name, child.generation) not in self._probes:
                 self._probes[child.name, child.generation] = self.loop.create_task(self._probe(child))
-            self._reached(child, "up")
-            self._do(self.fleet.on_ready(now, child.name, child.generation))
+            self._on_recovery_phase(child, "up")
+            self._execute(self.fleet.on_ready(now, child.name, child.generation))
         elif event == "comeback":
-            self._comes_back(child, values)
-        elif event == "declined" and self.estates is not None and child.holding is not None:
-            self.estates.declined(child.holding, values)
+            self._on_recovery_status(child, values)
+        elif event == "declined" and self.orphans is not None and child.resources is not None:
+            self.orphans.on_declined(child.resources, values)
         elif event == "reloaded":
             why = values.get("why")
             if why is None:
-                child.spec = child.told
-            self._do(self.fleet.on_reloaded(now, child.name, child.generation, None if why is None else str(why)))
+                child.spec = child.requested_spec
+            self._execute(
+                self.fleet.on_reloaded(now, child.name, child.generation, None if why is None else str(why))
+            )
 
-    def _comes_back(self, child: Child, values: dict[str, Any]) -> None:
+    def _on_recovery_status(self, child: Child, values: dict[str, Any]) -> None:
         """An instance tells of its return."""
-        if self.memory is None or self.fleet.failure_correlator is None:
+        if self.stored_state is None or self.fleet.failure_correlator is None:
             return
-        if self.memory.hear(child.name, values):
-            self._keep()
-        child.comeback = {k: v for k, v in values.items() if k not in ("event", "standing")}
+        if self.stored_state.on_recovery_status(child.name, values):
+            self._schedule_state_write()
+        child.recovery_status = {k: v for k, v in values.items() if k not in ("event", "standing")}
         keys = ("connects", "held", "refused", "dropped")
         costs = {key: count for key in keys if isinstance(count := values.get(key), int)}
         self.fleet.failure_correlator.on_costs(child.name, costs)
         for phase in ("known", "first", "full"):
             if values.get(phase) is not None:
-                self._reached(child, phase)
+                self._on_recovery_phase(child, phase)
 
-    def _reached(self, child: Child, phase: str) -> None:
+    def _on_recovery_phase(self, child: Child, phase: str) -> None:
         herd, now = self.fleet.failure_correlator, self.loop.time()
         found = herd.on_phase(now, child.name, phase) if herd is not None else None
         if found is not None:
@@ -602,14 +631,14 @@
             if one is None or found is None or found.phase not in (Phase.STARTING, Phase.READY):
                 return
             answer = await probe(one.listen, mark)
-            if answer is Answer.UP:
-                self._do(self.fleet.on_check_answered(self.loop.time(), child.name, child.generation))
-            elif answer is Answer.WAITS:
+            if answer is ProbeResult.UP:
+                self._execute(self.fleet.on_check_answered(self.loop.time(), child.name, child.generation))
+            elif answer is ProbeResult.WAITING:
                 self.fleet.on_waiting_for_backends(self.loop.time(), child.name, child.generation)
             fresh = found.phase is Phase.STARTING
-            await asyncio.sleep(PROBE_FRESH if fresh else PROBE)
+            await asyncio.sleep(STARTING_PROBE_INTERVAL if fresh else PROBE_INTERVAL)
 
-    def _reap(self, child: Child, stream: Stream) -> None:
+    def _on_child_exit(self, child: Child, stream: ProcessOutput) -> None:
         """A process has ended: what it left in its group ends too, and then it is forgotten."""
         self.loop.remove_reader(child.pidfd)
         child.signal_group(signal.SIGKILL)
@@ -618,26 +647,26 @@
         for _ in range(64):  # what it still said; bounded, for another may hold the pipe's other end
             if not stream.read():
                 break
-        for descriptor in (child.log, child.status):
+        for descriptor in (child.log_fd, child.status_fd):
             self.loop.remove_reader(descriptor)
         del self.children[child.name, child.generation]
         probe = self._probes.pop((child.name, child.generation), None)
         if probe is not None:
             probe.cancel()  # its question would be answered by the next process
         child.close()
-        if self.watch is not None and child.row >= 0:
-            self.watch.reaped((child.name, child.generation), child.row)
-        if self.estates is not None and child.holding is not None:
-            self.estates.reaped(child.holding)
+        if self.watchdog is not None and child.board_row >= 0:
+            self.watchdog.on_reaped((child.name, child.generation), child.board_row)
+        if self.orphans is not None and child.resources is not None:
+            self.orphans.on_reaped(child.resources)
         self._write_roster()
-        self._do(self.fleet.on_exit(self.loop.time(), child.name, child.generation, self._exit(status)))
+        self._execute(self.fleet.on_exit(self.loop.time(), child.name, child.generation, self._exit_status(status)))
 
-    def _exit(self, status: int) -> ExitStatus:
+    def _exit_status(self, status: int) -> ExitStatus:
         code = os.waitstatus_to_exitcode(status)
         if code >= 0:
             return ExitStatus(code=code)
         # Counted for the whole machine: told apart by time, so another's end for memory could pass for ours.
-        by_kernel = -code == signal.SIGKILL and kernel_kills() > self._kills[0]
+        by_kernel = -code == signal.SIGKILL and oom_kill_count() > self._oom_kills[0]
         return ExitStatus(signal=-code, out_of_memory=by_kernel)
 
     def _write_roster(self) -> None:
@@ -652,7 +681,7 @@
             return
         rows = [child.identity.as_values() | {"name": child.name} for child in self.children.values()]
         try:
-            write_private(self.spec.place.roster, orjson.dumps(rows))
+            write_private(self.spec.location.roster, orjson.dumps(rows))
         except OSError as fault:
             log.error("the roster can't be written: %s", fault)
 
@@ -673,37 +702,37 @@
         A file that can't be used changes nothing. Instances take over what they can while they run; others are
         replaced, a few at a time.
         """
-        self._not_ending()
+        self._require_running()
         try:
-            fresh = read_spec(self.spec.place.path)
+            fresh = read_spec(self.spec.location.file)
             self._check_change(fresh)
-        except (ConfigError, Taken) as fault:
+        except (ConfigError, AddressUnavailable) as fault:
             log.error("the configuration stays as it was: %s", fault, extra={"event": "reload_refused"})
             raise ControlError(str(fault)) from None
         self.manager.reloading()
         old, self.spec = self.spec, fresh
         self.fleet.policy = fresh.policy
-        if self.watch is not None and fresh.vigil is not None:
-            self.watch.vigil.policy = fresh.vigil
-            self.watch.vigil.outlier_detector.policy = fresh.comparison
-        if self.fleet.failure_correlator is not None and fresh.comeback is not None:
-            self.fleet.failure_correlator.policy = fresh.comeback.herd
+        if self.watchdog is not None and fresh.failure_detection is not None:
+            self.watchdog.detector.policy = fresh.failure_detection
+            self.watchdog.detector.outlier_detector.policy = fresh.outliers
+        if self.fleet.failure_correlator is not None and fresh.recovery is not None:
+            self.fleet.failure_correlator.policy = fresh.recovery.correlation
         steps = [(name, Step.REMOVE) for name in old.instances if name not in fresh.instances]
         for name, one in fresh.instances.items():
-            step = self._step_to(one, old.instances.get(name))
+            step = self._required_step(one, old.instances.get(name))
             if step is not None:
                 steps.append((name, step))
         now = self.loop.time()
         log.info("the configuration was read again; %d instances change", len(steps), extra={"event": "reload"})
-        done = await self._finish(self.fleet.reload(now, steps))
+        done = await self._begin_operation(self.fleet.reload(now, steps))
         for name in old.instances:
             if name not in self.spec.instances and name not in self.fleet.instances:
                 with contextlib.suppress(OSError):
-                    self.spec.place.instance_file(name).unlink()
+                    self.spec.location.instance_file(name).unlink()
         self.manager.ready(done.text)
         return done
 
-    def _step_to(self, one: InstanceSpec, before: InstanceSpec | None) -> Step | None:
+    def _required_step(self, one: InstanceSpec, before: InstanceSpec | None) -> Step | None:
         """The least that brings an instance to a configuration.
 
         What its process runs with counts, not what the file said last: a reload that halted has left some behind.
@@ -722,48 +751,50 @@
         """Raise for what can't change while the fleet runs, and take the addresses of what is added."""
         old = self.spec
         for key, before, after in (
-            ("fleet.name", old.place.name, fresh.place.name),
-            ("fleet.state", old.place.state, fresh.place.state),
+            ("fleet.name", old.location.name, fresh.location.name),
+            ("fleet.state", old.location.state_directory, fresh.location.state_directory),
             ("fleet.spawn", old.spawn, fresh.spawn),
             ("log", old.log, fresh.log),
-            ("mesh", old.mesh, fresh.mesh),
+            ("mesh", old.cluster, fresh.cluster),
         ):
             if before != after:
-                raise ConfigError(f"{fresh.place.path}: {key}: {after} instead of {before} needs a new start")
+                raise ConfigError(f"{fresh.location.file}: {key}: {after} instead of {before} needs a new start")
         for key, was, now in (
-            ("comeback", old.comeback, fresh.comeback),
+            ("comeback", old.recovery, fresh.recovery),
             ("takeover", old.takeover, fresh.takeover),
-            ("vigil", old.vigil, fresh.vigil),
+            ("vigil", old.failure_detection, fresh.failure_detection),
         ):
             if (was is None) is not (now is None):
-                raise ConfigError(f"{fresh.place.path}: {key}: switching it on or off needs a new start")
+                raise ConfigError(f"{fresh.location.file}: {key}: switching it on or off needs a new start")
         added = []
         for name, one in fresh.instances.items():
             running = old.instances.get(name)
             if running is not None and running.listen != one.listen:
-                raise ConfigError(f"{fresh.place.path}: {name}: listen: can't change; give the instance another name")
+                raise ConfigError(
+                    f"{fresh.location.file}: {name}: listen: can't change; give the instance another name"
+                )
             if running is None:
                 added.append(one)
         try:
             for one in added:
                 self.listeners.get(one.name, one.listen)
-        except Taken:
+        except AddressUnavailable:
             for one in added:
                 self.listeners.release(one.name)
             raise
 
-    def _reopen(self) -> None:
+    def _reopen_log(self) -> None:
         self.sink.target.reopen()
         log.info("the log was opened again", extra={"event": "reopened"})
 
     # ---- control -------------------------------------------------------------------------
 
-    async def _serve(self, command: str, request: dict[str, Any]) -> dict[str, Any]:
+    async def _handle_request(self, command: str, request: dict[str, Any]) -> dict[str, Any]:
         names = request.get("names") or []
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
             raise ControlError("names: not a list of names")
         if command in ("members", "leases", "bans", "ban", "unban"):
-            return self._serve_mesh(command, names)
+            return self._handle_cluster_request(command, names)
         unknown = [name for name in names if name not in self.fleet.instances]
         if unknown:
             raise ControlError(f"no such instance: {', '.join(map(repr, unknown[:5]))}")
@@ -771,7 +802,7 @@
             return self.status(names)
         if command == "explain":
             return self._explain(names)
-        self._not_ending()
+        self._require_running()
         now = self.loop.time()
         if command == "start":
             begun = self.fleet.start(now, names or list(self.fleet.instances))
@@ -784,14 +815,14 @@
             return {"text": "stopping", "pid": os.getpid(), "within": self.spec.policy.stop_within}
         elif command == "reload":
             done = await self.reload()
-            return self._told(done)
+            return self._operation_reply(done)
         else:
             raise ControlError(f"unknown command {command!r}")
-        return self._told(await self._finish(begun))
+        return self._operation_reply(await self._begin_operation(begun))
 
-    def _serve_mesh(self, command: str, names: list[str]) -> dict[str, Any]:
+    def _handle_cluster_request(self, command: str, names: list[str]) -> dict[str, Any]:
         """What is said and seen of the whole fleet."""
-        mesh = self.mesh
+        mesh = self.cluster
         if mesh is None:
             raise ControlError("the fleet's file has no table [mesh]")
         if command in ("ban", "unban"):
@@ -806,18 +837,18 @@
 
     def _explain(self, names: list[str]) -> dict[str, Any]:
         """What the watch has seen and done of late."""
-        if self.watch is None:
+        if self.watchdog is None:
             raise ControlError("the fleet's file has no table [vigil]")
         now = self.loop.time()
-        return {"notes": {name: self.watch.vigil.explain(now, name) for name in names or self.fleet.instances}}
+        return {"notes": {name: self.watchdog.detector.explain(now, name) for name in names or self.fleet.instances}}
 
     @staticmethod
-    def _told(done: OperationDone) -> dict[str, Any]:
+    def _operation_reply(done: OperationDone) -> dict[str, Any]:
         if not done.ok:
             raise ControlError(done.text)
         return {"text": done.text}
 
-    def _not_ending(self) -> None:
+    def _require_running(self) -> None:
         if self.fleet.is_shutting_down:
             raise ControlError("the fleet is stopping")
 
@@ -832,26 +863,26 @@
             row["listen"] = "{}:{}".format(*one.listen) if one is not None else None
             row["pid"] = child.pid if child else None
             row["version"] = child.spec.version if child else None
-            row["memory"] = resident(child.pid) if child else 0
-            row["descriptors"] = descriptors(child.pid) if child else 0
-            row["requests"] = child.figures if child else {}
-            if self.memory is not None:
-                row["comeback"] = child.comeback if child else {}
-            if self.estates is not None:
-                row["hand"] = child.hand if child else {}
-            if self.watch is not None:
-                row["vigil"] = self.watch.vigil.view((name, row["generation"]))
+            row["memory"] = resident_bytes(child.pid) if child else 0
+            row["descriptors"] = descriptor_count(child.pid) if child else 0
+            row["requests"] = child.request_counters if child else {}
+            if self.stored_state is not None:
+                row["comeback"] = child.recovery_status if child else {}
+            if self.orphans is not None:
+                row["hand"] = child.inflight_counters if child else {}
+            if self.watchdog is not None:
+                row["vigil"] = self.watchdog.detector.view((name, row["generation"]))
             rows.append(row)
         herd = self.fleet.failure_correlator
         blows = {"comeback": [blow.view(now) for blow in herd.failures]} if herd is not None else {}
-        estate = {"takeover": self.estates.view()} if self.estates is not None else {}
-        vigil = {"vigil": self.watch.view()} if self.watch is not None else {}
+        estate = {"takeover": self.orphans.view()} if self.orphans is not None else {}
+        vigil = {"vigil": self.watchdog.view()} if self.watchdog is not None else {}
         return (
             blows
             | estate
             | vigil
             | {
-                "fleet": self.spec.place.name,
+                "fleet": self.spec.location.name,
                 "pid": os.getpid(),
                 "instances": rows,
                 "operations": self.fleet.progress_reports,
@@ -864,35 +895,35 @@
     """A fleet could not be started; the text says why."""
 
 
-StartTold = Callable[[OperationDone], None]
+StartCallback = Callable[[OperationDone], None]
 
 
-async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartTold) -> None:
+async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartCallback) -> None:
     """Run a fleet to its end; `tell` is called with how its start went. Raises CannotStart."""
     supervisor = Supervisor(spec, environ)
     try:
         await supervisor.prepare()
-    except (Taken, OSError, ConfigError) as fault:
+    except (AddressUnavailable, OSError, ConfigError) as fault:
         supervisor.listeners.release_all()
         raise CannotStart(str(fault)) from None
     tell(await supervisor.run(names))
-    await supervisor.ended()
+    await supervisor.wait_ended()
 
 
-def run(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartTold) -> None:
+def run(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartCallback) -> None:
     """Hold the state directory and run the fleet in the foreground; raises CannotStart or ConfigError."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     # Five descriptors an instance: the usual limit would end at two hundred.
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    prepare_state(spec.place.state)
-    lock = StateLock(spec.place.lock_file, spec.place.pid_file)
+    prepare_state_directory(spec.location.state_directory)
+    lock = StateLock(spec.location.lock_file, spec.location.pid_file)
     try:
-        lock.hold()
-    except Held as fault:
+        lock.acquire()
+    except LockHeld as fault:
         raise CannotStart(str(fault)) from None
     except OSError as fault:
-        raise CannotStart(f"{spec.place.lock_file}: {fault.strerror}") from None
+        raise CannotStart(f"{spec.location.lock_file}: {fault.strerror}") from None
     try:
         asyncio.run(supervise(spec, names, environ, tell))
     finally:
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger("cometusher.fleet.memory")  # the `subsystem` of its log records
 
-KIND = "fleet"
+RECORD_KIND = "fleet"
 
 
 @dataclass(slots=True)
-class Past:
+class PriorState:
     """What an earlier supervisor left; empty where it ended in order, or left nothing."""
 
     unclean: bool = False
@@ -38,26 +38,26 @@
     return {str(k): v for k, v in rows if isinstance(v, int) and not isinstance(v, bool) and v >= 0}
 
 
-class Memory:
+class SupervisorState:
     """The fleet's own record."""
 
     def __init__(self, spec: FleetSpec) -> None:
-        self._name = spec.place.name
-        self._records = RecordFile(spec.place.fleet_records)
+        self._name = spec.location.name
+        self._records = RecordFile(spec.location.fleet_records_file)
         self.epoch = 1
         self.list_seq = 0
         self.orders: dict[str, dict[str, Any]] = {}  # standing forms by instance
-        self.past = Past()
-        self._said = ""
+        self.prior = PriorState()
+        self._logged_problem = ""
         try:
-            spec.place.store.mkdir(mode=0o700, exist_ok=True)
+            spec.location.store.mkdir(mode=0o700, exist_ok=True)
         except OSError as fault:
             log.warning("no store: %s", fault.strerror)
         self._read()
 
     def _read(self) -> None:
-        record = self._records.read([KIND]).get(KIND)
-        self._tell()
+        record = self._records.read([RECORD_KIND]).get(RECORD_KIND)
+        self._log_problem()
         if record is None:
             return
         # Of any age: who is wanted and what is banned is not less true for being old.
@@ -80,7 +80,7 @@
         if body.get("running") is True:
             wanted = body.get("wanted")
             failed = body.get("failed")
-            self.past = Past(
+            self.prior = PriorState(
                 True,
                 {str(k): bool(v) for k, v in wanted.items()} if isinstance(wanted, dict) else {},
                 {str(k): str(v) for k, v in failed.items()} if isinstance(failed, dict) else {},
@@ -101,16 +101,16 @@
             "generations": {i.name: i.generation for i in rows},
         }
         owner = Owner(self._name, "", self.epoch)
-        self._records.write([Record(KIND, self._records.next_serial(KIND), owner, moment(), body)])
-        self._tell()
+        self._records.write([Record(RECORD_KIND, self._records.next_serial(RECORD_KIND), owner, moment(), body)])
+        self._log_problem()
 
-    def _tell(self) -> None:
-        if self._records.problem != self._said:
-            self._said = self._records.problem
-            if self._said:
-                log.warning("the fleet's records: %s", self._said)
+    def _log_problem(self) -> None:
+        if self._records.problem != self._logged_problem:
+            self._logged_problem = self._records.problem
+            if self._logged_problem:
+                log.warning("the fleet's records: %s", self._logged_problem)
 
-    def hear(self, name: str, values: dict[str, Any]) -> bool:
+    def on_recovery_status(self, name: str, values: dict[str, Any]) -> bool:
         """An instance tells of its list and orders; whether that is news."""
         seq, form = values.get("seq"), values.get("standing")
         news = False
@@ -122,12 +122,12 @@
             news = True
         return news
 
-    def known(self, name: str) -> KnownVersions:
+    def known_versions(self, name: str) -> KnownVersions:
         """What the fleet knows of an instance's records."""
         version = self.orders.get(name, {}).get("version", 0)
         return KnownVersions(self.list_seq, version if isinstance(version, int) else 0)
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """An instance is no longer in the file."""
         self.orders.pop(name, None)
 
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -17,14 +17,14 @@
 from rig import PATIENCE, SETTINGS
 
 from cometusher.fault_injection.environment import Told, World, until
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import read_stat
 from standins.ports import free_ports
 
 ROOT = Path(__file__).parent.parent
-FAULTY = [sys.executable, str(ROOT / "standins" / "faulty_instance.py")]
-WAIT = 3.0 * PATIENCE
-QUICK = {
+FAULTY_COMMAND = [sys.executable, str(ROOT / "standins" / "faulty_instance.py")]
+TIMEOUT = 3.0 * PATIENCE
+QUICK_POLICY = {
     "backoff_from": 0.02,
     "backoff_to": 0.2,
     "ready_within": 20.0,
@@ -39,7 +39,7 @@
     asyncio.run(test())
 
 
-async def come(condition: Callable[[], Any], what: str) -> None:
+async def wait_for(condition: Callable[[], Any], what: str) -> None:
     """Wait for what must become true of a drill's world."""
     assert await until(condition, 2 * PATIENCE), f"never: {what}"
 
@@ -54,16 +54,16 @@
         await world.stop()
 
 
-async def asked(world: World, count: int) -> list[Told]:
+async def next_requests(world: World, count: int) -> list[Told]:
     """So many more requests, whatever became of them."""
     assert world.load is not None
     rows = world.load.told
     before = len(rows)
-    await come(lambda: len(rows) >= before + count, "requests")
+    await wait_for(lambda: len(rows) >= before + count, "requests")
     return rows[before:]
 
 
-def nothing_wrong(world: World) -> None:
+def assert_consistent(world: World) -> None:
     """No effect twice, no answer to another's request, and no second one."""
     assert world.load is not None
     assert (world.twice(), world.load.wrong, world.load.second) == (0, 0, 0)
@@ -71,7 +71,7 @@
 
 def eventually(condition: Callable[[], Any], what: str = "") -> Any:
     """Wait for what must become true; returns it."""
-    until = time.monotonic() + WAIT
+    until = time.monotonic() + TIMEOUT
     while time.monotonic() < until:
         if value := condition():
             return value
@@ -79,7 +79,7 @@
     raise AssertionError(f"never came true: {what or condition}")
 
 
-def toml(values: dict[str, Any]) -> str:
+def to_toml(values: dict[str, Any]) -> str:
     """`key = value` lines; JSON's forms of texts, numbers and lists of them are TOML's as well."""
     return "".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in values.items())
 
@@ -93,31 +93,31 @@
         self.state = folder / "s"
         self.log = folder / "fleet.log"
         self.control = self.state / "control.sock"
-        self.head: dict[str, Any] = {"name": "t", "state": "s"}
-        self.policy: dict[str, Any] = dict(QUICK)
+        self.fleet_table: dict[str, Any] = {"name": "t", "state": "s"}
+        self.policy: dict[str, Any] = dict(QUICK_POLICY)
         self.logging: dict[str, Any] = {"target": "fleet.log"}
         self.common: dict[str, Any] = {}
         self.mesh: dict[str, Any] = {}
         self.instances: dict[str, dict[str, Any]] = {}
         self.started: list[subprocess.Popen[bytes]] = []
-        self.seen: set[int] = set()  # pids of all processes that were seen in the fleet
+        self.seen_pids: set[int] = set()  # pids of all processes that were seen in the fleet
         config = {"discovery": "127.0.0.1:9", "settings": SETTINGS}
         (folder / "proxy.json").write_bytes(orjson.dumps(config))
 
     def add(self, *names: str, mode: str = "", value: str = "", **settings: Any) -> None:
         """Instances: proxies, or faulty ones of a mode."""
         for name, port in zip(names, free_ports(len(names)), strict=True):
-            what: dict[str, Any] = {"command": [*FAULTY, mode, value]} if mode else {"config": "proxy.json"}
+            what: dict[str, Any] = {"command": [*FAULTY_COMMAND, mode, value]} if mode else {"config": "proxy.json"}
             self.instances[name] = {"name": name, "listen": f"127.0.0.1:{port}"} | what | settings
 
     def port(self, name: str) -> int:
         return int(self.instances[name]["listen"].rpartition(":")[2])
 
     def write(self) -> Path:
-        text = f"[fleet]\n{toml(self.head)}[policy]\n{toml(self.policy)}[log]\n{toml(self.logging)}"
-        text += f"[common]\n{toml(self.common)}"
-        text += f"[mesh]\n{toml(self.mesh)}" if self.mesh else ""
-        text += "".join(f"[[instance]]\n{toml(values)}" for values in self.instances.values())
+        text = f"[fleet]\n{to_toml(self.fleet_table)}[policy]\n{to_toml(self.policy)}[log]\n{to_toml(self.logging)}"
+        text += f"[common]\n{to_toml(self.common)}"
+        text += f"[mesh]\n{to_toml(self.mesh)}" if self.mesh else ""
+        text += "".join(f"[[instance]]\n{to_toml(values)}" for values in self.instances.values())
         self.file.write_text(text)
         return self.file
 
@@ -149,7 +149,12 @@
         """A command, to its end."""
         environ = os.environ | {"PYTHONPATH": str(ROOT)}
         return subprocess.run(
-            self.command(*arguments), cwd=self.folder, env=environ, capture_output=True, timeout=2 * WAIT, check=False
+            self.command(*arguments),
+            cwd=self.folder,
+            env=environ,
+            capture_output=True,
+            timeout=2 * TIMEOUT,
+            check=False,
         )
 
     def fleet(self, action: str, *more: str) -> subprocess.CompletedProcess[bytes]:
@@ -166,12 +171,12 @@
     def status(self) -> dict[str, dict[str, Any]]:
         """Rows by name; empty where no supervisor answers."""
         try:
-            rows = ask(self.control, "status", PATIENCE)["instances"]
+            rows = send_request(self.control, "status", PATIENCE)["instances"]
         except (NoSupervisor, ControlError):
             for process in self.started[-1:]:
                 assert process.poll() in (None, 0, -signal.SIGKILL), process.communicate()[1]
             return {}
-        self.seen |= {row["pid"] for row in rows if row["pid"]}
+        self.seen_pids |= {row["pid"] for row in rows if row["pid"]}
         return {row["name"]: row for row in rows}
 
     def states(self) -> set[str]:
@@ -180,10 +185,10 @@
     def pids(self) -> dict[str, int]:
         return {name: row["pid"] for name, row in self.status().items()}
 
-    def logged(self) -> str:
+    def log_text(self) -> str:
         return self.log.read_text() if self.log.exists() else ""
 
-    def strays(self) -> list[int]:
+    def leftover_pids(self) -> list[int]:
         """Processes of the fleet that are still there, by what they were told at their start."""
         found = []
         mark = str(self.folder).encode()
@@ -194,16 +199,16 @@
                     command = Path(f"/proc/{entry}/cmdline").read_bytes()
                     if (mark in environ or mark in command) and b"cometusher" in command + environ:
                         found.append(int(entry))
-        return found + [pid for pid in self.seen if gone(pid) is False]
+        return found + [pid for pid in self.seen_pids if has_exited(pid) is False]
 
     def end(self, process: subprocess.Popen[bytes], number: int = signal.SIGTERM) -> int:
         """Signal a supervisor and wait for its end; returns its exit code."""
         process.send_signal(number)
-        process.communicate(timeout=WAIT)
+        process.communicate(timeout=TIMEOUT)
         return process.returncode
 
 
-def gone(pid: int) -> bool:
+def has_exited(pid: int) -> bool:
     stat = read_stat(pid)
     return stat is None or stat.state == "Z"
 
@@ -225,7 +230,7 @@
 
 
 def _clean(rig: FleetRig) -> bool:
-    left = rig.strays()
+    left = rig.leftover_pids()
     for pid in left:
         with contextlib.suppress(OSError):
             os.kill(pid, signal.SIGKILL)
--- a/tests/hooks/sitecustomize.py
+++ b/tests/hooks/sitecustomize.py
@@ -75,7 +75,7 @@
 
     from cometusher.fleet import heartbeat
 
-    heartbeat_turn = heartbeat.turn
+    original_start_heartbeat = heartbeat.start_heartbeat
 
     class StoppedClock:
         """A clock that stands still."""
@@ -96,13 +96,13 @@
         StoppedClock.monotonic_ns = staticmethod(lambda: now)  # type: ignore
         heartbeat.time = StoppedClock  # type: ignore
 
-    def turn_with_handlers(*arguments: Any) -> None:
+    def start_with_handlers(*arguments: Any) -> None:
         for signal_number, handler in (
             (signal.SIGUSR1, spin),
             (signal.SIGUSR2, hang),
             (signal.SIGURG, stop_heartbeat),
         ):
             signal.signal(signal_number, handler)
-        heartbeat_turn(*arguments)
+        original_start_heartbeat(*arguments)
 
-    heartbeat.turn = turn_with_handlers  # type: ignore
+    heartbeat.start_heartbeat = start_with_handlers  # type: ignore
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -18,7 +18,7 @@
 from rig import PATIENCE, Backend, serve_ok
 
 from cometusher.fault_injection.environment import until
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.caller import Caller, request
 from standins.discovery import HostList
 from standins.faulty_link import Link, Mood
@@ -41,7 +41,7 @@
         secret = rig.folder / "mesh.key"
         secret.write_text(key + "\n")
         secret.chmod(0o600)
-        rig.head["name"] = fleet
+        rig.fleet_table["name"] = fleet
         if not rig.instances:
             rig.add(f"i{i}", mode="ok")
         rig.mesh = (
@@ -65,12 +65,12 @@
     def view(self, i: int) -> dict[str, Any]:
         """A supervisor's view of the members; empty if it does not run."""
         try:
-            return ask(self.rigs[i].control, "members", PATIENCE)
+            return send_request(self.rigs[i].control, "members", PATIENCE)
         except (NoSupervisor, ControlError):
             return {}
 
     def leases(self, i: int) -> list[dict[str, Any]]:
-        return list(ask(self.rigs[i].control, "leases", PATIENCE)["duties"])
+        return list(send_request(self.rigs[i].control, "leases", PATIENCE)["duties"])
 
     def states(self, i: int) -> dict[str, str]:
         return {row["name"]: row["state"] for row in self.view(i).get("members", [])}
@@ -83,7 +83,7 @@
             return await asyncio.to_thread(condition)
 
         assert await until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
-            f"{i}: {self.states(i)}\n{rig.logged()[-1500:]}" for i, rig in enumerate(self.rigs)
+            f"{i}: {self.states(i)}\n{rig.log_text()[-1500:]}" for i, rig in enumerate(self.rigs)
         )
 
     async def agree(self, **states: str) -> None:
@@ -145,7 +145,7 @@
 def test_paused_supervisor_is_alive_again_and_declares_nobody_dead() -> None:
     async def test() -> None:
         async with machines() as m:
-            before = m.rigs[1].logged()
+            before = m.rigs[1].log_text()
             os.kill(m.pid(1), signal.SIGSTOP)
             try:
                 await m.wait_for(lambda: m.states(0).get("m1") == "dead", "m1 is dead for m0")
@@ -153,7 +153,7 @@
             finally:
                 os.kill(m.pid(1), signal.SIGCONT)
             await m.agree()
-            assert "is dead" not in m.rigs[1].logged()[len(before) :]
+            assert "is dead" not in m.rigs[1].log_text()[len(before) :]
 
     run(test)
 
@@ -232,7 +232,7 @@
             both = {"m0": "alive", "m1": "alive"}
             await m.wait_for(lambda: m.states(0) == both and m.states(1) == both, "the two members see each other")
             assert m.states(2) == {"m2": "alive"}
-            assert KEY not in m.rigs[0].logged() and key not in m.rigs[2].logged()
+            assert KEY not in m.rigs[0].log_text() and key not in m.rigs[2].log_text()
 
     run(test)
 
@@ -268,7 +268,7 @@
     """Time, machine, event and text of all log records, in order of time: the processes share one clock."""
     found = []
     for i, rig in enumerate(m.rigs):
-        for line in rig.logged().splitlines():
+        for line in rig.log_text().splitlines():
             record = orjson.loads(line)
             found.append((record["ts"], i, record.get("event", ""), record["text"]))
     return sorted(found)
@@ -410,7 +410,7 @@
         """Wait until these machines have the same bans and all their instances have carried them out."""
 
         def same() -> bool:
-            views = [ask(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
+            views = [send_request(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
             bans = [[(row["key"], row["value"], row["by"]) for row in view["bans"]] for view in views]
             return all(entries == bans[0] for entries in bans) and not any(view["pending"] for view in views)
 
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -19,8 +19,8 @@
 from rig import Backend, Seen, Writer, serve_ok
 
 from cometusher.fleet import control
-from cometusher.fleet.control import ControlServer, ask
-from cometusher.fleet.supervisor import Answer, probe
+from cometusher.fleet.control import ControlServer, send_request
+from cometusher.fleet.supervisor import ProbeResult, probe
 from standins.discovery import HostList
 from standins.load import Kind, Load
 from standins.ports import free_ports
@@ -47,9 +47,9 @@
     before = fleet.status()
     text = fleet.file.read_text()
     fleet.file.write_text(break_it(text))
-    assert ask(fleet.control, "status", 10.0)["fleet"] == "t"
+    assert send_request(fleet.control, "status", 10.0)["fleet"] == "t"
     with pytest.raises(control.ControlError) as refused:
-        ask(fleet.control, "reload", 10.0)
+        send_request(fleet.control, "reload", 10.0)
     assert named in str(refused.value) and str(refused.value).startswith(str(fleet.file))
     after = fleet.status()
     for row in (*before.values(), *after.values()):
@@ -78,13 +78,13 @@
     assert after["same"]["pid"] == before["same"]["pid"] and after["same"]["version"] == before["same"]["version"]
     assert after["told"]["pid"] == before["told"]["pid"] and after["told"]["version"] != before["told"]["version"]
     assert after["replaced"]["pid"] != before["replaced"]["pid"]
-    assert "discovery is at 127.0.0.1:10" in fleet.logged()
+    assert "discovery is at 127.0.0.1:10" in fleet.log_text()
     files = {path.name for path in fleet.state.glob("instance-*.json")}
     assert files == {f"instance-{name}.json" for name in after}
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", int(before["removed"]["listen"].rpartition(":")[2])))
     process.send_signal(signal.SIGHUP)
-    eventually(lambda: "0 instances change" in fleet.logged())
+    eventually(lambda: "0 instances change" in fleet.log_text())
 
 
 def test_each_instance_has_a_place_of_its_own_and_keeps_it_while_it_runs(fleet: FleetRig) -> None:
@@ -108,7 +108,7 @@
     assert fleet.fleet("reload").returncode == 0
     assert places() == {name: place for name, place in before.items() if name != "a"}
     assert fleet.pids() == {name: pid for name, pid in pids.items() if name != "a"}
-    assert "waits for the next start" not in fleet.logged()
+    assert "waits for the next start" not in fleet.log_text()
 
 
 def test_one_that_is_removed_and_added_again_behind_a_restart_is_there(fleet: FleetRig) -> None:
@@ -128,7 +128,7 @@
     x = fleet.instances.pop("x")
     fleet.write()
     process.send_signal(signal.SIGHUP)
-    eventually(lambda: "1 instances change" in fleet.logged())
+    eventually(lambda: "1 instances change" in fleet.log_text())
     fleet.instances["x"] = x
     fleet.file.write_text(text)
     assert fleet.fleet("reload").returncode == 0
@@ -161,7 +161,7 @@
     rows = fleet.status()
     assert not {row["pid"] for row in rows.values()} & set(before.values())
     assert {row["state"] for row in rows.values()} == {"ready"}
-    log = fleet.logged()
+    log = fleet.log_text()
     assert log.index("operation: restart: 4 of 4 done") < log.index("operation: reload: 4 of 4 done")
     assert process.poll() is None
 
@@ -247,9 +247,9 @@
 
         server = await asyncio.start_server(reply, "127.0.0.1", 0)
         address = ("127.0.0.1", int(server.sockets[0].getsockname()[1]))
-        assert (await probe(address, b"a/2") is Answer.UP) is up
+        assert (await probe(address, b"a/2") is ProbeResult.UP) is up
         server.close()
-        assert await probe(address, b"a/2") is Answer.NONE
+        assert await probe(address, b"a/2") is ProbeResult.FAILED
 
     asyncio.run(test())
 
@@ -325,7 +325,7 @@
         thread = threading.Thread(target=refuse)
         thread.start()
         with pytest.raises(control.ControlError, match="not your fleet"):
-            ask(tmp_path / "c.sock", "status", 10.0)
+            send_request(tmp_path / "c.sock", "status", 10.0)
         thread.join()
 
 
@@ -339,7 +339,7 @@
         server = ControlServer(tmp_path / "c.sock", never, frozenset({os.geteuid() + 1}))
         await server.start()
         with pytest.raises(control.ControlError, match="not your fleet"):
-            await asyncio.to_thread(ask, tmp_path / "c.sock", "status", 10.0)
+            await asyncio.to_thread(send_request, tmp_path / "c.sock", "status", 10.0)
         await server.stop()
 
     asyncio.run(test())
@@ -375,7 +375,7 @@
     fleet.write()
     fleet.launch(**({"stderr": stderr} if stderr >= 0 else {}))  # type: ignore[arg-type]
     eventually(lambda: fleet.states() == {"ready"})
-    eventually(lambda: ask(fleet.control, "status", 10.0)["log_dropped"] > 0)
+    eventually(lambda: send_request(fleet.control, "status", 10.0)["log_dropped"] > 0)
     assert fleet.fleet("restart", "quiet", "proxy").returncode == 0
     if target == "not read":  # now somebody reads: what was kept comes, and the loss is told
         with (fleet.folder / "fifo").open("rb") as fifo:
@@ -403,7 +403,7 @@
     assert {record["instance"] for record in records if record["text"].startswith("rubbish")} == {"noisy"}
     fleet.log.rename(fleet.folder / "moved")
     process.send_signal(signal.SIGUSR1)
-    eventually(lambda: fleet.log.exists() and '"event":"reopened"' in fleet.logged())
+    eventually(lambda: fleet.log.exists() and '"event":"reopened"' in fleet.log_text())
 
 
 # ---- the service manager -----------------------------------------------------------------
--- a/tests/loopback/test_fleet_identity.py
+++ b/tests/loopback/test_fleet_identity.py
@@ -11,7 +11,7 @@
 
 import orjson
 import pytest
-from fleetrig import WAIT, FleetRig, eventually, gone
+from fleetrig import TIMEOUT, FleetRig, eventually, has_exited
 
 from cometusher.fleet.identity import Identity, boot_id, read_stat
 
@@ -34,9 +34,9 @@
         (fleet.state / "instances.json").write_bytes(orjson.dumps([values | {"name": "a"}]))
         fleet.add("a", mode="ok")
         process = fleet.start()
-        assert "earlier supervisor" not in fleet.logged()
+        assert "earlier supervisor" not in fleet.log_text()
         assert fleet.end(process) == 0
-        assert not gone(other.pid)
+        assert not has_exited(other.pid)
     finally:
         other.kill()
         other.wait()
@@ -52,7 +52,7 @@
     fleet.policy["stop_within"] = 0.2
     fleet.add("a", mode="ok")
     fleet.start()
-    assert other.wait(timeout=WAIT) == -signal.SIGKILL
+    assert other.wait(timeout=TIMEOUT) == -signal.SIGKILL
 
 
 #: Listens, and ends its first thread alone: a zombie by its state, while the other thread keeps the listener open.
@@ -70,13 +70,13 @@
     other = subprocess.Popen([sys.executable, "-c", HALF_ENDED, str(fleet.port("a")), os.uname().machine])
     eventually(lambda: (stat := read_stat(other.pid)) is not None and stat.state == "Z")
     identity = Identity.of(other.pid)
-    assert identity is not None and identity.alive()
+    assert identity is not None and identity.is_alive()
     fleet.state.mkdir(mode=0o700)
     (fleet.state / "instances.json").write_bytes(orjson.dumps([identity.as_values() | {"name": "a"}]))
     fleet.policy["stop_within"] = 0.2
     fleet.start()
-    assert other.wait(timeout=WAIT) == -signal.SIGKILL
-    assert not identity.alive()
+    assert other.wait(timeout=TIMEOUT) == -signal.SIGKILL
+    assert not identity.is_alive()
 
 
 @pytest.mark.parametrize("content", [b"", b'{"pid": 12', b"\xff\x00", b"[]", b'{"pid": 1}', b'{"pid": -1}'])
@@ -86,7 +86,7 @@
         (fleet.state / name).write_bytes(content)
     fleet.add("a", mode="ok")
     process = fleet.start()
-    assert Identity.read(orjson.loads((fleet.state / "supervisor.pid").read_bytes())) == Identity.of(process.pid)
+    assert Identity.parse(orjson.loads((fleet.state / "supervisor.pid").read_bytes())) == Identity.of(process.pid)
 
 
 def test_the_holder_is_named_though_its_pid_file_was_truncated(fleet: FleetRig) -> None:
@@ -112,7 +112,7 @@
         assert f"held by another supervisor, pid {winner.pid}".encode() in text, text
         eventually(lambda: fleet.states() == {"ready"})
         assert fleet.end(winner) == 0
-    assert fleet.strays() == []
+    assert fleet.leftover_pids() == []
 
 
 def test_two_with_the_same_port_at_once(fleet: FleetRig, tmp_path: Path) -> None:
@@ -143,7 +143,7 @@
         done = fleet.fleet("start")
     assert done.returncode == 1 and done.stderr.count(b"\n") == 1
     assert f"b: 127.0.0.1:{fleet.port('b')} is taken by pid {os.getpid()} (".encode() in done.stderr
-    assert fleet.strays() == []
+    assert fleet.leftover_pids() == []
 
 
 @pytest.mark.parametrize("how", ["no folder", "others may write"])
@@ -175,7 +175,7 @@
     assert {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in (0, 1, 2)} == {"/dev/null"}
     assert "Umask:\t0027" in Path(f"/proc/{pid}/status").read_text()
     assert fleet.fleet("stop").returncode == 0
-    assert gone(pid) and fleet.strays() == []
+    assert has_exited(pid) and fleet.leftover_pids() == []
 
 
 def test_a_daemon_that_can_not_start_says_so_where_it_was_called(fleet: FleetRig) -> None:
@@ -192,13 +192,13 @@
 
 def test_identity_tells_a_process_from_the_next_with_its_pid() -> None:
     mine = Identity.of(os.getpid())
-    assert mine is not None and mine.alive() and mine.boot == boot_id()
+    assert mine is not None and mine.is_alive() and mine.boot == boot_id()
     later = Identity(mine.pid, mine.started + 1, mine.boot, mine.uid)
-    assert not later.alive() and not later.signal(0)
+    assert not later.is_alive() and not later.signal(0)
     child = stranger()
     identity = Identity.of(child.pid)
     child.kill()
     assert identity is not None
-    eventually(lambda: not identity.alive())  # a zombie is no life
+    eventually(lambda: not identity.is_alive())  # a zombie is no life
     child.wait()
     assert Identity.of(child.pid) is None
--- a/tests/loopback/test_fleet_lives.py
+++ b/tests/loopback/test_fleet_lives.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 
 import pytest
-from fleetrig import FleetRig, eventually, gone
+from fleetrig import FleetRig, eventually, has_exited
 
 
 @pytest.mark.parametrize("spawn", ["fork", "exec"])
 def test_start_restart_stop_and_no_stray(fleet: FleetRig, spawn: str) -> None:
-    fleet.head["spawn"] = spawn
+    fleet.fleet_table["spawn"] = spawn
     fleet.add("a", "b", "c")
     process = fleet.start()
     before = fleet.pids()
@@ -30,7 +30,7 @@
     assert done.returncode == 0 and fleet.states() == {"ready"}
     done = fleet.fleet("stop")
     assert (done.returncode, process.wait()) == (0, 0)
-    assert fleet.strays() == []
+    assert fleet.leftover_pids() == []
 
 
 def test_one_that_exits_at_once_is_given_up_without_spinning(fleet: FleetRig) -> None:
@@ -42,7 +42,7 @@
     eventually(lambda: {n: r["state"] for n, r in fleet.status().items()} == {"good": "ready", "bad": "failed"})
     row = fleet.status()["bad"]
     assert row["last_exit"] == "code 3" and row["reason"].startswith("ended 4 times") and row["generation"] == 4
-    assert fleet.logged().count(" bad fleet.supervisor/exited") == 3  # and a fourth that was the last
+    assert fleet.log_text().count(" bad fleet.supervisor/exited") == 3  # and a fourth that was the last
     assert fleet.end(process) == 0
 
 
@@ -73,9 +73,9 @@
     process = fleet.start()
     pids = fleet.pids()
     assert fleet.end(process) == 0
-    assert all(gone(pid) for pid in pids.values())
-    assert "x fleet.supervisor/killed: did not end within 0.3 s" in fleet.logged()
-    assert "y fleet.supervisor/killed" not in fleet.logged()
+    assert all(has_exited(pid) for pid in pids.values())
+    assert "x fleet.supervisor/killed: did not end within 0.3 s" in fleet.log_text()
+    assert "y fleet.supervisor/killed" not in fleet.log_text()
 
 
 def test_one_that_is_stopped_is_hung_and_replaced(fleet: FleetRig) -> None:
@@ -87,8 +87,8 @@
     os.kill(before["a"], signal.SIGSTOP)
     eventually(lambda: fleet.status().get("a", {}).get("restarts") == 1 and fleet.states() == {"ready"})
     after = fleet.pids()
-    assert gone(before["a"]) and after["a"] != before["a"] and after["b"] == before["b"]
-    assert "hung: no sign of life" in fleet.logged()
+    assert has_exited(before["a"]) and after["a"] != before["a"] and after["b"] == before["b"]
+    assert "hung: no sign of life" in fleet.log_text()
     assert fleet.status()["a"]["last_exit"] == "signal 9"
 
 
@@ -100,7 +100,7 @@
     process.send_signal(signal.SIGSTOP)
     time.sleep(3.5)  # longer than hang_after and than what passes for a slow tick
     process.send_signal(signal.SIGCONT)
-    eventually(lambda: "the supervisor itself was paused" in fleet.logged())
+    eventually(lambda: "the supervisor itself was paused" in fleet.log_text())
     eventually(lambda: fleet.states() == {"ready"})
     assert fleet.pids() == before
 
@@ -148,10 +148,10 @@
     fleet.instances["x"]["command"] = ["/bin/sh", "-c", script, *fleet.instances["x"]["command"]]
     fleet.start()
     helper = int(note.read_text())
-    assert not gone(helper)
+    assert not has_exited(helper)
     note.unlink()
     os.kill(fleet.pids()["x"], signal.SIGKILL)
-    eventually(lambda: gone(helper))
+    eventually(lambda: has_exited(helper))
 
 
 def test_an_instance_over_its_memory_is_replaced_and_says_why(fleet: FleetRig) -> None:
@@ -177,7 +177,7 @@
     pids = fleet.pids()
     assert len(pids) == 4
     assert fleet.end(process) == 0
-    assert all(gone(pid) for pid in pids.values()) and fleet.strays() == []
+    assert all(has_exited(pid) for pid in pids.values()) and fleet.leftover_pids() == []
 
 
 def test_nothing_outlives_a_killed_supervisor(fleet: FleetRig) -> None:
@@ -192,10 +192,10 @@
     process.kill()
     process.wait()
     left = before.pop("deaf")
-    eventually(lambda: all(gone(pid) for pid in before.values()))
-    assert not gone(left)
+    eventually(lambda: all(has_exited(pid) for pid in before.values()))
+    assert not has_exited(left)
     fleet.start()
-    assert gone(left) and f"pid {left} of an earlier supervisor does not end; killed" in fleet.logged()
+    assert has_exited(left) and f"pid {left} of an earlier supervisor does not end; killed" in fleet.log_text()
     assert not set(fleet.pids().values()) & set(before.values())
 
 
@@ -211,7 +211,7 @@
 
     def let_go() -> None:
         end = time.monotonic() + 20.0
-        while "of an earlier supervisor are ending" not in fleet.logged() and time.monotonic() < end:
+        while "of an earlier supervisor are ending" not in fleet.log_text() and time.monotonic() < end:
             time.sleep(0.02)
         os.kill(held, signal.SIGCONT)
 
@@ -219,7 +219,7 @@
     watcher.start()
     fleet.start()
     watcher.join()
-    assert "of an earlier supervisor are ending" in fleet.logged()
+    assert "of an earlier supervisor are ending" in fleet.log_text()
 
 
 def test_a_rolling_restart_halts_on_a_bad_fresh_process_and_the_old_ones_stay(fleet: FleetRig) -> None:
--- a/tests/loopback/test_outlier_instances.py
+++ b/tests/loopback/test_outlier_instances.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from fleetrig import asked, come, nothing_wrong, run, running
+from fleetrig import assert_consistent, next_requests, run, running, wait_for
 from rig import PATIENCE
 
 from cometusher.fault_injection.environment import MIXED, Fleet, Told, World
-from cometusher.fleet.control import ask
+from cometusher.fleet.control import send_request
 from standins.caller import Caller, request
 from standins.faulty_link import Mood
 
@@ -43,7 +43,7 @@
 
 
 def all_right(w: World, rows: list[Told]) -> None:
-    nothing_wrong(w)
+    assert_consistent(w)
     assert not [one for one in rows if one.how == "lost"]
 
 
@@ -55,24 +55,24 @@
 def test_one_that_reaches_no_backend_of_a_zone_is_set_aside_and_comes_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 1, zones=2) as (w, fleet):
-            await asked(w, 200)
+            await next_requests(w, 200)
             pids = await fleet.pids()
             assert (await vigil(fleet, "p0"))["unlike"] == ""
             await fleet.ways["p0"].set(Mood("reset"), w.of_zone(1))
-            await come(lambda: unlike(fleet, "p0", "path"), "set aside")
+            await wait_for(lambda: unlike(fleet, "p0", "path"), "set aside")
             row = await vigil(fleet, "p0")
             assert row["because"].startswith("zone 1: ") and row["portion"] < 1.0 and row["judgement"] == "well"
             begin = (await fleet.status())["vigil"]["accepted_for_others"]
-            rows = await asked(w, 300)
+            rows = await next_requests(w, 300)
             assert (await fleet.status())["vigil"]["accepted_for_others"] > begin
             assert share_of(rows, fleet, "p0", "served") > 0.9, "others serve its callers"
             await fleet.ways["p0"].set(Mood())
-            await come(lambda: unlike(fleet, "p0", ""), "back")
-            rows += await asked(w, 200)
+            await wait_for(lambda: unlike(fleet, "p0", ""), "back")
+            rows += await next_requests(w, 200)
             status = await fleet.status()
             assert status["vigil"]["aside"] == 0 and await fleet.pids() == pids, "nobody was killed"
             assert all(not one["vigil"]["unlike"] for one in status["instances"])
-            notes = await asyncio.to_thread(ask, Path(fleet.control), "explain", PATIENCE, names=["p0"])
+            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p0"])
             said = [text for _, text in notes["notes"]["p0"]]
             assert "most of its new connections go to others: path: zone 1" in said[0]
             assert "are its own again" in said[-1]
@@ -86,10 +86,10 @@
 
     async def test() -> None:
         async with world(tmp_path, 1) as (w, fleet):
-            await asked(w, 200)
+            await next_requests(w, 200)
             await fleet.ways["p0"].set(Mood("slow", seconds=0.2, spread=0.2))
-            await come(lambda: unlike(fleet, "p0", "slow"), "set aside")
-            rows = await asked(w, 400)
+            await wait_for(lambda: unlike(fleet, "p0", "slow"), "set aside")
+            rows = await next_requests(w, 400)
             late = [one for one in rows if one.address[1] == fleet.ports[0] and one.answered - one.asked > 0.2]
             mine = [one for one in rows if one.address[1] == fleet.ports[0]]
             assert len(late) < 0.5 * len(mine), "others serve most of its callers, in time"
@@ -102,19 +102,19 @@
 def test_those_that_discovery_does_not_reach_are_set_aside_while_it_tells_a_drain(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 2, count=4) as (w, fleet):
-            await asked(w, 200)
+            await next_requests(w, 200)
             for name in ("p0", "p1"):
                 await fleet.ways[name].discovery.set(Mood("drop"))
             entry = w.lists.hosts[0]
             w.tell(entry | {"health": "draining"})
             for name in ("p0", "p1"):
-                await come(lambda name=name: unlike(fleet, name, "behind"), f"{name} set aside")  # type: ignore[misc]
-            rows = await asked(w, 200)
+                await wait_for(lambda name=name: unlike(fleet, name, "behind"), f"{name} set aside")  # type: ignore[misc]
+            rows = await next_requests(w, 200)
             for name in ("p0", "p1"):
                 await fleet.ways[name].discovery.set(Mood())
             for name in ("p0", "p1"):
-                await come(lambda name=name: unlike(fleet, name, ""), f"{name} back")  # type: ignore[misc]
-            rows += await asked(w, 100)
+                await wait_for(lambda name=name: unlike(fleet, name, ""), f"{name} back")  # type: ignore[misc]
+            rows += await next_requests(w, 100)
             all_right(w, rows)
 
     run(test)
@@ -123,7 +123,7 @@
 def test_one_without_a_descriptor_leaves_new_connections_to_others(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 0, p0="sockets = 128") as (w, fleet):
-            await asked(w, 40)
+            await next_requests(w, 40)
             for backend in w.backends:
                 backend.work = 2.0
             callers = []
@@ -131,7 +131,7 @@
                 for i in range(160):
                     callers.append(Caller(*await asyncio.open_connection("127.0.0.1", fleet.ports[0])))
                     callers[-1].writer.write(request("report-view", budget="4000m", rid=f"full-{i}"))
-                await come(lambda: unlike(fleet, "p0", "full"), "set aside")
+                await wait_for(lambda: unlike(fleet, "p0", "full"), "set aside")
                 for backend in w.backends:
                     backend.work = w.work
                 for caller in callers:
@@ -140,8 +140,8 @@
             finally:
                 for caller in callers:
                     caller.leave()
-            await come(lambda: unlike(fleet, "p0", ""), "back")
-            all_right(w, await asked(w, 40))
+            await wait_for(lambda: unlike(fleet, "p0", ""), "back")
+            all_right(w, await next_requests(w, 40))
 
     run(test)
 
@@ -149,12 +149,12 @@
 def test_a_zone_that_nobody_reaches_and_discovery_that_tells_nobody_set_nobody_aside(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 5, zones=2) as (w, fleet):
-            await asked(w, 200)
+            await next_requests(w, 200)
             for ways in fleet.ways.values():
                 await ways.discovery.set(Mood("drop"))
                 await ways.set(Mood("reset"), w.of_zone(1))
             w.tell(w.lists.hosts[0] | {"health": "draining"})
-            await asked(w, 600)
+            await next_requests(w, 600)
             counts = (await fleet.status())["vigil"]
             assert (counts["unlike"], counts["aside"], counts["replaced"]) == (0, 0, 0)
 
--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from fleetrig import come, run, running
+from fleetrig import run, running, wait_for
 
 from cometusher.fault_injection.environment import Fleet, World
 from cometusher.fleet.identity import read_stat
@@ -55,7 +55,7 @@
 async def wait_for_service(world: World, more: int = 30) -> None:
     """Wait until `more` further requests have been served."""
     before = served_count(world)
-    await come(lambda: served_count(world) >= before + more, "served again")
+    await wait_for(lambda: served_count(world) >= before + more, "served again")
 
 
 def assert_consistent(world: World) -> None:
@@ -74,7 +74,7 @@
 async def wait_for_stored_lists(fleet: Fleet) -> None:
     """Wait until every instance has stored its list."""
     store = fleet.state / "store"
-    await come(lambda: len(list(store.glob("p*.records"))) == fleet.count, "records")
+    await wait_for(lambda: len(list(store.glob("p*.records"))) == fleet.count, "records")
     await asyncio.sleep(0.6)  # more than the interval between writes
 
 
@@ -83,12 +83,12 @@
         async with world(tmp_path) as (w, fleet):
             await lose_fleet_and_discovery(w, fleet)
             await fleet.start()
-            await come(lambda: all_full(fleet), "full service without discovery")
+            await wait_for(lambda: all_full(fleet), "full service without discovery")
             assert not [row for row in (await fleet.rows()).values() if row["comeback"]["told"]]
             await wait_for_service(w)
             assert (await fleet.status())["comeback"][-1]["cause"].startswith("the supervisor before")
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
+            await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
 
@@ -106,7 +106,7 @@
             fleet.lose_store([f"p{i}" for i in range(fleet.count)])
             fleet.file.write_text(text)
             await fleet.start()
-            await come(lambda: _all_waiting(fleet), "all wait")
+            await wait_for(lambda: _all_waiting(fleet), "all wait")
             pids = [row["pid"] for row in (await fleet.rows()).values()]
             caller = Caller(*await asyncio.open_connection("127.0.0.1", fleet.ports[0]))
             caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -118,7 +118,7 @@
             await w.lists.back()
             assert (await caller.answer())[0] == 200, "the request was queued and then served"
             caller.leave()
-            await come(fleet.ready, "ready")
+            await wait_for(fleet.ready, "ready")
             assert_consistent(w)
 
     run(test)
@@ -139,13 +139,13 @@
             fleet.copy_store()
             banned = w.backends[2]
             await fleet.operate("exclude", banned.host)
-            await come(lambda: _orders_stored(fleet), "the fleet stores the orders")
+            await wait_for(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
             banned.away = True
             await fleet.lose()
             fleet.put_back_store()
             await fleet.start()
-            await come(lambda: all_full(fleet), "full")
+            await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w, 100)
             assert w.account.stale == 0
             await fleet.operate("include", banned.host)
@@ -171,7 +171,7 @@
             await wait_for_stored_lists(fleet)
             banned = w.backends[2]
             await fleet.operate("exclude", banned.host)
-            await come(lambda: _orders_stored(fleet), "the fleet stores the orders")
+            await wait_for(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
             banned.away = True
             await w.lists.leave()
@@ -179,14 +179,14 @@
             fleet.turn_clock([f"p{i}" for i in range(fleet.count)], seconds)
             await fleet.start()
             if seconds < 0.0:
-                await come(lambda: all_full(fleet), "full service without discovery")
+                await wait_for(lambda: all_full(fleet), "full service without discovery")
                 assert fleet.log().count("a clock was set back") >= fleet.count
                 await wait_for_service(w)
             else:
-                await come(lambda: _all_waiting(fleet), "all wait")
+                await wait_for(lambda: _all_waiting(fleet), "all wait")
                 assert fleet.log().count("stored list: old") >= fleet.count
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
+            await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w, 100)
             assert_consistent(w)
 
@@ -199,20 +199,20 @@
             drained, line = w.backends[0], w.lists.hosts[0]
             w.lists.change(line | {"health": "terminating"})
             await wait_for_service(w)
-            await come(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
+            await wait_for(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
             await w.lists.leave()
             await fleet.lose()
             w.lists.change(line)
             drained.away = True  # no instance can know otherwise
             await fleet.start()
-            await come(lambda: all_full(fleet), "full service without discovery")
+            await wait_for(lambda: all_full(fleet), "full service without discovery")
             await wait_for_service(w, 60)
             assert w.account.stale == 0
             drained.away = False
             before = drained.connections
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
-            await come(lambda: drained.connections > before, "it is used again")
+            await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
+            await wait_for(lambda: drained.connections > before, "it is used again")
             assert_consistent(w)
 
     run(test)
@@ -224,12 +224,12 @@
             await lose_fleet_and_discovery(w, fleet)
             await w.replace_backends(0.5, 3)
             await fleet.start()
-            await come(lambda: all_full(fleet), "full")
+            await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w, 60)
             dropped = [row["comeback"]["dropped"] for row in (await fleet.rows()).values()]
             assert sum(dropped) > 0
             await w.lists.back()
-            await come(lambda: discovery_reported_to_all(fleet), "discovery has reported")
+            await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
 
@@ -246,15 +246,15 @@
             drained = w.backends[0]
             w.lists.change(before[0] | {"health": "terminating"})
             await wait_for_service(w)
-            await come(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
+            await wait_for(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
             await fleet.lose()
             drained.away = True
             await w.lists.leave()
             w.lists.hosts, w.lists.seq = ([], 9) if lie == "empty" else (before, 1)
             await w.lists.back()
             await fleet.start()
-            await come(lambda: all_full(fleet), "full")
-            await come(lambda: fleet.log().count("recovery: doubted") >= fleet.count, "doubts")
+            await wait_for(lambda: all_full(fleet), "full")
+            await wait_for(lambda: fleet.log().count("recovery: doubted") >= fleet.count, "doubts")
             await wait_for_service(w, 100)
             assert_consistent(w)
 
@@ -268,11 +268,11 @@
             w.lists.hosts, w.lists.seq = [], 9
             await w.lists.back()
             await fleet.start()
-            await come(lambda: discovery_reported_to_all(fleet), "the empty list is accepted")
+            await wait_for(lambda: discovery_reported_to_all(fleet), "the empty list is accepted")
             assert fleet.log().count("recovery: doubted") >= fleet.count
             assert w.load is not None
             asked = len(w.load.told)
-            await come(partial(_has_answers, w, asked + 20), "answers")
+            await wait_for(partial(_has_answers, w, asked + 20), "answers")
             assert {row.how for row in w.load.told[asked + 10 :]} == {"refused"}
 
     run(test)
@@ -301,14 +301,14 @@
             await w.links["discovery"][0].set(Mood("drop"))
             await fleet.lose()
             await fleet.start()
-            await come(w.all_there, "processes")
+            await wait_for(w.all_there, "processes")
             rows = await fleet.rows()
             os.kill(rows["p0"]["pid"], signal.SIGSTOP)
-            await come(lambda: _stopped(rows["p0"]["pid"]), "stopped")
-            await come(lambda: _others_full(fleet, "p0"), "the others")
+            await wait_for(lambda: _stopped(rows["p0"]["pid"]), "stopped")
+            await wait_for(lambda: _others_full(fleet, "p0"), "the others")
             os.kill(rows["p0"]["pid"], signal.SIGCONT)
             await w.links["discovery"][0].set(Mood())
-            await come(lambda: all_full(fleet), "all")
+            await wait_for(lambda: all_full(fleet), "all")
             assert_consistent(w)
 
     run(test)
@@ -338,7 +338,7 @@
             await fleet.lose()
             fleet.damage_store(["p0", "p2"], 5)
             await fleet.start()
-            await come(lambda: _states_restored(fleet), "the earlier states")
+            await wait_for(lambda: _states_restored(fleet), "the earlier states")
             rows = await fleet.rows()
             assert rows["p1"]["state"] == "stopped" and rows["p0"]["generation"] > 1
             assert "epoch 2" in fleet.log()
@@ -364,10 +364,10 @@
             killed: set[int] = set()
             for failure in range(3):
                 names = [f"p{(failure + i) % 6}" for i in range(4)]
-                await come(partial(w.all_there, killed), "processes")
+                await wait_for(partial(w.all_there, killed), "processes")
                 killed |= set(await fleet.signal(names, signal.SIGKILL))
-                await come(partial(_event_count_reached, fleet, failure + 1), "an event")
-            await come(lambda: all_full(fleet), "full")
+                await wait_for(partial(_event_count_reached, fleet, failure + 1), "an event")
+            await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w)
             assert w.load is not None
             assert not [row for row in w.load.told if row.how in ("refused", "unreachable")]
--- a/tests/loopback/test_stalled_instances.py
+++ b/tests/loopback/test_stalled_instances.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 
 import pytest
-from fleetrig import asked, come, nothing_wrong, run, running
+from fleetrig import assert_consistent, next_requests, run, running, wait_for
 from rig import PATIENCE
 from takeover_rig import HOOKS, environment, takeover_rig
 
 from cometusher.fault_injection.environment import MIXED, Fleet, World
-from cometusher.fleet.control import ask
-from cometusher.fleet.identity import read_schedule, read_stat
+from cometusher.fleet.control import send_request
+from cometusher.fleet.identity import read_schedstat, read_stat
 from standins.caller import Caller, request
 
 RATE = 80.0
@@ -56,22 +56,22 @@
     async def test() -> None:
         async with world(tmp_path) as (w, fleet):
             assert w.load is not None
-            await asked(w, 60)
+            await next_requests(w, 60)
             before = await fleet.pids()
             begin = len(w.load.told)
             for name in ("p1", "p4"):
                 os.kill(before[name], signal.SIGSTOP)
             for name in ("p1", "p4"):
-                await come(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
                 assert read_stat(before[name]) is None, "it was reaped"
-            await asked(w, 80)
+            await next_requests(w, 80)
             after = await fleet.pids()
             assert all(after[name] == before[name] for name in ("p0", "p2", "p3", "p5")), "and nobody else"
             lost = [one for one in w.load.told[begin:] if one.how == "lost"]
             assert not lost, lost
             assert await counted(fleet, "replaced") == 2
-            nothing_wrong(w)
-            notes = await asyncio.to_thread(ask, Path(fleet.control), "explain", PATIENCE, names=["p1"])
+            assert_consistent(w)
+            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p1"])
             told = [text for _, text in notes["notes"]["p1"]]
             assert "suspect, stopped" in told[0] and "it is replaced" in told[-1], told
 
@@ -85,11 +85,11 @@
         async with world(tmp_path, 4, rate=5.0) as (w, fleet):
             text = fleet.file.read_text().replace("[vigil]", "[vigil]\nstopped_for = 120.0\n")
             fleet.file.write_text(text)
-            await asyncio.to_thread(ask, Path(fleet.control), "reload", PATIENCE)
+            await asyncio.to_thread(send_request, Path(fleet.control), "reload", PATIENCE)
             pid = (await fleet.pids())["p2"]
             os.kill(pid, signal.SIGSTOP)
             try:
-                await come(lambda: judged(fleet, "p2", "suspect"), "suspect")
+                await wait_for(lambda: judged(fleet, "p2", "suspect"), "suspect")
                 reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports[2])
                 writer.write(request("report-view", budget="3000m", rid="s1"))
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
@@ -98,10 +98,10 @@
                 writer.close()
             finally:
                 os.kill(pid, signal.SIGCONT)
-            await come(lambda: judged(fleet, "p2", "well"), "well again")
+            await wait_for(lambda: judged(fleet, "p2", "well"), "well again")
             assert (await fleet.pids())["p2"] == pid and await counted(fleet, "replaced") == 0
             assert await counted(fleet, "relieved") == 0
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -111,18 +111,18 @@
 
     async def test() -> None:
         async with world(tmp_path, 6, rate=40.0) as (w, fleet):
-            await asked(w, 40)
+            await next_requests(w, 40)
             before = await fleet.pids()
             for name in before:
                 if name != "p0":
                     os.kill(before[name], signal.SIGSTOP)
             for name in before:
                 if name != "p0":
-                    await come(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                    await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
             assert (await fleet.pids())["p0"] == before["p0"]
             assert await counted(fleet, "replaced") == 5 and await counted(fleet, "held_back") >= 1
-            await asked(w, 40)
-            nothing_wrong(w)
+            await next_requests(w, 40)
+            assert_consistent(w)
 
     run(test)
 
@@ -134,9 +134,9 @@
             before = await fleet.pids()
             begin = len(w.load.told)
             os.kill(fleet.process.pid, signal.SIGSTOP)
-            await asked(w, 200)
+            await next_requests(w, 200)
             os.kill(fleet.process.pid, signal.SIGCONT)
-            await asked(w, 80)
+            await next_requests(w, 80)
             assert await fleet.pids() == before and await counted(fleet, "replaced") == 0
             assert not [one for one in w.load.told[begin:] if one.how == "lost"]
 
@@ -149,16 +149,16 @@
     async def test() -> None:
         async with world(tmp_path, 4, rate=40.0) as (w, fleet):
             assert w.load is not None
-            await asked(w, 30)
+            await next_requests(w, 30)
             begin = len(w.load.told)
             for _ in range(3):
                 pid = (await fleet.pids())["p1"]
                 os.kill(pid, signal.SIGSTOP)
-                await come(partial(fleet.replaced, "p1", pid), "a fresh p1")
-            await asked(w, 30)
+                await wait_for(partial(fleet.replaced, "p1", pid), "a fresh p1")
+            await next_requests(w, 30)
             assert await counted(fleet, "replaced") == 3
             assert not [one for one in w.load.told[begin:] if one.how == "lost"]
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -166,15 +166,17 @@
 def test_a_stall_in_the_middle_of_a_rolling_restart_ends_in_new_processes_for_all(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 4, rate=40.0) as (w, fleet):
-            await asked(w, 30)
+            await next_requests(w, 30)
             before = await fleet.pids()
-            rolling = asyncio.create_task(asyncio.to_thread(ask, Path(fleet.control), "restart", 3 * PATIENCE))
+            rolling = asyncio.create_task(
+                asyncio.to_thread(send_request, Path(fleet.control), "restart", 3 * PATIENCE)
+            )
             os.kill(before["p3"], signal.SIGSTOP)
             for name in before:
-                await come(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
             assert "4 of 4 done" in (await rolling)["text"]
-            await asked(w, 30)
-            nothing_wrong(w)
+            await next_requests(w, 30)
+            assert_consistent(w)
 
     run(test)
 
@@ -186,16 +188,16 @@
     async def test() -> None:
         async with world(tmp_path, 4, lines=("spinning_for = 0.8",)) as (w, fleet):
             assert w.load is not None
-            await asked(w, 60)
+            await next_requests(w, 60)
             begin, pids = len(w.load.told), await fleet.pids()
             os.kill(pids["p2"], number)
-            await come(partial(fleet.replaced, "p2", pids["p2"]), "a fresh p2")
-            await asked(w, 60)
+            await wait_for(partial(fleet.replaced, "p2", pids["p2"]), "a fresh p2")
+            await next_requests(w, 60)
             after = await fleet.pids()
             assert {name for name in pids if after[name] != pids[name]} == {"p2"}
             assert not [one for one in w.load.told[begin:] if one.how == "lost"]
-            nothing_wrong(w)
-            notes = await asyncio.to_thread(ask, Path(fleet.control), "explain", PATIENCE, names=["p2"])
+            assert_consistent(w)
+            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p2"])
             assert any(f"it is replaced: {cause}" in text for _, text in notes["notes"]["p2"]), notes
 
     run(test)
@@ -206,12 +208,12 @@
 
     async def test() -> None:
         async with world(tmp_path, 4, rate=160.0) as (w, fleet):
-            await asked(w, 60)
+            await next_requests(w, 60)
             pids = await fleet.pids()
             os.kill(pids["p2"], signal.SIGURG)
-            await asked(w, 600)
+            await next_requests(w, 600)
             assert await fleet.pids() == pids and await counted(fleet, "replaced") == 0
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -222,17 +224,17 @@
     async def test() -> None:
         async with world(tmp_path, 4, lines=("stopped_for = 30.0", "hung_for = 30.0")) as (w, fleet):
             assert w.load is not None
-            await asked(w, 40)
+            await next_requests(w, 40)
             begin, pids = len(w.load.told), await fleet.pids()
             for pause in (0.05, 0.2, 0.05, 0.2, 0.4, 0.2):
                 os.kill(pids["p3"], signal.SIGSTOP)
                 await asyncio.sleep(pause)
                 os.kill(pids["p3"], signal.SIGCONT)
-                await asked(w, 20)
-            await come(lambda: judged(fleet, "p3", "well"), "well")
+                await next_requests(w, 20)
+            await wait_for(lambda: judged(fleet, "p3", "well"), "well")
             assert await fleet.pids() == pids and await counted(fleet, "relieved") == 0
             assert not [one for one in w.load.told[begin:] if one.how == "lost"]
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -240,16 +242,16 @@
 def test_a_stall_in_the_middle_of_a_reload_is_ended_and_the_reload_with_it(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path, 4, rate=40.0) as (w, fleet):
-            await asked(w, 30)
+            await next_requests(w, 30)
             pids = await fleet.pids()
             os.kill(pids["p1"], signal.SIGSTOP)
             fleet.file.write_text(fleet.file.read_text().replace("sockets = 256", "sockets = 300"))
-            answer = await asyncio.to_thread(ask, Path(fleet.control), "reload", 3 * PATIENCE)
+            answer = await asyncio.to_thread(send_request, Path(fleet.control), "reload", 3 * PATIENCE)
             assert "text" in answer
             for name in pids:
-                await come(partial(fleet.replaced, name, pids[name]) if name == "p1" else fleet.ready, name)
-            await asked(w, 30)
-            nothing_wrong(w)
+                await wait_for(partial(fleet.replaced, name, pids[name]) if name == "p1" else fleet.ready, name)
+            await next_requests(w, 30)
+            assert_consistent(w)
 
     run(test)
 
@@ -260,21 +262,21 @@
     async def test() -> None:
         async with world(tmp_path, 5, rate=40.0) as (w, fleet):
             assert fleet.process is not None and w.load is not None
-            await asked(w, 30)
+            await next_requests(w, 30)
             before = await fleet.pids()
             os.kill(fleet.process.pid, signal.SIGSTOP)
             os.kill(before["p1"], signal.SIGKILL)
             os.kill(before["p2"], signal.SIGSTOP)
-            await asked(w, 100)
+            await next_requests(w, 100)
             os.kill(before["p2"], signal.SIGCONT)
-            await asked(w, 20)
+            await next_requests(w, 20)
             os.kill(fleet.process.pid, signal.SIGCONT)
-            await come(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
-            await asked(w, 60)
+            await wait_for(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
+            await next_requests(w, 60)
             after = await fleet.pids()
             assert {name for name in before if after[name] != before[name]} == {"p1"}
             assert await counted(fleet, "replaced") == 0, fleet.log()[-3000:]
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -299,8 +301,8 @@
                 os.kill(pid, signal.SIGCONT)
             assert set(answers) <= {200, 503} and answers.count(200) > 200, "each has an answer"
             assert await counted(fleet, "accepted_for_others") >= 250
-            await come(lambda: judged(fleet, "p2", "well"), "well")
-            nothing_wrong(w)
+            await wait_for(lambda: judged(fleet, "p2", "well"), "well")
+            assert_consistent(w)
 
     run(test)
 
@@ -314,7 +316,7 @@
             caller, rid = await rig.hold_request(0, "once")
             old = (await rig.fleet.pids())["p0"]
             rolling = asyncio.create_task(
-                asyncio.to_thread(ask, Path(rig.fleet.control), "restart", 3 * PATIENCE, names=["p0"])
+                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE, names=["p0"])
             )
             await rig.wait_until(partial(rig.fleet.replaced, "p0", old), "a fresh process beside the old one")
             assert read_stat(old) is not None, "it drains, with the request in hand"
@@ -340,16 +342,16 @@
     async def test() -> None:
         async with world(tmp_path, 4, rate=40.0, ready_within=120.0) as (w, fleet):
             assert w.load is not None
-            await asked(w, 30)
+            await next_requests(w, 30)
             begin, before = len(w.load.told), await fleet.pids()
             (hooks(tmp_path) / "p1.starting").write_text(str(int(signal.SIGSTOP)))
             os.kill(before["p1"], signal.SIGKILL)
-            await come(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
+            await wait_for(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
             assert not (hooks(tmp_path) / "p1.starting").exists(), "one was stopped before it"
             assert await counted(fleet, "replaced") == 1
-            await asked(w, 40)
+            await next_requests(w, 40)
             assert not [one for one in w.load.told[begin:] if one.how == "lost"]
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -361,7 +363,7 @@
             before = (await fleet.pids())["p2"]
             (hooks(tmp_path) / "p2.starting").write_text(str(int(signal.SIGSTOP)))
             os.kill(before, signal.SIGKILL)
-            await come(lambda: not (hooks(tmp_path) / "p2.starting").exists(), "one that starts")
+            await wait_for(lambda: not (hooks(tmp_path) / "p2.starting").exists(), "one that starts")
             pid = (await fleet.pids())["p2"]
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports[2])
@@ -372,11 +374,11 @@
                 writer.close()
             finally:
                 os.kill(pid, signal.SIGCONT)
-            await come(partial(fleet.replaced, "p2", before), "ready")
-            await come(lambda: judged(fleet, "p2", "well"), "well")
+            await wait_for(partial(fleet.replaced, "p2", before), "ready")
+            await wait_for(lambda: judged(fleet, "p2", "well"), "well")
             assert (await fleet.pids())["p2"] == pid and await counted(fleet, "replaced") == 0
             assert await counted(fleet, "relieved") == 0
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
@@ -390,7 +392,7 @@
     async def test() -> None:
         async with world(tmp_path, 4, rate=40.0) as (w, fleet):
             assert fleet.process is not None
-            await asked(w, 30)
+            await next_requests(w, 30)
             before = await fleet.pids()
             pids = [*before.values(), *([fleet.process.pid] if judge else [])]
             core = max(os.sched_getaffinity(0))
@@ -398,11 +400,13 @@
                 os.sched_setaffinity(pid, {core})
                 os.sched_setscheduler(pid, os.SCHED_IDLE, os.sched_param(0))
             with starving(core):
-                waited = {pid: read_schedule(pid)[1] for pid in pids}
-                await come(lambda: all(read_schedule(pid)[1] - waited[pid] > 3.0 for pid in pids), "short of time")
-            await come(lambda: all_well(fleet), "well again")
+                waited = {pid: read_schedstat(pid)[1] for pid in pids}
+                await wait_for(
+                    lambda: all(read_schedstat(pid)[1] - waited[pid] > 3.0 for pid in pids), "short of time"
+                )
+            await wait_for(lambda: all_well(fleet), "well again")
             assert await fleet.pids() == before and await counted(fleet, "replaced") == 0, fleet.log()[-3000:]
-            nothing_wrong(w)
+            assert_consistent(w)
 
     run(test)
 
--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -14,7 +14,7 @@
 from rig import PATIENCE
 from takeover_rig import TakeoverRig, takeover_rig
 
-from cometusher.fleet.control import ask
+from cometusher.fleet.control import send_request
 from cometusher.fleet.identity import read_stat
 from standins.caller import Caller
 from standins.messages import Seen, Writer
@@ -508,7 +508,9 @@
         async with takeover_rig(3) as rig:
             caller, request_id = await rig.hold_request(0, "once")
             old = await rig.fleet.pids()
-            rolling = asyncio.create_task(asyncio.to_thread(ask, Path(rig.fleet.control), "restart", 3 * PATIENCE))
+            rolling = asyncio.create_task(
+                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE)
+            )
             await rig.wait_until(lambda: rig.fleet.replaced("p0", old["p0"]), "a new process beside the old one")
             assert read_stat(old["p0"]) is not None, "it drains, with the request in flight"
             os.kill(old["p0"], signal.SIGKILL)
--- a/tests/unit/test_toml_reader.py
+++ b/tests/unit/test_toml_reader.py
@@ -14,7 +14,7 @@
 
 from cometusher import logs
 from cometusher.config import ConfigError
-from cometusher.fleet.spec import read_place, read_spec, write_private
+from cometusher.fleet.spec import read_location, read_spec, write_private
 from cometusher.toml_reader import read_file
 
 HEAD = '[fleet]\nstate = "s"\n[common]\nconfig = "proxy.json"\ndiscovery = "127.0.0.1:9"\n'
@@ -84,7 +84,7 @@
 
 def test_a_fleet_can_be_reached_whatever_became_of_the_rest(tmp_path: Path) -> None:
     path = spec_file(tmp_path, '[fleet]\nstate = "s"\n[common]\nnonsense = 1\n')
-    assert read_place(path).control == tmp_path / "s" / "control.sock"
+    assert read_location(path).control_socket == tmp_path / "s" / "control.sock"
 
 
 @pytest.mark.parametrize("content", [b"\xff\xfe", b"a = " + b"9" * 5_000_000, None])
