--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -108,7 +108,7 @@
     for look in looks:
         for key, one in look.observations.items():
             if one.stopped:
-                found[key] = (one.last_heartbeat, look.time)
+                found[key] = (one.last_heartbeat, look.observed_at)
             elif key in found:
                 done.append((key, *found.pop(key)))
     return done
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -52,26 +52,26 @@
 
 
 def _query(
-    place: FleetLocation, command: str, timeout: float, options: argparse.Namespace, named: bool = True
+    place: FleetLocation, command: str, timeout: float, options: argparse.Namespace, with_names: bool = True
 ) -> dict[str, Any] | None:
     """The supervisor's answer; None if there is none to be had, which is told then."""
     try:
-        return send_request(place.control_socket, command, timeout, names=options.names if named else [])
-    except (NoSupervisor, ControlError) as fault:
+        return send_request(place.control_socket, command, timeout, names=options.names if with_names else [])
+    except (NoSupervisor, ControlError) as error:
         if options.json:
-            _print_json({"ok": False, "error": str(fault)})
-        _report(1, str(fault))
+            _print_json({"ok": False, "error": str(error)})
+        _report(1, str(error))
         return None
 
 
 def _operate(place: FleetLocation, options: argparse.Namespace) -> int:
     # A supervisor that hangs is told at once.
-    if _query(place, "status", QUERY_TIMEOUT, options, named=False) is None:
+    if _query(place, "status", QUERY_TIMEOUT, options, with_names=False) is None:
         return 1
-    answer = _query(place, options.action, OPERATION_TIMEOUT, options)
-    if answer is None:
+    reply = _query(place, options.action, OPERATION_TIMEOUT, options)
+    if reply is None:
         return 1
-    _print_json(answer) if options.json else _report(0, str(answer.get("text", "done")))
+    _print_json(reply) if options.json else _report(0, str(reply.get("text", "done")))
     return 0
 
 
@@ -85,8 +85,8 @@
             send_request(spec.location.control_socket, "status", QUERY_TIMEOUT)
         except NoSupervisor:
             pass  # then this becomes the supervisor
-        except ControlError as fault:
-            _report(1, str(fault))
+        except ControlError as error:
+            _report(1, str(error))
             return 1
         else:
             return _operate(spec.location, options)
@@ -110,40 +110,40 @@
 
     try:
         supervisor.run(spec, options.names, dict(os.environ), started)
-    except (supervisor.CannotStart, ValueError) as fault:
-        report(1, str(fault))
+    except (supervisor.CannotStart, ValueError) as error:
+        report(1, str(error))
         return 1
     return 0
 
 
 def _query_and_show(place: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]) -> int:
     """What the supervisor answers to the action's own name, as JSON or for people."""
-    answer = _query(place, options.action, QUERY_TIMEOUT, options)
-    if answer is None:
+    reply = _query(place, options.action, QUERY_TIMEOUT, options)
+    if reply is None:
         return 1
-    _print_json(answer) if options.json else show(answer)
+    _print_json(reply) if options.json else show(reply)
     return 0
 
 
-def _show_status(answer: dict[str, Any]) -> None:
-    print(f"{answer['fleet']}: supervisor {answer['pid']}", *answer["operations"], sep="\n  ")
-    for event in answer.get("comeback", [])[-1:]:
+def _show_status(reply: dict[str, Any]) -> None:
+    print(f"{reply['fleet']}: supervisor {reply['pid']}", *reply["operations"], sep="\n  ")
+    for event in reply.get("comeback", [])[-1:]:
         reached = ", ".join(f"{name} {event[name]:.2f} s" for name in RECOVERY_PHASES if event[name] is not None)
         print(
             f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
             f"{event['cause']}: {reached or 'nothing yet'}"
         )
-    estate = answer.get("takeover")
-    if estate:
-        print("  work in hand: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in estate.items()))
-    watch = answer.get("vigil")
-    if watch:
-        print("  watch: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in watch.items()))
+    takeover = reply.get("takeover")
+    if takeover:
+        print("  work in hand: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in takeover.items()))
+    detector = reply.get("vigil")
+    if detector:
+        print("  watch: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in detector.items()))
     columns = "{:<20} {:<9} {:>7} {:>8} {:>8}  {:<24} {:<12} {:>7} {:>5} {:>9}"
     print(
         columns.format("name", "state", "pid", "since", "restarts", "last exit", "version", "MB", "fds", "requests")
     )
-    for row in answer["instances"]:
+    for row in reply["instances"]:
         requests = sum(n for name, n in row["requests"].items() if name != "open")
         print(
             columns.format(
@@ -159,30 +159,30 @@
                 requests,
             )
         )
-        seen = row.get("vigil", {})
-        if seen and seen["judgement"] != "well":
-            print(f"  {seen['judgement']}: {seen['cause'] or 'late'}, phi {seen['phi']}")
-        if seen.get("unlike"):
-            print(f"  {seen['unlike']}: {seen['because']}; {100.0 * seen['portion']:.0f}% of its new connections")
+        view = row.get("vigil", {})
+        if view and view["judgement"] != "well":
+            print(f"  {view['judgement']}: {view['cause'] or 'late'}, phi {view['phi']}")
+        if view.get("unlike"):
+            print(f"  {view['unlike']}: {view['because']}; {100.0 * view['portion']:.0f}% of its new connections")
         if row["state"] in ("failed", "waiting") and row["reason"]:
             print(f"  {row['reason']}")
 
 
-def _show_notes(answer: dict[str, Any]) -> None:
-    for name, notes in answer["notes"].items():
+def _show_notes(reply: dict[str, Any]) -> None:
+    for name, notes in reply["notes"].items():
         print(f"{name}: " + ("nothing to tell" if not notes else ""))
         for ago, text in notes:
             print(f"  {ago:8.2f} s ago  {text}")
 
 
-def _show_members(answer: dict[str, Any]) -> None:
-    links = {link["address"]: link for link in answer["links"]}
+def _show_members(reply: dict[str, Any]) -> None:
+    links = {link["address"]: link for link in reply["links"]}
     columns = "{:<24} {:<22} {:<8} {:<8} {:>8} {:>6}  {}"
     print(columns.format("name", "address", "zone", "state", "since", "inc.", "link"))
-    for row in answer["members"]:
+    for row in reply["members"]:
         link = links.get(row["address"])
-        how = "-" if link is None else "up" if link["up"] else f"down, {link['failed']} dials"
-        by = f", suspected by {', '.join(row['suspected_by'])}" if row["suspected_by"] else ""
+        link_state = "-" if link is None else "up" if link["up"] else f"down, {link['failed']} dials"
+        suspicion = f", suspected by {', '.join(row['suspected_by'])}" if row["suspected_by"] else ""
         print(
             columns.format(
                 row["name"],
@@ -191,40 +191,40 @@
                 row["state"],
                 f"{row['since']:.0f}s",
                 row["incarnation"],
-                how + by,
+                link_state + suspicion,
             )
         )
-    odd = ("doubt", "conflicts", "foreign", "bad", "refused")
-    print("  " + ", ".join(f"{name} {answer[name]}" for name in odd))
+    counter_names = ("doubt", "conflicts", "foreign", "bad", "refused")
+    print("  " + ", ".join(f"{name} {reply[name]}" for name in counter_names))
 
 
-def _show_leases(answer: dict[str, Any]) -> None:
-    print("decided by a majority of: " + (", ".join(answer["grantors"]) or "nobody, so nothing is"))
-    for row in answer["duties"]:
-        held = f"held, epoch {row['epoch']}, for {row['for']:.1f} s yet" if row["holds"] else "not held here"
-        print(f"  {row['duty']}: {held}" + (", asked for" if row["wishes"] else ""))
+def _show_leases(reply: dict[str, Any]) -> None:
+    print("decided by a majority of: " + (", ".join(reply["grantors"]) or "nobody, so nothing is"))
+    for row in reply["duties"]:
+        holding = f"held, epoch {row['epoch']}, for {row['for']:.1f} s yet" if row["holds"] else "not held here"
+        print(f"  {row['duty']}: {holding}" + (", asked for" if row["wishes"] else ""))
 
 
-def _show_bans(answer: dict[str, Any]) -> None:
-    for row in answer["bans"]:
+def _show_bans(reply: dict[str, Any]) -> None:
+    for row in reply["bans"]:
         print(
             f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
             f"known here for {row['since']:.0f} s"
         )
-    print(f"  {answer['pending']} orders that instances here have not carried out yet")
+    print(f"  {reply['pending']} orders that instances here have not carried out yet")
 
 
 def _stop(place: FleetLocation, options: argparse.Namespace) -> int:
     if options.names:
         return _operate(place, options)
-    answer = _query(place, "stop", QUERY_TIMEOUT, options)
-    if answer is None:
+    reply = _query(place, "stop", QUERY_TIMEOUT, options)
+    if reply is None:
         return 1
-    who = Identity.of(int(answer["pid"]))
-    deadline = time.monotonic() + QUERY_TIMEOUT + 2.0 * float(answer["within"])
-    while who is not None and who.is_alive():
+    supervisor = Identity.of(int(reply["pid"]))
+    deadline = time.monotonic() + QUERY_TIMEOUT + 2.0 * float(reply["within"])
+    while supervisor is not None and supervisor.is_alive():
         if time.monotonic() > deadline:
-            _report(1, f"the supervisor, pid {who.pid}, has not ended")
+            _report(1, f"the supervisor, pid {supervisor.pid}, has not ended")
             return 1
         time.sleep(0.02)
     _print_json({"ok": True, "text": "stopped"}) if options.json else _report(0, "stopped")
--- a/cometusher/fleet/control.py
+++ b/cometusher/fleet/control.py
@@ -54,11 +54,11 @@
         with contextlib.suppress(FileNotFoundError):
             self._path.unlink()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
-        before = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
             sock.bind(str(self._path))
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         self._server = await asyncio.start_unix_server(self._on_connection, sock=sock, limit=MAX_REQUEST)
 
     async def stop(self) -> None:
@@ -73,16 +73,16 @@
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        crowded = len(self._tasks) >= MAX_CONNECTIONS
+        is_full = len(self._tasks) >= MAX_CONNECTIONS
         self._tasks.add(task)
         try:
-            answer = (
+            reply = (
                 {"ok": False, "error": "too many control connections"}
-                if crowded
+                if is_full
                 else await self._handle_request(reader, writer)
             )
-            if answer is not None:
-                writer.write(orjson.dumps({"version": VERSION} | answer) + b"\n")
+            if reply is not None:
+                writer.write(orjson.dumps({"version": VERSION} | reply) + b"\n")
                 async with asyncio.timeout(REQUEST_TIMEOUT):
                     await writer.drain()
         except (OSError, TimeoutError):
@@ -107,16 +107,16 @@
             return None
         try:
             request = orjson.loads(line)
-        except orjson.JSONDecodeError as fault:
-            return {"ok": False, "error": f"not JSON: {fault}"}
+        except orjson.JSONDecodeError as error:
+            return {"ok": False, "error": f"not JSON: {error}"}
         if not isinstance(request, dict) or not isinstance(request.get("command"), str):
             return {"ok": False, "error": "command: missing"}
         if request.get("version") != VERSION:
             return {"ok": False, "error": f"version {request.get('version')!r} is not spoken here; {VERSION} is"}
         try:
             return {"ok": True} | await self._handler(request["command"], request)
-        except ControlError as fault:
-            return {"ok": False, "error": str(fault)}
+        except ControlError as error:
+            return {"ok": False, "error": str(error)}
 
 
 class NoSupervisor(Exception):
@@ -137,11 +137,11 @@
             raise ControlError(f"{path}: the supervisor did not answer within {timeout:g} s") from None
         except (FileNotFoundError, ConnectionRefusedError):
             raise NoSupervisor(f"{path}: no supervisor runs") from None
-        except OSError as fault:
-            raise ControlError(f"{path}: {fault.strerror}") from None
+        except OSError as error:
+            raise ControlError(f"{path}: {error.strerror}") from None
     if not line:
         raise ControlError(f"{path}: the supervisor ended before it answered")
-    answer: dict[str, Any] = orjson.loads(line)
-    if not answer.get("ok"):
-        raise ControlError(str(answer.get("error", "refused")))
-    return answer
+    reply: dict[str, Any] = orjson.loads(line)
+    if not reply.get("ok"):
+        raise ControlError(str(reply.get("error", "refused")))
+    return reply
--- a/cometusher/fleet/daemon.py
+++ b/cometusher/fleet/daemon.py
@@ -32,21 +32,21 @@
         os.dup2(null, number)
     os.close(null)
 
-    def tell(code: int, text: str) -> None:
+    def report_start(code: int, text: str) -> None:
         nonlocal writer
         if writer >= 0:
             os.write(writer, f"{code} {text}".encode()[:MAX_REPORT])
             os.close(writer)
             writer = -1
 
-    return tell
+    return report_start
 
 
 def _await_report(reader: int, report: Callable[[int, str], None]) -> None:
-    word = b""
+    message = b""
     while data := os.read(reader, MAX_REPORT):
-        word += data
-    code, _, text = word.decode(errors="replace").partition(" ")
+        message += data
+    code, _, text = message.decode(errors="replace").partition(" ")
     if not code.isdigit():
         code, text = "1", "the daemon ended before it was ready; its log tells more"
     report(int(code), text)
--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -25,16 +25,16 @@
 MAX_ROWS = 4096  # processes that can be alive at once
 
 
-def start_heartbeat(proxy: Proxy, row: int, every: float) -> None:
+def start_heartbeat(proxy: Proxy, row: int, interval: float) -> None:
     """Beat from here on, `every` so many seconds; keep an account, and heed the supervisor's word."""
     cells = memoryview(mmap.mmap(BOARD_FD, MAX_ROWS * ROW_BYTES))[row * ROW_BYTES : (row + 1) * ROW_BYTES].cast("q")
-    counting = proxy.traffic_counters = TrafficRecorder(cells)
+    recorder = proxy.traffic_counters = TrafficRecorder(cells)
 
     def beat() -> None:
         cells[LAST_TURN_CELL] = time.monotonic_ns()
-        counting.publish_state(proxy.discovery.seq, proxy.callers.out_of_descriptors)
+        recorder.publish_state(proxy.discovery.seq, proxy.callers.out_of_descriptors)
         proxy.set_ejected(bool(cells[EJECTED_CELL]))
-        proxy.loop.call_later(every, beat)
+        proxy.loop.call_later(interval, beat)
 
     beat()
 
@@ -48,7 +48,7 @@
         self._cells = memoryview(mmap.mmap(self.descriptor, MAX_ROWS * ROW_BYTES)).cast("q")
         self._free = list(range(MAX_ROWS - 1, -1, -1))
 
-    def allocate(self) -> int:
+    def allocate_row(self) -> int:
         """A row of zeros; raises OSError where there is none."""
         if not self._free:
             raise OSError("no row of the board is free")
@@ -59,7 +59,7 @@
     def _row(self, row: int) -> memoryview:
         return self._cells[row * CELL_COUNT : (row + 1) * CELL_COUNT]
 
-    def release(self, row: int) -> None:
+    def release_row(self, row: int) -> None:
         """Its process has been reaped: nobody writes to it any more."""
         self._free.append(row)
 
@@ -71,9 +71,9 @@
         """What its process has counted."""
         return read_counters(self._row(row).tolist(), tier)
 
-    def set_ejected(self, row: int, aside: bool) -> None:
+    def set_ejected(self, row: int, ejected: bool) -> None:
         """Tell its process whether to leave new connections to others."""
-        self._cells[row * CELL_COUNT + EJECTED_CELL] = aside
+        self._cells[row * CELL_COUNT + EJECTED_CELL] = ejected
 
     def close(self) -> None:
         """The supervisor ends."""
--- a/cometusher/fleet/identity.py
+++ b/cometusher/fleet/identity.py
@@ -63,10 +63,10 @@
     schedstat of proc(5); zeros if the process is gone, or the kernel does not count.
     """
     try:
-        ran, waited, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
+        cpu_time, wait_time, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
     except (OSError, ValueError):
         return 0.0, 0.0
-    return int(ran) / 1e9, int(waited) / 1e9
+    return int(cpu_time) / 1e9, int(wait_time) / 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,8 +159,8 @@
 
     def _describe_holder(self) -> str:
         """Who holds it: the kernel knows, whatever stands in the pid file."""
-        asked = struct.pack(_FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
-        pid = int(struct.unpack(_FLOCK, fcntl.fcntl(self._descriptor, fcntl.F_GETLK, asked))[4])
+        query = struct.pack(_FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
+        pid = int(struct.unpack(_FLOCK, fcntl.fcntl(self._descriptor, fcntl.F_GETLK, query))[4])
         text = f"{self._lock_file.parent} is held by another supervisor"
         if pid <= 0:
             return text
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -82,8 +82,8 @@
         """Beat on the supervisor's board, as its file for this process says."""
         from cometusher.fleet.heartbeat import start_heartbeat
 
-        told = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
-        start_heartbeat(proxy, int(told["row"]), float(told["beat"]))
+        values = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
+        start_heartbeat(proxy, int(values["row"]), float(values["beat"]))
 
     def _report_declined(self, offer: ReceivedOffer) -> None:
         self._send(event="declined", process=offer.process, slot=offer.slot, term=offer.term)
@@ -94,10 +94,10 @@
     def _report_counters(self, loop: asyncio.AbstractEventLoop) -> None:
         loop.call_later(HEARTBEAT_INTERVAL, self._report_counters, loop)
         assert self._proxy is not None
-        tallies = self._proxy.counters
-        hand = {"hand": self._proxy.inflight.counters()} if self._proxy.inflight is not None else {}
-        counts = {name: tallies.get(name, 0) for name in REPORTED_COUNTERS}
-        self._send(event="beat", open=self._proxy.open_requests, **counts, **hand)
+        counters = self._proxy.counters
+        inflight = {"hand": self._proxy.inflight.counters()} if self._proxy.inflight is not None else {}
+        reported = {name: counters.get(name, 0) for name in REPORTED_COUNTERS}
+        self._send(event="beat", open=self._proxy.open_requests, **reported, **inflight)
 
     def reloaded(self, why: str | None) -> None:
         """What came of a reload."""
@@ -129,8 +129,8 @@
 
     try:
         descriptor_holder.start(HOLDER_FD)
-    except OSError as fault:
-        logging.warning("no keeper, and nothing in hand is covered: %s", fault)
+    except OSError as error:
+        logging.warning("no keeper, and nothing in hand is covered: %s", error)
 
 
 def main() -> int:
@@ -141,8 +141,8 @@
     logs.to_pipe(sys.stderr.fileno(), name)
     try:
         settings = _with_supervisor_values(config.load(os.environ))
-    except config.ConfigError as fault:
-        logging.error("%s", fault)
+    except config.ConfigError as error:
+        logging.error("%s", error)
         return 2
     if settings.covered is not None:
         _start_descriptor_holder()
--- a/cometusher/fleet/listeners.py
+++ b/cometusher/fleet/listeners.py
@@ -38,14 +38,14 @@
         try:
             os.set_inheritable(descriptor, False)
             found.append(socket.socket(fileno=descriptor))
-        except OSError as fault:
-            log.warning("descriptor %d was passed and is no socket: %s", descriptor, fault)
+        except OSError as error:
+            log.warning("descriptor %d was passed and is no socket: %s", descriptor, error)
     return found
 
 
 def _listening_inodes(address: Address) -> set[str]:
     """Inodes of the sockets that listen on an address, or on all addresses with its port."""
-    wanted = ipaddress.ip_address(address[0])
+    target = ipaddress.ip_address(address[0])
     found = set()
     for table in ("/proc/net/tcp", "/proc/net/tcp6"):
         try:
@@ -60,7 +60,7 @@
             # Each group of four bytes is in the machine's order.
             words = [bytes.fromhex(host[i : i + 8])[::-1] for i in range(0, len(host), 8)]
             bound = ipaddress.ip_address(b"".join(words))
-            if bound == wanted or bound.is_unspecified or wanted.is_unspecified:
+            if bound == target or bound.is_unspecified or target.is_unspecified:
                 found.add(f"socket:[{columns[9]}]")
     return found
 
@@ -97,10 +97,10 @@
                 return self._open[name]
             try:
                 self._open[name] = open_listener(address)
-            except OSError as fault:
-                who = f" by {describe_listener(address)}" if fault.errno == errno.EADDRINUSE else ""
-                text = "taken" if fault.errno == errno.EADDRINUSE else str(fault.strerror or fault)
-                raise AddressUnavailable(f"{name}: {address[0]}:{address[1]} is {text}{who}") from None
+            except OSError as error:
+                holder = f" by {describe_listener(address)}" if error.errno == errno.EADDRINUSE else ""
+                text = "taken" if error.errno == errno.EADDRINUSE else str(error.strerror or error)
+                raise AddressUnavailable(f"{name}: {address[0]}:{address[1]} is {text}{holder}") from None
         return self._open[name]
 
     def find(self, name: str) -> socket.socket | None:
--- a/cometusher/fleet/log_collector.py
+++ b/cometusher/fleet/log_collector.py
@@ -61,9 +61,9 @@
         # Not blocking: opening a FIFO that nobody reads would wait for a reader.
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK
         with contextlib.suppress(OSError):
-            fresh = os.open(self.spec.target, flags, 0o640)
+            descriptor = os.open(self.spec.target, flags, 0o640)
             self.close()
-            self._use(fresh)
+            self._use(descriptor)
 
     def close(self) -> None:
         """Close it."""
@@ -98,9 +98,9 @@
         self._size += count
         return count
 
-    def _rotate(self, coming: int) -> None:
+    def _rotate(self, size: int) -> None:
         spec = self.spec
-        if not self._size or self._size + coming <= spec.max_bytes:
+        if not self._size or self._size + size <= spec.max_bytes:
             return
         names = [spec.target, *(f"{spec.target}.{i}" for i in range(1, spec.keep + 1))]
         if spec.keep == 0:
@@ -115,10 +115,10 @@
 class LogSink:
     """Renders records and hands them to the target; bounded, counting, and never waiting."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, target: LogTarget, who: str) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, target: LogTarget, instance_name: str) -> None:
         self._loop = loop
         self.target = target
-        self._instance_name = who
+        self._instance_name = instance_name
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._retry: asyncio.TimerHandle | None = None
@@ -184,10 +184,10 @@
 class LogSinkHandler(logging.Handler):
     """The supervisor's own records."""
 
-    def __init__(self, sink: LogSink, who: str) -> None:
+    def __init__(self, sink: LogSink, instance_name: str) -> None:
         super().__init__()
         self._sink = sink
-        self._instance_name = who
+        self._instance_name = instance_name
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record."""
--- a/cometusher/fleet/notify.py
+++ b/cometusher/fleet/notify.py
@@ -21,8 +21,10 @@
             self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
             self._socket.setblocking(False)
         usec = environ.get("WATCHDOG_USEC", "")
-        mine = environ.get("WATCHDOG_PID", str(os.getpid())) == str(os.getpid())
-        self.watchdog_interval = int(usec) / 2e6 if usec.isdigit() and mine else 0.0  # seconds between signs of life
+        is_for_this_process = environ.get("WATCHDOG_PID", str(os.getpid())) == str(os.getpid())
+        self.watchdog_interval = (
+            int(usec) / 2e6 if usec.isdigit() and is_for_this_process else 0.0
+        )  # seconds between signs of life
         self._fed_at = 0.0
 
     def send(self, *lines: str) -> None:
--- a/cometusher/fleet/observations.py
+++ b/cometusher/fleet/observations.py
@@ -27,7 +27,7 @@
 class ObservationRound:
     """All that one look saw."""
 
-    time: float  # seconds of the machine's clock
+    observed_at: float  # seconds of the machine's clock
     interval: float
     wanted_count: int
     observations: Mapping[Key, Observation]
@@ -36,20 +36,20 @@
 class ObservationRecorder:
     """Keeps looks, as far as there is room."""
 
-    def __init__(self, path: Path, most: int) -> None:
+    def __init__(self, path: Path, size_limit: int) -> None:
         self._path = path
-        self._bytes_left = most  # bytes
+        self._bytes_left = size_limit  # bytes
         self._lines: list[bytes] = []
         path.write_bytes(b"")
 
-    def record(self, look: ObservationRound) -> None:
+    def record(self, round_: ObservationRound) -> None:
         """One more."""
         if self._bytes_left <= 0:
             return
         rows = [
-            [*key, *astuple(evidence)] for key, evidence in look.observations.items()
+            [*key, *astuple(observation)] for key, observation in round_.observations.items()
         ]  # an Enum is written as its value
-        self._lines.append(orjson.dumps([look.time, look.interval, look.wanted_count, rows]) + b"\n")
+        self._lines.append(orjson.dumps([round_.observed_at, round_.interval, round_.wanted_count, rows]) + b"\n")
         if len(self._lines) >= FLUSH_LINES:
             self.flush()
 
@@ -64,9 +64,9 @@
         try:
             with self._path.open("ab") as file:
                 file.write(data)
-        except OSError as fault:
+        except OSError as error:
             self._bytes_left = 0
-            log.warning("no more evidence is kept: %s: %s", self._path, fault.strerror)
+            log.warning("no more evidence is kept: %s: %s", self._path, error.strerror)
 
 
 def read_observations(path: Path) -> Iterator[ObservationRound]:
@@ -78,21 +78,21 @@
         if not line.endswith(b"\n"):
             return
         try:
-            at, every, wanted, rows = orjson.loads(line)
-            seen = {
-                (str(name), int(generation)): replace(Observation(*rest), lifecycle=Lifecycle(life))
-                for name, generation, *rest, life in rows
+            observed_at, interval, wanted_count, rows = orjson.loads(line)
+            observations = {
+                (str(name), int(generation)): replace(Observation(*values), lifecycle=Lifecycle(lifecycle))
+                for name, generation, *values, lifecycle in rows
             }
-            yield ObservationRound(float(at), float(every), int(wanted), seen)
-        except (orjson.JSONDecodeError, TypeError, ValueError) as fault:
-            raise ValueError(f"{path}:{number}: {fault}") from None
+            yield ObservationRound(float(observed_at), float(interval), int(wanted_count), observations)
+        except (orjson.JSONDecodeError, TypeError, ValueError) as error:
+            raise ValueError(f"{path}:{number}: {error}") from None
 
 
 def replay_detector(
-    looks: Iterator[ObservationRound], policy: FailureDetectorPolicy
+    rounds: Iterator[ObservationRound], policy: FailureDetectorPolicy
 ) -> Iterator[tuple[float, Decision]]:
     """What would be done, and when, with these thresholds."""
-    vigil = FailureDetector(policy)
-    for look in looks:
-        for act in vigil.tick(look.time, look.observations, look.wanted_count, look.interval):
-            yield look.time, act
+    detector = FailureDetector(policy)
+    for round_ in rounds:
+        for decision in detector.tick(round_.observed_at, round_.observations, round_.wanted_count, round_.interval):
+            yield round_.observed_at, decision
--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -69,7 +69,7 @@
         default_factory=dict
     )  # with the slot, if there is an entry
     deadlines: dict[int, float] = field(default_factory=dict)  # by slot
-    descriptors: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: the caller, attempts
+    request_descriptors: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: the caller, attempts
     caller_connection_ids: dict[int, int] = field(
         default_factory=dict
     )  # by slot: the name of the caller's connection
@@ -99,10 +99,10 @@
 class OrphanedRequests:
     """All that the processes of one fleet leave."""
 
-    def __init__(self, spec: TakeoverSpec, loop: asyncio.AbstractEventLoop, heirs: SuccessorSource) -> None:
+    def __init__(self, spec: TakeoverSpec, loop: asyncio.AbstractEventLoop, successors: SuccessorSource) -> None:
         self.spec = spec
         self._loop = loop
-        self._successors = heirs
+        self._successors = successors
         self._planner = TakeoverPlanner(spec.pace, spec.patience)
         self._processes: dict[int, ProcessResources] = {}
         self._ports: dict[int, set[int]] = {}  # that callers connect to, by tier
@@ -123,21 +123,31 @@
 
     # ---- processes -----------------------------------------------------------------------
 
-    def allocate(self, name: str, tier: int, port: int) -> ProcessResources:
+    def open_resources(self, name: str, tier: int, port: int) -> ProcessResources:
         """For a process that is about to start; raises OSError."""
         self._process_count += 1
         self._ports.setdefault(tier, set()).add(port)
-        book = self._take_journal()
-        left = OrphanedJournal(self._pool.journal_memory(self._view, book), self._pool.size)
-        keeper, child_keeper = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        door, back = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        for one in (keeper, door, back):
-            one.setblocking(False)
-        holding = ProcessResources(
-            self._process_count, name, tier, port, left, book, self._memfd, keeper, door, back, child_keeper
+        journal_index = self._take_journal()
+        journal = OrphanedJournal(self._pool.journal_memory(self._view, journal_index), self._pool.size)
+        holder_socket, child_holder_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        offer_socket, offer_receiver = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        for sock in (holder_socket, offer_socket, offer_receiver):
+            sock.setblocking(False)
+        resources = ProcessResources(
+            self._process_count,
+            name,
+            tier,
+            port,
+            journal,
+            journal_index,
+            self._memfd,
+            holder_socket,
+            offer_socket,
+            offer_receiver,
+            child_holder_socket,
         )
-        self._processes[holding.process] = holding
-        return holding
+        self._processes[resources.process] = resources
+        return resources
 
     def _take_journal(self) -> int:
         """A book that is all zeros; raises OSError where there is none."""
@@ -146,246 +156,285 @@
             self._free_journals.append(self._retained_journals.popleft()[1])
         if not self._free_journals:
             raise OSError("no book is free")
-        book = self._free_journals.popleft()
-        self._memory.madvise(mmap.MADV_REMOVE, self._pool.journal_offset(book), self._pool.journal_stride)
-        return book
+        journal_index = self._free_journals.popleft()
+        self._memory.madvise(mmap.MADV_REMOVE, self._pool.journal_offset(journal_index), self._pool.journal_stride)
+        return journal_index
 
-    def assignment_values(self, holding: ProcessResources) -> dict[str, Any]:
+    def takeover_values(self, resources: ProcessResources) -> dict[str, Any]:
         """What the process is told of it, as a part of its file."""
-        return {"takeover": assignment_values(JournalAssignment(holding.process, holding.journal_index, self._pool))}
+        return {
+            "takeover": assignment_values(JournalAssignment(resources.process, resources.journal_index, self._pool))
+        }
 
-    def on_started(self, holding: ProcessResources) -> None:
+    def on_started(self, resources: ProcessResources) -> None:
         """It has started."""
-        holding.close_child_end()
-        self._loop.add_reader(holding.holder_socket.fileno(), self._on_holder_readable, holding)
+        resources.close_child_end()
+        self._loop.add_reader(resources.holder_socket.fileno(), self._on_holder_readable, resources)
 
-    def on_reaped(self, holding: ProcessResources) -> None:
+    def on_reaped(self, resources: ProcessResources) -> None:
         """It is no more, for certain: only now may anybody else act for it."""
-        if holding.is_reaped:
+        if resources.is_reaped:
             return
-        holding.is_reaped = True
-        holding.close_child_end()
-        given = {piece for piece, claim in self._planner.assigned() if claim.successor == holding.process}
+        resources.is_reaped = True
+        resources.close_child_end()
+        assigned = {piece for piece, claim in self._planner.assigned() if claim.successor == resources.process}
         self._collect_adopted()
-        unproven = given & set(self._planner.claims)  # noted by it at most, not adopted: they are in the book before
-        holding.offered_copies = {self._processes[process].caller_connection_ids[slot] for process, slot in unproven}
-        self._planner.on_reaped(holding.process)
-        self._request_descriptors(holding, unproven)
-        self._receive_back(holding)
+        unproven = assigned & set(
+            self._planner.claims
+        )  # noted by it at most, not adopted: they are in the book before
+        resources.offered_copies = {
+            self._processes[process].caller_connection_ids[slot] for process, slot in unproven
+        }
+        self._planner.on_reaped(resources.process)
+        self._request_descriptors(resources, unproven)
+        self._receive_back(resources)
         self._advance()
 
-    def _request_descriptors(self, holding: ProcessResources, unproven: set[RequestRef]) -> None:
+    def _request_descriptors(self, resources: ProcessResources, unproven: set[RequestRef]) -> None:
         """Ask the keeper for the connections of all that is in the book."""
-        asks: list[tuple[int, list[int]]] = []
-        rows: list[tuple[ConnectionRecord, int]] = []
-        taken = set()  # connections with an entry
-        for slot in holding.journal.slots():
-            entry = holding.journal.record_at(slot)
-            if entry is None:
-                log.warning("%s: an entry of its book can't be read", holding.name)
+        descriptor_requests: list[tuple[int, list[int]]] = []
+        connections: list[tuple[ConnectionRecord, int]] = []
+        recorded = set()  # connections with an entry
+        for slot in resources.journal.slots():
+            record = resources.journal.record_at(slot)
+            if record is None:
+                log.warning("%s: an entry of its book can't be read", resources.name)
                 continue
-            if entry.caller_descriptor < 0:
+            if record.caller_descriptor < 0:
                 continue  # an answer that is only kept
-            taken.add(entry.caller_descriptor)
-            if entry.origin is not None and (entry.origin.process, entry.origin.slot) in unproven:
+            recorded.add(record.caller_descriptor)
+            if record.origin is not None and (record.origin.process, record.origin.slot) in unproven:
                 continue
-            holding.deadlines[slot] = max(entry.deadline, self._loop.time()) + ADOPTION_GRACE
-            holding.caller_connection_ids[slot] = entry.caller_connection_id
-            if entry.stage is Stage.ANSWERED:
+            resources.deadlines[slot] = max(record.deadline, self._loop.time()) + ADOPTION_GRACE
+            resources.caller_connection_ids[slot] = record.caller_connection_id
+            if record.stage is Stage.ANSWERED:
                 # Most likely between two requests: its connection tells.
-                rows.append(
+                connections.append(
                     (
                         ConnectionRecord(
-                            entry.caller_descriptor,
-                            entry.caller_connection_id,
-                            entry.bytes_read,
-                            entry.bytes_written + entry.answer_length,
+                            record.caller_descriptor,
+                            record.caller_connection_id,
+                            record.bytes_read,
+                            record.bytes_written + record.answer_length,
                         ),
                         slot,
                     )
                 )
                 continue
-            asks.append((slot, [entry.caller_descriptor, *(one.descriptor for one in entry.attempts)]))
-        rows += [(row, -1) for row in holding.journal.connections([IDLE]) if row.descriptor not in taken]
-        before = self.counts["left"]
-        self.counts["left"] += len(asks)
-        for at in range(0, len(rows), BATCH_DESCRIPTORS):
-            name = -1 - at
-            holding.connection_batches[name] = rows[at : at + BATCH_DESCRIPTORS]
-            asks.append((name, [row.descriptor for row, _ in rows[at : at + BATCH_DESCRIPTORS]]))
-        holding.pending = {UNRECORDED, *(name for name, _ in asks)}
-        if asks:
+            descriptor_requests.append(
+                (slot, [record.caller_descriptor, *(attempt.descriptor for attempt in record.attempts)])
+            )
+        connections += [
+            (connection, -1)
+            for connection in resources.journal.connections([IDLE])
+            if connection.descriptor not in recorded
+        ]
+        left_before = self.counts["left"]
+        self.counts["left"] += len(descriptor_requests)
+        for start in range(0, len(connections), BATCH_DESCRIPTORS):
+            batch_id = -1 - start
+            resources.connection_batches[batch_id] = connections[start : start + BATCH_DESCRIPTORS]
+            descriptor_requests.append(
+                (
+                    batch_id,
+                    [connection.descriptor for connection, _ in connections[start : start + BATCH_DESCRIPTORS]],
+                )
+            )
+        resources.pending = {UNRECORDED, *(batch_id for batch_id, _ in descriptor_requests)}
+        if descriptor_requests:
             log.info(
                 "%s (process %d) left %d requests in hand and %d connections",
-                holding.name,
-                holding.process,
-                self.counts["left"] - before,
-                len(rows),
+                resources.name,
+                resources.process,
+                self.counts["left"] - left_before,
+                len(connections),
                 extra={"event": "left"},
             )
         try:
-            for at in range(0, len(asks), HOLDER_BATCH):
-                holding.holder_socket.send(orjson.dumps(asks[at : at + HOLDER_BATCH]))
-            known = taken | {row.descriptor for row in holding.journal.connections([IDLE, BUSY])}
-            ports = sorted(self._ports[holding.tier])  # what was moved to it came to another's
-            holding.holder_socket.send(orjson.dumps({"ports": ports, "known": sorted(known)}))
-        except OSError as fault:
-            self._on_holder_lost(holding, f"its keeper can't be asked: {fault.strerror}")
+            for start in range(0, len(descriptor_requests), HOLDER_BATCH):
+                resources.holder_socket.send(orjson.dumps(descriptor_requests[start : start + HOLDER_BATCH]))
+            known_descriptors = recorded | {
+                connection.descriptor for connection in resources.journal.connections([IDLE, BUSY])
+            }
+            ports = sorted(self._ports[resources.tier])  # what was moved to it came to another's
+            resources.holder_socket.send(orjson.dumps({"ports": ports, "known": sorted(known_descriptors)}))
+        except OSError as error:
+            self._on_holder_lost(resources, f"its keeper can't be asked: {error.strerror}")
 
     # ---- keepers -------------------------------------------------------------------------
 
-    def _on_holder_readable(self, holding: ProcessResources) -> None:
+    def _on_holder_readable(self, resources: ProcessResources) -> None:
         for _ in range(HOLDER_BATCH):
-            if holding.holder_socket.fileno() < 0:
+            if resources.holder_socket.fileno() < 0:
                 return  # what it gave last was all
             try:
-                data, descriptors, _, _ = socket.recv_fds(holding.holder_socket, MAX_MESSAGE, MAX_DESCRIPTORS)
+                data, descriptors, _, _ = socket.recv_fds(resources.holder_socket, MAX_MESSAGE, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
                 data, descriptors = b"", []
             if not data:
-                self._on_holder_lost(holding, "its keeper is gone")
+                self._on_holder_lost(resources, "its keeper is gone")
                 return
             values = orjson.loads(data)
             if isinstance(values, dict):
-                self._on_holder_started(holding, int(values["pid"]))
+                self._on_holder_started(resources, int(values["pid"]))
             elif values[0] == "others":
-                self._on_unrecorded(holding, values[1], descriptors)
+                self._on_unrecorded(resources, values[1], descriptors)
             else:
-                self._on_descriptors(holding, values[0], values[1], descriptors)
+                self._on_descriptors(resources, values[0], values[1], descriptors)
 
-    def _on_holder_started(self, holding: ProcessResources, pid: int) -> None:
-        holding.holder_pid = pid
-        holding.holder_pidfd = os.pidfd_open(pid)
-        self._loop.add_reader(holding.holder_pidfd, self._on_holder_exit, holding)
+    def _on_holder_started(self, resources: ProcessResources, pid: int) -> None:
+        resources.holder_pid = pid
+        resources.holder_pidfd = os.pidfd_open(pid)
+        self._loop.add_reader(resources.holder_pidfd, self._on_holder_exit, resources)
 
-    def _on_holder_exit(self, holding: ProcessResources) -> None:
-        self._loop.remove_reader(holding.holder_pidfd)
-        os.close(holding.holder_pidfd)
+    def _on_holder_exit(self, resources: ProcessResources) -> None:
+        self._loop.remove_reader(resources.holder_pidfd)
+        os.close(resources.holder_pidfd)
         with contextlib.suppress(ChildProcessError):
-            os.waitpid(holding.holder_pid, 0)
-        holding.holder_pid, holding.holder_pidfd = 0, -1
+            os.waitpid(resources.holder_pid, 0)
+        resources.holder_pid, resources.holder_pidfd = 0, -1
 
-    def _on_holder_lost(self, holding: ProcessResources, why: str) -> None:
+    def _on_holder_lost(self, resources: ProcessResources, reason: str) -> None:
         """Nothing more comes of it; what it was asked for and has not given is lost."""
-        if holding.holder_socket.fileno() >= 0:
-            self._loop.remove_reader(holding.holder_socket.fileno())
-            holding.holder_socket.close()
-        lost = [name for name in holding.pending if 0 <= name < UNRECORDED]
-        holding.pending.clear()
-        if not holding.is_reaped:
-            log.warning("%s: %s: what it has in hand would be lost with it", holding.name, why)
+        if resources.holder_socket.fileno() >= 0:
+            self._loop.remove_reader(resources.holder_socket.fileno())
+            resources.holder_socket.close()
+        lost = [request_id for request_id in resources.pending if 0 <= request_id < UNRECORDED]
+        resources.pending.clear()
+        if not resources.is_reaped:
+            log.warning("%s: %s: what it has in hand would be lost with it", resources.name, reason)
         elif lost:
             self.counts["lost"] += len(lost)
-            log.warning("%s: %s: %d requests are lost", holding.name, why, len(lost))
+            log.warning("%s: %s: %d requests are lost", resources.name, reason, len(lost))
         self._remove_finished()
 
-    def _on_descriptors(self, holding: ProcessResources, name: int, have: list[bool], descriptors: list[int]) -> None:
+    def _on_descriptors(
+        self, resources: ProcessResources, request_id: int, present: list[bool], descriptors: list[int]
+    ) -> None:
         """The keeper has given what belongs to one piece of work, or some connections without."""
-        holding.pending.discard(name)
-        given = iter(descriptors)
-        parts = [next(given, None) if there else None for there in have]
-        if name >= 0:
-            holding.descriptors[name] = parts
-            self._planner.add_orphans(holding.process, [(name, holding.deadlines[name])])
+        resources.pending.discard(request_id)
+        received = iter(descriptors)
+        found = [next(received, None) if is_present else None for is_present in present]
+        if request_id >= 0:
+            resources.request_descriptors[request_id] = found
+            self._planner.add_orphans(resources.process, [(request_id, resources.deadlines[request_id])])
         else:
-            self._classify_connections(holding, holding.connection_batches.pop(name), parts)
-        self._release_holder_when_done(holding)
+            self._classify_connections(resources, resources.connection_batches.pop(request_id), found)
+        self._release_holder_when_done(resources)
 
-    def _release_holder_when_done(self, holding: ProcessResources) -> None:
-        if not holding.pending:
+    def _release_holder_when_done(self, resources: ProcessResources) -> None:
+        if not resources.pending:
             with contextlib.suppress(OSError):
-                holding.holder_socket.send(b"[]")
+                resources.holder_socket.send(b"[]")
         self._advance()
 
-    def _on_unrecorded(self, holding: ProcessResources, names: list[int], descriptors: list[int]) -> None:
+    def _on_unrecorded(self, resources: ProcessResources, connection_ids: list[int], descriptors: list[int]) -> None:
         """Connections that its book knows nothing of.
 
         What was moved to it and not noted yet is as it was. What belongs to work that it was offered is a copy of
         what is held here, or in the next heir's hand by now. The rest it had accepted, and its code has seen nothing
         of it.
         """
-        if names:
-            there = []
-            for name, number in zip(names, descriptors, strict=True):
-                if name in holding.offered_copies:
-                    close_all([number])
+        if connection_ids:
+            connections = []
+            for connection_id, descriptor in zip(connection_ids, descriptors, strict=True):
+                if connection_id in resources.offered_copies:
+                    close_all([descriptor])
                 else:
-                    there.append(
-                        (holding.recently_moved.get(name, (0.0, ConnectionRecord(0, name, 0, 0)))[1], number)
+                    connections.append(
+                        (
+                            resources.recently_moved.get(
+                                connection_id, (0.0, ConnectionRecord(0, connection_id, 0, 0))
+                            )[1],
+                            descriptor,
+                        )
                     )
-            if there:
-                self._move_connections(holding, there)
+            if connections:
+                self._move_connections(resources, connections)
         else:
-            holding.pending.discard(UNRECORDED)
-        self._release_holder_when_done(holding)
+            resources.pending.discard(UNRECORDED)
+        self._release_holder_when_done(resources)
 
     def _classify_connections(
-        self, holding: ProcessResources, rows: list[tuple[ConnectionRecord, int]], parts: list[int | None]
+        self,
+        resources: ProcessResources,
+        connections: list[tuple[ConnectionRecord, int]],
+        descriptors: list[int | None],
     ) -> None:
         """Connections that should be between two requests: those of which an answer is not out are work."""
         idle = []
-        for (row, slot), number in zip(rows, parts, strict=True):
-            if number is None:
+        for (connection, slot), descriptor in zip(connections, descriptors, strict=True):
+            if descriptor is None:
                 continue
-            seen = read_counters_at(number, row.connection_id)
-            entry = holding.journal.record_at(slot) if slot >= 0 else None
-            if entry is not None and seen is not None and seen.written < row.bytes_written:
+            counters = read_counters_at(descriptor, connection.connection_id)
+            record = resources.journal.record_at(slot) if slot >= 0 else None
+            if record is not None and counters is not None and counters.written < connection.bytes_written:
                 self.counts["left"] += 1
-                holding.descriptors[slot] = [number, *(None for _ in entry.attempts)]
-                holding.caller_connection_ids[slot] = entry.caller_connection_id
-                self._planner.add_orphans(holding.process, [(slot, holding.deadlines[slot])])
-            elif entry is not None and entry.closes_connection:
-                close_all([number])
+                resources.request_descriptors[slot] = [descriptor, *(None for _ in record.attempts)]
+                resources.caller_connection_ids[slot] = record.caller_connection_id
+                self._planner.add_orphans(resources.process, [(slot, resources.deadlines[slot])])
+            elif record is not None and record.closes_connection:
+                close_all([descriptor])
             else:
-                idle.append((row, number))
+                idle.append((connection, descriptor))
         if idle:
-            self._move_connections(holding, idle)
+            self._move_connections(resources, idle)
 
     def _move_connections(
-        self, holding: ProcessResources, there: list[tuple[ConnectionRecord, int]], but: int = 0, first: int = 0
+        self,
+        resources: ProcessResources,
+        connections: list[tuple[ConnectionRecord, int]],
+        excluded: int = 0,
+        preferred: int = 0,
     ) -> None:
         """Connections without work go to whoever has the least to do."""
         self._send_connections(
-            holding.tier,
+            resources.tier,
             Offer(
-                holding.process,
-                rows=[[row.connection_id, row.bytes_read, row.bytes_written] for row, _ in there],
-                descriptors=[number for _, number in there],
+                resources.process,
+                rows=[
+                    [connection.connection_id, connection.bytes_read, connection.bytes_written]
+                    for connection, _ in connections
+                ],
+                descriptors=[descriptor for _, descriptor in connections],
             ),
-            but,
-            first,
+            excluded,
+            preferred,
         )
 
     def distribute_accepted(
-        self, holding: ProcessResources, connections: list[socket.socket], itself: bool = False
+        self, resources: ProcessResources, sockets: list[socket.socket], to_itself: bool = False
     ) -> None:
         """Connections that were accepted for a process, of which nothing was read: it has them, or others do."""
-        rows = [(ConnectionRecord(0, connection_id_of(one), 0, 0), one.detach()) for one in connections]
-        but, first = (0, holding.process) if itself else (holding.process, 0)
-        for at in range(0, len(rows), BATCH_DESCRIPTORS):
-            self._move_connections(holding, rows[at : at + BATCH_DESCRIPTORS], but, first)
+        connections = [(ConnectionRecord(0, connection_id_of(sock), 0, 0), sock.detach()) for sock in sockets]
+        excluded, preferred = (0, resources.process) if to_itself else (resources.process, 0)
+        for start in range(0, len(connections), BATCH_DESCRIPTORS):
+            self._move_connections(resources, connections[start : start + BATCH_DESCRIPTORS], excluded, preferred)
         self._advance()
 
-    def _send_connections(self, tier: int, offer: Offer, but: int = 0, first: int = 0) -> None:
+    def _send_connections(self, tier: int, offer: Offer, excluded: int = 0, preferred: int = 0) -> None:
         """Connections without work, to any but one, or to one before all others.
 
         Where nobody is they wait; where nobody takes them they end.
         """
-        heirs = self._available_successors(tier) if offer.term < MAX_MOVES else []
-        heirs.sort(key=lambda heir: heir[0] != first)
+        successors = self._available_successors(tier) if offer.term < MAX_MOVES else []
+        successors.sort(key=lambda successor: successor[0] != preferred)
         offer.term += 1
-        for process, _ in heirs:
-            if process == but:
+        for process, _ in successors:
+            if process == excluded:
                 continue
             with contextlib.suppress(OSError):
-                heir = self._processes[process]
-                offer.send(heir.offer_socket)
+                resources = self._processes[process]
+                offer.send(resources.offer_socket)
                 now = self._loop.time()
-                heir.recently_moved = {name: one for name, one in heir.recently_moved.items() if one[0] > now}
-                heir.recently_moved |= {
-                    row[0]: (now + MOVE_RECORD_LIFETIME, ConnectionRecord(0, *row)) for row in offer.rows
+                resources.recently_moved = {
+                    connection_id: move for connection_id, move in resources.recently_moved.items() if move[0] > now
+                }
+                resources.recently_moved |= {
+                    connection[0]: (now + MOVE_RECORD_LIFETIME, ConnectionRecord(0, *connection))
+                    for connection in offer.rows
                 }
                 self._unreceived_since.setdefault(process, now)
                 self.counts["moved"] += len(offer.descriptors)
@@ -401,11 +450,11 @@
     def _available_successors(self, tier: int) -> list[tuple[int, int]]:
         """Heirs, the least at work first: with what was moved to them since they last told, or one would have all."""
         now = self._loop.time()
-        heirs = [
+        successors = [
             (process, count + sum(until > now for until, _ in self._processes[process].recently_moved.values()))
             for process, count in self._successors(tier)
         ]
-        return self._planner.available(now, heirs)
+        return self._planner.available(now, successors)
 
     def _retry_stranded(self) -> None:
         """Connections without work for which there was nobody: most likely a process is about to be there."""
@@ -421,88 +470,92 @@
 
     # ---- heirs ---------------------------------------------------------------------------
 
-    def on_declined(self, holding: ProcessResources, values: dict[str, Any]) -> None:
+    def on_declined(self, resources: ProcessResources, values: dict[str, Any]) -> None:
         """An heir says that it can't carry a piece of work."""
         try:
-            piece, term = (int(values["process"]), int(values["slot"])), int(values["term"])
+            request, term = (int(values["process"]), int(values["slot"])), int(values["term"])
         except (KeyError, TypeError, ValueError):
             return
-        self.counts["declined"] += self._planner.on_declined(piece, holding.process, term)
+        self.counts["declined"] += self._planner.on_declined(request, resources.process, term)
         self._advance()
 
     def _collect_adopted(self) -> None:
-        for piece, claim in self._planner.assigned():
-            holding = self._processes[piece[0]]
-            if holding.journal.adopted_term(piece[1]) == claim.term:
+        for request, claim in self._planner.assigned():
+            resources = self._processes[request[0]]
+            if resources.journal.adopted_term(request[1]) == claim.term:
                 self.counts["adopted"] += 1
-                self._planner.on_adopted(piece)
-                self._close_descriptors(holding, piece[1])
+                self._planner.on_adopted(request)
+                self._close_descriptors(resources, request[1])
 
     @staticmethod
-    def _close_descriptors(holding: ProcessResources, slot: int) -> None:
-        close_all([number for number in holding.descriptors.pop(slot, []) if number is not None])
+    def _close_descriptors(resources: ProcessResources, slot: int) -> None:
+        close_all(
+            [descriptor for descriptor in resources.request_descriptors.pop(slot, []) if descriptor is not None]
+        )
 
     def _offer_orphans(self) -> None:
         now = self._loop.time()
-        tiers = {self._processes[piece[0]].tier for piece in self._planner.orphans}
+        tiers = {self._processes[request[0]].tier for request in self._planner.orphans}
         for tier in tiers:
-            mine = [piece for piece in self._planner.orphans if self._processes[piece[0]].tier == tier]
-            others = [piece for piece in self._planner.orphans if self._processes[piece[0]].tier != tier]
-            self._planner.orphans = mine
-            given = self._planner.assign(now, self._available_successors(tier))
-            self._planner.orphans += others
-            for heir, rows in given.items():
-                for piece, term in rows:
-                    self._offer_request(heir, piece, term)
-
-    def _offer_request(self, heir: int, piece: RequestRef, term: int) -> None:
-        holding = self._processes[piece[0]]
-        parts = holding.descriptors[piece[1]]
-        if parts[0] is None:  # its caller has gone
-            self._planner.on_adopted(piece)
-            self._close_descriptors(holding, piece[1])
+            in_tier = [request for request in self._planner.orphans if self._processes[request[0]].tier == tier]
+            in_other_tiers = [
+                request for request in self._planner.orphans if self._processes[request[0]].tier != tier
+            ]
+            self._planner.orphans = in_tier
+            assigned = self._planner.assign(now, self._available_successors(tier))
+            self._planner.orphans += in_other_tiers
+            for successor, requests in assigned.items():
+                for request, term in requests:
+                    self._offer_request(successor, request, term)
+
+    def _offer_request(self, successor: int, request: RequestRef, term: int) -> None:
+        resources = self._processes[request[0]]
+        descriptors = resources.request_descriptors[request[1]]
+        if descriptors[0] is None:  # its caller has gone
+            self._planner.on_adopted(request)
+            self._close_descriptors(resources, request[1])
             return
-        holding.journal.claim(piece[1], term)
+        resources.journal.claim(request[1], term)
         offer = Offer(
-            piece[0],
-            piece[1],
+            request[0],
+            request[1],
             term,
-            [part is not None for part in parts[1:]],
-            book=holding.journal_index,
-            descriptors=[part for part in parts if part is not None],
+            [descriptor is not None for descriptor in descriptors[1:]],
+            book=resources.journal_index,
+            descriptors=[descriptor for descriptor in descriptors if descriptor is not None],
         )
         try:
-            offer.send(self._processes[heir].offer_socket)
+            offer.send(self._processes[successor].offer_socket)
         except OSError:
-            self._planner.on_declined(piece, heir, term)
+            self._planner.on_declined(request, successor, term)
 
     def _withdraw_offers(self) -> None:
         """What slow heirs have not received; and then nobody has."""
         now = self._loop.time()
-        for heir in self._planner.slow_successors(now):
-            holding = self._processes.get(heir)
-            if holding is not None:
-                if is_waiting(holding.offer_receiver):
-                    self._planner.avoid(now, heir)
-                self._receive_back(holding)
-        for heir, since in list(self._unreceived_since.items()):
-            holding = self._processes.get(heir)
-            if holding is None or holding.is_reaped or not is_waiting(holding.offer_receiver):
-                del self._unreceived_since[heir]
+        for successor in self._planner.slow_successors(now):
+            resources = self._processes.get(successor)
+            if resources is not None:
+                if is_waiting(resources.offer_receiver):
+                    self._planner.avoid(now, successor)
+                self._receive_back(resources)
+        for successor, since in list(self._unreceived_since.items()):
+            resources = self._processes.get(successor)
+            if resources is None or resources.is_reaped or not is_waiting(resources.offer_receiver):
+                del self._unreceived_since[successor]
             elif now - since > self.spec.patience:
-                self._planner.avoid(now, heir)
-                self._receive_back(holding)
+                self._planner.avoid(now, successor)
+                self._receive_back(resources)
 
-    def _receive_back(self, holding: ProcessResources) -> None:
+    def _receive_back(self, resources: ProcessResources) -> None:
         """Receive what it has not received."""
-        self._unreceived_since.pop(holding.process, None)
+        self._unreceived_since.pop(resources.process, None)
         with contextlib.suppress(OSError, EOFError):
-            while (offer := receive(holding.offer_receiver)) is not None:
-                piece = (offer.process, offer.slot)
+            while (offer := receive(resources.offer_receiver)) is not None:
+                request = (offer.process, offer.slot)
                 if offer.slot < 0:
-                    self._send_connections(holding.tier, offer, but=holding.process)
+                    self._send_connections(resources.tier, offer, excluded=resources.process)
                     continue
-                self.counts["taken_back"] += self._planner.on_withdrawn(piece, holding.process, offer.term)
+                self.counts["taken_back"] += self._planner.on_withdrawn(request, resources.process, offer.term)
                 offer.close()
 
     # ---- time ----------------------------------------------------------------------------
@@ -511,10 +564,10 @@
         """Hand on what can be, and look again as long as anything is on its way."""
         self._collect_adopted()
         self._withdraw_offers()
-        for piece in self._planner.expire(self._loop.time()):
+        for request in self._planner.expire(self._loop.time()):
             self.counts["lost"] += 1
-            log.warning("%s: a request in hand found no heir", self._processes[piece[0]].name)
-            self._close_descriptors(self._processes[piece[0]], piece[1])
+            log.warning("%s: a request in hand found no heir", self._processes[request[0]].name)
+            self._close_descriptors(self._processes[request[0]], request[1])
         self._offer_orphans()
         self._retry_stranded()
         self._remove_finished()
@@ -528,25 +581,25 @@
 
     def _remove_finished(self) -> None:
         """Let go of the dead of whom nothing is left."""
-        for process, holding in list(self._processes.items()):
-            if holding.is_reaped and not holding.pending and not self._planner.has_claims(process):
+        for process, resources in list(self._processes.items()):
+            if resources.is_reaped and not resources.pending and not self._planner.has_claims(process):
                 del self._processes[process]
-                self._close_resources(holding)
-
-    def _close_resources(self, holding: ProcessResources) -> None:
-        holding.close_child_end()
-        for slot in list(holding.descriptors):
-            self._close_descriptors(holding, slot)
-        if holding.holder_socket.fileno() >= 0:
-            self._loop.remove_reader(holding.holder_socket.fileno())
-        for one in (holding.holder_socket, holding.offer_socket, holding.offer_receiver):
-            one.close()
-        self._retained_journals.append((self._loop.time() + self.spec.answer_retention, holding.journal_index))
-
-    def on_spawn_failed(self, holding: ProcessResources) -> None:
+                self._close_resources(resources)
+
+    def _close_resources(self, resources: ProcessResources) -> None:
+        resources.close_child_end()
+        for slot in list(resources.request_descriptors):
+            self._close_descriptors(resources, slot)
+        if resources.holder_socket.fileno() >= 0:
+            self._loop.remove_reader(resources.holder_socket.fileno())
+        for sock in (resources.holder_socket, resources.offer_socket, resources.offer_receiver):
+            sock.close()
+        self._retained_journals.append((self._loop.time() + self.spec.answer_retention, resources.journal_index))
+
+    def discard(self, resources: ProcessResources) -> None:
         """Its process could not be started."""
-        self._processes.pop(holding.process, None)
-        self._close_resources(holding)
+        self._processes.pop(resources.process, None)
+        self._close_resources(resources)
 
     def view(self) -> dict[str, int]:
         """What operators want to know."""
@@ -554,13 +607,13 @@
 
     def close(self) -> None:
         """The supervisor ends: so do keepers, and what nobody has inherited."""
-        for holding in list(self._processes.values()):
-            if holding.holder_pid:
-                self._loop.remove_reader(holding.holder_pidfd)
+        for resources in list(self._processes.values()):
+            if resources.holder_pid:
+                self._loop.remove_reader(resources.holder_pidfd)
                 with contextlib.suppress(OSError):
-                    signal.pidfd_send_signal(holding.holder_pidfd, signal.SIGKILL)
-                self._on_holder_exit(holding)
-            self._close_resources(holding)
+                    signal.pidfd_send_signal(resources.holder_pidfd, signal.SIGKILL)
+                self._on_holder_exit(resources)
+            self._close_resources(resources)
         self._processes.clear()
         for _, _, offer in self._stranded:
             offer.close()
--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -71,20 +71,20 @@
             os.close(descriptor)
 
 
-def _child_environment(spec: FleetSpec, one: InstanceSpec, generation: int) -> dict[str, str]:
-    more = {"FLEET_COMEBACK": "1"} if spec.recovery is not None else {}
-    more |= {"FLEET_TAKEOVER": "1"} if spec.takeover is not None else {}
-    more |= {"FLEET_VIGIL": "1"} if spec.failure_detection is not None else {}
+def _child_environment(spec: FleetSpec, instance_spec: InstanceSpec, generation: int) -> dict[str, str]:
+    switches = {"FLEET_COMEBACK": "1"} if spec.recovery is not None else {}
+    switches |= {"FLEET_TAKEOVER": "1"} if spec.takeover is not None else {}
+    switches |= {"FLEET_VIGIL": "1"} if spec.failure_detection is not None else {}
     environ = {k: v for k, v in os.environ.items() if not k.startswith(RESERVED_PREFIXES)}
     path = [str(REPOSITORY_ROOT), *filter(None, [environ.get("PYTHONPATH")])]
     return (
         environ
-        | more
+        | switches
         | {
             "PYTHONPATH": os.pathsep.join(path),
-            "LB_CONFIG": str(spec.location.instance_file(one.name)),
-            "LB_NAME": one.name,
-            "FLEET_INSTANCE": one.name,
+            "LB_CONFIG": str(spec.location.instance_file(instance_spec.name)),
+            "LB_NAME": instance_spec.name,
+            "FLEET_INSTANCE": instance_spec.name,
             "FLEET_GENERATION": str(generation),
             "FLEET_STATUS_FD": str(instance.STATUS_FD),
             "FLEET_LIFELINE_FD": str(instance.LIFELINE_FD),
@@ -105,14 +105,14 @@
                 os.close(int(entry))
 
 
-def _limit_descriptors(sockets: int) -> None:
+def _limit_descriptors(limit: int) -> None:
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    wanted = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
+    wanted = limit if hard == resource.RLIM_INFINITY else min(limit, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, wanted))
 
 
 def _run_child(
-    spec: FleetSpec, one: InstanceSpec, generation: int, descriptors: dict[int, int], mask: set[int]
+    spec: FleetSpec, instance_spec: InstanceSpec, generation: int, descriptors: dict[int, int], mask: set[int]
 ) -> NoReturn:
     """In the child: leave everything of the supervisor behind, and run; does not return."""
     code = EXIT_SETUP_FAILED
@@ -125,16 +125,16 @@
         for number in (signal.SIGHUP, signal.SIGPIPE):
             signal.signal(number, signal.SIG_IGN)
         _assign_descriptors(descriptors)
-        _limit_descriptors(one.sockets)
+        _limit_descriptors(instance_spec.sockets)
         os.umask(0o077)
-        environ = _child_environment(spec, one, generation)
-        if one.command or spec.spawn == "exec":
-            command = one.command or (sys.executable, "-m", "cometusher", "instance")
+        environ = _child_environment(spec, instance_spec, generation)
+        if instance_spec.command or spec.spawn == "exec":
+            command = instance_spec.command or (sys.executable, "-m", "cometusher", "instance")
             signal.pthread_sigmask(signal.SIG_SETMASK, mask)
             os.chdir("/")
             os.execvpe(command[0], command, environ)
         # What ps and top show: else all would have the supervisor's name (comm of proc(5), 15 bytes).
-        Path("/proc/self/comm").write_bytes(one.name.encode()[:15])
+        Path("/proc/self/comm").write_bytes(instance_spec.name.encode()[:15])
         os.environ.clear()
         os.environ.update(environ)
         signal.pthread_sigmask(signal.SIG_SETMASK, mask)
@@ -151,16 +151,16 @@
 
 def spawn(
     spec: FleetSpec,
-    one: InstanceSpec,
+    instance_spec: InstanceSpec,
     generation: int,
     listener: socket.socket,
-    more: dict[str, Any] | None = None,
-    given: dict[int, int] | None = None,
+    extra_values: dict[str, Any] | None = None,
+    extra_descriptors: dict[int, int] | None = None,
 ) -> Child:
     """Start a process; `more` goes into its file, and it has the descriptors `given` by number. Raises OSError."""
-    place = spec.ring_position(one.name)
-    values = one.at_ring_position(place) | {"seed": secrets.token_hex(8)} | (more or {})
-    write_private(spec.location.instance_file(one.name), serialize_config(values))
+    ring_position = spec.ring_position(instance_spec.name)
+    values = instance_spec.at_ring_position(ring_position) | {"seed": secrets.token_hex(8)} | (extra_values or {})
+    write_private(spec.location.instance_file(instance_spec.name), serialize_config(values))
     opened: list[int] = []
     try:
         for _ in range(3):
@@ -175,7 +175,7 @@
             if pid == 0:
                 _run_child(
                     spec,
-                    one,
+                    instance_spec,
                     generation,
                     {
                         0: null,
@@ -185,7 +185,7 @@
                         instance.STATUS_FD: status_w,
                         instance.LIFELINE_FD: lifeline_r,
                     }
-                    | (given or {}),
+                    | (extra_descriptors or {}),
                     {int(number) for number in mask},
                 )
         finally:
@@ -203,4 +203,16 @@
         os.setpgid(pid, pid)  # here too: whichever comes first
     identity = Identity.of(pid)
     assert identity is not None  # not reaped, so it is there
-    return Child(one.name, generation, pid, identity, pidfd, status, log, lifeline, one, one, place)
+    return Child(
+        instance_spec.name,
+        generation,
+        pid,
+        identity,
+        pidfd,
+        status,
+        log,
+        lifeline,
+        instance_spec,
+        instance_spec,
+        ring_position,
+    )
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -64,15 +64,17 @@
         """Names the configuration; the same content has the same name everywhere."""
         return hashlib.sha256(serialize_config(self.values) + repr(self.command).encode()).hexdigest()[:12]
 
-    def at_ring_position(self, place: dict[str, int]) -> dict[str, Any]:
+    def at_ring_position(self, ring_position: dict[str, int]) -> dict[str, Any]:
         """Its configuration at a place of the ring, as a process of it is told."""
         settings = self.values.get("settings")
-        return self.values | {"settings": settings | place} if isinstance(settings, dict) else self.values
+        return self.values | {"settings": settings | ring_position} if isinstance(settings, dict) else self.values
 
-    def needs_restart(self, fresh: InstanceSpec) -> bool:
+    def needs_restart(self, new: InstanceSpec) -> bool:
         """Whether the change to another configuration is more than a running instance can take over."""
-        fixed, other = ({k: v for k, v in spec.values.items() if k not in RELOADABLE_KEYS} for spec in (self, fresh))
-        return (fixed, self.command) != (other, fresh.command) or self.sockets != fresh.sockets
+        fixed, new_fixed = (
+            {k: v for k, v in spec.values.items() if k not in RELOADABLE_KEYS} for spec in (self, new)
+        )
+        return (fixed, self.command) != (new_fixed, new.command) or self.sockets != new.sockets
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +92,7 @@
     """Where what the watch saw is kept."""
 
     path: Path
-    max_bytes: int  # bytes
+    size_limit: int  # bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,11 +202,11 @@
         fleet begins, for there may be others on other machines. It is told at the start of a process and is not a
         part of its configuration: who else is there must not replace it.
         """
-        one = self.instances[name]
-        if one.command:
+        instance = self.instances[name]
+        if instance.command:
             return {}
-        settings = one.values["settings"]
-        names = [other.name for other in self.instances.values() if other.tier == one.tier and not other.command]
+        settings = instance.values["settings"]
+        names = [other.name for other in self.instances.values() if other.tier == instance.tier and not other.command]
         total = max(len(names), int(settings.get("Instances") or 1))
         return {"Ordinal": (int(settings.get("Ordinal") or 0) + names.index(name)) % total, "Instances": total}
 
@@ -234,9 +236,9 @@
     """A policy that makes sense; the error of one that does not names the key."""
     try:
         policy.check()
-    except ValueError as fault:
-        key, _, why = str(fault).partition(": ")
-        raise table.fault(key, why) from None
+    except ValueError as error:
+        key, _, reason = str(error).partition(": ")
+        raise table.fault(key, reason) from None
     return policy
 
 
@@ -245,7 +247,7 @@
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
-    plan, limits, herd = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
+    plan, limits, correlation = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
     try:
         plan = RecoveryPlan(
             instances=max(1, instances),
@@ -258,20 +260,20 @@
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
         limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
-        herd = CorrelationPolicy(
-            share=table.number("herd_share", herd.share, 0.001, 1.0),
-            least=table.whole("herd_least", herd.least, 2),
-            within=table.number("herd_within", herd.within, 0.01, 600.0),
-            pace=table.number("starts", herd.pace, 0.1, 1e4),
-            forgiven=table.whole("forgiven", herd.forgiven),
+        correlation = CorrelationPolicy(
+            share=table.number("herd_share", correlation.share, 0.001, 1.0),
+            least=table.whole("herd_least", correlation.least, 2),
+            within=table.number("herd_within", correlation.within, 0.01, 600.0),
+            pace=table.number("starts", correlation.pace, 0.1, 1e4),
+            forgiven=table.whole("forgiven", correlation.forgiven),
         )
         plan.check()
         limits.check()
-        herd.check()
-    except ValueError as fault:
-        raise table.fault("", str(fault)) from None
+        correlation.check()
+    except ValueError as error:
+        raise table.fault("", str(error)) from None
     table.done()
-    return RecoverySpec(plan, limits, herd)
+    return RecoverySpec(plan, limits, correlation)
 
 
 def _read_takeover(root: Table, instances: Collection[InstanceSpec]) -> TakeoverSpec | None:
@@ -281,17 +283,21 @@
     table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
     entries = table.whole("entries", size.entries, 1, 2**16)
     kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
-    own = JournalSize(entries, kilobytes * 1024 // BLOCK_SIZE, max((one.sockets for one in instances), default=1))
+    journal_size = JournalSize(
+        entries, kilobytes * 1024 // BLOCK_SIZE, max((instance.sockets for instance in instances), default=1)
+    )
     # As many again: for those that take over from a process, and for what the dead leave.
-    shelf = JournalPool(own, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22))
-    found = TakeoverSpec(
-        shelf,
+    journal_pool = JournalPool(
+        journal_size, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22)
+    )
+    takeover = TakeoverSpec(
+        journal_pool,
         table.number("rests", spec.answer_retention, 0.0, 600.0),
         table.whole("pace", spec.pace, 1, 10_000),
         table.number("patience", spec.patience, 0.02, 60.0),
     )
     table.done()
-    return found
+    return takeover
 
 
 def _read_failure_detection(
@@ -301,21 +307,25 @@
     if not root.has("vigil"):
         return None, OutlierPolicy(), None
     table = root.table("vigil")
-    record, most = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
-    values, others = (
-        {item.name: table.number(item.name, getattr(usual, item.name), 0.001, 1e6) for item in fields(usual)}
-        for usual in (FailureDetectorPolicy(), OutlierPolicy())
+    record, size_limit = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
+    detector_values, outlier_values = (
+        {item.name: table.number(item.name, getattr(defaults, item.name), 0.001, 1e6) for item in fields(defaults)}
+        for defaults in (FailureDetectorPolicy(), OutlierPolicy())
     )
     table.done()
-    recorded = ObservationFileSpec(base / record, most) if record else None
-    return _validated(table, FailureDetectorPolicy(**values)), _validated(table, OutlierPolicy(**others)), recorded
+    observation_file = ObservationFileSpec(base / record, size_limit) if record else None
+    return (
+        _validated(table, FailureDetectorPolicy(**detector_values)),
+        _validated(table, OutlierPolicy(**outlier_values)),
+        observation_file,
+    )
 
 
 def _read_cluster(root: Table, base: Path) -> ClusterSpec | None:
     """The table `[mesh]`; None where the file has none."""
     if not root.has("mesh"):
         return None
-    table, usual = root.table("mesh"), MemberPolicy()
+    table, defaults = root.table("mesh"), MemberPolicy()
     listen = table.address("listen")
     if not _is_numeric(listen):
         raise table.fault("listen", "not an IP address and a port from 1 to 65535")
@@ -328,7 +338,7 @@
         raise table.fault("name", f"longer than {MAX_MEMBER_NAME} characters")
     values: dict[str, Any] = {}
     for item in fields(MemberPolicy):
-        default = getattr(usual, item.name)
+        default = getattr(defaults, item.name)
         read = table.whole if isinstance(default, int) else table.number
         values[item.name] = read(item.name, default)
     lease = LeasePolicy(length=table.number("lease", LeasePolicy().length, 0.5, 600.0))
@@ -340,15 +350,15 @@
 
 def _read_members(table: Table, key: str) -> tuple[str, ...]:
     """Addresses of other members."""
-    found = table.texts(key)
-    for one in found:
+    members = table.texts(key)
+    for address in members:
         try:
-            good = _is_numeric(read_address(one, key))
+            is_valid = _is_numeric(read_address(address, key))
         except ConfigError:
-            good = False
-        if not good:
-            raise table.fault(key, f"{one!r} is not an IP address and a port")
-    return found
+            is_valid = False
+        if not is_valid:
+            raise table.fault(key, f"{address!r} is not an IP address and a port")
+    return members
 
 
 def read_secret(path: Path) -> bytes:
@@ -356,8 +366,8 @@
     try:
         mode = path.stat().st_mode
         data = path.read_bytes()
-    except OSError as fault:
-        raise ConfigError(f"{path}: {fault.strerror}") from None
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
     if stat.S_IMODE(mode) & 0o077:
         raise ConfigError(f"{path}: others may read it; chmod 600")
     if not MIN_SECRET <= len(data.strip()) <= MAX_SECRET:
@@ -428,10 +438,10 @@
             path = self.base / name
             try:
                 values = orjson.loads(path.read_bytes())
-            except OSError as fault:
-                raise table.fault("config", f"{path}: {fault.strerror}") from None
-            except orjson.JSONDecodeError as fault:
-                raise table.fault("config", f"{path}: not JSON: {fault}") from None
+            except OSError as error:
+                raise table.fault("config", f"{path}: {error.strerror}") from None
+            except orjson.JSONDecodeError as error:
+                raise table.fault("config", f"{path}: not JSON: {error}") from None
             if not isinstance(values, dict):
                 raise table.fault("config", f"{path}: not an object")
             self._files[name] = values
@@ -464,8 +474,8 @@
         if not common.command:
             try:
                 config.check(values)
-            except ConfigError as fault:
-                raise table.fault("config", f"{self.base / common.config}: {fault}") from None
+            except ConfigError as error:
+                raise table.fault("config", f"{self.base / common.config}: {error}") from None
         self._addresses[listen] = name
         self.instances[name] = InstanceSpec(name, listen, values, common.command, common.memory_mb, common.sockets)
 
@@ -486,24 +496,24 @@
     if pattern.count("{}") != 1:
         raise table.fault("name", f"{pattern!r} needs one {{}} for the number")
     host = table.text("host", "127.0.0.1")
-    text = table.text("ports")
-    match = re.fullmatch(r"(\d{1,5})-(\d{1,5})", text)
+    ports = table.text("ports")
+    match = re.fullmatch(r"(\d{1,5})-(\d{1,5})", ports)
     if not match or not 1 <= int(match[1]) <= int(match[2]) <= 65535:
-        raise table.fault("ports", f"{text!r} is not a range such as 9000-9039")
-    own = _read_common(table, common)
+        raise table.fault("ports", f"{ports!r} is not a range such as 9000-9039")
+    range_settings = _read_common(table, common)
     table.done()
-    for i, port in enumerate(range(int(match[1]), int(match[2]) + 1)):
-        reader.add(table, pattern.replace("{}", str(i)), (host, port), own)
+    for number, port in enumerate(range(int(match[1]), int(match[2]) + 1)):
+        reader.add(table, pattern.replace("{}", str(number)), (host, port), range_settings)
 
 
-def _read_location(path: Path, head: Table) -> FleetLocation:
-    name = head.text("name", "fleet")
+def _read_location(path: Path, table: Table) -> FleetLocation:
+    name = table.text("name", "fleet")
     if not NAME_PATTERN.fullmatch(name):
-        raise head.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
-    place = FleetLocation(name, path, path.parent / head.text("state"))
-    if len(os.fsencode(place.control_socket)) > MAX_SOCKET_PATH:
-        raise head.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
-    return place
+        raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
+    location = FleetLocation(name, path, path.parent / table.text("state"))
+    if len(os.fsencode(location.control_socket)) > MAX_SOCKET_PATH:
+        raise table.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
+    return location
 
 
 def read_location(path: Path) -> FleetLocation:
@@ -524,42 +534,52 @@
 def build_spec(path: Path, root: Table) -> FleetSpec:
     """A fleet out of its file's values; raises ConfigError naming file, line and key."""
     base = path.parent
-    head = root.table("fleet")
-    place = _read_location(path, head)
-    spawn = head.choice("spawn", "fork", ("fork", "exec"))
-    head.done()
+    fleet_table = root.table("fleet")
+    location = _read_location(path, fleet_table)
+    spawn = fleet_table.choice("spawn", "fork", ("fork", "exec"))
+    fleet_table.done()
     policy = _read_policy(root.table("policy"))
-    log = _read_log(root.table("log"), base)
+    log_spec = _read_log(root.table("log"), base)
     table = root.table("common")
     common = _read_common(table, _CommonSettings())
     table.done()
     reader = _InstanceReader(base)
     for table in root.tables("instance"):
-        listen, own, name_ = table.address("listen"), _read_common(table, common), table.text("name")
+        listen, instance_settings, name_ = table.address("listen"), _read_common(table, common), table.text("name")
         management = table.address("management") if table.has("management") else None
         table.done()
-        reader.add(table, name_, listen, own, management)
+        reader.add(table, name_, listen, instance_settings, management)
     for table in root.tables("range"):
         _read_range(table, reader, common)
-    comeback = _read_recovery(root, len(reader.instances))
+    recovery = _read_recovery(root, len(reader.instances))
     takeover = _read_takeover(root, reader.instances.values())
-    vigil, comparison, recorded = _read_failure_detection(root, base)
-    mesh = _read_cluster(root, base)
+    failure_detection, outliers, observation_file = _read_failure_detection(root, base)
+    cluster = _read_cluster(root, base)
     root.done()
     if not reader.instances:
         raise ConfigError(f"{path}: instance: there is none")
     return FleetSpec(
-        place, spawn, policy, log, reader.instances, comeback, takeover, vigil, comparison, recorded, mesh
+        location,
+        spawn,
+        policy,
+        log_spec,
+        reader.instances,
+        recovery,
+        takeover,
+        failure_detection,
+        outliers,
+        observation_file,
+        cluster,
     )
 
 
 def write_private(path: Path, content: bytes) -> None:
     """Replace a file whole, readable by its owner only; raises OSError."""
-    rest = path.with_name(path.name + ".new")
-    descriptor = os.open(rest, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
+    temporary = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
     with os.fdopen(descriptor, "wb") as file:
         file.write(content)
-    os.replace(rest, path)
+    os.replace(temporary, path)
 
 
 def prepare_state_directory(path: Path) -> None:
@@ -571,5 +591,5 @@
             raise ConfigError(f"state directory {path}: belongs to user {info.st_uid}")
         if stat.S_IMODE(info.st_mode) & 0o022:
             raise ConfigError(f"state directory {path}: others may write there")
-    except OSError as fault:
-        raise ConfigError(f"state directory {path}: not writable: {fault.strerror}") from fault
+    except OSError as error:
+        raise ConfigError(f"state directory {path}: not writable: {error.strerror}") from error
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -116,7 +116,7 @@
     FAILED = "none"  # no answer, not up, or another's
 
 
-async def probe(address: tuple[str, int], mark: bytes) -> ProbeResult:
+async def probe(address: tuple[str, int], instance_id: bytes) -> ProbeResult:
     """One readiness check: `GET /up` over the listener, answered with 200 by the process that is meant.
 
     During a replacement two processes accept from one listener; the header X-Instance tells which answered. A
@@ -130,21 +130,23 @@
             async with asyncio.timeout(PROBE_TIMEOUT):
                 await loop.sock_connect(sock, (host, address[1]))
                 await loop.sock_sendall(sock, b"GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n")
-                head = b""
-                while b"\r\n\r\n" not in head and len(head) < 4096:
+                response = b""
+                while b"\r\n\r\n" not in response and len(response) < 4096:
                     data = await loop.sock_recv(sock, 4096)
                     if not data:
                         break
-                    head += data
+                    response += data
         except (OSError, TimeoutError):
             return ProbeResult.FAILED
-    status, *rows = head.partition(b"\r\n\r\n")[0].split(b"\r\n")
-    values = {name.strip().lower(): value.strip() for name, _, value in (row.partition(b":") for row in rows)}
-    if values.get(b"x-instance", mark) != mark:
+    status, *header_lines = response.partition(b"\r\n\r\n")[0].split(b"\r\n")
+    headers = {
+        name.strip().lower(): value.strip() for name, _, value in (line.partition(b":") for line in header_lines)
+    }
+    if headers.get(b"x-instance", instance_id) != instance_id:
         return ProbeResult.FAILED
     if status.split(b" ")[1:2] == [b"200"]:
         return ProbeResult.UP
-    return ProbeResult.WAITING if values.get(b"x-comeback") == b"nothing" else ProbeResult.FAILED
+    return ProbeResult.WAITING if headers.get(b"x-comeback") == b"nothing" else ProbeResult.FAILED
 
 
 class Supervisor:
@@ -153,8 +155,8 @@
     def __init__(self, spec: FleetSpec, environ: Mapping[str, str]) -> None:
         self.spec = spec
         self.loop = asyncio.get_running_loop()
-        herd = spec.recovery.correlation if spec.recovery is not None else None
-        self.fleet = Fleet(spec.policy, secrets.randbits(64), herd)
+        correlation_policy = spec.recovery.correlation if spec.recovery is not None else None
+        self.fleet = Fleet(spec.policy, secrets.randbits(64), correlation_policy)
         self.stored_state: SupervisorState | None = None
         self.orphans: OrphanedRequests | None = None
         self.watchdog: Watchdog | None = None
@@ -199,7 +201,7 @@
             )
             if self.spec.observation_file is not None:
                 self.watchdog.recorder = ObservationRecorder(
-                    self.spec.observation_file.path, self.spec.observation_file.max_bytes
+                    self.spec.observation_file.path, self.spec.observation_file.size_limit
                 )
         if self.spec.cluster is not None:
             from cometusher.cluster.host import ClusterHost
@@ -209,8 +211,8 @@
             )
             self.fleet.may_begin_step = self.cluster.may_roll_out
         await self._end_predecessor()
-        for one in self.spec.instances.values():
-            self.listeners.get(one.name, one.listen)
+        for instance in self.spec.instances.values():
+            self.listeners.get(instance.name, instance.listen)
         await self.control.start()
 
     async def run(self, names: Iterable[str]) -> OperationDone:
@@ -223,8 +225,8 @@
         gc.collect()
         gc.freeze()
         now = self.loop.time()
-        wanted = self._restore_instances(now, list(names))
-        for name in set(self.spec.instances) - set(wanted):
+        names_to_start = self._restore_instances(now, list(names))
+        for name in set(self.spec.instances) - set(names_to_start):
             self.listeners.release(name)
         self._tick()
         if self.watchdog is not None:
@@ -232,33 +234,35 @@
         if self.cluster is not None:
             await self.cluster.start()
         log.info("supervisor %d of %d instances starts", os.getpid(), len(self.spec.instances))
-        done = await self._begin_operation(self.fleet.start(now, wanted))
+        done = await self._begin_operation(self.fleet.start(now, names_to_start))
         if not self.fleet.is_shutting_down:
             self.manager.ready(done.text)
         return done
 
     def _restore_instances(self, now: float, names: list[str]) -> list[str]:
         """Add all instances; returns those to start: where an earlier supervisor was killed, as it had them."""
-        memory = self.stored_state
-        for name, one in self.spec.instances.items():
-            past = memory.prior if memory is not None else None
-            self.fleet.add(now, name, past.generations.get(name, 0) if past is not None else 0, one.tier)
-            if past is not None:
-                self.fleet.instances[name].restarts = past.restarts.get(name, 0)
-        wanted = names or list(self.spec.instances)
-        if memory is None or self.fleet.failure_correlator is None:
-            return wanted
-        past = memory.prior
-        if past.unclean and not names:
-            wanted = [name for name in wanted if past.wanted.get(name, True) and name not in past.failed]
-            for name in set(past.failed) & set(self.spec.instances):
+        stored = self.stored_state
+        for name, instance_spec in self.spec.instances.items():
+            prior = stored.prior if stored is not None else None
+            self.fleet.add(now, name, prior.generations.get(name, 0) if prior is not None else 0, instance_spec.tier)
+            if prior is not None:
+                self.fleet.instances[name].restarts = prior.restarts.get(name, 0)
+        names_to_start = names or list(self.spec.instances)
+        if stored is None or self.fleet.failure_correlator is None:
+            return names_to_start
+        prior = stored.prior
+        if prior.unclean and not names:
+            names_to_start = [
+                name for name in names_to_start if prior.wanted.get(name, True) and name not in prior.failed
+            ]
+            for name in set(prior.failed) & set(self.spec.instances):
                 self.fleet.instances[name].should_run = self.fleet.instances[name].failed = True
-                self.fleet.instances[name].reason = past.failed[name]
-        cause = "the supervisor before ended without order" if past.unclean else "start"
-        self.fleet.failure_correlator.on_unclean_start(now, wanted, len(self.spec.instances), cause)
-        log.info("epoch %d: %s", memory.epoch, cause, extra={"event": "epoch"})
+                self.fleet.instances[name].reason = prior.failed[name]
+        cause = "the supervisor before ended without order" if prior.unclean else "start"
+        self.fleet.failure_correlator.on_unclean_start(now, names_to_start, len(self.spec.instances), cause)
+        log.info("epoch %d: %s", stored.epoch, cause, extra={"event": "epoch"})
         self._schedule_state_write()
-        return wanted
+        return names_to_start
 
     async def wait_ended(self) -> None:
         """Wait for the end, and clean up."""
@@ -296,22 +300,28 @@
         Its instances have noticed by their lifelines and are ending in order. One that is stopped or hung can't
         notice: it is killed, but only if it is that very process.
         """
-        left = []
+        remaining = []
         with contextlib.suppress(OSError, orjson.JSONDecodeError):
-            rows = orjson.loads(self.spec.location.roster.read_bytes())
-            found = [Identity.parse(row) for row in rows] if isinstance(rows, list) else []
-            left = [one for one in found if one is not None and one.uid == os.geteuid() and one.is_alive()]
-        if not left:
+            entries = orjson.loads(self.spec.location.roster.read_bytes())
+            identities = [Identity.parse(entry) for entry in entries] if isinstance(entries, list) else []
+            remaining = [
+                process_identity
+                for process_identity in identities
+                if process_identity is not None
+                and process_identity.uid == os.geteuid()
+                and process_identity.is_alive()
+            ]
+        if not remaining:
             return
-        log.warning("%d processes of an earlier supervisor are ending", len(left))
+        log.warning("%d processes of an earlier supervisor are ending", len(remaining))
         deadline = self.loop.time() + self.spec.policy.stop_within
-        while left and self.loop.time() < deadline:
+        while remaining and self.loop.time() < deadline:
             await asyncio.sleep(0.05)
-            left = [one for one in left if one.is_alive()]
-        for one in left:
-            log.warning("pid %d of an earlier supervisor does not end; killed", one.pid)
-            one.signal(signal.SIGKILL)
-        while any(one.is_alive() for one in left):
+            remaining = [process_identity for process_identity in remaining if process_identity.is_alive()]
+        for process_identity in remaining:
+            log.warning("pid %d of an earlier supervisor does not end; killed", process_identity.pid)
+            process_identity.signal(signal.SIGKILL)
+        while any(process_identity.is_alive() for process_identity in remaining):
             await asyncio.sleep(0.02)
 
     def _tick(self) -> None:
@@ -335,11 +345,11 @@
         """Memory of all, and what the kernel has killed."""
         self._oom_kills = [self._oom_kills[1], oom_kill_count()]
         for child in list(self.children.values()):
-            one = self.spec.instances.get(child.name)
-            limit = one.memory_mb * 1024 * 1024 if one is not None else 0
-            held = resident_bytes(child.pid)
-            if limit and held > limit:
-                text = f"{held >> 20} MB, over {limit >> 20} MB"
+            instance_spec = self.spec.instances.get(child.name)
+            limit = instance_spec.memory_mb * 1024 * 1024 if instance_spec is not None else 0
+            used = resident_bytes(child.pid)
+            if limit and used > limit:
+                text = f"{used >> 20} MB, over {limit >> 20} MB"
                 self._execute(self.fleet.on_memory_exceeded(now, child.name, child.generation, text))
 
     # ---- actions -------------------------------------------------------------------------
@@ -369,22 +379,22 @@
         if future is not None and not future.done():
             future.set_result(done)
 
-    def _begin_operation(self, begun: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
+    def _begin_operation(self, operation: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
         """The end of an operation that has just begun."""
-        ident, actions = begun
-        future = self._operation_futures[ident] = self.loop.create_future()
+        operation_id, actions = operation
+        future = self._operation_futures[operation_id] = self.loop.create_future()
         self._execute(actions)
         return future
 
     def _spawn(self, action: Spawn) -> None:
-        one = self.spec.instances.get(action.name)
+        instance_spec = self.spec.instances.get(action.name)
         try:
-            if one is None:
+            if instance_spec is None:
                 raise AddressUnavailable("no longer in the file")
-            listener = self.listeners.get(one.name, one.listen)
-            child = self._start_process(one, action.generation, listener)
-        except (OSError, AddressUnavailable) as fault:
-            text = f"could not be started: {fault}"
+            listener = self.listeners.get(instance_spec.name, instance_spec.listen)
+            child = self._start_process(instance_spec, action.generation, listener)
+        except (OSError, AddressUnavailable) as error:
+            text = f"could not be started: {error}"
             self._execute(self.fleet.on_spawn_failed(self.loop.time(), action.name, action.generation, text))
             return
         self.children[child.name, child.generation] = child
@@ -394,47 +404,52 @@
         self.loop.add_reader(child.pidfd, self._on_child_exit, child, stream)
         self._write_roster()
 
-    def _start_process(self, one: InstanceSpec, generation: int, listener: socket.socket) -> Child:
-        more = self._recovery_values(one.name)
-        if one.command:
-            return process.spawn(self.spec, one, generation, listener, more)
+    def _start_process(self, instance_spec: InstanceSpec, generation: int, listener: socket.socket) -> Child:
+        extra_values = self._recovery_values(instance_spec.name)
+        if instance_spec.command:
+            return process.spawn(self.spec, instance_spec, generation, listener, extra_values)
         if self.watchdog is None:
-            return self._start_with_takeover(one, generation, listener, more, {})
-        row = self.watchdog.board.allocate()
+            return self._start_with_takeover(instance_spec, generation, listener, extra_values, {})
+        row = self.watchdog.board.allocate_row()
         try:
             child = self._start_with_takeover(
-                one,
+                instance_spec,
                 generation,
                 listener,
-                more | self.watchdog.heartbeat_values(row),
+                extra_values | self.watchdog.heartbeat_values(row),
                 self.watchdog.child_descriptors(),
             )
         except OSError:
-            self.watchdog.board.release(row)
+            self.watchdog.board.release_row(row)
             raise
         child.board_row = row
         return child
 
     def _start_with_takeover(
-        self, one: InstanceSpec, generation: int, listener: socket.socket, more: dict[str, Any], given: dict[int, int]
+        self,
+        instance_spec: InstanceSpec,
+        generation: int,
+        listener: socket.socket,
+        extra_values: dict[str, Any],
+        descriptors: dict[int, int],
     ) -> Child:
         if self.orphans is None:
-            return process.spawn(self.spec, one, generation, listener, more, given)
-        holding = self.orphans.allocate(one.name, one.tier, one.listen[1])
+            return process.spawn(self.spec, instance_spec, generation, listener, extra_values, descriptors)
+        resources = self.orphans.open_resources(instance_spec.name, instance_spec.tier, instance_spec.listen[1])
         try:
             child = process.spawn(
                 self.spec,
-                one,
+                instance_spec,
                 generation,
                 listener,
-                more | self.orphans.assignment_values(holding),
-                given | holding.child_descriptors(),
+                extra_values | self.orphans.takeover_values(resources),
+                descriptors | resources.child_descriptors(),
             )
         except OSError:
-            self.orphans.on_spawn_failed(holding)
+            self.orphans.discard(resources)
             raise
-        child.resources = holding
-        self.orphans.on_started(holding)
+        child.resources = resources
+        self.orphans.on_started(resources)
         return child
 
     # ---- what the watch asks for: `cometusher.fleet.watchdog.Hands` --------------------------
@@ -444,8 +459,8 @@
 
         None while the fleet ends: what a killed one leaves then nobody inherits, and it may yet answer by itself.
         """
-        ones = self._processes_with_phase() if not self.fleet.is_shutting_down else ()
-        return [(child, phase) for child, phase in ones if child.board_row >= 0]
+        processes = self._processes_with_phase() if not self.fleet.is_shutting_down else ()
+        return [(child, phase) for child, phase in processes if child.board_row >= 0]
 
     def wanted_count(self) -> int:
         """How many instances should run."""
@@ -455,63 +470,75 @@
         """What an instance's callers connect to, while it is open here."""
         return self.listeners.find(name)
 
-    def distribute(self, key: Key, connections: list[socket.socket], itself: bool = False) -> None:
+    def distribute(self, key: Key, connections: list[socket.socket], to_itself: bool = False) -> None:
         """Connections that were accepted for a process go to others of its tier, or to it."""
         child = self.children.get(key)
         if self.orphans is None or child is None or child.resources is None:
-            for one in connections:
-                one.close()
+            for connection in connections:
+                connection.close()
             return
-        self.orphans.distribute_accepted(child.resources, connections, itself)
+        self.orphans.distribute_accepted(child.resources, connections, to_itself)
 
     def tier_of(self, name: str) -> int:
         """Of an instance."""
-        one = self.spec.instances.get(name)
-        return one.tier if one is not None else 0
+        instance_spec = self.spec.instances.get(name)
+        return instance_spec.tier if instance_spec is not None else 0
 
-    def replace(self, key: Key, why: str) -> None:
+    def replace(self, key: Key, reason: str) -> None:
         """Have a process killed, and followed by another."""
-        self._execute(self.fleet.on_stalled(self.loop.time(), *key, why))
+        self._execute(self.fleet.on_stalled(self.loop.time(), *key, reason))
 
     def _processes_with_phase(self) -> Iterator[tuple[Child, Phase]]:
         for (name, generation), child in self.children.items():
             instance = self.fleet.instances.get(name)
-            at = instance.find_process(generation) if instance is not None else None
-            if at is not None:
-                yield child, at.phase
+            found = instance.find_process(generation) if instance is not None else None
+            if found is not None:
+                yield child, found.phase
 
     def _successors(self, tier: int) -> list[tuple[int, int]]:
         """Who could inherit in a tier: processes, and the requests that they have in hand."""
-        found = []
+        successors = []
         for child, phase in self._processes_with_phase():
-            one = self.spec.instances.get(child.name)
-            if phase is Phase.READY and child.resources is not None and one is not None and one.tier == tier:
-                found.append((child.resources.process, int(child.request_counters.get("open", 0))))
-        return [] if self.fleet.is_shutting_down else found
+            instance_spec = self.spec.instances.get(child.name)
+            if (
+                phase is Phase.READY
+                and child.resources is not None
+                and instance_spec is not None
+                and instance_spec.tier == tier
+            ):
+                successors.append((child.resources.process, int(child.request_counters.get("open", 0))))
+        return [] if self.fleet.is_shutting_down else successors
 
     def _management_addresses(self) -> Iterator[tuple[Key, Address]]:
         """Processes that are ready, and where operators call them, if they can."""
         for child, phase in self._processes_with_phase():
-            door = child.spec.values.get("management")
-            if phase is Phase.READY and door:
-                yield (child.name, child.generation), read_address(str(door), "management")
+            address = child.spec.values.get("management")
+            if phase is Phase.READY and address:
+                yield (child.name, child.generation), read_address(str(address), "management")
 
     def _recovery_values(self, name: str) -> dict[str, Any]:
         """What a process is told of its return, as a part of its file."""
-        spec, memory, herd = self.spec.recovery, self.stored_state, self.fleet.failure_correlator
-        if spec is None or memory is None or herd is None:
+        spec, stored, correlator = self.spec.recovery, self.stored_state, self.fleet.failure_correlator
+        if spec is None or stored is None or correlator is None:
             return {}
         from cometusher.recovery import RecoveryConfig, write_recovery_config
 
         plan = replace(
-            spec.plan, instances=len(self.fleet.instances), returning=herd.recovering_count(self.loop.time(), name)
+            spec.plan,
+            instances=len(self.fleet.instances),
+            returning=correlator.recovering_count(self.loop.time(), name),
         )
-        owner = Owner(self.spec.location.name, name, memory.epoch)
-        known = memory.known_versions(name)
+        owner = Owner(self.spec.location.name, name, stored.epoch)
+        known_versions = stored.known_versions(name)
         return {
             "comeback": write_recovery_config(
                 RecoveryConfig(
-                    plan, spec.limits, owner, self.spec.location.records_file(name), known, memory.orders.get(name)
+                    plan,
+                    spec.limits,
+                    owner,
+                    self.spec.location.records_file(name),
+                    known_versions,
+                    stored.orders.get(name),
                 )
             )
         }
@@ -537,8 +564,8 @@
             try:
                 content = serialize_config(child.requested_spec.at_ring_position(child.ring_position))
                 write_private(self.spec.location.instance_file(action.name), content)
-            except OSError as fault:
-                text = f"its file can't be written: {fault.strerror}"
+            except OSError as error:
+                text = f"its file can't be written: {error.strerror}"
                 self._execute(self.fleet.on_reloaded(self.loop.time(), action.name, action.generation, text))
                 return
         child.signal(COMMAND_SIGNALS[action.command])
@@ -587,11 +614,11 @@
         elif event == "declined" and self.orphans is not None and child.resources is not None:
             self.orphans.on_declined(child.resources, values)
         elif event == "reloaded":
-            why = values.get("why")
-            if why is None:
+            reason = values.get("why")
+            if reason is None:
                 child.spec = child.requested_spec
             self._execute(
-                self.fleet.on_reloaded(now, child.name, child.generation, None if why is None else str(why))
+                self.fleet.on_reloaded(now, child.name, child.generation, None if reason is None else str(reason))
             )
 
     def _on_recovery_status(self, child: Child, values: dict[str, Any]) -> None:
@@ -609,34 +636,36 @@
                 self._on_recovery_phase(child, phase)
 
     def _on_recovery_phase(self, child: Child, phase: str) -> None:
-        herd, now = self.fleet.failure_correlator, self.loop.time()
-        found = herd.on_phase(now, child.name, phase) if herd is not None else None
+        correlator, now = self.fleet.failure_correlator, self.loop.time()
+        found = correlator.on_phase(now, child.name, phase) if correlator is not None else None
         if found is not None:
-            blow, fresh = found
+            failure, reached = found
             text = (
-                f"event {blow.event_id}, {len(blow.names)} of {blow.fleet_size}: "
-                f"{fresh} after {blow.phase_times[fresh]:.2f} s"
+                f"event {failure.event_id}, {len(failure.names)} of {failure.fleet_size}: "
+                f"{reached} after {failure.phase_times[reached]:.2f} s"
             )
             log.info("%s", text, extra={"event": "comeback"})
-            if fresh == "full":
-                log.info("event %d is over: %s", blow.event_id, blow.view(now), extra={"event": "comeback_full"})
+            if reached == "full":
+                log.info(
+                    "event %d is over: %s", failure.event_id, failure.view(now), extra={"event": "comeback_full"}
+                )
 
     async def _probe(self, child: Child) -> None:
         """Readiness checks of one process, as long as it is to answer them."""
-        mark = f"{child.name}/{child.generation}".encode()
+        instance_id = f"{child.name}/{child.generation}".encode()
         while (child.name, child.generation) in self.children:
             instance = self.fleet.instances.get(child.name)
-            one = self.spec.instances.get(child.name)
-            found = instance.find_process(child.generation) if instance is not None else None
-            if one is None or found is None or found.phase not in (Phase.STARTING, Phase.READY):
+            instance_spec = self.spec.instances.get(child.name)
+            tracked = instance.find_process(child.generation) if instance is not None else None
+            if instance_spec is None or tracked is None or tracked.phase not in (Phase.STARTING, Phase.READY):
                 return
-            answer = await probe(one.listen, mark)
-            if answer is ProbeResult.UP:
+            result = await probe(instance_spec.listen, instance_id)
+            if result is ProbeResult.UP:
                 self._execute(self.fleet.on_check_answered(self.loop.time(), child.name, child.generation))
-            elif answer is ProbeResult.WAITING:
+            elif result is ProbeResult.WAITING:
                 self.fleet.on_waiting_for_backends(self.loop.time(), child.name, child.generation)
-            fresh = found.phase is Phase.STARTING
-            await asyncio.sleep(STARTING_PROBE_INTERVAL if fresh else PROBE_INTERVAL)
+            is_starting = tracked.phase is Phase.STARTING
+            await asyncio.sleep(STARTING_PROBE_INTERVAL if is_starting else PROBE_INTERVAL)
 
     def _on_child_exit(self, child: Child, stream: ProcessOutput) -> None:
         """A process has ended: what it left in its group ends too, and then it is forgotten."""
@@ -679,11 +708,11 @@
         self._roster_due = False
         if self._ended.is_set():
             return
-        rows = [child.identity.as_values() | {"name": child.name} for child in self.children.values()]
+        entries = [child.identity.as_values() | {"name": child.name} for child in self.children.values()]
         try:
-            write_private(self.spec.location.roster, orjson.dumps(rows))
-        except OSError as fault:
-            log.error("the roster can't be written: %s", fault)
+            write_private(self.spec.location.roster, orjson.dumps(entries))
+        except OSError as error:
+            log.error("the roster can't be written: %s", error)
 
     # ---- reload --------------------------------------------------------------------------
 
@@ -704,83 +733,83 @@
         """
         self._require_running()
         try:
-            fresh = read_spec(self.spec.location.file)
-            self._check_change(fresh)
-        except (ConfigError, AddressUnavailable) as fault:
-            log.error("the configuration stays as it was: %s", fault, extra={"event": "reload_refused"})
-            raise ControlError(str(fault)) from None
+            new = read_spec(self.spec.location.file)
+            self._check_change(new)
+        except (ConfigError, AddressUnavailable) as error:
+            log.error("the configuration stays as it was: %s", error, extra={"event": "reload_refused"})
+            raise ControlError(str(error)) from None
         self.manager.reloading()
-        old, self.spec = self.spec, fresh
-        self.fleet.policy = fresh.policy
-        if self.watchdog is not None and fresh.failure_detection is not None:
-            self.watchdog.detector.policy = fresh.failure_detection
-            self.watchdog.detector.outlier_detector.policy = fresh.outliers
-        if self.fleet.failure_correlator is not None and fresh.recovery is not None:
-            self.fleet.failure_correlator.policy = fresh.recovery.correlation
-        steps = [(name, Step.REMOVE) for name in old.instances if name not in fresh.instances]
-        for name, one in fresh.instances.items():
-            step = self._required_step(one, old.instances.get(name))
+        previous, self.spec = self.spec, new
+        self.fleet.policy = new.policy
+        if self.watchdog is not None and new.failure_detection is not None:
+            self.watchdog.detector.policy = new.failure_detection
+            self.watchdog.detector.outlier_detector.policy = new.outliers
+        if self.fleet.failure_correlator is not None and new.recovery is not None:
+            self.fleet.failure_correlator.policy = new.recovery.correlation
+        steps = [(name, Step.REMOVE) for name in previous.instances if name not in new.instances]
+        for name, instance_spec in new.instances.items():
+            step = self._required_step(instance_spec, previous.instances.get(name))
             if step is not None:
                 steps.append((name, step))
         now = self.loop.time()
         log.info("the configuration was read again; %d instances change", len(steps), extra={"event": "reload"})
         done = await self._begin_operation(self.fleet.reload(now, steps))
-        for name in old.instances:
+        for name in previous.instances:
             if name not in self.spec.instances and name not in self.fleet.instances:
                 with contextlib.suppress(OSError):
                     self.spec.location.instance_file(name).unlink()
         self.manager.ready(done.text)
         return done
 
-    def _required_step(self, one: InstanceSpec, before: InstanceSpec | None) -> Step | None:
+    def _required_step(self, instance_spec: InstanceSpec, previous: InstanceSpec | None) -> Step | None:
         """The least that brings an instance to a configuration.
 
         What its process runs with counts, not what the file said last: a reload that halted has left some behind.
         """
-        if before is None:
+        if previous is None:
             return Step.START
-        instance = self.fleet.instances.get(one.name)
+        instance = self.fleet.instances.get(instance_spec.name)
         current = instance.current if instance is not None else None
-        child = self.children.get((one.name, current.generation)) if current is not None else None
-        runs = child.spec if child is not None else before
-        if runs.version == one.version:
+        child = self.children.get((instance_spec.name, current.generation)) if current is not None else None
+        running = child.spec if child is not None else previous
+        if running.version == instance_spec.version:
             return None
-        return Step.REPLACE if runs.needs_restart(one) else Step.RELOAD
+        return Step.REPLACE if running.needs_restart(instance_spec) else Step.RELOAD
 
-    def _check_change(self, fresh: FleetSpec) -> None:
+    def _check_change(self, new: FleetSpec) -> None:
         """Raise for what can't change while the fleet runs, and take the addresses of what is added."""
         old = self.spec
         for key, before, after in (
-            ("fleet.name", old.location.name, fresh.location.name),
-            ("fleet.state", old.location.state_directory, fresh.location.state_directory),
-            ("fleet.spawn", old.spawn, fresh.spawn),
-            ("log", old.log, fresh.log),
-            ("mesh", old.cluster, fresh.cluster),
+            ("fleet.name", old.location.name, new.location.name),
+            ("fleet.state", old.location.state_directory, new.location.state_directory),
+            ("fleet.spawn", old.spawn, new.spawn),
+            ("log", old.log, new.log),
+            ("mesh", old.cluster, new.cluster),
         ):
             if before != after:
-                raise ConfigError(f"{fresh.location.file}: {key}: {after} instead of {before} needs a new start")
-        for key, was, now in (
-            ("comeback", old.recovery, fresh.recovery),
-            ("takeover", old.takeover, fresh.takeover),
-            ("vigil", old.failure_detection, fresh.failure_detection),
+                raise ConfigError(f"{new.location.file}: {key}: {after} instead of {before} needs a new start")
+        for key, previous, current in (
+            ("comeback", old.recovery, new.recovery),
+            ("takeover", old.takeover, new.takeover),
+            ("vigil", old.failure_detection, new.failure_detection),
         ):
-            if (was is None) is not (now is None):
-                raise ConfigError(f"{fresh.location.file}: {key}: switching it on or off needs a new start")
+            if (previous is None) is not (current is None):
+                raise ConfigError(f"{new.location.file}: {key}: switching it on or off needs a new start")
         added = []
-        for name, one in fresh.instances.items():
+        for name, instance_spec in new.instances.items():
             running = old.instances.get(name)
-            if running is not None and running.listen != one.listen:
+            if running is not None and running.listen != instance_spec.listen:
                 raise ConfigError(
-                    f"{fresh.location.file}: {name}: listen: can't change; give the instance another name"
+                    f"{new.location.file}: {name}: listen: can't change; give the instance another name"
                 )
             if running is None:
-                added.append(one)
+                added.append(instance_spec)
         try:
-            for one in added:
-                self.listeners.get(one.name, one.listen)
+            for instance_spec in added:
+                self.listeners.get(instance_spec.name, instance_spec.listen)
         except AddressUnavailable:
-            for one in added:
-                self.listeners.release(one.name)
+            for instance_spec in added:
+                self.listeners.release(instance_spec.name)
             raise
 
     def _reopen_log(self) -> None:
@@ -805,11 +834,11 @@
         self._require_running()
         now = self.loop.time()
         if command == "start":
-            begun = self.fleet.start(now, names or list(self.fleet.instances))
+            operation = self.fleet.start(now, names or list(self.fleet.instances))
         elif command == "restart":
-            begun = self.fleet.restart(now, names or list(self.fleet.instances))
+            operation = self.fleet.restart(now, names or list(self.fleet.instances))
         elif command == "stop" and names:
-            begun = self.fleet.stop(now, names)
+            operation = self.fleet.stop(now, names)
         elif command == "stop":
             self.loop.call_soon(self.stop)
             return {"text": "stopping", "pid": os.getpid(), "within": self.spec.policy.stop_within}
@@ -818,21 +847,21 @@
             return self._operation_reply(done)
         else:
             raise ControlError(f"unknown command {command!r}")
-        return self._operation_reply(await self._begin_operation(begun))
+        return self._operation_reply(await self._begin_operation(operation))
 
     def _handle_cluster_request(self, command: str, names: list[str]) -> dict[str, Any]:
         """What is said and seen of the whole fleet."""
-        mesh = self.cluster
-        if mesh is None:
+        cluster = self.cluster
+        if cluster is None:
             raise ControlError("the fleet's file has no table [mesh]")
         if command in ("ban", "unban"):
             if not names:
                 raise ControlError(f"{command}: which backends?")
-            left = mesh.set_banned(names, command == "ban")
-            if left:
-                raise ControlError(f"could not be said of {', '.join(map(repr, left[:5]))}: no room, or too long")
+            rejected = cluster.set_banned(names, command == "ban")
+            if rejected:
+                raise ControlError(f"could not be said of {', '.join(map(repr, rejected[:5]))}: no room, or too long")
             return {"text": f"{command}: {', '.join(names)}"}
-        views = {"members": mesh.view, "leases": mesh.leases, "bans": mesh.bans}
+        views = {"members": cluster.view, "leases": cluster.leases, "bans": cluster.bans}
         return views[command]()
 
     def _explain(self, names: list[str]) -> dict[str, Any]:
@@ -859,8 +888,8 @@
         for name in names or list(self.fleet.instances):
             row = self.fleet.view(now, name)
             child = self.children.get((name, row["generation"]))
-            one = self.spec.instances.get(name)
-            row["listen"] = "{}:{}".format(*one.listen) if one is not None else None
+            instance_spec = self.spec.instances.get(name)
+            row["listen"] = "{}:{}".format(*instance_spec.listen) if instance_spec is not None else None
             row["pid"] = child.pid if child else None
             row["version"] = child.spec.version if child else None
             row["memory"] = resident_bytes(child.pid) if child else 0
@@ -873,14 +902,16 @@
             if self.watchdog is not None:
                 row["vigil"] = self.watchdog.detector.view((name, row["generation"]))
             rows.append(row)
-        herd = self.fleet.failure_correlator
-        blows = {"comeback": [blow.view(now) for blow in herd.failures]} if herd is not None else {}
-        estate = {"takeover": self.orphans.view()} if self.orphans is not None else {}
-        vigil = {"vigil": self.watchdog.view()} if self.watchdog is not None else {}
+        correlator = self.fleet.failure_correlator
+        recoveries = (
+            {"comeback": [failure.view(now) for failure in correlator.failures]} if correlator is not None else {}
+        )
+        takeover = {"takeover": self.orphans.view()} if self.orphans is not None else {}
+        detector = {"vigil": self.watchdog.view()} if self.watchdog is not None else {}
         return (
-            blows
-            | estate
-            | vigil
+            recoveries
+            | takeover
+            | detector
             | {
                 "fleet": self.spec.location.name,
                 "pid": os.getpid(),
@@ -898,19 +929,19 @@
 StartCallback = Callable[[OperationDone], None]
 
 
-async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartCallback) -> None:
+async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], on_started: StartCallback) -> None:
     """Run a fleet to its end; `tell` is called with how its start went. Raises CannotStart."""
     supervisor = Supervisor(spec, environ)
     try:
         await supervisor.prepare()
-    except (AddressUnavailable, OSError, ConfigError) as fault:
+    except (AddressUnavailable, OSError, ConfigError) as error:
         supervisor.listeners.release_all()
-        raise CannotStart(str(fault)) from None
-    tell(await supervisor.run(names))
+        raise CannotStart(str(error)) from None
+    on_started(await supervisor.run(names))
     await supervisor.wait_ended()
 
 
-def run(spec: FleetSpec, names: list[str], environ: Mapping[str, str], tell: StartCallback) -> None:
+def run(spec: FleetSpec, names: list[str], environ: Mapping[str, str], on_started: StartCallback) -> None:
     """Hold the state directory and run the fleet in the foreground; raises CannotStart or ConfigError."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
     # Five descriptors an instance: the usual limit would end at two hundred.
@@ -920,11 +951,11 @@
     lock = StateLock(spec.location.lock_file, spec.location.pid_file)
     try:
         lock.acquire()
-    except LockHeld as fault:
-        raise CannotStart(str(fault)) from None
-    except OSError as fault:
-        raise CannotStart(f"{spec.location.lock_file}: {fault.strerror}") from None
+    except LockHeld as error:
+        raise CannotStart(str(error)) from None
+    except OSError as error:
+        raise CannotStart(f"{spec.location.lock_file}: {error.strerror}") from None
     try:
-        asyncio.run(supervise(spec, names, environ, tell))
+        asyncio.run(supervise(spec, names, environ, on_started))
     finally:
         lock.release()
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -34,8 +34,8 @@
 
 
 def _counts(value: Any) -> dict[str, int]:
-    rows = value.items() if isinstance(value, dict) else ()
-    return {str(k): v for k, v in rows if isinstance(v, int) and not isinstance(v, bool) and v >= 0}
+    items = value.items() if isinstance(value, dict) else ()
+    return {str(k): v for k, v in items if isinstance(v, int) and not isinstance(v, bool) and v >= 0}
 
 
 class SupervisorState:
@@ -62,21 +62,21 @@
             return
         # Of any age: who is wanted and what is banned is not less true for being old.
         owner = Owner(self._name, "", record.owner.epoch)
-        verdict, why = assess(record, owner, moment(), AgeLimits(), KnownVersions())
+        verdict, reason = assess(record, owner, moment(), AgeLimits(), KnownVersions())
         if verdict in (Trust.NEWER, Trust.FOREIGN) or not isinstance(record.body, dict):
-            log.warning("what the fleet had kept is left aside: %s", why)
+            log.warning("what the fleet had kept is left aside: %s", reason)
             return
         self.epoch = record.owner.epoch + 1
         body = record.body
         self.list_seq = body["list_seq"] if isinstance(body.get("list_seq"), int) else 0
-        rows = body.get("orders")
-        for name, form in rows.items() if isinstance(rows, dict) else ():
+        orders = body.get("orders")
+        for name, values in orders.items() if isinstance(orders, dict) else ():
             try:
-                parse_operator_orders(form)
-            except UnusableState as fault:
-                log.warning("%s: its kept orders are left aside: %s", name, fault)
+                parse_operator_orders(values)
+            except UnusableState as error:
+                log.warning("%s: its kept orders are left aside: %s", name, error)
             else:
-                self.orders[str(name)] = form
+                self.orders[str(name)] = values
         if body.get("running") is True:
             wanted = body.get("wanted")
             failed = body.get("failed")
@@ -90,15 +90,15 @@
 
     def write(self, fleet: Fleet, running: bool = True) -> None:
         """Keep how the fleet stands."""
-        rows = fleet.instances.values()
+        instances = fleet.instances.values()
         body = {
             "running": running,
             "list_seq": self.list_seq,
             "orders": self.orders,
-            "wanted": {i.name: i.should_run for i in rows},
-            "failed": {i.name: i.reason for i in rows if i.failed},
-            "restarts": {i.name: i.restarts for i in rows},
-            "generations": {i.name: i.generation for i in rows},
+            "wanted": {i.name: i.should_run for i in instances},
+            "failed": {i.name: i.reason for i in instances if i.failed},
+            "restarts": {i.name: i.restarts for i in instances},
+            "generations": {i.name: i.generation for i in instances},
         }
         owner = Owner(self._name, "", self.epoch)
         self._records.write([Record(RECORD_KIND, self._records.next_serial(RECORD_KIND), owner, moment(), body)])
@@ -112,15 +112,15 @@
 
     def on_recovery_status(self, name: str, values: dict[str, Any]) -> bool:
         """An instance tells of its list and orders; whether that is news."""
-        seq, form = values.get("seq"), values.get("standing")
-        news = False
-        if isinstance(seq, int) and seq > self.list_seq:
-            self.list_seq = seq
-            news = True
-        if isinstance(form, dict):
-            self.orders[name] = form
-            news = True
-        return news
+        list_seq, orders = values.get("seq"), values.get("standing")
+        changed = False
+        if isinstance(list_seq, int) and list_seq > self.list_seq:
+            self.list_seq = list_seq
+            changed = True
+        if isinstance(orders, dict):
+            self.orders[name] = orders
+            changed = True
+        return changed
 
     def known_versions(self, name: str) -> KnownVersions:
         """What the fleet knows of an instance's records."""
--- a/cometusher/fleet/watchdog.py
+++ b/cometusher/fleet/watchdog.py
@@ -59,13 +59,13 @@
     def listener(self, name: str) -> socket.socket | None:
         """What its callers connect to."""
 
-    def distribute(self, key: Key, connections: list[socket.socket], itself: bool = False) -> None:
+    def distribute(self, key: Key, connections: list[socket.socket], to_itself: bool = False) -> None:
         """Give connections that were accepted for a process to others of its tier, or to it; the callee's then."""
 
     def tier_of(self, name: str) -> int:
         """Of an instance."""
 
-    def replace(self, key: Key, why: str) -> None:
+    def replace(self, key: Key, reason: str) -> None:
         """Have a process killed and followed by another."""
 
 
@@ -75,16 +75,16 @@
     def __init__(
         self,
         policy: FailureDetectorPolicy,
-        comparison: OutlierPolicy,
+        outlier_policy: OutlierPolicy,
         loop: asyncio.AbstractEventLoop,
-        hands: WatchdogHost,
-        passes_on: bool,
+        host: WatchdogHost,
+        can_divert: bool,
     ) -> None:
-        self.detector = FailureDetector(policy, comparison)
+        self.detector = FailureDetector(policy, outlier_policy)
         self.board = HeartbeatBoard()
         self._loop = loop
-        self._host = hands
-        self._can_divert = passes_on
+        self._host = host
+        self._can_divert = can_divert
         self._waiting_since: dict[str, float] = {}  # since when something waits at a listener
         self._diverted: dict[Key, int] = {}  # descriptors of listeners that are accepted from here
         self._unresponsive: set[Key] = set()  # for these, because they do not...
@@ -111,7 +111,7 @@
         self._ejected.pop(key, None)
         self._stop_diverting(key)
         self.detector.on_exit(key)
-        self.board.release(row)
+        self.board.release_row(row)
 
     def close(self) -> None:
         """The supervisor ends."""
@@ -127,76 +127,91 @@
         if self._ended:
             return
         now = self._loop.time()  # the machine's clock, as beats are
-        ones = [
-            (one, PHASE_LIFECYCLES[phase])
-            for one, phase in self._host.processes_with_heartbeat()
+        processes = [
+            (process, PHASE_LIFECYCLES[phase])
+            for process, phase in self._host.processes_with_heartbeat()
             if phase in PHASE_LIFECYCLES
         ]
-        waits = self._accept_waits(now, {one.name for one, _ in ones})
-        seen, accounts, rows = {}, {}, {}
-        for one, life in ones:
-            key = one.name, one.generation
-            rows[key] = one.board_row
-            account = self.board.traffic_counters(one.board_row, self._host.tier_of(one.name))
-            if life is Lifecycle.SERVING:
-                accounts[key] = account
-            seen[key] = self._observation(one, life, waits.get(one.name, 0.0), account)
+        accept_waits = self._accept_waits(now, {process.name for process, _ in processes})
+        observations, counters, rows = {}, {}, {}
+        for process, lifecycle in processes:
+            key = process.name, process.generation
+            rows[key] = process.board_row
+            process_counters = self.board.traffic_counters(process.board_row, self._host.tier_of(process.name))
+            if lifecycle is Lifecycle.SERVING:
+                counters[key] = process_counters
+            observations[key] = self._observation(
+                process, lifecycle, accept_waits.get(process.name, 0.0), process_counters
+            )
         if self.recorder is not None:
-            self.recorder.record(ObservationRound(now, OBSERVATION_INTERVAL, self._host.wanted_count(), seen))
-        for act in self.detector.tick(now, seen, self._host.wanted_count(), OBSERVATION_INTERVAL, accounts):
-            self._execute(act, rows[act.key])
+            self.recorder.record(ObservationRound(now, OBSERVATION_INTERVAL, self._host.wanted_count(), observations))
+        for decision in self.detector.tick(
+            now, observations, self._host.wanted_count(), OBSERVATION_INTERVAL, counters
+        ):
+            self._execute(decision, rows[decision.key])
         self._loop.call_later(OBSERVATION_INTERVAL, self._observe)
 
     def _observation(
-        self, one: ObservedProcess, life: Lifecycle, waits: float, account: TrafficCounters
+        self, process: ObservedProcess, lifecycle: Lifecycle, accept_wait: float, counters: TrafficCounters
     ) -> Observation:
-        stat = read_stat(one.pid)
-        ran, starved = read_schedstat(one.pid)
+        stat = read_stat(process.pid)
+        cpu_time, run_queue_wait = read_schedstat(process.pid)
         stopped = stat is not None and stat.state in STOPPED_STATES
-        progress = account.total_answered + sum(account.unanswered)
+        progress = counters.total_answered + sum(counters.unanswered)
         # Who was told to end has left what waits there to others.
-        waits = 0.0 if life is Lifecycle.LEAVING else waits
+        accept_wait = 0.0 if lifecycle is Lifecycle.LEAVING else accept_wait
         runnable = stat is not None and stat.state == RUNNABLE
         return Observation(
-            self.board.last_turn(one.board_row), stopped, ran, starved, waits, progress, runnable, life
+            self.board.last_turn(process.board_row),
+            stopped,
+            cpu_time,
+            run_queue_wait,
+            accept_wait,
+            progress,
+            runnable,
+            lifecycle,
         )
 
     def _accept_waits(self, now: float, names: Collection[str]) -> dict[str, float]:
         """For how long connections wait at listeners: as long as there is one at each look."""
-        poller, found = select.poll(), {}
+        poller, names_by_fd = select.poll(), {}
         for name in names:
             listener = self._host.listener(name)
             if listener is not None and listener.fileno() >= 0:
                 poller.register(listener, select.POLLIN)
-                found[listener.fileno()] = name
-        busy = {found[descriptor] for descriptor, _ in poller.poll(0)}
-        self._waiting_since = {name: self._waiting_since.get(name, now) for name in busy}
+                names_by_fd[listener.fileno()] = name
+        waiting = {names_by_fd[descriptor] for descriptor, _ in poller.poll(0)}
+        self._waiting_since = {name: self._waiting_since.get(name, now) for name in waiting}
         return {name: now - since for name, since in self._waiting_since.items()}
 
     # ---- acting --------------------------------------------------------------------------
 
-    def _execute(self, act: Decision, row: int) -> None:
-        name = f"{act.key[0]} (generation {act.key[1]})"
+    def _execute(self, decision: Decision, row: int) -> None:
+        label = f"{decision.key[0]} (generation {decision.key[1]})"
         log.warning(
-            "%s: %s: %s", name, act.response.value, act.reason, extra={"event": "vigil", "instance": act.key[0]}
+            "%s: %s: %s",
+            label,
+            decision.response.value,
+            decision.reason,
+            extra={"event": "vigil", "instance": decision.key[0]},
         )
-        if act.response is Response.DIVERT_ACCEPTS:
-            self._unresponsive.add(act.key)
-            self._divert(act.key)
-        elif act.response is Response.RESUME_ACCEPTS:
-            self._unresponsive.discard(act.key)
-            self._stop_diverting(act.key)
-        elif act.response is Response.EJECT:
+        if decision.response is Response.DIVERT_ACCEPTS:
+            self._unresponsive.add(decision.key)
+            self._divert(decision.key)
+        elif decision.response is Response.RESUME_ACCEPTS:
+            self._unresponsive.discard(decision.key)
+            self._stop_diverting(decision.key)
+        elif decision.response is Response.EJECT:
             if self._can_divert:
-                self._ejected[act.key] = row, 0.0
+                self._ejected[decision.key] = row, 0.0
                 self.board.set_ejected(row, True)
-                self._divert(act.key)
-        elif act.response is Response.READMIT:
-            if self._ejected.pop(act.key, None) is not None:
+                self._divert(decision.key)
+        elif decision.response is Response.READMIT:
+            if self._ejected.pop(decision.key, None) is not None:
                 self.board.set_ejected(row, False)
-                self._stop_diverting(act.key)
+                self._stop_diverting(decision.key)
         else:
-            self._host.replace(act.key, act.reason)
+            self._host.replace(decision.key, decision.reason)
 
     def _divert(self, key: Key) -> None:
         """Accept what waits at its listener, as long as it does not; it may wake up and accept beside that."""
@@ -219,20 +234,20 @@
         if connections:
             self._host.distribute(key, connections)
         if own:
-            self._host.distribute(key, own, itself=True)
+            self._host.distribute(key, own, to_itself=True)
 
     def _take_own_share(self, key: Key, connections: list[socket.socket]) -> list[socket.socket]:
         """Take out what a process gets that lives and fares ill: so that it can show that it fares better."""
         own: list[socket.socket] = []
         if key in self._unresponsive or key not in self._ejected:
             return own
-        row, due = self._ejected[key]
+        row, credit = self._ejected[key]
         for _ in range(len(connections)):
-            due += self.detector.outlier_detector.traffic_share(key)
-            if due >= 1.0:
-                due -= 1.0
+            credit += self.detector.outlier_detector.traffic_share(key)
+            if credit >= 1.0:
+                credit -= 1.0
                 own.append(connections.pop())
-        self._ejected[key] = row, due
+        self._ejected[key] = row, credit
         return own
 
     def _stop_diverting(self, key: Key) -> None:
@@ -242,7 +257,7 @@
         if descriptor is None:
             return
         self._loop.remove_reader(descriptor)
-        for other in [one for one, number in self._diverted.items() if number == descriptor]:
+        for other in [diverted_key for diverted_key, number in self._diverted.items() if number == descriptor]:
             # Another process of the same name, while one follows the other.
             del self._diverted[other]
             self._divert(other)
@@ -254,9 +269,9 @@
     def _stop_diverting_all(self, keys: Collection[Key]) -> None:
         for key in keys:
             self._unresponsive.discard(key)
-            aside = self._ejected.pop(key, None)
-            if aside is not None:
-                self.board.set_ejected(aside[0], False)
+            ejected = self._ejected.pop(key, None)
+            if ejected is not None:
+                self.board.set_ejected(ejected[0], False)
             self._stop_diverting(key)
 
     def view(self) -> dict[str, Any]:
--- a/tests/unit/test_observations.py
+++ b/tests/unit/test_observations.py
@@ -40,7 +40,8 @@
     for look in seen:
         recorder.record(look)
         first += [
-            (look.time, act) for act in vigil.tick(look.time, look.observations, look.wanted_count, look.interval)
+            (look.observed_at, act)
+            for act in vigil.tick(look.observed_at, look.observations, look.wanted_count, look.interval)
         ]
     recorder.flush()
     assert list(read_observations(path)) == seen
