--- a/cometusher/fleet/observations.py
+++ b/cometusher/fleet/observations.py
@@ -1,9 +1,10 @@
-"""What the watch saw, kept in a file, and judged again with other thresholds.
+"""Records the failure detector's observations in a file, and replays them with other thresholds.
 
-One line of JSON a look: the moment, how long after the last look it was due, how many instances are wanted, and for
-each process its name, generation and evidence. The file is bounded: what no longer fits is not kept, and that is said
-once. The decisions are sans-I/O, so what they would have done with other thresholds is exactly what they do with the
-same evidence; what followed from an act (a process that was replaced) is not in it.
+Each round of observations is one line of JSON: the time, the interval since the previous round, how many instances
+should run, and for each process its name, generation and observation. The file is bounded: rounds that no longer fit
+are not recorded, which is logged once. The detector does no I/O, so a replay shows exactly what it would have decided
+with other thresholds on the same observations; the consequences of another decision (a process that is replaced) are
+not part of them.
 """
 
 from __future__ import annotations
@@ -18,23 +19,23 @@
 from weldroute.failure_detector import Decision, FailureDetector, FailureDetectorPolicy, Lifecycle, Observation
 from weldroute.outlier_detection import Key
 
-log = logging.getLogger("cometusher.fleet.evidence")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.evidence")  # operators' tools know the log records by this name
 
-FLUSH_LINES = 64  # that are written at once
+FLUSH_LINES = 64  # lines that are written at once
 
 
 @dataclass(frozen=True, slots=True)
 class ObservationRound:
-    """All that one look saw."""
+    """The observations of all processes at one time."""
 
-    observed_at: float  # seconds of the machine's clock
+    observed_at: float  # seconds of the machine's monotonic clock
     interval: float
     wanted_count: int
     observations: Mapping[Key, Observation]
 
 
 class ObservationRecorder:
-    """Keeps looks, as far as there is room."""
+    """Records rounds of observations until the file has reached its size limit."""
 
     def __init__(self, path: Path, size_limit: int) -> None:
         self._path = path
@@ -43,22 +44,22 @@
         path.write_bytes(b"")
 
     def record(self, round_: ObservationRound) -> None:
-        """One more."""
+        """Record one round; it is written with the next flush."""
         if self._bytes_left <= 0:
             return
         rows = [
             [*key, *astuple(observation)] for key, observation in round_.observations.items()
-        ]  # an Enum is written as its value
+        ]  # orjson writes an enum member as its value
         self._lines.append(orjson.dumps([round_.observed_at, round_.interval, round_.wanted_count, rows]) + b"\n")
         if len(self._lines) >= FLUSH_LINES:
             self.flush()
 
     def flush(self) -> None:
-        """Write what is due."""
+        """Write the lines that are pending; logs a full or unwritable file and stops recording."""
         data, self._lines = b"".join(self._lines), []
         if len(data) > self._bytes_left:
             self._bytes_left = 0
-            log.warning("%s is full: no more evidence is kept", self._path)
+            log.warning("%s has reached its size limit: recording of observations stops", self._path)
             return
         self._bytes_left -= len(data)
         try:
@@ -66,11 +67,11 @@
                 file.write(data)
         except OSError as error:
             self._bytes_left = 0
-            log.warning("no more evidence is kept: %s: %s", self._path, error.strerror)
+            log.warning("recording of observations stops: %s: %s", self._path, error.strerror)
 
 
 def read_observations(path: Path) -> Iterator[ObservationRound]:
-    """The looks of a file, in their order; one that was cut ends it.
+    """Yield the rounds of a file in order, up to an incomplete last line.
 
     Raises OSError, and ValueError naming the line.
     """
@@ -91,7 +92,7 @@
 def replay_detector(
     rounds: Iterator[ObservationRound], policy: FailureDetectorPolicy
 ) -> Iterator[tuple[float, Decision]]:
-    """What would be done, and when, with these thresholds."""
+    """Yield the decisions of a failure detector with these thresholds, each with its time."""
     detector = FailureDetector(policy)
     for round_ in rounds:
         for decision in detector.tick(round_.observed_at, round_.observations, round_.wanted_count, round_.interval):
--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -1,7 +1,8 @@
-"""What processes of a fleet leave behind: books and connections of the dead, handed on to heirs.
+"""Hands the in-flight requests and connections of processes that have died to other processes, their successors.
 
-Decisions are `weldroute.takeover.Estate`'s; here are the sockets and the memory. All of it is asked of a keeper only
-when its instance has been reaped, and nothing here waits: keepers and heirs that are slow hold up nobody else's.
+`weldroute.takeover.TakeoverPlanner` decides; this module owns the sockets and the shared memory with the journals.
+A process's descriptor holder is asked for its descriptors only after the process has been reaped. Nothing here
+blocks: a slow descriptor holder or successor delays no other process's requests.
 """
 
 from __future__ import annotations
@@ -28,60 +29,51 @@
 from weldroute.request_journal import BUSY, IDLE, ConnectionRecord, OrphanedJournal, Stage
 from weldroute.takeover import RequestRef, TakeoverPlanner
 
-log = logging.getLogger("cometusher.fleet.estate")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.estate")  # operators' tools know the log records by this name
 
-POLL_INTERVAL = 0.02  # seconds between looks, while anything is on its way
-ADOPTION_GRACE = (
-    1.0  # seconds after its deadline, or its owner's end, in which an heir may still say what became of it
-)
-STRANDED_TIMEOUT = 3.0  # seconds that connections without work wait for anybody to be there...
-MAX_STRANDED = 256  # ...and so many offers of them
-MOVE_RECORD_LIFETIME = 5.0  # seconds within which an heir has noted what was moved to it
-MAX_MOVES = 16  # heirs that a connection without work is offered to
-UNRECORDED = 1 << 30  # among what a keeper was asked for: connections that nothing was noted of
-HOLDER_BATCH = 64  # pieces of work that a keeper is asked for in one message
+POLL_INTERVAL = 0.02  # seconds, while anything is being handed over
+ADOPTION_GRACE = 1.0  # seconds after a request's deadline, or its owner's exit, in which a successor may adopt it
+STRANDED_TIMEOUT = 3.0  # seconds that idle connections wait for a successor
+MAX_STRANDED = 256  # offers of idle connections that wait at once
+MOVE_RECORD_LIFETIME = 5.0  # seconds within which a successor records the connections moved to it
+MAX_MOVES = 16  # successors that an idle connection is offered to
+UNRECORDED = 1 << 30  # key in `pending`: the connections that the journal does not record
+HOLDER_BATCH = 64  # requests in one message to a descriptor holder
 
-SuccessorSource = Callable[
-    [int], Iterable[tuple[int, int]]
-]  # of a tier: processes, and the requests that they have in hand
+SuccessorSource = Callable[[int], Iterable[tuple[int, int]]]  # by tier: processes and their in-flight requests
 
 
 @dataclass(slots=True)
 class ProcessResources:
-    """What the supervisor holds of one process."""
+    """The journal, sockets and descriptors that the supervisor holds for one process."""
 
     process: int
     name: str
     tier: int
     port: int  # that its callers connect to
     journal: OrphanedJournal
-    journal_index: int  # which on the shelf
-    pool_fd: int  # descriptor
+    journal_index: int  # in the journal pool
+    pool_fd: int  # of the journal pool
     holder_socket: socket.socket
-    offer_socket: socket.socket  # where offers are put in...
-    offer_receiver: socket.socket  # ...and the end that the process reads from
-    child_holder_socket: socket.socket | None  # until the process has it
+    offer_socket: socket.socket  # sends offers to the process
+    offer_receiver: socket.socket  # the other end; the process has a duplicate
+    child_holder_socket: socket.socket | None  # until the process has its own
     holder_pid: int = 0
     holder_pidfd: int = -1
     is_reaped: bool = False
-    pending: set[int] = field(default_factory=set)  # names of what its keeper is to give; below 0: batches of rows
-    connection_batches: dict[int, list[tuple[ConnectionRecord, int]]] = field(
-        default_factory=dict
-    )  # with the slot, if there is an entry
+    pending: set[int] = field(default_factory=set)  # asked of its holder: slots; below 0: batches of connections
+    # With the slot of the connection's request, or -1 if there is none.
+    connection_batches: dict[int, list[tuple[ConnectionRecord, int]]] = field(default_factory=dict)
     deadlines: dict[int, float] = field(default_factory=dict)  # by slot
-    request_descriptors: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: the caller, attempts
-    caller_connection_ids: dict[int, int] = field(
-        default_factory=dict
-    )  # by slot: the name of the caller's connection
-    offered_copies: set[int] = field(
-        default_factory=set
-    )  # connections of work that it was offered when it died, by name
-    recently_moved: dict[int, tuple[float, ConnectionRecord]] = field(
-        default_factory=dict
-    )  # to it, by name, and until when that counts
+    request_descriptors: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: caller, then attempts
+    caller_connection_ids: dict[int, int] = field(default_factory=dict)  # by slot
+    # Caller connections of the requests that had been offered to it, and not adopted, when it died.
+    offered_copies: set[int] = field(default_factory=set)
+    # By connection id: until when the move is remembered, and the connection's state when it was moved.
+    recently_moved: dict[int, tuple[float, ConnectionRecord]] = field(default_factory=dict)
 
     def child_descriptors(self) -> dict[int, int]:
-        """The descriptors for the process, by the numbers that it has them at."""
+        """The descriptors that the process needs, by the numbers that they get in it."""
         assert self.child_holder_socket is not None
         return {
             POOL_FD: self.pool_fd,
@@ -90,14 +82,14 @@
         }
 
     def close_child_end(self) -> None:
-        """It has them."""
+        """The process has its descriptors (or never will): close the end that only it needs."""
         if self.child_holder_socket is not None:
             self.child_holder_socket.close()
             self.child_holder_socket = None
 
 
 class OrphanedRequests:
-    """All that the processes of one fleet leave."""
+    """Takes over the requests and connections of all dead processes of one fleet."""
 
     def __init__(self, spec: TakeoverSpec, loop: asyncio.AbstractEventLoop, successors: SuccessorSource) -> None:
         self.spec = spec
@@ -111,20 +103,19 @@
         os.ftruncate(self._memfd, self._pool.bytes)
         self._memory = mmap.mmap(self._memfd, self._pool.bytes)
         self._view = memoryview(self._memory)
-        self._free_journals = deque(range(self._pool.books))  # that are free...
-        self._retained_journals: deque[tuple[float, int]] = (
-            deque()
-        )  # ...and that will be: answers in them may be asked for
+        self._free_journals = deque(range(self._pool.books))  # indexes
+        # Until when each journal is kept, because its stored answers may still be requested.
+        self._retained_journals: deque[tuple[float, int]] = deque()
         self._process_count = 0
         self._ticking = False
-        self._stranded: list[tuple[float, int, Offer]] = []  # until when they wait, for an heir of which tier
-        self._unreceived_since: dict[int, float] = {}  # heirs that were sent connections without work, and since when
+        self._stranded: list[tuple[float, int, Offer]] = []  # until when they wait, tier
+        self._unreceived_since: dict[int, float] = {}  # successors: since when idle connections wait
         self.counts = {"left": 0, "adopted": 0, "lost": 0, "taken_back": 0, "declined": 0, "moved": 0, "closed": 0}
 
     # ---- processes -----------------------------------------------------------------------
 
     def open_resources(self, name: str, tier: int, port: int) -> ProcessResources:
-        """For a process that is about to start; raises OSError."""
+        """Prepare the journal and sockets of a process that is about to start; raises OSError."""
         self._process_count += 1
         self._ports.setdefault(tier, set()).add(port)
         journal_index = self._take_journal()
@@ -150,38 +141,37 @@
         return resources
 
     def _take_journal(self) -> int:
-        """A book that is all zeros; raises OSError where there is none."""
+        """Return the index of a zeroed journal; raises OSError if there is none."""
         now = self._loop.time()
         while self._retained_journals and (self._retained_journals[0][0] <= now or not self._free_journals):
             self._free_journals.append(self._retained_journals.popleft()[1])
         if not self._free_journals:
-            raise OSError("no book is free")
+            raise OSError("no request journal is free")
         journal_index = self._free_journals.popleft()
         self._memory.madvise(mmap.MADV_REMOVE, self._pool.journal_offset(journal_index), self._pool.journal_stride)
         return journal_index
 
     def takeover_values(self, resources: ProcessResources) -> dict[str, Any]:
-        """What the process is told of it, as a part of its file."""
+        """The part of the process's configuration file that assigns its journal."""
         return {
             "takeover": assignment_values(JournalAssignment(resources.process, resources.journal_index, self._pool))
         }
 
     def on_started(self, resources: ProcessResources) -> None:
-        """It has started."""
+        """The process has started."""
         resources.close_child_end()
         self._loop.add_reader(resources.holder_socket.fileno(), self._on_holder_readable, resources)
 
     def on_reaped(self, resources: ProcessResources) -> None:
-        """It is no more, for certain: only now may anybody else act for it."""
+        """The process has been reaped; only now may successors act on its requests."""
         if resources.is_reaped:
             return
         resources.is_reaped = True
         resources.close_child_end()
         assigned = {piece for piece, claim in self._planner.assigned() if claim.successor == resources.process}
         self._collect_adopted()
-        unproven = assigned & set(
-            self._planner.claims
-        )  # noted by it at most, not adopted: they are in the book before
+        # Recorded by it at most, but not adopted; the previous owner's journal has them.
+        unproven = assigned & set(self._planner.claims)
         resources.offered_copies = {
             self._processes[process].caller_connection_ids[slot] for process, slot in unproven
         }
@@ -191,24 +181,24 @@
         self._advance()
 
     def _request_descriptors(self, resources: ProcessResources, unproven: set[RequestRef]) -> None:
-        """Ask the keeper for the connections of all that is in the book."""
+        """Ask the descriptor holder for the descriptors of all requests and connections in the journal."""
         descriptor_requests: list[tuple[int, list[int]]] = []
         connections: list[tuple[ConnectionRecord, int]] = []
-        recorded = set()  # connections with an entry
+        recorded = set()  # descriptors of callers that a record names
         for slot in resources.journal.slots():
             record = resources.journal.record_at(slot)
             if record is None:
-                log.warning("%s: an entry of its book can't be read", resources.name)
+                log.warning("%s: invalid record in its request journal", resources.name)
                 continue
             if record.caller_descriptor < 0:
-                continue  # an answer that is only kept
+                continue  # an answer that is only stored
             recorded.add(record.caller_descriptor)
             if record.origin is not None and (record.origin.process, record.origin.slot) in unproven:
                 continue
             resources.deadlines[slot] = max(record.deadline, self._loop.time()) + ADOPTION_GRACE
             resources.caller_connection_ids[slot] = record.caller_connection_id
             if record.stage is Stage.ANSWERED:
-                # Most likely between two requests: its connection tells.
+                # Its connection is most likely idle; the connection's byte counters show whether the answer was sent.
                 connections.append(
                     (
                         ConnectionRecord(
@@ -243,7 +233,7 @@
         resources.pending = {UNRECORDED, *(batch_id for batch_id, _ in descriptor_requests)}
         if descriptor_requests:
             log.info(
-                "%s (process %d) left %d requests in hand and %d connections",
+                "%s (process %d) left %d in-flight requests and %d idle connections",
                 resources.name,
                 resources.process,
                 self.counts["left"] - left_before,
@@ -256,17 +246,17 @@
             known_descriptors = recorded | {
                 connection.descriptor for connection in resources.journal.connections([IDLE, BUSY])
             }
-            ports = sorted(self._ports[resources.tier])  # what was moved to it came to another's
+            ports = sorted(self._ports[resources.tier])  # connections moved to it came in at other processes' ports
             resources.holder_socket.send(orjson.dumps({"ports": ports, "known": sorted(known_descriptors)}))
         except OSError as error:
-            self._on_holder_lost(resources, f"its keeper can't be asked: {error.strerror}")
+            self._on_holder_lost(resources, f"its descriptor holder cannot be reached: {error.strerror}")
 
-    # ---- keepers -------------------------------------------------------------------------
+    # ---- descriptor holders --------------------------------------------------------------
 
     def _on_holder_readable(self, resources: ProcessResources) -> None:
         for _ in range(HOLDER_BATCH):
             if resources.holder_socket.fileno() < 0:
-                return  # what it gave last was all
+                return  # the previous message completed its task
             try:
                 data, descriptors, _, _ = socket.recv_fds(resources.holder_socket, MAX_MESSAGE, MAX_DESCRIPTORS)
             except BlockingIOError:
@@ -274,7 +264,7 @@
             except OSError:
                 data, descriptors = b"", []
             if not data:
-                self._on_holder_lost(resources, "its keeper is gone")
+                self._on_holder_lost(resources, "its descriptor holder has exited")
                 return
             values = orjson.loads(data)
             if isinstance(values, dict):
@@ -297,23 +287,23 @@
         resources.holder_pid, resources.holder_pidfd = 0, -1
 
     def _on_holder_lost(self, resources: ProcessResources, reason: str) -> None:
-        """Nothing more comes of it; what it was asked for and has not given is lost."""
+        """The descriptor holder is gone; requests whose descriptors it has not sent are lost."""
         if resources.holder_socket.fileno() >= 0:
             self._loop.remove_reader(resources.holder_socket.fileno())
             resources.holder_socket.close()
         lost = [request_id for request_id in resources.pending if 0 <= request_id < UNRECORDED]
         resources.pending.clear()
         if not resources.is_reaped:
-            log.warning("%s: %s: what it has in hand would be lost with it", resources.name, reason)
+            log.warning("%s: %s: its in-flight requests would be lost if it exited", resources.name, reason)
         elif lost:
             self.counts["lost"] += len(lost)
-            log.warning("%s: %s: %d requests are lost", resources.name, reason, len(lost))
+            log.warning("%s: %s: %d in-flight requests are lost", resources.name, reason, len(lost))
         self._remove_finished()
 
     def _on_descriptors(
         self, resources: ProcessResources, request_id: int, present: list[bool], descriptors: list[int]
     ) -> None:
-        """The keeper has given what belongs to one piece of work, or some connections without."""
+        """The holder has sent the descriptors of one request, or of a batch of idle connections."""
         resources.pending.discard(request_id)
         received = iter(descriptors)
         found = [next(received, None) if is_present else None for is_present in present]
@@ -331,11 +321,11 @@
         self._advance()
 
     def _on_unrecorded(self, resources: ProcessResources, connection_ids: list[int], descriptors: list[int]) -> None:
-        """Connections that its book knows nothing of.
+        """The holder has sent connections that the journal does not record; an empty list ends them.
 
-        What was moved to it and not noted yet is as it was. What belongs to work that it was offered is a copy of
-        what is held here, or in the next heir's hand by now. The rest it had accepted, and its code has seen nothing
-        of it.
+        A connection that was moved to the process and not recorded yet is in the state that it was moved in. One that
+        belongs to a request offered to the process is a duplicate of a descriptor held here, or held by the next
+        successor by now. The others had been accepted by the process, but its code has read nothing from them.
         """
         if connection_ids:
             connections = []
@@ -363,7 +353,7 @@
         connections: list[tuple[ConnectionRecord, int]],
         descriptors: list[int | None],
     ) -> None:
-        """Connections that should be between two requests: those of which an answer is not out are work."""
+        """Sort connections into idle ones, which move, and those whose answer was not sent, which are requests."""
         idle = []
         for (connection, slot), descriptor in zip(connections, descriptors, strict=True):
             if descriptor is None:
@@ -389,7 +379,7 @@
         excluded: int = 0,
         preferred: int = 0,
     ) -> None:
-        """Connections without work go to whoever has the least to do."""
+        """Send idle connections to the available process with the fewest requests."""
         self._send_connections(
             resources.tier,
             Offer(
@@ -407,7 +397,7 @@
     def distribute_accepted(
         self, resources: ProcessResources, sockets: list[socket.socket], to_itself: bool = False
     ) -> None:
-        """Connections that were accepted for a process, of which nothing was read: it has them, or others do."""
+        """Send on connections accepted for a process, of which nothing was read: to others, or to itself first."""
         connections = [(ConnectionRecord(0, connection_id_of(sock), 0, 0), sock.detach()) for sock in sockets]
         excluded, preferred = (0, resources.process) if to_itself else (resources.process, 0)
         for start in range(0, len(connections), BATCH_DESCRIPTORS):
@@ -415,9 +405,9 @@
         self._advance()
 
     def _send_connections(self, tier: int, offer: Offer, excluded: int = 0, preferred: int = 0) -> None:
-        """Connections without work, to any but one, or to one before all others.
+        """Send idle connections to any successor but `excluded`, to `preferred` first.
 
-        Where nobody is they wait; where nobody takes them they end.
+        They wait while there is no successor, up to STRANDED_TIMEOUT, and are closed after MAX_MOVES attempts.
         """
         successors = self._available_successors(tier) if offer.term < MAX_MOVES else []
         successors.sort(key=lambda successor: successor[0] != preferred)
@@ -448,7 +438,7 @@
         offer.close()
 
     def _available_successors(self, tier: int) -> list[tuple[int, int]]:
-        """Heirs, the least at work first: with what was moved to them since they last told, or one would have all."""
+        """Successors by load; counts connections moved to them since their last report, or one would get them all."""
         now = self._loop.time()
         successors = [
             (process, count + sum(until > now for until, _ in self._processes[process].recently_moved.values()))
@@ -457,7 +447,7 @@
         return self._planner.available(now, successors)
 
     def _retry_stranded(self) -> None:
-        """Connections without work for which there was nobody: most likely a process is about to be there."""
+        """Send idle connections for which there was no successor; most likely a process is about to be ready."""
         stranded, self._stranded = self._stranded, []
         for until, tier, offer in stranded:
             if self._loop.time() >= until:
@@ -468,10 +458,10 @@
             else:
                 self._stranded.append((until, tier, offer))
 
-    # ---- heirs ---------------------------------------------------------------------------
+    # ---- successors ----------------------------------------------------------------------
 
     def on_declined(self, resources: ProcessResources, values: dict[str, Any]) -> None:
-        """An heir says that it can't carry a piece of work."""
+        """A successor reports that it can't adopt a request."""
         try:
             request, term = (int(values["process"]), int(values["slot"])), int(values["term"])
         except (KeyError, TypeError, ValueError):
@@ -511,7 +501,7 @@
     def _offer_request(self, successor: int, request: RequestRef, term: int) -> None:
         resources = self._processes[request[0]]
         descriptors = resources.request_descriptors[request[1]]
-        if descriptors[0] is None:  # its caller has gone
+        if descriptors[0] is None:  # its caller has disconnected
             self._planner.on_adopted(request)
             self._close_descriptors(resources, request[1])
             return
@@ -530,7 +520,7 @@
             self._planner.on_declined(request, successor, term)
 
     def _withdraw_offers(self) -> None:
-        """What slow heirs have not received; and then nobody has."""
+        """Take back the offers that slow successors have not received, so that others may get them."""
         now = self._loop.time()
         for successor in self._planner.slow_successors(now):
             resources = self._processes.get(successor)
@@ -547,7 +537,7 @@
                 self._receive_back(resources)
 
     def _receive_back(self, resources: ProcessResources) -> None:
-        """Receive what it has not received."""
+        """Receive the offers that a successor has not received itself."""
         self._unreceived_since.pop(resources.process, None)
         with contextlib.suppress(OSError, EOFError):
             while (offer := receive(resources.offer_receiver)) is not None:
@@ -558,15 +548,15 @@
                 self.counts["taken_back"] += self._planner.on_withdrawn(request, resources.process, offer.term)
                 offer.close()
 
-    # ---- time ----------------------------------------------------------------------------
+    # ---- progress ------------------------------------------------------------------------
 
     def _advance(self) -> None:
-        """Hand on what can be, and look again as long as anything is on its way."""
+        """Hand over what can be handed over, and poll as long as any offer is pending."""
         self._collect_adopted()
         self._withdraw_offers()
         for request in self._planner.expire(self._loop.time()):
             self.counts["lost"] += 1
-            log.warning("%s: a request in hand found no heir", self._processes[request[0]].name)
+            log.warning("%s: no successor for an in-flight request; it is lost", self._processes[request[0]].name)
             self._close_descriptors(self._processes[request[0]], request[1])
         self._offer_orphans()
         self._retry_stranded()
@@ -580,7 +570,7 @@
         self._advance()
 
     def _remove_finished(self) -> None:
-        """Let go of the dead of whom nothing is left."""
+        """Release the resources of dead processes whose requests are all settled."""
         for process, resources in list(self._processes.items()):
             if resources.is_reaped and not resources.pending and not self._planner.has_claims(process):
                 del self._processes[process]
@@ -597,16 +587,16 @@
         self._retained_journals.append((self._loop.time() + self.spec.answer_retention, resources.journal_index))
 
     def discard(self, resources: ProcessResources) -> None:
-        """Its process could not be started."""
+        """Release the resources of a process that could not be started."""
         self._processes.pop(resources.process, None)
         self._close_resources(resources)
 
     def view(self) -> dict[str, int]:
-        """What operators want to know."""
+        """Counters for operators."""
         return self.counts | {"waiting": len(self._planner.claims)}
 
     def close(self) -> None:
-        """The supervisor ends: so do keepers, and what nobody has inherited."""
+        """Kill all descriptor holders and close what no successor has adopted; the supervisor is shutting down."""
         for resources in list(self._processes.values()):
             if resources.holder_pid:
                 self._loop.remove_reader(resources.holder_pidfd)
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -1,7 +1,7 @@
-"""The supervisor: processes, signals, pipes and files around the decisions of `weldroute.fleet`.
+"""The supervisor: runs the processes of a fleet as the state machine `weldroute.fleet` decides.
 
-Every event goes into the state machine, and its actions are carried out in their order; nothing here decides
-when to start, to wait, to give up or to replace.
+This module owns the processes, signals, pipes and files. It passes every event to the state machine and executes the
+returned actions in order; it never decides itself when to start, wait, give up or replace.
 """
 
 from __future__ import annotations
@@ -63,23 +63,23 @@
 
 log = logging.getLogger(__name__)
 
-STATE_WRITE_DELAY = 0.2  # seconds from a change until it is kept
+STATE_WRITE_DELAY = 0.2  # seconds from a change until it is stored
 TICK_INTERVAL = 0.1  # seconds
-MEMORY_CHECK_INTERVAL = 1.0  # seconds between looks at memory
-PROBE_INTERVAL = 1.0  # seconds between readiness checks of a process that is ready...
-STARTING_PROBE_INTERVAL = 0.05  # ...and of one that is not yet
-PROBE_TIMEOUT = 1.0  # seconds for an answer
+MEMORY_CHECK_INTERVAL = 1.0  # seconds
+PROBE_INTERVAL = 1.0  # seconds between readiness checks of a process that is ready
+STARTING_PROBE_INTERVAL = 0.05  # seconds between readiness checks of a process that is starting
+PROBE_TIMEOUT = 1.0  # seconds
 COMMAND_SIGNALS = {
     ProcessCommand.TERMINATE: signal.SIGTERM,
     ProcessCommand.KILL: signal.SIGKILL,
     ProcessCommand.RELOAD: signal.SIGHUP,
 }
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
-MAX_STATUS_LINE = 16 * 1024  # bytes of a status line
+MAX_STATUS_LINE = 16 * 1024  # bytes
 
 
 def resident_bytes(pid: int) -> int:
-    """Bytes of memory that a process holds; 0 if it is gone."""
+    """Return the resident memory of a process in bytes; 0 if it has exited."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_SIZE
     except (OSError, IndexError):
@@ -87,7 +87,7 @@
 
 
 def descriptor_count(pid: int) -> int:
-    """Descriptors that a process holds; 0 if it is gone."""
+    """Return the number of open descriptors of a process; 0 if it has exited."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
@@ -95,7 +95,7 @@
 
 
 def oom_kill_count() -> int:
-    """How many processes the kernel has killed for memory since boot (oom_kill of /proc/vmstat)."""
+    """Return how many processes the kernel's OOM killer has killed since boot (oom_kill in /proc/vmstat)."""
     with contextlib.suppress(OSError, ValueError):
         for line in Path("/proc/vmstat").read_text().splitlines():
             if line.startswith("oom_kill "):
@@ -104,23 +104,23 @@
 
 
 def integer_values(values: Any) -> dict[str, int]:
-    """What a process tells in whole numbers, out of whatever it wrote."""
+    """Return the integer entries of a reported object; empty for anything else."""
     return {k: v for k, v in values.items() if isinstance(v, int)} if isinstance(values, dict) else {}
 
 
 class ProbeResult(Enum):
-    """To a readiness check."""
+    """The outcome of a readiness check."""
 
     UP = "up"
-    WAITING = "waits"  # it is well, and has nothing to serve from yet
-    FAILED = "none"  # no answer, not up, or another's
+    WAITING = "waits"  # it runs, but has no list of backends yet
+    FAILED = "none"  # no answer, not ready, or another process answered
 
 
 async def probe(address: tuple[str, int], instance_id: bytes) -> ProbeResult:
-    """One readiness check: `GET /up` over the listener, answered with 200 by the process that is meant.
+    """Send one readiness check: `GET /up` to the listener must be answered with 200 by the process `instance_id`.
 
-    During a replacement two processes accept from one listener; the header X-Instance tells which answered. A
-    command of the operators' own may leave the header out.
+    During a replacement two processes accept from one listener; the header X-Instance tells which one answered. A
+    custom command may leave the header out.
     """
     host = {"0.0.0.0": "127.0.0.1", "::": "::1"}.get(address[0], address[0])
     loop = asyncio.get_running_loop()
@@ -150,7 +150,7 @@
 
 
 class Supervisor:
-    """One fleet, from its start to its end."""
+    """Runs one fleet from its start to its end."""
 
     def __init__(self, spec: FleetSpec, environ: Mapping[str, str]) -> None:
         self.spec = spec
@@ -172,17 +172,17 @@
         self._reloads: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
         self._memory_check_at = 0.0
-        self._oom_kills = [oom_kill_count()] * 2  # at the last two looks
+        self._oom_kills = [oom_kill_count()] * 2  # at the last two memory checks
         self._roster_due = False
         handler = LogSinkHandler(self.sink, spec.location.name)
         logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
 
-    # ---- life ----------------------------------------------------------------------------
+    # ---- lifecycle -----------------------------------------------------------------------
 
     async def prepare(self) -> None:
-        """All that can fail at the start: the predecessor's processes, the addresses, the socket.
+        """Do what can fail at the start: end the predecessor's processes, open the listeners and the control socket.
 
-        Raises Taken, OSError or ConfigError.
+        Raises AddressUnavailable, OSError or ConfigError.
         """
         if self.spec.recovery is not None:
             from cometusher.fleet.supervisor_state import SupervisorState
@@ -216,12 +216,12 @@
         await self.control.start()
 
     async def run(self, names: Iterable[str]) -> OperationDone:
-        """Start instances; returns how that went. The fleet runs on until `ended`."""
+        """Start instances and return the outcome. The fleet keeps running until `wait_ended` returns."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self._reload_by_signal)
         self.loop.add_signal_handler(signal.SIGUSR1, self._reopen_log)
-        # What is alive now is shared with every process that is forked, as long as no collection walks it.
+        # Forked processes share the memory of all objects that exist now, until a garbage collection visits them.
         gc.collect()
         gc.freeze()
         now = self.loop.time()
@@ -233,14 +233,14 @@
             self.watchdog.start()
         if self.cluster is not None:
             await self.cluster.start()
-        log.info("supervisor %d of %d instances starts", os.getpid(), len(self.spec.instances))
+        log.info("supervisor %d is starting; %d instances configured", os.getpid(), len(self.spec.instances))
         done = await self._begin_operation(self.fleet.start(now, names_to_start))
         if not self.fleet.is_shutting_down:
             self.manager.ready(done.text)
         return done
 
     def _restore_instances(self, now: float, names: list[str]) -> list[str]:
-        """Add all instances; returns those to start: where an earlier supervisor was killed, as it had them."""
+        """Add all instances; return those to start. After a supervisor that was killed its stored state decides."""
         stored = self.stored_state
         for name, instance_spec in self.spec.instances.items():
             prior = stored.prior if stored is not None else None
@@ -258,14 +258,14 @@
             for name in set(prior.failed) & set(self.spec.instances):
                 self.fleet.instances[name].should_run = self.fleet.instances[name].failed = True
                 self.fleet.instances[name].reason = prior.failed[name]
-        cause = "the supervisor before ended without order" if prior.unclean else "start"
+        cause = "the previous supervisor did not shut down cleanly" if prior.unclean else "start"
         self.fleet.failure_correlator.on_unclean_start(now, names_to_start, len(self.spec.instances), cause)
         log.info("epoch %d: %s", stored.epoch, cause, extra={"event": "epoch"})
         self._schedule_state_write()
         return names_to_start
 
     async def wait_ended(self) -> None:
-        """Wait for the end, and clean up."""
+        """Wait until the fleet has stopped, and clean up."""
         await self._ended.wait()
         for task in self._probes.values():
             task.cancel()
@@ -285,7 +285,7 @@
         self.sink.close()
 
     def stop(self) -> None:
-        """End in order."""
+        """Begin a graceful shutdown."""
         if not self.fleet.is_shutting_down:
             log.info("stopping")
             self.manager.stopping()
@@ -295,10 +295,10 @@
             self._execute(self.fleet.shutdown(self.loop.time()))
 
     async def _end_predecessor(self) -> None:
-        """Wait for what a supervisor that was killed has left behind, and end what does not end by itself.
+        """Wait for the processes of a supervisor that was killed, and kill those that do not end by themselves.
 
-        Its instances have noticed by their lifelines and are ending in order. One that is stopped or hung can't
-        notice: it is killed, but only if it is that very process.
+        Its instances have noticed the end of their lifelines and are shutting down. A process that is stopped or hung
+        can't notice: it is killed, but only if its whole identity matches, not just its pid.
         """
         remaining = []
         with contextlib.suppress(OSError, orjson.JSONDecodeError):
@@ -342,7 +342,7 @@
             self.loop.call_later(TICK_INTERVAL, self._tick)
 
     def _check_memory(self, now: float) -> None:
-        """Memory of all, and what the kernel has killed."""
+        """Compare each process with its memory limit, and read the kernel's count of OOM kills."""
         self._oom_kills = [self._oom_kills[1], oom_kill_count()]
         for child in list(self.children.values()):
             instance_spec = self.spec.instances.get(child.name)
@@ -380,7 +380,7 @@
             future.set_result(done)
 
     def _begin_operation(self, operation: tuple[int, list[Action]]) -> asyncio.Future[OperationDone]:
-        """The end of an operation that has just begun."""
+        """Execute the first actions of an operation; the future returned completes with its outcome."""
         operation_id, actions = operation
         future = self._operation_futures[operation_id] = self.loop.create_future()
         self._execute(actions)
@@ -390,11 +390,11 @@
         instance_spec = self.spec.instances.get(action.name)
         try:
             if instance_spec is None:
-                raise AddressUnavailable("no longer in the file")
+                raise AddressUnavailable("no longer in the fleet's file")
             listener = self.listeners.get(instance_spec.name, instance_spec.listen)
             child = self._start_process(instance_spec, action.generation, listener)
         except (OSError, AddressUnavailable) as error:
-            text = f"could not be started: {error}"
+            text = f"cannot start: {error}"
             self._execute(self.fleet.on_spawn_failed(self.loop.time(), action.name, action.generation, text))
             return
         self.children[child.name, child.generation] = child
@@ -452,12 +452,13 @@
         self.orphans.on_started(resources)
         return child
 
-    # ---- what the watch asks for: `cometusher.fleet.watchdog.Hands` --------------------------
+    # ---- interface of `cometusher.fleet.watchdog.WatchdogHost` -------------------------------
 
     def processes_with_heartbeat(self) -> list[tuple[Child, Phase]]:
-        """Processes that beat or are about to, and how far they are.
+        """The processes that have a row on the heartbeat board, and their phases.
 
-        None while the fleet ends: what a killed one leaves then nobody inherits, and it may yet answer by itself.
+        None while the fleet shuts down: a process that is killed then has no successor for its requests, and it may
+        still answer them itself.
         """
         processes = self._processes_with_phase() if not self.fleet.is_shutting_down else ()
         return [(child, phase) for child, phase in processes if child.board_row >= 0]
@@ -467,11 +468,11 @@
         return sum(instance.should_run for instance in self.fleet.instances.values())
 
     def listener(self, name: str) -> socket.socket | None:
-        """What an instance's callers connect to, while it is open here."""
+        """The listener of an instance, while it is open in this process."""
         return self.listeners.find(name)
 
     def distribute(self, key: Key, connections: list[socket.socket], to_itself: bool = False) -> None:
-        """Connections that were accepted for a process go to others of its tier, or to it."""
+        """Send connections accepted for a process to others of its tier, or with `to_itself` to the process first."""
         child = self.children.get(key)
         if self.orphans is None or child is None or child.resources is None:
             for connection in connections:
@@ -480,12 +481,12 @@
         self.orphans.distribute_accepted(child.resources, connections, to_itself)
 
     def tier_of(self, name: str) -> int:
-        """Of an instance."""
+        """The tier of an instance."""
         instance_spec = self.spec.instances.get(name)
         return instance_spec.tier if instance_spec is not None else 0
 
     def replace(self, key: Key, reason: str) -> None:
-        """Have a process killed, and followed by another."""
+        """Have a process killed and replaced."""
         self._execute(self.fleet.on_stalled(self.loop.time(), *key, reason))
 
     def _processes_with_phase(self) -> Iterator[tuple[Child, Phase]]:
@@ -496,7 +497,7 @@
                 yield child, found.phase
 
     def _successors(self, tier: int) -> list[tuple[int, int]]:
-        """Who could inherit in a tier: processes, and the requests that they have in hand."""
+        """The processes of a tier that can take over requests, each with its number of in-flight requests."""
         successors = []
         for child, phase in self._processes_with_phase():
             instance_spec = self.spec.instances.get(child.name)
@@ -510,14 +511,14 @@
         return [] if self.fleet.is_shutting_down else successors
 
     def _management_addresses(self) -> Iterator[tuple[Key, Address]]:
-        """Processes that are ready, and where operators call them, if they can."""
+        """The ready processes that have a management address, with that address."""
         for child, phase in self._processes_with_phase():
             address = child.spec.values.get("management")
             if phase is Phase.READY and address:
                 yield (child.name, child.generation), read_address(str(address), "management")
 
     def _recovery_values(self, name: str) -> dict[str, Any]:
-        """What a process is told of its return, as a part of its file."""
+        """The part of a process's configuration file that controls its recovery."""
         spec, stored, correlator = self.spec.recovery, self.stored_state, self.fleet.failure_correlator
         if spec is None or stored is None or correlator is None:
             return {}
@@ -544,7 +545,7 @@
         }
 
     def _schedule_state_write(self) -> None:
-        """Have the fleet's state kept, soon and once for many changes."""
+        """Store the fleet's state after a short delay, once for many changes."""
         if self.stored_state is not None and not self._state_write_due:
             self._state_write_due = True
             self.loop.call_later(STATE_WRITE_DELAY, self._write_state)
@@ -559,13 +560,13 @@
         if child is None:
             return
         if action.command is ProcessCommand.RELOAD:
-            # One that is no longer in the file will be removed; it has nothing to take over.
+            # An instance that is no longer in the file will be removed; it keeps its configuration until then.
             child.requested_spec = self.spec.instances.get(action.name, child.spec)
             try:
                 content = serialize_config(child.requested_spec.at_ring_position(child.ring_position))
                 write_private(self.spec.location.instance_file(action.name), content)
             except OSError as error:
-                text = f"its file can't be written: {error.strerror}"
+                text = f"its configuration file cannot be written: {error.strerror}"
                 self._execute(self.fleet.on_reloaded(self.loop.time(), action.name, action.generation, text))
                 return
         child.signal(COMMAND_SIGNALS[action.command])
@@ -591,7 +592,7 @@
                 values = orjson.loads(line)
                 event = str(values["event"])
             except (orjson.JSONDecodeError, KeyError, TypeError):
-                log.warning("%s: a status line can't be read", child.name)
+                log.warning("%s: invalid line in the status pipe", child.name)
                 continue
             self._on_status(child, event, values)
 
@@ -622,7 +623,7 @@
             )
 
     def _on_recovery_status(self, child: Child, values: dict[str, Any]) -> None:
-        """An instance tells of its return."""
+        """An instance reports on its recovery."""
         if self.stored_state is None or self.fleet.failure_correlator is None:
             return
         if self.stored_state.on_recovery_status(child.name, values):
@@ -647,11 +648,14 @@
             log.info("%s", text, extra={"event": "comeback"})
             if reached == "full":
                 log.info(
-                    "event %d is over: %s", failure.event_id, failure.view(now), extra={"event": "comeback_full"}
+                    "event %d is over: %s",
+                    failure.event_id,
+                    failure.view(now),
+                    extra={"event": "comeback_full"},
                 )
 
     async def _probe(self, child: Child) -> None:
-        """Readiness checks of one process, as long as it is to answer them."""
+        """Send readiness checks to one process while it is starting or ready."""
         instance_id = f"{child.name}/{child.generation}".encode()
         while (child.name, child.generation) in self.children:
             instance = self.fleet.instances.get(child.name)
@@ -668,12 +672,12 @@
             await asyncio.sleep(STARTING_PROBE_INTERVAL if is_starting else PROBE_INTERVAL)
 
     def _on_child_exit(self, child: Child, stream: ProcessOutput) -> None:
-        """A process has ended: what it left in its group ends too, and then it is forgotten."""
+        """A process has exited: kill the rest of its process group, reap it and release its resources."""
         self.loop.remove_reader(child.pidfd)
         child.signal_group(signal.SIGKILL)
         _, status = os.waitpid(child.pid, 0)
         self._read_status(child)
-        for _ in range(64):  # what it still said; bounded, for another may hold the pipe's other end
+        for _ in range(64):  # remaining output; bounded, because another process may hold the pipe's other end
             if not stream.read():
                 break
         for descriptor in (child.log_fd, child.status_fd):
@@ -681,7 +685,7 @@
         del self.children[child.name, child.generation]
         probe = self._probes.pop((child.name, child.generation), None)
         if probe is not None:
-            probe.cancel()  # its question would be answered by the next process
+            probe.cancel()  # the next process would answer the check
         child.close()
         if self.watchdog is not None and child.board_row >= 0:
             self.watchdog.on_reaped((child.name, child.generation), child.board_row)
@@ -694,12 +698,12 @@
         code = os.waitstatus_to_exitcode(status)
         if code >= 0:
             return ExitStatus(code=code)
-        # Counted for the whole machine: told apart by time, so another's end for memory could pass for ours.
+        # The kernel counts for the whole machine: another process's OOM kill at about the same time looks like ours.
         by_kernel = -code == signal.SIGKILL and oom_kill_count() > self._oom_kills[0]
         return ExitStatus(signal=-code, out_of_memory=by_kernel)
 
     def _write_roster(self) -> None:
-        """Note what runs for a successor; once for all that happens at one wake-up."""
+        """Record the running processes for the next supervisor, once for all changes of one loop iteration."""
         if not self._roster_due:
             self._roster_due = True
             self.loop.call_soon(self._write_roster_now)
@@ -712,13 +716,13 @@
         try:
             write_private(self.spec.location.roster, orjson.dumps(entries))
         except OSError as error:
-            log.error("the roster can't be written: %s", error)
+            log.error("the roster cannot be written: %s", error)
 
     # ---- reload --------------------------------------------------------------------------
 
     def _reload_by_signal(self) -> None:
         async def attempt() -> None:
-            with contextlib.suppress(ControlError):  # it is in the log
+            with contextlib.suppress(ControlError):  # `reload` has logged it
                 await self.reload()
 
         task = self.loop.create_task(attempt())
@@ -726,17 +730,17 @@
         task.add_done_callback(self._reloads.discard)
 
     async def reload(self) -> OperationDone:
-        """Read the file again, check it whole, and bring the instances to it; raises ControlError.
+        """Read the fleet's file again, check all of it, and apply it to the instances; raises ControlError.
 
-        A file that can't be used changes nothing. Instances take over what they can while they run; others are
-        replaced, a few at a time.
+        An invalid file changes nothing. Instances apply what they can while they run; others are replaced, a few at
+        a time.
         """
         self._require_running()
         try:
             new = read_spec(self.spec.location.file)
             self._check_change(new)
         except (ConfigError, AddressUnavailable) as error:
-            log.error("the configuration stays as it was: %s", error, extra={"event": "reload_refused"})
+            log.error("configuration not reloaded: %s", error, extra={"event": "reload_refused"})
             raise ControlError(str(error)) from None
         self.manager.reloading()
         previous, self.spec = self.spec, new
@@ -752,7 +756,7 @@
             if step is not None:
                 steps.append((name, step))
         now = self.loop.time()
-        log.info("the configuration was read again; %d instances change", len(steps), extra={"event": "reload"})
+        log.info("configuration reloaded; %d instances change", len(steps), extra={"event": "reload"})
         done = await self._begin_operation(self.fleet.reload(now, steps))
         for name in previous.instances:
             if name not in self.spec.instances and name not in self.fleet.instances:
@@ -762,9 +766,10 @@
         return done
 
     def _required_step(self, instance_spec: InstanceSpec, previous: InstanceSpec | None) -> Step | None:
-        """The least that brings an instance to a configuration.
+        """Return the least disruptive step that applies a configuration to an instance; None if none is needed.
 
-        What its process runs with counts, not what the file said last: a reload that halted has left some behind.
+        The configuration that its process runs with counts, not the previous content of the file: a reload that
+        halted leaves some instances unchanged.
         """
         if previous is None:
             return Step.START
@@ -777,7 +782,7 @@
         return Step.REPLACE if running.needs_restart(instance_spec) else Step.RELOAD
 
     def _check_change(self, new: FleetSpec) -> None:
-        """Raise for what can't change while the fleet runs, and take the addresses of what is added."""
+        """Raise ConfigError for changes that need a restart of the fleet; open the listeners of new instances."""
         old = self.spec
         for key, before, after in (
             ("fleet.name", old.location.name, new.location.name),
@@ -787,14 +792,18 @@
             ("mesh", old.cluster, new.cluster),
         ):
             if before != after:
-                raise ConfigError(f"{new.location.file}: {key}: {after} instead of {before} needs a new start")
+                raise ConfigError(
+                    f"{new.location.file}: {key}: changing {before} to {after} needs a restart of the fleet"
+                )
         for key, previous, current in (
             ("comeback", old.recovery, new.recovery),
             ("takeover", old.takeover, new.takeover),
             ("vigil", old.failure_detection, new.failure_detection),
         ):
             if (previous is None) is not (current is None):
-                raise ConfigError(f"{new.location.file}: {key}: switching it on or off needs a new start")
+                raise ConfigError(
+                    f"{new.location.file}: {key}: adding or removing the table needs a restart of the fleet"
+                )
         added = []
         for name, instance_spec in new.instances.items():
             running = old.instances.get(name)
@@ -814,7 +823,7 @@
 
     def _reopen_log(self) -> None:
         self.sink.target.reopen()
-        log.info("the log was opened again", extra={"event": "reopened"})
+        log.info("log reopened", extra={"event": "reopened"})
 
     # ---- control -------------------------------------------------------------------------
 
@@ -850,7 +859,7 @@
         return self._operation_reply(await self._begin_operation(operation))
 
     def _handle_cluster_request(self, command: str, names: list[str]) -> dict[str, Any]:
-        """What is said and seen of the whole fleet."""
+        """Handle a command about the cluster."""
         cluster = self.cluster
         if cluster is None:
             raise ControlError("the fleet's file has no table [mesh]")
@@ -859,13 +868,13 @@
                 raise ControlError(f"{command}: which backends?")
             rejected = cluster.set_banned(names, command == "ban")
             if rejected:
-                raise ControlError(f"could not be said of {', '.join(map(repr, rejected[:5]))}: no room, or too long")
+                raise ControlError(f"not recorded for {', '.join(map(repr, rejected[:5]))}: no room, or too long")
             return {"text": f"{command}: {', '.join(names)}"}
         views = {"members": cluster.view, "leases": cluster.leases, "bans": cluster.bans}
         return views[command]()
 
     def _explain(self, names: list[str]) -> dict[str, Any]:
-        """What the watch has seen and done of late."""
+        """The recent verdicts and actions of the failure detector."""
         if self.watchdog is None:
             raise ControlError("the fleet's file has no table [vigil]")
         now = self.loop.time()
@@ -882,7 +891,7 @@
             raise ControlError("the fleet is stopping")
 
     def status(self, names: list[str]) -> dict[str, Any]:
-        """All that can be seen of the fleet, as plain values. Bytes and seconds."""
+        """The state of the fleet as plain values, in bytes and seconds."""
         now = self.loop.time()
         rows = []
         for name in names or list(self.fleet.instances):
@@ -923,14 +932,14 @@
 
 
 class CannotStart(Exception):
-    """A fleet could not be started; the text says why."""
+    """A fleet could not be started; the text gives the reason."""
 
 
 StartCallback = Callable[[OperationDone], None]
 
 
 async def supervise(spec: FleetSpec, names: list[str], environ: Mapping[str, str], on_started: StartCallback) -> None:
-    """Run a fleet to its end; `tell` is called with how its start went. Raises CannotStart."""
+    """Run a fleet to its end; `on_started` is called with the outcome of its start. Raises CannotStart."""
     supervisor = Supervisor(spec, environ)
     try:
         await supervisor.prepare()
@@ -944,7 +953,7 @@
 def run(spec: FleetSpec, names: list[str], environ: Mapping[str, str], on_started: StartCallback) -> None:
     """Hold the state directory and run the fleet in the foreground; raises CannotStart or ConfigError."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
-    # Five descriptors an instance: the usual limit would end at two hundred.
+    # Each instance takes five descriptors: the usual limit would suffice for about two hundred instances.
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     prepare_state_directory(spec.location.state_directory)
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -1,7 +1,8 @@
-"""What the supervisor remembers of its fleet beyond its own life: the epoch, who was wanted, who failed, the orders.
+"""The supervisor's stored state: its epoch, which instances should run, which have failed, and operator orders.
 
-Written whole at each change, at a bounded rate. By the supervisor's one thread: a second would not survive its forks,
-and no request waits for it. Reading and writing never fail a start; `weldroute.snapshots` says what is believed.
+The whole state is written after each change, at a bounded rate. The supervisor's only thread writes it: a second
+thread would not survive its forks, and no request waits for the write. Neither reading nor writing can make a start
+fail; `weldroute.snapshots` decides whether a stored record is trusted.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from weldroute.handover import UnusableState, parse_operator_orders
 from weldroute.snapshots import AgeLimits, KnownVersions, Owner, Record, Trust, assess
 
-log = logging.getLogger("cometusher.fleet.memory")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.memory")  # operators' tools know the log records by this name
 
 RECORD_KIND = "fleet"
 
 
 @dataclass(slots=True)
 class PriorState:
-    """What an earlier supervisor left; empty where it ended in order, or left nothing."""
+    """The state of the previous supervisor; empty if it shut down cleanly or stored nothing."""
 
     unclean: bool = False
     wanted: dict[str, bool] = field(default_factory=dict)
-    failed: dict[str, str] = field(default_factory=dict)  # and why
+    failed: dict[str, str] = field(default_factory=dict)  # with the reason
     restarts: dict[str, int] = field(default_factory=dict)
     generations: dict[str, int] = field(default_factory=dict)
 
@@ -39,20 +40,20 @@
 
 
 class SupervisorState:
-    """The fleet's own record."""
+    """Reads the fleet's stored record and writes it again on changes."""
 
     def __init__(self, spec: FleetSpec) -> None:
         self._name = spec.location.name
         self._records = RecordFile(spec.location.fleet_records_file)
         self.epoch = 1
         self.list_seq = 0
-        self.orders: dict[str, dict[str, Any]] = {}  # standing forms by instance
+        self.orders: dict[str, dict[str, Any]] = {}  # serialized operator orders by instance
         self.prior = PriorState()
         self._logged_problem = ""
         try:
             spec.location.store.mkdir(mode=0o700, exist_ok=True)
-        except OSError as fault:
-            log.warning("no store: %s", fault.strerror)
+        except OSError as error:
+            log.warning("the folder for stored records cannot be created: %s", error.strerror)
         self._read()
 
     def _read(self) -> None:
@@ -60,11 +61,11 @@
         self._log_problem()
         if record is None:
             return
-        # Of any age: who is wanted and what is banned is not less true for being old.
+        # At any age: which instances should run and which backends are banned does not expire.
         owner = Owner(self._name, "", record.owner.epoch)
         verdict, reason = assess(record, owner, moment(), AgeLimits(), KnownVersions())
         if verdict in (Trust.NEWER, Trust.FOREIGN) or not isinstance(record.body, dict):
-            log.warning("what the fleet had kept is left aside: %s", reason)
+            log.warning("the fleet's stored state is ignored: %s", reason)
             return
         self.epoch = record.owner.epoch + 1
         body = record.body
@@ -74,7 +75,7 @@
             try:
                 parse_operator_orders(values)
             except UnusableState as error:
-                log.warning("%s: its kept orders are left aside: %s", name, error)
+                log.warning("%s: its stored orders are ignored: %s", name, error)
             else:
                 self.orders[str(name)] = values
         if body.get("running") is True:
@@ -89,7 +90,7 @@
             )
 
     def write(self, fleet: Fleet, running: bool = True) -> None:
-        """Keep how the fleet stands."""
+        """Write the current state of the fleet."""
         instances = fleet.instances.values()
         body = {
             "running": running,
@@ -108,10 +109,10 @@
         if self._records.problem != self._logged_problem:
             self._logged_problem = self._records.problem
             if self._logged_problem:
-                log.warning("the fleet's records: %s", self._logged_problem)
+                log.warning("the fleet's record file: %s", self._logged_problem)
 
     def on_recovery_status(self, name: str, values: dict[str, Any]) -> bool:
-        """An instance tells of its list and orders; whether that is news."""
+        """Take the list version and the orders that an instance reports; return whether anything changed."""
         list_seq, orders = values.get("seq"), values.get("standing")
         changed = False
         if isinstance(list_seq, int) and list_seq > self.list_seq:
@@ -123,15 +124,15 @@
         return changed
 
     def known_versions(self, name: str) -> KnownVersions:
-        """What the fleet knows of an instance's records."""
+        """The newest versions of an instance's records that the fleet knows of."""
         version = self.orders.get(name, {}).get("version", 0)
         return KnownVersions(self.list_seq, version if isinstance(version, int) else 0)
 
     def remove(self, name: str) -> None:
-        """An instance is no longer in the file."""
+        """Delete the orders of an instance that is no longer in the fleet's file."""
         self.orders.pop(name, None)
 
     def close(self, fleet: Fleet) -> None:
-        """The supervisor ends in order."""
+        """Write the state of a clean shutdown and close the record file."""
         self.write(fleet, running=False)
         self._records.close()
--- a/cometusher/fleet/watchdog.py
+++ b/cometusher/fleet/watchdog.py
@@ -1,6 +1,6 @@
-"""The supervisor's watch over its processes: evidence in, what `weldroute.failure_detector` says out.
+"""Detects failed instances: collects observations for `weldroute.failure_detector` and carries out its decisions.
 
-Imported only where the fleet's file has the table `[vigil]`. Nothing here asks a process anything, or waits for one.
+Imported only if the fleet's file has the table `[vigil]`. Nothing here sends a process a request or waits for one.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from weldroute.fleet import Phase
 from weldroute.outlier_detection import Key, OutlierPolicy, TrafficCounters
 
-log = logging.getLogger("cometusher.fleet.watch")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.watch")  # operators' tools know the log records by this name
 
-OBSERVATION_INTERVAL = 0.05  # seconds between looks
-MAX_ACCEPTS_PER_WAKEUP = 64  # connections that are accepted for another at one wake-up
-STOPPED_STATES = "Tt"  # states of proc(5)
+OBSERVATION_INTERVAL = 0.05  # seconds
+MAX_ACCEPTS_PER_WAKEUP = 64  # connections of one listener
+STOPPED_STATES = "Tt"  # process states of proc(5): stopped by a signal, or by a tracer
 PHASE_LIFECYCLES = {
     Phase.STARTING: Lifecycle.STARTING,
     Phase.READY: Lifecycle.SERVING,
@@ -39,7 +39,7 @@
 
 
 class ObservedProcess(Protocol):
-    """A process as it is watched."""
+    """A process that the watchdog observes."""
 
     name: str
     generation: int
@@ -48,29 +48,29 @@
 
 
 class WatchdogHost(Protocol):
-    """What the supervisor does for the watch."""
+    """What the watchdog needs of the supervisor."""
 
     def processes_with_heartbeat(self) -> Iterable[tuple[ObservedProcess, Phase]]:
-        """Processes that beat, or are about to, and how far they are."""
+        """The processes that have a row on the heartbeat board, and their phases."""
 
     def wanted_count(self) -> int:
-        """How many instances the fleet should have."""
+        """How many instances should run."""
 
     def listener(self, name: str) -> socket.socket | None:
-        """What its callers connect to."""
+        """The listener of an instance, if it is open."""
 
     def distribute(self, key: Key, connections: list[socket.socket], to_itself: bool = False) -> None:
-        """Give connections that were accepted for a process to others of its tier, or to it; the callee's then."""
+        """Send accepted connections, which it owns from then on, to others of a process's tier or to the process."""
 
     def tier_of(self, name: str) -> int:
-        """Of an instance."""
+        """The tier of an instance."""
 
     def replace(self, key: Key, reason: str) -> None:
-        """Have a process killed and followed by another."""
+        """Have a process killed and replaced."""
 
 
 class Watchdog:
-    """One fleet's."""
+    """Observes the processes of one fleet, diverts their connections, and has failed ones replaced."""
 
     def __init__(
         self,
@@ -85,28 +85,28 @@
         self._loop = loop
         self._host = host
         self._can_divert = can_divert
-        self._waiting_since: dict[str, float] = {}  # since when something waits at a listener
-        self._diverted: dict[Key, int] = {}  # descriptors of listeners that are accepted from here
-        self._unresponsive: set[Key] = set()  # for these, because they do not...
-        self._ejected: dict[Key, tuple[int, float]] = {}  # ...and these fare ill: row, and what they are due
+        self._waiting_since: dict[str, float] = {}  # by instance: when a connection began to wait
+        self._diverted: dict[Key, int] = {}  # listeners (descriptors) on which the watchdog accepts
+        self._unresponsive: set[Key] = set()  # diverted because they do not accept
+        self._ejected: dict[Key, tuple[int, float]] = {}  # diverted as outliers: board row, share credit
         self._ended = False
-        self.accepted_for_others = 0  # for others
+        self.accepted_for_others = 0  # connections accepted in place of their process
         self.recorder: ObservationRecorder | None = None
 
     def start(self) -> None:
-        """Look from here on."""
+        """Begin the periodic observations."""
         self._observe()
 
     def heartbeat_values(self, row: int) -> dict[str, Any]:
-        """What a process is told of it, as a part of its file."""
+        """The part of a process's configuration file that controls its heartbeat."""
         return {"vigil": {"row": row, "beat": self.detector.policy.beat}}
 
     def child_descriptors(self) -> dict[int, int]:
-        """The descriptors for a process, by the numbers that it has them at."""
+        """The descriptors that a process needs, by the numbers that they get in it."""
         return {BOARD_FD: self.board.descriptor}
 
     def on_reaped(self, key: Key, row: int) -> None:
-        """A process is no more."""
+        """A process has been reaped."""
         self._unresponsive.discard(key)
         self._ejected.pop(key, None)
         self._stop_diverting(key)
@@ -114,19 +114,19 @@
         self.board.release_row(row)
 
     def close(self) -> None:
-        """The supervisor ends."""
+        """Stop observing and return all listeners; the supervisor is shutting down."""
         self._ended = True
         if self.recorder is not None:
             self.recorder.flush()
         self._stop_diverting_all(list(self._diverted))
         self.board.close()
 
-    # ---- looking -------------------------------------------------------------------------
+    # ---- observing -----------------------------------------------------------------------
 
     def _observe(self) -> None:
         if self._ended:
             return
-        now = self._loop.time()  # the machine's clock, as beats are
+        now = self._loop.time()  # the monotonic clock of the machine, which heartbeats use too
         processes = [
             (process, PHASE_LIFECYCLES[phase])
             for process, phase in self._host.processes_with_heartbeat()
@@ -158,7 +158,7 @@
         cpu_time, run_queue_wait = read_schedstat(process.pid)
         stopped = stat is not None and stat.state in STOPPED_STATES
         progress = counters.total_answered + sum(counters.unanswered)
-        # Who was told to end has left what waits there to others.
+        # A process that was told to exit accepts no more: connections that wait are for its successor.
         accept_wait = 0.0 if lifecycle is Lifecycle.LEAVING else accept_wait
         runnable = stat is not None and stat.state == RUNNABLE
         return Observation(
@@ -173,7 +173,7 @@
         )
 
     def _accept_waits(self, now: float, names: Collection[str]) -> dict[str, float]:
-        """For how long connections wait at listeners: as long as there is one at each look."""
+        """Return for how many seconds each listener has had a waiting connection at every observation."""
         poller, names_by_fd = select.poll(), {}
         for name in names:
             listener = self._host.listener(name)
@@ -214,7 +214,7 @@
             self._host.replace(decision.key, decision.reason)
 
     def _divert(self, key: Key) -> None:
-        """Accept what waits at its listener, as long as it does not; it may wake up and accept beside that."""
+        """Accept at a process's listener in its place; the process may wake up and accept as well."""
         listener = self._host.listener(key[0])
         if not self._can_divert or key in self._diverted or listener is None or listener.fileno() < 0:
             return
@@ -228,7 +228,7 @@
             try:
                 connections.append(listener.accept()[0])
             except OSError:
-                break  # none waits any more, or no descriptor: the next look shows
+                break  # none waits any more, or no descriptor is free; the next observation shows which
         own = self._take_own_share(key, connections)
         self.accepted_for_others += len(connections)
         if connections:
@@ -237,7 +237,7 @@
             self._host.distribute(key, own, to_itself=True)
 
     def _take_own_share(self, key: Key, connections: list[socket.socket]) -> list[socket.socket]:
-        """Take out what a process gets that lives and fares ill: so that it can show that it fares better."""
+        """Remove and return the share that an outlier still gets itself, so that a recovery can be noticed."""
         own: list[socket.socket] = []
         if key in self._unresponsive or key not in self._ejected:
             return own
@@ -252,18 +252,18 @@
 
     def _stop_diverting(self, key: Key) -> None:
         if key in self._unresponsive or key in self._ejected:
-            return  # there is still a reason
+            return  # there is another reason to divert
         descriptor = self._diverted.pop(key, None)
         if descriptor is None:
             return
         self._loop.remove_reader(descriptor)
         for other in [diverted_key for diverted_key, number in self._diverted.items() if number == descriptor]:
-            # Another process of the same name, while one follows the other.
+            # Another process of the same instance, during a replacement, shares the listener.
             del self._diverted[other]
             self._divert(other)
 
     def on_listeners_closing(self, names: Collection[str]) -> None:
-        """The listeners of these instances are about to be closed."""
+        """The supervisor is about to close the listeners of these instances."""
         self._stop_diverting_all([key for key in self._diverted if key[0] in names])
 
     def _stop_diverting_all(self, keys: Collection[Key]) -> None:
@@ -275,7 +275,7 @@
             self._stop_diverting(key)
 
     def view(self) -> dict[str, Any]:
-        """What operators want to know."""
+        """Counters for operators."""
         return self.detector.counts | {
             "accepted_for_others": self.accepted_for_others,
             "relieved": len(self._diverted),
