--- a/cometusher/fleet/__init__.py
+++ b/cometusher/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of instances under one supervisor; the decisions are `weldroute.fleet`'s."""
+"""Runs a fleet of instances under one supervisor; `weldroute.fleet` makes the decisions."""
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The commands `cometusher fleet ...`: start, status, reload, restart, stop."""
+"""The commands `cometusher fleet ...`: start, status, reload, restart, stop and the queries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from weldroute.correlated_failures import RECOVERY_PHASES
 from weldroute.fleet import OperationDone
 
-QUERY_TIMEOUT = 10.0  # seconds for an answer that needs no work
+QUERY_TIMEOUT = 10.0  # seconds for the response to a query
 OPERATION_TIMEOUT = 3600.0  # seconds for an operation on the whole fleet
 
 
@@ -33,9 +33,9 @@
 
 
 def fleet(options: argparse.Namespace) -> int:
-    """One command; returns the exit code. Raises ConfigError.
+    """Run one command; return the exit code. Raises ConfigError.
 
-    Only a start reads the whole file: a fleet can be looked at and stopped whatever has become of the rest.
+    Only a start reads the whole file: a fleet can be queried and stopped even if the rest of its file is invalid.
     """
     path = Path(options.config)
     if options.action == "start":
@@ -52,11 +52,11 @@
 
 
 def _query(
-    place: FleetLocation, command: str, timeout: float, options: argparse.Namespace, with_names: bool = True
+    location: FleetLocation, command: str, timeout: float, options: argparse.Namespace, with_names: bool = True
 ) -> dict[str, Any] | None:
-    """The supervisor's answer; None if there is none to be had, which is told then."""
+    """Return the supervisor's response; None after printing an error if there is none."""
     try:
-        return send_request(place.control_socket, command, timeout, names=options.names if with_names else [])
+        return send_request(location.control_socket, command, timeout, names=options.names if with_names else [])
     except (NoSupervisor, ControlError) as error:
         if options.json:
             _print_json({"ok": False, "error": str(error)})
@@ -64,11 +64,11 @@
         return None
 
 
-def _operate(place: FleetLocation, options: argparse.Namespace) -> int:
-    # A supervisor that hangs is told at once.
-    if _query(place, "status", QUERY_TIMEOUT, options, with_names=False) is None:
+def _operate(location: FleetLocation, options: argparse.Namespace) -> int:
+    # A query first: a supervisor that hangs is reported after seconds instead of an hour.
+    if _query(location, "status", QUERY_TIMEOUT, options, with_names=False) is None:
         return 1
-    reply = _query(place, options.action, OPERATION_TIMEOUT, options)
+    reply = _query(location, options.action, OPERATION_TIMEOUT, options)
     if reply is None:
         return 1
     _print_json(reply) if options.json else _report(0, str(reply.get("text", "done")))
@@ -84,7 +84,7 @@
         try:
             send_request(spec.location.control_socket, "status", QUERY_TIMEOUT)
         except NoSupervisor:
-            pass  # then this becomes the supervisor
+            pass  # then this process becomes the supervisor
         except ControlError as error:
             _report(1, str(error))
             return 1
@@ -116,9 +116,11 @@
     return 0
 
 
-def _query_and_show(place: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]) -> int:
-    """What the supervisor answers to the action's own name, as JSON or for people."""
-    reply = _query(place, options.action, QUERY_TIMEOUT, options)
+def _query_and_show(
+    location: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]
+) -> int:
+    """Query the supervisor with the action's name, and print the response as JSON or for people."""
+    reply = _query(location, options.action, QUERY_TIMEOUT, options)
     if reply is None:
         return 1
     _print_json(reply) if options.json else show(reply)
@@ -131,14 +133,20 @@
         reached = ", ".join(f"{name} {event[name]:.2f} s" for name in RECOVERY_PHASES if event[name] is not None)
         print(
             f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
-            f"{event['cause']}: {reached or 'nothing yet'}"
+            f"{event['cause']}: {reached or 'no recovery yet'}"
         )
     takeover = reply.get("takeover")
     if takeover:
-        print("  work in hand: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in takeover.items()))
+        print(
+            "  takeover of in-flight requests: "
+            + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in takeover.items())
+        )
     detector = reply.get("vigil")
     if detector:
-        print("  watch: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in detector.items()))
+        print(
+            "  failure detection: "
+            + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in detector.items())
+        )
     columns = "{:<20} {:<9} {:>7} {:>8} {:>8}  {:<24} {:<12} {:>7} {:>5} {:>9}"
     print(
         columns.format("name", "state", "pid", "since", "restarts", "last exit", "version", "MB", "fds", "requests")
@@ -170,7 +178,7 @@
 
 def _show_notes(reply: dict[str, Any]) -> None:
     for name, notes in reply["notes"].items():
-        print(f"{name}: " + ("nothing to tell" if not notes else ""))
+        print(f"{name}: " + ("nothing recorded" if not notes else ""))
         for ago, text in notes:
             print(f"  {ago:8.2f} s ago  {text}")
 
@@ -199,25 +207,28 @@
 
 
 def _show_leases(reply: dict[str, Any]) -> None:
-    print("decided by a majority of: " + (", ".join(reply["grantors"]) or "nobody, so nothing is"))
+    print(
+        "leases are granted by a majority of: "
+        + (", ".join(reply["grantors"]) or "no members, so no leases are granted")
+    )
     for row in reply["duties"]:
-        holding = f"held, epoch {row['epoch']}, for {row['for']:.1f} s yet" if row["holds"] else "not held here"
-        print(f"  {row['duty']}: {holding}" + (", asked for" if row["wishes"] else ""))
+        holding = f"held, epoch {row['epoch']}, for another {row['for']:.1f} s" if row["holds"] else "not held here"
+        print(f"  {row['duty']}: {holding}" + (", requested" if row["wishes"] else ""))
 
 
 def _show_bans(reply: dict[str, Any]) -> None:
     for row in reply["bans"]:
         print(
-            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
+            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'not banned':<8} by {row['by']}, "
             f"known here for {row['since']:.0f} s"
         )
-    print(f"  {reply['pending']} orders that instances here have not carried out yet")
+    print(f"  {reply['pending']} orders not yet carried out by instances on this machine")
 
 
-def _stop(place: FleetLocation, options: argparse.Namespace) -> int:
+def _stop(location: FleetLocation, options: argparse.Namespace) -> int:
     if options.names:
-        return _operate(place, options)
-    reply = _query(place, "stop", QUERY_TIMEOUT, options)
+        return _operate(location, options)
+    reply = _query(location, "stop", QUERY_TIMEOUT, options)
     if reply is None:
         return 1
     supervisor = Identity.of(int(reply["pid"]))
--- a/cometusher/fleet/control.py
+++ b/cometusher/fleet/control.py
@@ -1,10 +1,10 @@
-"""The control socket: one request a connection, as a JSON line, and one JSON line back.
+"""The control socket: each connection carries one request and one response, each a line of JSON.
 
     {"version":1,"command":"status","names":["a"]}
     {"version":1,"ok":true,...}        or        {"version":1,"ok":false,"error":"..."}
 
-The socket lies in the state directory with mode 0600, and only root and the supervisor's own user are listened
-to. A request is bounded in size and in time, and so is the number of connections.
+The socket is in the state directory with mode 0600, and only root and the supervisor's own user are served. The size
+and the time of a request are bounded, and so is the number of connections.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 VERSION = 1
 MAX_REQUEST = 64 * 1024  # bytes
-REQUEST_TIMEOUT = 2.0  # seconds for a whole request
-MAX_CONNECTIONS = 32  # connections at once
+REQUEST_TIMEOUT = 2.0  # seconds for reading a request, and for writing its response
+MAX_CONNECTIONS = 32  # at once
 _UCRED = "3i"  # struct ucred of unix(7): pid, uid, gid
 
 Handler = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
 class ControlError(Exception):
-    """A request that can't be served; the text is the answer."""
+    """A request cannot be served; the text is the error in the response."""
 
 
 def peer_uid(sock: socket.socket) -> int:
-    """The user at the other end (SO_PEERCRED of unix(7))."""
+    """Return the user id of the peer (SO_PEERCRED of unix(7))."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize(_UCRED))
     return int(struct.unpack(_UCRED, raw)[1])
 
 
 class ControlServer:
-    """Serves requests with a handler that is given the command and the whole request."""
+    """Serves requests with a handler that gets the command and the whole request."""
 
     def __init__(self, path: Path, handler: Handler, uids: frozenset[int] | None = None) -> None:
         self._path = path
@@ -50,7 +50,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen; whoever holds the state directory's lock may take the place of a socket that was left."""
+        """Listen, replacing a socket that an earlier process left; the caller holds the state directory's lock."""
         with contextlib.suppress(FileNotFoundError):
             self._path.unlink()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
@@ -62,7 +62,7 @@
         self._server = await asyncio.start_unix_server(self._on_connection, sock=sock, limit=MAX_REQUEST)
 
     async def stop(self) -> None:
-        """Let answers that are under way go out, and close."""
+        """Close the socket, and give pending responses a second to be sent."""
         if self._server is not None:
             self._server.close()
         with contextlib.suppress(FileNotFoundError):
@@ -86,7 +86,7 @@
                 async with asyncio.timeout(REQUEST_TIMEOUT):
                     await writer.drain()
         except (OSError, TimeoutError):
-            pass  # it went away, or does not read
+            pass  # the client has disconnected, or does not read
         finally:
             self._tasks.discard(task)
             writer.close()
@@ -100,9 +100,9 @@
             async with asyncio.timeout(REQUEST_TIMEOUT):
                 line = await reader.readuntil(b"\n")
         except asyncio.LimitOverrunError:
-            return {"ok": False, "error": f"a request may have {MAX_REQUEST} bytes"}
+            return {"ok": False, "error": f"the request exceeds {MAX_REQUEST} bytes"}
         except TimeoutError:
-            return {"ok": False, "error": f"no whole request within {REQUEST_TIMEOUT:g} s"}
+            return {"ok": False, "error": f"no complete request within {REQUEST_TIMEOUT:g} s"}
         except asyncio.IncompleteReadError:
             return None
         try:
@@ -120,16 +120,16 @@
 
 
 class NoSupervisor(Exception):
-    """Nobody answers at a control socket."""
+    """No supervisor answers at a control socket."""
 
 
 def send_request(path: Path, command: str, timeout: float, **values: Any) -> dict[str, Any]:
-    """One request from a command line; raises NoSupervisor or ControlError. `timeout` in seconds."""
+    """Send one request and return the response; raises NoSupervisor or ControlError. `timeout` is in seconds."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(timeout)
         try:
             sock.connect(str(path))
-            with contextlib.suppress(BrokenPipeError):  # refused at once: why has been said, and is there to be read
+            with contextlib.suppress(BrokenPipeError):  # refused before it was read; the response tells why
                 sock.sendall(orjson.dumps({"version": VERSION, "command": command} | values) + b"\n")
             with sock.makefile("rb") as stream:
                 line = stream.readline()
@@ -140,7 +140,7 @@
         except OSError as error:
             raise ControlError(f"{path}: {error.strerror}") from None
     if not line:
-        raise ControlError(f"{path}: the supervisor ended before it answered")
+        raise ControlError(f"{path}: the supervisor exited before it answered")
     reply: dict[str, Any] = orjson.loads(line)
     if not reply.get("ok"):
         raise ControlError(str(reply.get("error", "refused")))
--- a/cometusher/fleet/daemon.py
+++ b/cometusher/fleet/daemon.py
@@ -6,15 +6,15 @@
 import sys
 from collections.abc import Callable
 
-MAX_REPORT = 4096  # bytes of the daemon's word on its start
+MAX_REPORT = 4096  # bytes of the daemon's report on its start
 
 
 def daemonize(report: Callable[[int, str], None]) -> Callable[[int, str], None]:
     """Fork twice, and return in the daemon only.
 
-    The daemon has a session of its own and can't get a terminal again, works in `/`, creates files that others
-    can't write, and has its streams at /dev/null. It returns what tells the outcome of its start (exit code and
-    text) to the process that was called; that one waits for it, hands it to `report`, and ends with the code.
+    The daemon has its own session and can't acquire a terminal, works in `/`, creates files that others can't write,
+    and has its standard streams at /dev/null. Returns a function that sends the outcome of the start (exit code and
+    text) to the original process, which waits for it, passes it to `report`, and exits with the code.
     """
     reader, writer = os.pipe()
     if (first := os.fork()) > 0:
@@ -48,7 +48,7 @@
         message += data
     code, _, text = message.decode(errors="replace").partition(" ")
     if not code.isdigit():
-        code, text = "1", "the daemon ended before it was ready; its log tells more"
+        code, text = "1", "the daemon exited before it was ready; see its log"
     report(int(code), text)
     sys.stdout.flush()
     sys.stderr.flush()
--- a/cometusher/fleet/heartbeat.py
+++ b/cometusher/fleet/heartbeat.py
@@ -30,13 +30,13 @@
     cells = memoryview(mmap.mmap(BOARD_FD, MAX_ROWS * ROW_BYTES))[row * ROW_BYTES : (row + 1) * ROW_BYTES].cast("q")
     recorder = proxy.traffic_counters = TrafficRecorder(cells)
 
-    def beat() -> None:
+    def write_heartbeat() -> None:
         cells[LAST_TURN_CELL] = time.monotonic_ns()
         recorder.publish_state(proxy.discovery.seq, proxy.callers.out_of_descriptors)
         proxy.set_ejected(bool(cells[EJECTED_CELL]))
-        proxy.loop.call_later(interval, beat)
+        proxy.loop.call_later(interval, write_heartbeat)
 
-    beat()
+    write_heartbeat()
 
 
 class HeartbeatBoard:
--- a/cometusher/fleet/identity.py
+++ b/cometusher/fleet/identity.py
@@ -1,9 +1,9 @@
-"""Who a process is, and the lock that makes one supervisor the only one of its state directory.
+"""Identities of processes, and the lock that admits one supervisor to a state directory.
 
-A pid alone names nobody: it is used again. A process is named by its pid, its start time (clock ticks since boot,
-proc(5), field 22 of stat), the boot id and its user; all have to fit before a number out of a file is believed.
-The lock is a POSIX record lock (fcntl(2)): the kernel drops it with its process, children don't inherit it, and
-it tells who holds it. The pid file is for people; nothing is decided by it.
+A pid alone identifies no process, since pids are reused. A process is identified by its pid, its start time (clock
+ticks since boot, proc(5), field 22 of stat), the boot id and its user; all must match before a pid read from a file
+is trusted. The lock is a POSIX record lock (fcntl(2)): the kernel releases it when its process exits, children don't
+inherit it, and the kernel tells who holds it. The pid file is for people; nothing is decided by it.
 """
 
 from __future__ import annotations
@@ -27,40 +27,42 @@
 
 
 def boot_id() -> str:
-    """Names this boot of the machine."""
+    """Identifies this boot of the machine."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStat:
-    """What proc(5) tells of a process."""
+    """Fields of /proc/PID/stat, see proc(5)."""
 
     state: str
     parent: int
     group: int
     cpu: float  # seconds of processor time
     started: int  # ticks since boot
-    threads: int  # that have not ended; 1 for a zombie of which nothing is left
+    threads: int  # threads that have not exited; 1 for a zombie without any
 
 
-RUNNABLE = "R"  # a state: it runs, or waits for a processor; all others wait for something else
+RUNNABLE = (
+    "R"  # state of a process that runs or waits for a processor; in all other states it waits for something else
+)
 
 
 def read_stat(pid: int) -> ProcessStat | None:
-    """None if there is no such process."""
+    """Read /proc/PID/stat; None if there is no such process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
-    rest = text[text.rindex(")") + 2 :].split()  # the name may hold anything, also brackets and spaces
+    rest = text[text.rindex(")") + 2 :].split()  # the name may contain any characters, also brackets and spaces
     cpu = (int(rest[11]) + int(rest[12])) / CLOCK_TICKS_PER_SECOND
     return ProcessStat(rest[0], int(rest[1]), int(rest[2]), cpu, int(rest[19]), int(rest[17]))
 
 
 def read_schedstat(pid: int) -> tuple[float, float]:
-    """Seconds of processor time, and of waiting for it, of a process's first thread, to the nanosecond.
+    """Return the processor time and run queue wait of a process's first thread, in seconds, exact to a nanosecond.
 
-    schedstat of proc(5); zeros if the process is gone, or the kernel does not count.
+    From schedstat of proc(5); zeros if the process has exited or the kernel does not count.
     """
     try:
         cpu_time, wait_time, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Exactly one process."""
+    """Identifies exactly one process, also after its pid has been reused."""
 
     pid: int
     started: int
@@ -80,7 +82,7 @@
 
     @staticmethod
     def of(pid: int) -> Identity | None:
-        """The identity of a process that is there now."""
+        """Return the identity of a running process; None if there is none with this pid."""
         stat = read_stat(pid)
         try:
             uid = os.stat(f"/proc/{pid}").st_uid
@@ -90,7 +92,7 @@
 
     @staticmethod
     def parse(value: Any) -> Identity | None:
-        """Out of a file; None for anything that is not whole."""
+        """Parse an identity read from a file; None if it is incomplete or invalid."""
         if not isinstance(value, dict):
             return None
         pid, started, boot, uid = (value.get(key) for key in ("pid", "started", "boot", "uid"))
@@ -100,14 +102,14 @@
         return Identity(numbers[0], numbers[1], boot, numbers[2])
 
     def as_values(self) -> dict[str, Any]:
-        """For a file."""
+        """Return the identity as plain values, for a file."""
         return asdict(self)
 
     def is_alive(self) -> bool:
-        """Whether this very process is there, and no zombie.
+        """Whether exactly this process exists and is not a zombie.
 
-        The state is that of its first thread. While another one is still ending, as a killed one does that waits for
-        a disk, the process holds its descriptors, listeners among them, though it looks like a zombie.
+        The state is that of its first thread. While another thread is still exiting (a killed thread may wait for a
+        disk), the process keeps its descriptors, listeners among them, though it looks like a zombie.
         """
         stat = read_stat(self.pid)
         if stat is None or (stat.state in "ZX" and stat.threads <= 1):
@@ -115,9 +117,9 @@
         return Identity.of(self.pid) == self
 
     def signal(self, number: int) -> bool:
-        """Signal this very process or nobody; tells whether it was there.
+        """Signal exactly this process; return whether it was there.
 
-        The descriptor is taken first and the identity looked at after: what the descriptor names can't change.
+        The pidfd is opened before the identity is checked, because the process that a pidfd refers to can't change.
         """
         try:
             descriptor = os.pidfd_open(self.pid)
@@ -135,11 +137,11 @@
 
 
 class LockHeld(Exception):
-    """Another one has what is wanted; the text says who."""
+    """The lock is held by another process; the text names it."""
 
 
 class StateLock:
-    """The lock of a state directory, held until the process ends."""
+    """The lock of a state directory, held until the process exits."""
 
     def __init__(self, lock_file: Path, pid_file: Path) -> None:
         self._lock_file = lock_file
@@ -147,7 +149,7 @@
         self._descriptor = -1
 
     def acquire(self) -> None:
-        """Take the lock and say so in the pid file; raises Held, or OSError."""
+        """Take the lock and write the pid file; raises LockHeld or OSError."""
         self._descriptor = os.open(self._lock_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
         try:
             fcntl.lockf(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -158,7 +160,7 @@
         write_private(self._pid_file, orjson.dumps(identity.as_values() | {"since": time.time()}) + b"\n")
 
     def _describe_holder(self) -> str:
-        """Who holds it: the kernel knows, whatever stands in the pid file."""
+        """Describe the holder as the kernel knows it, whatever the pid file says."""
         query = struct.pack(_FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         pid = int(struct.unpack(_FLOCK, fcntl.fcntl(self._descriptor, fcntl.F_GETLK, query))[4])
         text = f"{self._lock_file.parent} is held by another supervisor"
@@ -173,7 +175,7 @@
         return f"{text}, pid {pid}{since}"
 
     def release(self) -> None:
-        """Give it back; the lock file stays, for a new one would not be the one that others wait on."""
+        """Release the lock. The lock file stays: others may wait on it, and a new file would be another lock."""
         if self._descriptor >= 0:
             with contextlib.suppress(OSError):
                 self._pid_file.unlink()
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -1,10 +1,10 @@
-"""An instance's own side of its supervisor: the status pipe, the lifeline, and the start under them.
+"""Runs a proxy as an instance under a supervisor: reports through the status pipe and watches the lifeline.
 
-The descriptors have fixed numbers: 3 the listener (as LISTEN_FDS has it), 4 the status pipe to write to, 5 the
-lifeline to read from. The status pipe carries JSON lines: `{"event":"ready"}`, `{"event":"beat",...}` every
-second, `{"event":"reloaded","why":null}`, `{"event":"stopping"}`; what further subsystems tell are events of theirs.
-The lifeline carries nothing: it ends when the supervisor does, however it does, and an instance then ends in order,
-as on SIGTERM.
+The descriptors have fixed numbers: 3 is the listener (as with LISTEN_FDS), 4 the write end of the status pipe, 5 the
+read end of the lifeline. The status pipe carries JSON lines: `{"event":"ready"}`, `{"event":"beat",...}` every
+second, `{"event":"reloaded","why":null}`, `{"event":"stopping"}`, and events of further subsystems. The lifeline
+carries no data: it closes when the supervisor exits, in whatever way, and the instance then shuts down gracefully, as
+on SIGTERM.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
     from cometusher.inflight.tracker import ReceivedOffer
 
 LISTENER_FD, STATUS_FD, LIFELINE_FD = 3, 4, 5
-HEARTBEAT_INTERVAL = 1.0  # seconds between signs of life
-MAX_QUEUED_LINES = 64  # lines that wait for room in the pipe
+HEARTBEAT_INTERVAL = 1.0  # seconds between reports on the status pipe
+MAX_QUEUED_LINES = 64  # lines that wait for room in the status pipe
 REPORTED_COUNTERS = ("served", "refused", "failed", "malformed", "left")
 
 
 class SupervisorChannel:
-    """The way to the supervisor; a `service.Parent`."""
+    """Reports to the supervisor through the status pipe; implements `service.Parent`."""
 
     def __init__(self, name: str, generation: str) -> None:
         self._instance_id = f"{name}/{generation}".encode()
@@ -46,24 +46,24 @@
         os.set_blocking(STATUS_FD, False)
 
     def _send(self, **values: Any) -> None:
-        """Write a line; one that finds no room waits for the next beat, for the supervisor may be paused."""
+        """Queue and write a line; the supervisor may be paused, so lines without room are written with later ones."""
         self._lines.append(orjson.dumps(values) + b"\n")
         try:
             while self._lines:
                 os.write(STATUS_FD, self._lines[0])
                 self._lines.popleft()
         except OSError:
-            pass  # no room, or no supervisor: the lifeline tells
+            pass  # no room, or the supervisor has exited, which the lifeline shows
 
     def started(self, proxy: Proxy, stop: asyncio.Event) -> None:
-        """Say so, and watch the lifeline from here on."""
+        """Report that the proxy is ready, start the periodic reports, and watch the lifeline."""
         self._proxy = proxy
         proxy.identity_headers = [(b"x-instance", self._instance_id)]
         loop = asyncio.get_running_loop()
 
         def orphaned() -> None:
             loop.remove_reader(LIFELINE_FD)
-            logging.warning("the supervisor is gone; ending in order")
+            logging.warning("the supervisor has exited; shutting down")
             stop.set()
 
         loop.add_reader(LIFELINE_FD, orphaned)
@@ -79,7 +79,7 @@
 
     @staticmethod
     def _start_heartbeat(proxy: Proxy) -> None:
-        """Beat on the supervisor's board, as its file for this process says."""
+        """Write the heartbeat on the supervisor's board, as this process's file configures it."""
         from cometusher.fleet.heartbeat import start_heartbeat
 
         values = orjson.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["vigil"]
@@ -100,16 +100,16 @@
         self._send(event="beat", open=self._proxy.open_requests, **reported, **inflight)
 
     def reloaded(self, why: str | None) -> None:
-        """What came of a reload."""
+        """Report the outcome of a reload."""
         self._send(event="reloaded", why=why)
 
     def stopping(self) -> None:
-        """Nothing new is taken."""
+        """Report that no new connections are accepted."""
         self._send(event="stopping")
 
 
 def _with_supervisor_values(settings: Config) -> Config:
-    """What the supervisor has told of this instance's return and of its book, if switched on; raises ConfigError."""
+    """Add the supervisor's settings for recovery and the request journal, if enabled; raises ConfigError."""
     path = Path(os.environ["LB_CONFIG"])
     if os.environ.get("FLEET_COMEBACK") == "1":
         from cometusher.recovery import read_recovery_config
@@ -123,19 +123,19 @@
 
 
 def _start_descriptor_holder() -> None:
-    """Have a keeper, before there is a second thread. Without one, what is in hand dies with this process."""
+    """Start the descriptor holder before there is a second thread; without one, in-flight requests die with us."""
     from cometusher.inflight import descriptor_holder
     from cometusher.inflight.endpoint import HOLDER_FD
 
     try:
         descriptor_holder.start(HOLDER_FD)
     except OSError as error:
-        logging.warning("no keeper, and nothing in hand is covered: %s", error)
+        logging.warning("no descriptor holder; in-flight requests cannot be taken over: %s", error)
 
 
 def main() -> int:
-    """One proxy under a supervisor; returns the exit code."""
-    # Guards against ending on a reload that comes before there is anything to reload.
+    """Run one proxy under a supervisor; return the exit code."""
+    # A reload signal that arrives before there is anything to reload must not kill the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     name = os.environ.get("FLEET_INSTANCE", "?")
     logs.to_pipe(sys.stderr.fileno(), name)
--- a/cometusher/fleet/listeners.py
+++ b/cometusher/fleet/listeners.py
@@ -1,8 +1,8 @@
-"""The listeners of a fleet: the supervisor holds them, and every process of an instance gets a copy.
+"""The listeners of a fleet: the supervisor keeps them open, and every process of an instance gets a duplicate.
 
-So one process can take over from another with no connection refused between them, and an address has one owner
-from the first moment on. Sockets that a service manager hands over (sd_listen_fds(3)) are used for the addresses
-that they are bound to.
+So a process can replace another without a connection being refused in between, and each address has a single owner
+from the start. Sockets that a service manager passes (sd_listen_fds(3)) are used for the addresses that they are
+bound to.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 log = logging.getLogger(__name__)
 
 FIRST_PASSED_FD = 3  # SD_LISTEN_FDS_START
-LISTEN_STATE = "0A"  # in /proc/net/tcp
+LISTEN_STATE = "0A"  # TCP_LISTEN, as /proc/net/tcp shows it
 
 
 class AddressUnavailable(Exception):
-    """An address can't be listened on; the text says which and who has it."""
+    """An address cannot be listened on; the text names it and the process that has it."""
 
 
 def passed_sockets(environ: Mapping[str, str]) -> list[socket.socket]:
-    """The listeners that a service manager handed over, if they are meant for this process."""
+    """Return the listeners that a service manager has passed to this process."""
     if environ.get("LISTEN_PID") != str(os.getpid()):
         return []
     count = environ.get("LISTEN_FDS", "")
@@ -39,12 +39,12 @@
             os.set_inheritable(descriptor, False)
             found.append(socket.socket(fileno=descriptor))
         except OSError as error:
-            log.warning("descriptor %d was passed and is no socket: %s", descriptor, error)
+            log.warning("passed descriptor %d is not a socket: %s", descriptor, error)
     return found
 
 
 def _listening_inodes(address: Address) -> set[str]:
-    """Inodes of the sockets that listen on an address, or on all addresses with its port."""
+    """Return the inodes of sockets that listen on an address, or on all addresses with its port."""
     target = ipaddress.ip_address(address[0])
     found = set()
     for table in ("/proc/net/tcp", "/proc/net/tcp6"):
@@ -57,7 +57,7 @@
             host, _, port = columns[1].partition(":")
             if columns[3] != LISTEN_STATE or int(port, 16) != address[1]:
                 continue
-            # Each group of four bytes is in the machine's order.
+            # Each group of four bytes is in the machine's byte order.
             words = [bytes.fromhex(host[i : i + 8])[::-1] for i in range(0, len(host), 8)]
             bound = ipaddress.ip_address(b"".join(words))
             if bound == target or bound.is_unspecified or target.is_unspecified:
@@ -66,7 +66,7 @@
 
 
 def describe_listener(address: Address) -> str:
-    """The process that has an address, for people."""
+    """Describe the process that listens on an address, for error messages."""
     inodes = _listening_inodes(address)
     for entry in os.scandir("/proc") if inodes else ():
         if not entry.name.isdigit():
@@ -75,25 +75,25 @@
             links = [os.readlink(link.path) for link in os.scandir(f"/proc/{entry.name}/fd")]
             name = Path(f"/proc/{entry.name}/comm").read_text().strip()
         except OSError:
-            continue  # it has ended, or is another user's
+            continue  # it has exited, or belongs to another user
         if inodes & set(links):
             return f"pid {entry.name} ({name})"
-    return "a process that can't be seen from here"
+    return "an unknown process (it may belong to another user)"
 
 
 class Listeners:
-    """Open listeners by the name of their instance."""
+    """The open listeners, by instance."""
 
     def __init__(self, passed: list[socket.socket]) -> None:
         self._open: dict[str, socket.socket] = {}
         self._passed = {sock.getsockname()[:2]: sock for sock in passed}
 
     def get(self, name: str, address: Address) -> socket.socket:
-        """An instance's listener, opened if need be; raises Taken."""
+        """Return an instance's listener, opened if necessary; raises AddressUnavailable."""
         if name not in self._open:
             passed = self._passed.get(address)
             if passed is not None:
-                self._open[name] = passed.dup()  # the manager's own stays, for the next start
+                self._open[name] = passed.dup()  # the passed socket stays open for the next start
                 return self._open[name]
             try:
                 self._open[name] = open_listener(address)
@@ -104,16 +104,16 @@
         return self._open[name]
 
     def find(self, name: str) -> socket.socket | None:
-        """An instance's listener, if it is open here."""
+        """Return an instance's listener if it is open in this process."""
         return self._open.get(name)
 
     def release(self, name: str) -> None:
-        """Close an instance's listener here; copies that processes hold stay open."""
+        """Close an instance's listener in this process; duplicates in other processes stay open."""
         listener = self._open.pop(name, None)
         if listener is not None:
             listener.close()
 
     def release_all(self) -> None:
-        """Close them all."""
+        """Close all listeners in this process."""
         for name in list(self._open):
             self.release(name)
--- a/cometusher/fleet/log_collector.py
+++ b/cometusher/fleet/log_collector.py
@@ -1,9 +1,9 @@
-"""Collecting what instances say, and writing it on without ever waiting for whoever reads it.
+"""Collects the log records of all instances and writes them to one target, without ever blocking.
 
-Each instance has a pipe of its own, which does not block it either: where it is full the instance drops, and
-counts. Here records are read as they come, named after their instance, and written to the one target. A target
-that takes nothing (a full disk, a pipe that nobody reads) fills a bounded store; what does not fit is dropped and
-counted, and the count is written as a record when the target takes records again.
+Each instance writes to its own pipe and does not block either: when the pipe is full it drops records and counts
+them. Records are read as they arrive, get the name of their instance, and are written to the target. While the target
+accepts nothing (a full disk, a pipe that nobody reads) they wait in a bounded queue; records that do not fit are
+dropped and counted, and the count is logged when the target accepts records again.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from cometusher import logs
 from cometusher.fleet.spec import LogSpec
 
-MAX_QUEUED_BYTES = 1024 * 1024  # bytes that wait for the target, at most
-MAX_LINE = 16 * 1024  # bytes of a line that an instance writes by itself
-READ_SIZE = 64 * 1024  # bytes taken from one instance at one wake-up
-RETRY_INTERVAL = 0.05  # seconds between looks at a target that took nothing
-REOPEN_INTERVAL = 1.0  # seconds between tries to open one that could not be opened
+MAX_QUEUED_BYTES = 1024 * 1024  # bytes that wait for the target
+MAX_LINE = 16 * 1024  # bytes of a line that an instance writes
+READ_SIZE = 64 * 1024  # bytes read from one instance at one wake-up
+RETRY_INTERVAL = 0.05  # seconds between attempts to write to a target that accepted nothing
+REOPEN_INTERVAL = 1.0  # seconds between attempts to open a target
 
 
 class LogTarget:
-    """Where records end: standard error or a file; rotated by size, reopened on demand."""
+    """Where records are written: standard error or a file, which is rotated by size and reopened on demand."""
 
     def __init__(self, spec: LogSpec) -> None:
         self.spec = spec
@@ -54,11 +54,11 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def reopen(self) -> None:
-        """Open the file anew, for one that was moved away; raises nothing."""
+        """Open the file again, after it was moved away; raises nothing."""
         if self.spec.target == "stderr":
             return
         self._opened_at = time.monotonic()
-        # Not blocking: opening a FIFO that nobody reads would wait for a reader.
+        # Non-blocking: opening a FIFO that nobody reads would wait for a reader.
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK
         with contextlib.suppress(OSError):
             descriptor = os.open(self.spec.target, flags, 0o640)
@@ -66,13 +66,13 @@
             self._use(descriptor)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the target."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
 
     def write(self, data: bytes) -> int:
-        """Write what goes without waiting; returns how many bytes went. At most a pipe's piece at a time."""
+        """Write what is possible without blocking, to a pipe at most PIPE_BUF bytes; return how many were written."""
         if self._file < 0:
             if time.monotonic() - self._opened_at < REOPEN_INTERVAL:
                 return 0
@@ -83,8 +83,8 @@
             if self._regular:
                 self._rotate(len(data))
             else:
-                # A pipe or a terminal that others write to as well, so it is not set to non-blocking: ask, and
-                # write no more than goes in one piece when it has room (POSIX, PIPE_BUF).
+                # A pipe or a terminal that others write to as well, so it is not set to non-blocking. It is polled,
+                # and gets no more than it accepts in one piece when it has room (POSIX, PIPE_BUF).
                 data = data[: logs.MAX_RECORD]
                 if not any(event & select.POLLOUT for _, event in self._poll.poll(0)):
                     return 0
@@ -93,7 +93,7 @@
             return 0
         except OSError:
             if self.spec.target != "stderr" and not self._regular:
-                self.close()  # its reader went away: the next one is opened for
+                self.close()  # its reader has closed it; it is opened again for the next reader
             return 0
         self._size += count
         return count
@@ -113,7 +113,7 @@
 
 
 class LogSink:
-    """Renders records and hands them to the target; bounded, counting, and never waiting."""
+    """Formats records and writes them to the target through a bounded queue; never blocks; counts dropped records."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, target: LogTarget, instance_name: str) -> None:
         self._loop = loop
@@ -122,11 +122,11 @@
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._retry: asyncio.TimerHandle | None = None
-        self.dropped = 0  # since the last record about it
+        self.dropped = 0  # since they were logged last
         self.dropped_total = 0
 
     def write(self, values: dict[str, Any]) -> None:
-        """Take one record."""
+        """Queue one record, or drop it if the queue is full."""
         line = logs.RENDER[self.target.spec.form](values) + b"\n"
         if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
             self.drop(1)
@@ -137,7 +137,7 @@
             self.flush()
 
     def _report_dropped(self) -> None:
-        """Say what was lost, as soon as there is room for it."""
+        """Log how many records were dropped, as soon as there is room for it."""
         if self.dropped and self._queued_bytes < MAX_QUEUED_BYTES // 2:
             count, self.dropped = self.dropped, 0
             self.write(
@@ -152,12 +152,12 @@
             )
 
     def drop(self, count: int) -> None:
-        """Count records that were lost."""
+        """Count dropped records."""
         self.dropped += count
         self.dropped_total += count
 
     def flush(self) -> None:
-        """Write on what waits, as far as it goes."""
+        """Write queued records as far as the target accepts them."""
         self._retry = None
         self._report_dropped()
         while self._queue:
@@ -172,7 +172,7 @@
         self._report_dropped()
 
     def close(self) -> None:
-        """The end: one last try."""
+        """Write what the target accepts at once; the rest is lost."""
         if self._retry is not None:
             self._retry.cancel()
         self.flush()
@@ -199,7 +199,7 @@
 
 
 class ProcessOutput:
-    """What one process says: structured records, or plain lines of whatever it runs."""
+    """The output of one process: structured records, or plain lines of a custom command."""
 
     def __init__(self, sink: LogSink, name: str, descriptor: int) -> None:
         self._sink = sink
@@ -208,7 +208,7 @@
         self._partial_line = b""
 
     def read(self) -> bool:
-        """Take what has come, up to a bound; False at its end."""
+        """Read available output, up to READ_SIZE bytes; return False at its end."""
         try:
             data = os.read(self._descriptor, READ_SIZE)
         except BlockingIOError:
--- a/cometusher/fleet/notify.py
+++ b/cometusher/fleet/notify.py
@@ -1,4 +1,4 @@
-"""The service manager's side: sd_notify(3) and its watchdog, as far as a supervisor needs them."""
+"""Notifies the service manager of state changes and feeds its watchdog, see sd_notify(3)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ServiceManager:
-    """Sends states to NOTIFY_SOCKET; does nothing where there is none."""
+    """Sends states to NOTIFY_SOCKET; does nothing if it is not set."""
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         address = environ.get("NOTIFY_SOCKET", "")
-        # A leading '@' stands for the abstract namespace.
+        # A leading '@' means the abstract namespace.
         self._address = "\0" + address[1:] if address.startswith("@") else address
         self._socket: socket.socket | None = None
         if self._address:
@@ -24,29 +24,29 @@
         is_for_this_process = environ.get("WATCHDOG_PID", str(os.getpid())) == str(os.getpid())
         self.watchdog_interval = (
             int(usec) / 2e6 if usec.isdigit() and is_for_this_process else 0.0
-        )  # seconds between signs of life
+        )  # seconds between notifications: half of the manager's limit; 0 without a watchdog
         self._fed_at = 0.0
 
     def send(self, *lines: str) -> None:
-        """Send states; a manager that does not read must not stop us."""
+        """Send states; a manager that does not read them must not block the supervisor."""
         if self._socket is not None:
             with contextlib.suppress(OSError):
                 self._socket.sendto("\n".join(lines).encode(), self._address)
 
     def ready(self, text: str) -> None:
-        """All that was to start has started, or has been given up."""
+        """Every instance has started or has failed to."""
         self.send("READY=1", f"MAINPID={os.getpid()}", f"STATUS={text}")
 
     def reloading(self) -> None:
-        """A new configuration is being taken over; to be followed by `ready`."""
+        """A new configuration is being applied; must be followed by `ready`."""
         self.send("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
 
     def stopping(self) -> None:
-        """The end has begun."""
+        """The shutdown has begun."""
         self.send("STOPPING=1")
 
     def feed_watchdog(self, now: float) -> None:
-        """A sign of life, as often as the watchdog wants."""
+        """Notify the watchdog if it is time to."""
         if self.watchdog_interval and now - self._fed_at >= self.watchdog_interval:
             self._fed_at = now
             self.send("WATCHDOG=1")
--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -1,8 +1,8 @@
-"""Starting one process of an instance, and what the supervisor keeps of it.
+"""Starts the processes of instances, and holds what the supervisor needs of each.
 
-Two ways: `fork` of the supervisor, which has everything imported already, and `exec` of a new interpreter (or of
-an instance's own command). Both end in the same descriptors, limits and environment. The supervisor has one
-thread, always: a fork copies no other, and locks that others hold would never be released.
+There are two ways: `fork` of the supervisor, which has imported everything already, and `exec` of a new interpreter
+(or of an instance's own command). Both result in the same descriptors, limits and environment. The supervisor must
+have one thread only: a fork copies no other thread, and locks that others held would never be released.
 """
 
 from __future__ import annotations
@@ -28,45 +28,45 @@
     from cometusher.fleet.orphans import ProcessResources
 
 REPOSITORY_ROOT = Path(__file__).resolve().parent.parent.parent
-MIN_TEMPORARY_FD = 64  # descriptors are moved above this before they get their numbers
-EXIT_SETUP_FAILED = 70  # exit code of a process that could not get ready to run (EX_SOFTWARE, sysexits.h)
+MIN_TEMPORARY_FD = 64  # descriptors are duplicated above this before they get their final numbers
+EXIT_SETUP_FAILED = 70  # exit code of a process whose setup failed (EX_SOFTWARE, sysexits.h)
 RESERVED_PREFIXES = ("LB_", "FLEET_", "LISTEN_", "WATCHDOG_", "NOTIFY_SOCKET")
 
 
 @dataclass(slots=True)
 class Child:
-    """A process that this supervisor started and has not reaped."""
+    """A process that this supervisor has started and not reaped."""
 
     name: str
     generation: int
     pid: int
     identity: Identity
     pidfd: int
-    status_fd: int  # to read from
-    log_fd: int  # to read from
-    lifeline_fd: int  # to hold open
-    spec: InstanceSpec  # what it runs with
-    requested_spec: InstanceSpec  # ...and what it was told last, before its word on that
-    ring_position: dict[str, int]  # on the ring of backends, for as long as it runs
+    status_fd: int  # read end of the status pipe
+    log_fd: int  # read end of its output
+    lifeline_fd: int  # write end; its closing tells the process that the supervisor is gone
+    spec: InstanceSpec  # the configuration that it runs with
+    requested_spec: InstanceSpec  # the configuration of the last reload, which it may not have confirmed
+    ring_position: dict[str, int]  # settings of its position among its tier's instances; fixed while it runs
     request_counters: dict[str, Any] = field(default_factory=dict)
-    recovery_status: dict[str, Any] = field(default_factory=dict)  # what it last said of its return...
-    inflight_counters: dict[str, Any] = field(default_factory=dict)  # ...and of its work in hand
-    resources: ProcessResources | None = None  # what it would leave behind, where that is switched on
-    board_row: int = -1  # of the board that it beats on, where that is switched on
-    partial_line: bytes = b""  # of a status line that is not whole
+    recovery_status: dict[str, Any] = field(default_factory=dict)  # its last report
+    inflight_counters: dict[str, Any] = field(default_factory=dict)  # its last report
+    resources: ProcessResources | None = None  # if takeover is enabled
+    board_row: int = -1  # its row of the heartbeat board; -1 if it has none
+    partial_line: bytes = b""  # of the status pipe
 
     def signal(self, number: int) -> None:
-        """Signal it; nothing happens if it has ended, for it is not reaped before this object is dropped."""
+        """Send it a signal. Harmless if it has exited: its pidfd names no other process."""
         with contextlib.suppress(OSError):
             signal.pidfd_send_signal(self.pidfd, number)
 
     def signal_group(self, number: int) -> None:
-        """Signal all that it started and left behind in its group; only while its pid is not reaped."""
+        """Signal its process group, with all processes that it has started; only valid until it is reaped."""
         with contextlib.suppress(OSError):
             os.killpg(self.pid, number)
 
     def close(self) -> None:
-        """Close what is held for it."""
+        """Close the descriptors held for it."""
         for descriptor in (self.pidfd, self.status_fd, self.log_fd, self.lifeline_fd):
             os.close(descriptor)
 
@@ -95,13 +95,13 @@
 
 
 def _assign_descriptors(descriptors: dict[int, int]) -> None:
-    """Give descriptors their numbers, and close all others: lifelines of other instances among them."""
+    """Give descriptors their final numbers and close all others, which include other instances' lifelines."""
     high = {number: fcntl.fcntl(source, fcntl.F_DUPFD, MIN_TEMPORARY_FD) for number, source in descriptors.items()}
     for number, source in high.items():
         os.dup2(source, number, inheritable=True)
     for entry in os.listdir("/proc/self/fd"):
         if int(entry) > max(high):
-            with contextlib.suppress(OSError):  # the listing's own is closed by now
+            with contextlib.suppress(OSError):  # the descriptor of the listing itself is closed by now
                 os.close(int(entry))
 
 
@@ -114,11 +114,11 @@
 def _run_child(
     spec: FleetSpec, instance_spec: InstanceSpec, generation: int, descriptors: dict[int, int], mask: set[int]
 ) -> NoReturn:
-    """In the child: leave everything of the supervisor behind, and run; does not return."""
+    """In the child: drop the supervisor's signal handlers and descriptors, and run the instance; never returns."""
     code = EXIT_SETUP_FAILED
     try:
         os.setpgid(0, 0)
-        # A signal that the child gets must not wake up the supervisor through the descriptor that both have.
+        # A signal to the child must not wake up the supervisor through the wake-up descriptor that both share.
         signal.set_wakeup_fd(-1)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGCHLD, signal.SIGUSR1):
             signal.signal(number, signal.SIG_DFL)
@@ -133,7 +133,7 @@
             signal.pthread_sigmask(signal.SIG_SETMASK, mask)
             os.chdir("/")
             os.execvpe(command[0], command, environ)
-        # What ps and top show: else all would have the supervisor's name (comm of proc(5), 15 bytes).
+        # The name that ps and top show; it would be the supervisor's otherwise (comm of proc(5), 15 bytes).
         Path("/proc/self/comm").write_bytes(instance_spec.name.encode()[:15])
         os.environ.clear()
         os.environ.update(environ)
@@ -145,7 +145,7 @@
         with contextlib.suppress(Exception):
             sys.stdout.flush()
             sys.stderr.flush()
-        # Not sys.exit: the supervisor's own clean-up must not run here.
+        # Not sys.exit: the supervisor's clean-up must not run here.
         os._exit(code)
 
 
@@ -157,7 +157,10 @@
     extra_values: dict[str, Any] | None = None,
     extra_descriptors: dict[int, int] | None = None,
 ) -> Child:
-    """Start a process; `more` goes into its file, and it has the descriptors `given` by number. Raises OSError."""
+    """Start a process; raises OSError.
+
+    `extra_values` are added to its configuration file; it gets `extra_descriptors` by number.
+    """
     ring_position = spec.ring_position(instance_spec.name)
     values = instance_spec.at_ring_position(ring_position) | {"seed": secrets.token_hex(8)} | (extra_values or {})
     write_private(spec.location.instance_file(instance_spec.name), serialize_config(values))
@@ -168,7 +171,7 @@
         status, status_w, log, log_w, lifeline_r, lifeline = opened
         null = os.open(os.devnull, os.O_RDWR)
         opened.append(null)
-        # No signal between the fork and the moment when the child has dropped the supervisor's handlers.
+        # Signals are blocked until the child has dropped the supervisor's handlers.
         mask = signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         try:
             pid = os.fork()
@@ -200,9 +203,9 @@
     for descriptor in (status, log):
         os.set_blocking(descriptor, False)
     with contextlib.suppress(OSError):
-        os.setpgid(pid, pid)  # here too: whichever comes first
+        os.setpgid(pid, pid)  # parent and child both set it, whichever runs first
     identity = Identity.of(pid)
-    assert identity is not None  # not reaped, so it is there
+    assert identity is not None  # it exists until it is reaped
     return Child(
         instance_spec.name,
         generation,
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -1,4 +1,4 @@
-"""The file of a fleet, read and checked whole: which instances, with what, and how they are looked after."""
+"""Reads and validates a fleet's file: its instances, their configurations, and how they are supervised."""
 
 from __future__ import annotations
 
@@ -28,49 +28,49 @@
 from weldroute.snapshots import AgeLimits
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-MAX_INSTANCES = 1024  # instances
-SPARE_JOURNALS = 8
-MAX_SOCKET_PATH = 100  # bytes
+MAX_INSTANCES = 1024
+SPARE_JOURNALS = 8  # request journals beyond two for each instance
+MAX_SOCKET_PATH = 100  # bytes; sun_path of unix(7) has 108
 MIN_SECRET, MAX_SECRET = 32, 1024  # bytes
-MAX_MEMBER_NAME = 128  # characters of a name
-RELOADABLE_KEYS = frozenset({"discovery", "limits", "known"})  # what an instance takes over while it runs
+MAX_MEMBER_NAME = 128  # characters
+RELOADABLE_KEYS = frozenset({"discovery", "limits", "known"})  # keys that a running instance can apply
 
 
 def serialize_config(values: dict[str, Any]) -> bytes:
-    """An instance's own file."""
+    """Return the content of an instance's configuration file."""
     return orjson.dumps(values, option=orjson.OPT_INDENT_2)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSpec:
-    """One instance: all that it needs to start."""
+    """One instance: everything that is needed to start it."""
 
     name: str
     listen: Address
-    values: dict[str, Any]  # the platform's configuration, with what the fleet's file lays over it
-    command: tuple[str, ...]  # in place of the proxy; empty for the proxy
+    values: dict[str, Any]  # the configuration file's, overridden by those of the fleet's file
+    command: tuple[str, ...]  # runs instead of the proxy; empty for the proxy
     memory_mb: int
     sockets: int
 
     @property
     def tier(self) -> int:
-        """Which tier it stands before; 0 where its file does not say."""
+        """The tier that it balances; 0 if its file does not say."""
         settings = self.values.get("settings")
         tier = settings.get("Tier", 0) if isinstance(settings, dict) else 0
         return tier if isinstance(tier, int) else 0
 
     @property
     def version(self) -> str:
-        """Names the configuration; the same content has the same name everywhere."""
+        """A digest of the configuration; the same content has the same version everywhere."""
         return hashlib.sha256(serialize_config(self.values) + repr(self.command).encode()).hexdigest()[:12]
 
     def at_ring_position(self, ring_position: dict[str, int]) -> dict[str, Any]:
-        """Its configuration at a place of the ring, as a process of it is told."""
+        """Return its configuration with the settings of a ring position, as a process gets it."""
         settings = self.values.get("settings")
         return self.values | {"settings": settings | ring_position} if isinstance(settings, dict) else self.values
 
     def needs_restart(self, new: InstanceSpec) -> bool:
-        """Whether the change to another configuration is more than a running instance can take over."""
+        """Whether changing to another configuration needs a new process."""
         fixed, new_fixed = (
             {k: v for k, v in spec.values.items() if k not in RELOADABLE_KEYS} for spec in (self, new)
         )
@@ -79,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSpec:
-    """Where records go."""
+    """Where log records go."""
 
-    target: str = "stderr"  # or a path
+    target: str = "stderr"  # or the path of a file
     form: str = "text"
     max_bytes: int = 10 * 1024 * 1024
     keep: int = 3
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservationFileSpec:
-    """Where what the watch saw is kept."""
+    """The file in which the failure detector's observations are recorded."""
 
     path: Path
     size_limit: int  # bytes
@@ -97,20 +97,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLocation:
-    """Where a fleet lives: all that a command needs to reach it."""
+    """The files of a fleet: all that a command needs to reach it."""
 
     name: str
-    file: Path  # of the file
+    file: Path  # the fleet's file
     state_directory: Path
 
     @property
     def lock_file(self) -> Path:
-        """Held by the one supervisor of this state directory."""
+        """Locked by the only supervisor of this state directory."""
         return self.state_directory / "supervisor.lock"
 
     @property
     def pid_file(self) -> Path:
-        """Tells who holds the lock; never believed without it."""
+        """Names the holder of the lock, for people; never trusted unless the lock is held."""
         return self.state_directory / "supervisor.pid"
 
     @property
@@ -120,31 +120,31 @@
 
     @property
     def roster(self) -> Path:
-        """The processes that the supervisor has started, for the one after it."""
+        """The processes that the supervisor has started; read by the next supervisor."""
         return self.state_directory / "instances.json"
 
     @property
     def store(self) -> Path:
-        """The folder of records that outlive processes."""
+        """The folder of stored records."""
         return self.state_directory / "store"
 
     def records_file(self, name: str) -> Path:
-        """An instance's own records."""
+        """An instance's record file."""
         return self.store / f"{name}.records"
 
     @property
     def fleet_records_file(self) -> Path:
-        """The supervisor's own; no instance's name begins with a dot."""
+        """The supervisor's record file; no instance's name begins with a dot."""
         return self.store / ".fleet.records"
 
     def instance_file(self, name: str) -> Path:
-        """An instance's own configuration."""
+        """An instance's configuration file."""
         return self.state_directory / f"instance-{name}.json"
 
 
 @dataclass(frozen=True, slots=True)
 class RecoverySpec:
-    """How instances come back: what each may do, what it may believe, and what is a blow."""
+    """How instances recover after a restart, which stored records they trust, and what is a correlated failure."""
 
     plan: RecoveryPlan
     limits: AgeLimits
@@ -153,54 +153,53 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeoverSpec:
-    """What is covered of work in hand, and at what pace it is handed on."""
+    """How many in-flight requests are journalled, and how fast orphaned ones are handed over."""
 
     journal_pool: JournalPool = field(default_factory=JournalPool)
-    answer_retention: float = (
-        10.0  # seconds in which the answers of a dead process can be asked for: the longest window
-    )
-    pace: int = 32  # pieces that one heir has to adopt at once
-    patience: float = 0.25  # seconds until what an heir has not received is taken back
+    answer_retention: float = 10.0  # seconds that a dead process's answers can be requested: the longest window
+    pace: int = 32  # requests that one successor is offered at once
+    patience: float = 0.25  # seconds until an offer that a successor has not received is withdrawn
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterSpec:
-    """How this supervisor talks with those of other machines."""
+    """How this supervisor communicates with those of other machines."""
 
     listen: Address
-    address: str  # as others reach it
-    name: str  # that nobody else has
+    address: str  # at which others reach it
+    name: str  # unique in the cluster
     seeds: tuple[str, ...]
     secret: Path
     zone: str = ""
     policy: MemberPolicy = field(default_factory=MemberPolicy)
-    grantors: tuple[str, ...] = ()  # addresses of members whose majority decides who has a duty; none: nobody does
+    grantors: tuple[str, ...] = ()  # addresses of members whose majority grants leases; if none, nobody gets one
     lease: LeasePolicy = field(default_factory=LeasePolicy)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """A fleet's whole file."""
+    """The content of a fleet's file."""
 
     location: FleetLocation
-    spawn: str  # "fork" from the warmed supervisor, or "exec" of a new interpreter
+    spawn: str  # "fork" of the supervisor with all modules imported, or "exec" of a new interpreter
     policy: SupervisionPolicy
     log: LogSpec
     instances: dict[str, InstanceSpec]
-    recovery: RecoverySpec | None = None  # switched on by its table
-    takeover: TakeoverSpec | None = None  # likewise
-    failure_detection: FailureDetectorPolicy | None = None  # likewise...
-    outliers: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
-    observation_file: ObservationFileSpec | None = None  # ...and where to keep what the watch saw
-    cluster: ClusterSpec | None = None  # likewise
+    recovery: RecoverySpec | None = None  # enabled by the table [comeback]
+    takeover: TakeoverSpec | None = None  # enabled by the table [takeover]
+    failure_detection: FailureDetectorPolicy | None = None  # enabled by the table [vigil]
+    outliers: OutlierPolicy = field(default_factory=OutlierPolicy)  # keys of [vigil] too
+    observation_file: ObservationFileSpec | None = None  # keys of [vigil] too
+    cluster: ClusterSpec | None = None  # enabled by the table [mesh]
 
     def ring_position(self, name: str) -> dict[str, int]:
-        """Which of how many before its tier an instance is, as settings; nothing for a command of the operators' own.
+        """Return the settings Ordinal and Instances: an instance's number in its tier; none for a custom command.
 
-        Guards against all of a fleet taking the same part of a long list for their own, since their common file says
-        the same of them: the ring of backends would be used in one place only. The file's own `Ordinal` is where this
-        fleet begins, for there may be others on other machines. It is told at the start of a process and is not a
-        part of its configuration: who else is there must not replace it.
+        Without them all instances of a fleet would choose the same subset of a long list of backends, because they
+        share one configuration file, and the rest of the ring would stay unused. The file's own `Ordinal` is the
+        number of this fleet's first instance, since other machines may run further ones. A process gets its position
+        when it starts; it is no part of the configuration's version, so that adding or removing other instances does
+        not replace the process.
         """
         instance = self.instances[name]
         if instance.command:
@@ -226,14 +225,14 @@
 
 class _Checkable(Protocol):
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
 
 
 P = TypeVar("P", bound=_Checkable)
 
 
 def _validated(table: Table, policy: P) -> P:
-    """A policy that makes sense; the error of one that does not names the key."""
+    """Return a policy that passes its own check; raises ConfigError naming the key of one that does not."""
     try:
         policy.check()
     except ValueError as error:
@@ -243,7 +242,7 @@
 
 
 def _read_recovery(root: Table, instances: int) -> RecoverySpec | None:
-    """The table `[comeback]`; None where the file has none."""
+    """Read the table `[comeback]`; None if the file has none."""
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
@@ -277,7 +276,7 @@
 
 
 def _read_takeover(root: Table, instances: Collection[InstanceSpec]) -> TakeoverSpec | None:
-    """The table `[takeover]`; None where the file has none."""
+    """Read the table `[takeover]`; None if the file has none."""
     if not root.has("takeover"):
         return None
     table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
@@ -286,7 +285,7 @@
     journal_size = JournalSize(
         entries, kilobytes * 1024 // BLOCK_SIZE, max((instance.sockets for instance in instances), default=1)
     )
-    # As many again: for those that take over from a process, and for what the dead leave.
+    # Two for each instance: its replacement runs beside it, and journals of dead processes are kept for a while.
     journal_pool = JournalPool(
         journal_size, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22)
     )
@@ -303,7 +302,7 @@
 def _read_failure_detection(
     root: Table, base: Path
 ) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, ObservationFileSpec | None]:
-    """The table `[vigil]`, whose keys are those of all three; None where the file has none."""
+    """Read the table `[vigil]`, which has the keys of all three; no failure detection if the file has none."""
     if not root.has("vigil"):
         return None, OutlierPolicy(), None
     table = root.table("vigil")
@@ -322,7 +321,7 @@
 
 
 def _read_cluster(root: Table, base: Path) -> ClusterSpec | None:
-    """The table `[mesh]`; None where the file has none."""
+    """Read the table `[mesh]`; None if the file has none."""
     if not root.has("mesh"):
         return None
     table, defaults = root.table("mesh"), MemberPolicy()
@@ -332,7 +331,7 @@
     address = "{}:{}".format(*table.address("address", "{}:{}".format(*listen)))
     seeds, grantors = _read_members(table, "seeds"), _read_members(table, "grantors")
     if len(set(grantors)) != len(grantors):
-        raise table.fault("grantors", "one is there twice")
+        raise table.fault("grantors", "an address is listed twice")
     name, zone = table.text("name", address), table.text("zone", "")
     if len(name) > MAX_MEMBER_NAME:
         raise table.fault("name", f"longer than {MAX_MEMBER_NAME} characters")
@@ -349,7 +348,7 @@
 
 
 def _read_members(table: Table, key: str) -> tuple[str, ...]:
-    """Addresses of other members."""
+    """Read a list of members' addresses."""
     members = table.texts(key)
     for address in members:
         try:
@@ -362,7 +361,7 @@
 
 
 def read_secret(path: Path) -> bytes:
-    """The key that all members of a fleet share; raises ConfigError. Never shown, nor a part of any spec."""
+    """Read the secret that all members of a cluster share; raises ConfigError. Never shown nor part of a spec."""
     try:
         mode = path.stat().st_mode
         data = path.read_bytes()
@@ -389,7 +388,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CommonSettings:
-    """Settings that hold for an instance unless it has its own."""
+    """Settings of all instances that don't have their own."""
 
     config: str = ""
     discovery: str = ""
@@ -413,9 +412,9 @@
 
 
 def _is_numeric(address: Address) -> bool:
-    """Whether it is an IP address and a port.
+    """Whether it is an IP address and a valid port.
 
-    A name would have to be looked up, which blocks and needs threads; neither goes with forking.
+    A host name would have to be resolved, which blocks or needs threads; a process that forks can do neither.
     """
     try:
         ipaddress.ip_address(address[0])
@@ -425,7 +424,7 @@
 
 
 class _InstanceReader:
-    """Builds instances, and reads each file that they name once."""
+    """Builds the instances' specs, and reads each configuration file once."""
 
     def __init__(self, base: Path) -> None:
         self.base = base
@@ -450,7 +449,7 @@
     def add(
         self, table: Table, name: str, listen: Address, common: _CommonSettings, management: Address | None = None
     ) -> None:
-        """Check one instance whole, and take it in."""
+        """Validate and add one instance; raises ConfigError."""
         if not NAME_PATTERN.fullmatch(name):
             raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
         if name in self.instances:
@@ -517,13 +516,13 @@
 
 
 def read_location(path: Path) -> FleetLocation:
-    """Read of a fleet's file only where the fleet lives; raises ConfigError."""
+    """Read only the location from a fleet's file; raises ConfigError."""
     path = Path(os.path.abspath(path))
     return _read_location(path, read_file(path).table("fleet"))
 
 
 def read_spec(path: Path) -> FleetSpec:
-    """Read a fleet's file and all that it names; raises ConfigError naming file, line and key."""
+    """Read a fleet's file and the files that it names; raises ConfigError naming file, line and key."""
     path = Path(os.path.abspath(path))
     spec = build_spec(path, read_file(path))
     if spec.cluster is not None:
@@ -532,7 +531,7 @@
 
 
 def build_spec(path: Path, root: Table) -> FleetSpec:
-    """A fleet out of its file's values; raises ConfigError naming file, line and key."""
+    """Build a fleet from its file's values; raises ConfigError naming file, line and key."""
     base = path.parent
     fleet_table = root.table("fleet")
     location = _read_location(path, fleet_table)
@@ -574,7 +573,7 @@
 
 
 def write_private(path: Path, content: bytes) -> None:
-    """Replace a file whole, readable by its owner only; raises OSError."""
+    """Replace a file atomically; only its owner may read it. Raises OSError."""
     temporary = path.with_name(path.name + ".new")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
     with os.fdopen(descriptor, "wb") as file:
@@ -583,7 +582,7 @@
 
 
 def prepare_state_directory(path: Path) -> None:
-    """Make the state directory, for its owner only; raises ConfigError where it can't be used."""
+    """Create the state directory for its owner only; raises ConfigError if it is unusable."""
     try:
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         info = path.stat()
