--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -28,8 +28,8 @@
 
 from apart import alone  # noqa: E402
 
-from cometusher.fault_injection.environment import World, signal_all, until  # noqa: E402
-from cometusher.fault_injection.runner import service_from  # noqa: E402
+from cometusher.fault_injection.environment import World, signal_processes, wait_until  # noqa: E402
+from cometusher.fault_injection.runner import time_to_full_service  # noqa: E402
 
 WORK = 0.03  # seconds of a backend's work
 RATE = 20.0  # requests a second of each instance
@@ -79,24 +79,24 @@
     """The blow; returns the pids that it ended."""
     before = sorted(await world.pids())
     if case == "a":
-        return set(signal_all(before[: len(before) * 7 // 10], signal.SIGKILL))
+        return set(signal_processes(before[: len(before) * 7 // 10], signal.SIGKILL))
     if case == "c":
         await world.replace_backends(0.1, 1)  # some are cold when all come back with nothing known
     if case in "bc":
-        await world.lists.leave()
-    await asyncio.gather(*(fleet.lose() for fleet in world.fleets))
+        await world.discovery.disconnect()
+    await asyncio.gather(*(fleet.kill_machine() for fleet in world.fleets))
     for fleet in world.fleets:
         if case == "c":
-            fleet.lose_store([f"p{i}" for i in range(fleet.count)])
+            fleet.delete_store([f"p{i}" for i in range(fleet.count)])
         elif older:
-            fleet.put_back_store()
+            fleet.restore_store()
     await asyncio.gather(*(fleet.start() for fleet in world.fleets))
     return set(before)
 
 
 async def blow(world: World, case: str, calm: float, away: float) -> Result:
     """Calm, the blow, and the time after it."""
-    account, lists, on = world.account, world.lists, world.fleets[0].comeback
+    account, lists, on = world.backend_stats, world.discovery, world.fleets[0].recovery
     assert world.load is not None
     await asyncio.sleep(3.0)  # first connections are made: what follows is calm
     begin = time.monotonic()
@@ -106,29 +106,29 @@
             fleet.copy_store()
             await fleet.operate("exclude", world.backends[3].host)
         await asyncio.sleep(0.5)  # what was on its way at the yes
-        world.backends[3].away = True
+        world.backends[3].removed = True
     await asyncio.sleep(calm)
-    usual = account.usual(begin, time.monotonic())
+    usual = account.mean_connects(begin, time.monotonic())
     lists.calls = 0
     at = time.monotonic()
     gone = await strike(world, case, on and case == "d")
-    await until(partial(world.all_there, gone))
+    await wait_until(partial(world.all_running, gone))
     served_from = time.monotonic()
     if case in "bc":
         await asyncio.sleep(max(0.0, at + away - time.monotonic()))
         served_from = time.monotonic() if case == "c" else served_from
-        await lists.back()
+        await lists.reconnect()
     await asyncio.sleep(4.0 if on or case in "ade" else 8.0)
-    told = [row for row in world.load.told if row.asked >= at]
+    told = [row for row in world.load.results if row.sent_at >= at]
     return Result(
-        full=service_from(told, served_from),
-        unserved=sum(row.how != "served" for row in told),
-        sent_in_vain=sum(row.how not in ("served", "unreachable") for row in told),
-        peak=account.peak(at, time.monotonic()) / usual,
+        full=time_to_full_service(told, served_from),
+        unserved=sum(row.outcome != "served" for row in told),
+        sent_in_vain=sum(row.outcome not in ("served", "unreachable") for row in told),
+        peak=account.peak_connects(at, time.monotonic()) / usual,
         calls=lists.calls / max(1, len(gone)),
-        stale=account.stale,
-        twice=world.twice(),
-        cold=world.cold(),
+        stale=account.stale_requests,
+        twice=world.duplicate_effects(),
+        cold=world.cold_overload(),
     )
 
 
--- a/benchmarks/stall.py
+++ b/benchmarks/stall.py
@@ -32,8 +32,8 @@
 
 from apart import alone, burn  # noqa: E402
 
-from cometusher.fault_injection.environment import MIXED, World, signal_all  # noqa: E402
-from cometusher.fault_injection.runner import service_from  # noqa: E402
+from cometusher.fault_injection.environment import ALL_CLASSES, World, signal_processes  # noqa: E402
+from cometusher.fault_injection.runner import time_to_full_service  # noqa: E402
 from standins.faulty_link import Mood  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
@@ -82,30 +82,30 @@
     found = Stalled()
     with tempfile.TemporaryDirectory(prefix="stall-") as folder:
         world = World(Path(folder), 2 * instances, WORK)
-        world.kinds = MIXED
+        world.request_classes = ALL_CLASSES
         fleet = world.add_fleet("a", instances, 0, False, True, watched)
-        fleet.policy, fleet.log_form = dict(POLICY), "json"
+        fleet.policy, fleet.log_format = dict(POLICY), "json"
         pids: list[int] = []
         try:
             await world.start(rate)
             begin = time.monotonic()
             await asyncio.sleep(CALM)
-            rows = await fleet.rows()
+            rows = await fleet.instance_status()
             pids = [rows[f"p{i}"]["pid"] for i in range(stopped)]
             at, unix = time.monotonic(), time.time()
-            signal_all(pids, 19)
+            signal_processes(pids, 19)
             await asyncio.sleep(after)
-            await asyncio.to_thread(signal_all, pids, 18)  # those that are still there
+            await asyncio.to_thread(signal_processes, pids, 18)  # those that are still there
             await asyncio.sleep(3.2)
         finally:
             await world.stop()
         assert world.load is not None
-        told = [row for row in world.load.told if at <= row.asked <= at + after]
-        found.sent, found.how = len(told), dict(Counter(row.how for row in told))
-        found.full = service_from(told, at)
-        found.peak = world.account.peak(at, at + after) / world.account.usual(begin, at)
+        told = [row for row in world.load.results if at <= row.sent_at <= at + after]
+        found.sent, found.how = len(told), dict(Counter(row.outcome for row in told))
+        found.full = time_to_full_service(told, at)
+        found.peak = world.backend_stats.peak_connects(at, at + after) / world.backend_stats.mean_connects(begin, at)
         found.notices = replaced(fleet.log(), unix)
-        found.twice, found.wrong = world.twice(), world.load.wrong + world.load.second
+        found.twice, found.wrong = world.duplicate_effects(), world.load.wrong_answers + world.load.extra_answers
     return found
 
 
@@ -124,25 +124,27 @@
     found = Partial()
     with tempfile.TemporaryDirectory(prefix="stall-") as folder:
         world = World(Path(folder), 12, WORK)
-        world.kinds, world.zones = MIXED, 2
+        world.request_classes, world.zone_count = ALL_CLASSES, 2
         fleet = world.add_fleet("a", 8, 0, False, True, watched)
-        fleet.apart, fleet.log_form = ["p0"], "json"
+        fleet.isolated, fleet.log_format = ["p0"], "json"
         try:
             await world.start(20.0 * 8)
             await asyncio.sleep(CALM)
             at, unix = time.monotonic(), time.time()
-            await fleet.ways["p0"].set(mood, None if zone is None else world.of_zone(zone))
+            await fleet.instance_links["p0"].set_fault(mood, None if zone is None else world.hosts_in_zone(zone))
             await asyncio.sleep(seconds)
             found.replaced = (await fleet.status()).get("vigil", {}).get("replaced", 0)
-            await fleet.ways["p0"].set(Mood())
+            await fleet.instance_links["p0"].set_fault(Mood())
             await asyncio.sleep(3.2)
         finally:
             await world.stop()
         assert world.load is not None
         mine = [
-            row for row in world.load.told if at <= row.asked <= at + seconds and row.address[1] == fleet.ports[0]
+            row
+            for row in world.load.results
+            if at <= row.sent_at <= at + seconds and row.address[1] == fleet.ports[0]
         ]
-        found.late = sum(row.how != "served" or row.answered - row.asked > LATE for row in mine) / len(mine)
+        found.late = sum(row.outcome != "served" or row.ended_at - row.sent_at > LATE for row in mine) / len(mine)
         records = [orjson.loads(line) for line in fleet.log().splitlines()]
         aside = [row for row in records if "most of its new connections" in row["text"]]
         times = [row["ts"] - unix for row in aside if row["instance"] == "p0"]
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -37,9 +37,9 @@
 import cpu  # noqa: E402
 from apart import alone  # noqa: E402
 
-from cometusher.fault_injection.environment import MIXED, Fleet, World, signal_all, until  # noqa: E402
-from cometusher.fault_injection.runner import play  # noqa: E402
-from cometusher.fault_injection.scenario import Fault, FleetPart, Scenario  # noqa: E402
+from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, World, signal_processes, wait_until  # noqa: E402
+from cometusher.fault_injection.runner import run_scenario  # noqa: E402
+from cometusher.fault_injection.scenario import Fault, Scenario, ScenarioFleet  # noqa: E402
 from standins.discovery import HostList  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
@@ -110,10 +110,10 @@
     found, rng = Killed(), Random(7)
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
         world = World(Path(folder), 2 * instances, WORK)
-        world.account.longest, world.kinds = LONGEST, MIXED
+        world.backend_stats.max_work, world.request_classes = LONGEST, ALL_CLASSES
         fleet = world.add_fleet("a", instances, 0, False, on)
         fleet.policy = dict(POLICY)
-        fleet.log_form = "json"
+        fleet.log_format = "json"
         try:
             await world.start(RATE * instances)
             await asyncio.sleep(2.5)
@@ -121,20 +121,24 @@
             deaths: dict[str, list[float]] = {}
             while found.kills < kills:
                 await asyncio.sleep(rng.expovariate(pace))
-                rows = await fleet.rows()
+                rows = await fleet.instance_status()
                 name = f"p{rng.randrange(instances)}"
                 if rows.get(name, {}).get("state") == "ready":
                     deaths.setdefault(name, []).append(time.time())
-                    found.kills += len(signal_all([rows[name]["pid"]], 9))
+                    found.kills += len(signal_processes([rows[name]["pid"]], 9))
             end = time.monotonic()
             await asyncio.sleep(4.5)
             estate = (await fleet.status()).get("takeover", {})
         finally:
             await world.stop()
         assert world.load is not None
-        told = [row for row in world.load.told if begin <= row.asked <= end + 0.5]
-        found.sent, found.how = len(told), dict(Counter(row.how for row in told))
-        found.twice, found.wrong, found.second = world.twice(), world.load.wrong, world.load.second
+        told = [row for row in world.load.results if begin <= row.sent_at <= end + 0.5]
+        found.sent, found.how = len(told), dict(Counter(row.outcome for row in told))
+        found.twice, found.wrong, found.second = (
+            world.duplicate_effects(),
+            world.load.wrong_answers,
+            world.load.extra_answers,
+        )
         found.left, found.orphaned = estate.get("left", 0), estate.get("lost", 0)
         found.verdicts, found.times = acts(fleet, deaths)
     return found
@@ -207,8 +211,8 @@
                 fleet.write(lists.port)
                 await fleet.start()
             for fleet in fleets:
-                await until(fleet.ready)
-            pids = [(await fleet.rows())["p0"]["pid"] for fleet in fleets]
+                await wait_until(fleet.is_ready)
+            pids = [(await fleet.instance_status())["p0"]["pid"] for fleet in fleets]
             ratios = []
             for number in range(rounds + 1):  # the first warms up
                 costs = []
@@ -221,7 +225,7 @@
             return statistics.median(ratios)
         finally:
             for fleet in fleets:
-                await fleet.end()
+                await fleet.stop()
             await lists.stop()
             backend.close()
 
@@ -235,15 +239,15 @@
             await world.start(2.0 * RATE * instances)
             await asyncio.sleep(2.5)
             assert world.load is not None
-            pids = [[row["pid"] for row in (await fleet.rows()).values()] for fleet in fleets]
+            pids = [[row["pid"] for row in (await fleet.instance_status()).values()] for fleet in fleets]
             begin, before = time.monotonic(), [sum(map(cpu.on_cpu, each)) for each in pids]
             await asyncio.sleep(seconds)
             used = [sum(map(cpu.on_cpu, each)) - start for each, start in zip(pids, before, strict=True)]
             costs = []
             for fleet, each, spent in zip(fleets, pids, used, strict=True):
                 ports = {("127.0.0.1", port) for port in fleet.ports}
-                told = [row for row in world.load.told if row.asked >= begin and row.address in ports]
-                times = sorted(row.answered - row.asked for row in told)
+                told = [row for row in world.load.results if row.sent_at >= begin and row.address in ports]
+                times = sorted(row.ended_at - row.sent_at for row in told)
                 assert fleet.process is not None
                 held = [len(os.listdir(f"/proc/{pid}/fd")) for pid in each]
                 cost = Cost(spent / len(told), times[len(times) // 2], sum(held) / len(held))
@@ -264,27 +268,33 @@
     rng = Random(seed)
     faults = []
     for _ in range(rng.randint(2, 5)):
-        deed = rng.choice(("kill", "kill", "kill", "stop", "slow", "cut", "mute"))
+        action = rng.choice(("kill", "kill", "kill", "stop", "slow", "cut", "mute"))
         values: dict[str, Any] = {
-            "at": 3.0 * rng.random(),
-            "about": 0.0,
-            "deed": deed,
+            "time": 3.0 * rng.random(),
+            "time_spread": 0.0,
+            "action": action,
             "fleet": "",
             "share": rng.choice((0.2, 0.4, 0.7)),
-            "lasts": 0.0,
+            "duration": 0.0,
             "link": "",
-            "mood": "pass",
-            "way": rng.choice(("up", "down")),
+            "link_fault": "pass",
+            "direction": rng.choice(("up", "down")),
             "value": 0.0,
         }
-        if deed == "stop":
-            values |= {"lasts": rng.choice((0.05, 0.3, 1.0))}
-        elif deed != "kill":
-            value = {"slow": 0.02 + 0.1 * rng.random(), "cut": rng.randrange(1, 600), "mute": 0.0}[deed]
-            values |= {"deed": "link", "link": "backend", "mood": deed, "lasts": 0.5, "value": float(value)}
+        if action == "stop":
+            values |= {"duration": rng.choice((0.05, 0.3, 1.0))}
+        elif action != "kill":
+            value = {"slow": 0.02 + 0.1 * rng.random(), "cut": rng.randrange(1, 600), "mute": 0.0}[action]
+            values |= {
+                "action": "link",
+                "link": "backend",
+                "link_fault": action,
+                "duration": 0.5,
+                "value": float(value),
+            }
             values["share"] = rng.choice((0.2, 0.4))
         faults.append(Fault(**values))
-    part = FleetPart("a", 0, 6, False, True)
+    part = ScenarioFleet("a", 0, 6, False, True)
     return Scenario(
         f"seed {seed}", seed, 0.5, 4.0, (part,), 12, WORK, LONGEST, 90.0, True, ("backend",), tuple(faults), ()
     )
@@ -295,13 +305,13 @@
     while True:
         with tempfile.TemporaryDirectory(prefix="drill-") as folder:
             try:
-                outcome = asyncio.run(play(drawn(seed), Path(folder)))
+                outcome = asyncio.run(run_scenario(drawn(seed), Path(folder)))
                 if keep is not None and outcome.figures["lost"]:
                     kept = keep / f"{seed}"
                     kept.mkdir(parents=True, exist_ok=True)
                     shutil.copy(Path(folder) / "a" / "fleet.log", kept)
-                    told = [f"{one}" for one in outcome.told if one.how == "lost"]
-                    done = [f"{at:.3f} {what}" for at, what in outcome.done]
+                    told = [f"{one}" for one in outcome.requests if one.outcome == "lost"]
+                    done = [f"{at:.3f} {what}" for at, what in outcome.timeline]
                     (kept / "lost.txt").write_text("\n".join([*told, *done]) + "\n")
                 return seed, outcome.figures
             except RuntimeError as fault:  # a port was taken by a drill beside it
--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -30,7 +30,7 @@
 
 from apart import alone, burn  # noqa: E402
 
-from cometusher.fault_injection.environment import World, signal_all  # noqa: E402
+from cometusher.fault_injection.environment import World, signal_processes  # noqa: E402
 from cometusher.fleet.observations import ObservationRound, read_observations, replay_detector  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from weldroute.failure_detector import FailureDetectorPolicy, Response  # noqa: E402
@@ -46,7 +46,12 @@
         world = World(Path(folder), 8, 0.03)
         fleet = world.add_fleet("a", instances, 0, False, False, True)
         # Nobody is replaced: what is looked for is the moment of the first suspicion.
-        fleet.vigil_lines = [f'record = "{path}"', "hung_for = 1000", "stopped_for = 1000", "spinning_for = 1000"]
+        fleet.failure_detector_lines = [
+            f'record = "{path}"',
+            "hung_for = 1000",
+            "stopped_for = 1000",
+            "spinning_for = 1000",
+        ]
         burners = (
             []
             if stops
@@ -63,9 +68,9 @@
                 await asyncio.sleep(REST)
                 if stops:
                     pid = (await fleet.pids())[f"p{rng.randrange(instances)}"]
-                    signal_all([pid], 19)
+                    signal_processes([pid], 19)
                     await asyncio.sleep(PAUSE * (0.9 + 0.2 * rng.random()))
-                    signal_all([pid], 18)
+                    signal_processes([pid], 18)
         finally:
             await world.stop()
             for one in burners:
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -33,18 +33,18 @@
 from standins.service_backend import Keys
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-PATIENCE = 60.0  # seconds for any one step
-CORES = 2.0  # of each backend
-BIN = 0.2  # seconds over which new connections are counted
-KINDS = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
-ONCE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
-MIXED = [
-    *(Kind(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in KINDS),
+STEP_TIMEOUT = 60.0  # seconds for any one step
+BACKEND_CORES = 2.0  # of each backend
+BIN_WIDTH = 0.2  # seconds over which new connections are counted
+REPEATABLE_CLASSES = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
+NON_REPEATABLE_SERVICE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
+ALL_CLASSES = [
+    *(Kind(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in REPEATABLE_CLASSES),
     Kind("sign-off", 0.3, 3.0, False, True),
 ]
 
 
-def crowds(times: Iterable[float], span: float) -> Iterator[tuple[float, int]]:
+def windowed_counts(times: Iterable[float], span: float) -> Iterator[tuple[float, int]]:
     """Each of these moments, in order, and how many there were within a span (seconds) up to it."""
     recent: deque[float] = deque()
     for at in times:
@@ -54,79 +54,81 @@
         yield at, len(recent)
 
 
-def _path() -> str:
+def _python_path() -> str:
     return os.pathsep.join([str(ROOT), *filter(None, [os.environ.get("PYTHONPATH")])])
 
 
 @dataclass
-class Account:
+class BackendStats:
     """What the backends saw."""
 
-    connects: list[float] = field(default_factory=list)
-    effects: dict[bytes, int] = field(default_factory=dict)
-    stale: int = 0
-    keys: Keys = field(default_factory=lambda: Keys(WINDOW))  # the group that knows a key again: all in one zone
-    longest: float = 0.0  # seconds of work; above 0, each request's is drawn from that of its backend up to this
+    connect_times: list[float] = field(default_factory=list)
+    effect_counts: dict[bytes, int] = field(default_factory=dict)
+    stale_requests: int = 0
+    known_keys: Keys = field(
+        default_factory=lambda: Keys(WINDOW)
+    )  # the group that knows a key again: all in one zone
+    max_work: float = 0.0  # seconds of work; above 0, each request's is drawn from that of its backend up to this
     rng: Random = field(default_factory=lambda: Random(1))
 
-    def pace(self, work: float) -> float:
+    def draw_work(self, work: float) -> float:
         """Seconds of work of one request."""
-        return work if self.longest <= work else work * (self.longest / work) ** self.rng.random()
+        return work if self.max_work <= work else work * (self.max_work / work) ** self.rng.random()
 
-    def usual(self, begin: float, end: float) -> float:
+    def mean_connects(self, begin: float, end: float) -> float:
         """New connections in BIN seconds, on average."""
-        return max(1.0, sum(begin <= at <= end for at in self.connects) * BIN / (end - begin))
+        return max(1.0, sum(begin <= at <= end for at in self.connect_times) * BIN_WIDTH / (end - begin))
 
-    def peak(self, begin: float, end: float) -> int:
+    def peak_connects(self, begin: float, end: float) -> int:
         """Most new connections within BIN seconds."""
-        within = (at for at in self.connects if begin <= at <= end)
-        return max((count for _, count in crowds(within, BIN)), default=0)
+        within = (at for at in self.connect_times if begin <= at <= end)
+        return max((count for _, count in windowed_counts(within, BIN_WIDTH)), default=0)
 
 
-class Worker(Backend):
+class RecordingBackend(Backend):
     """A backend that works for a while, names itself, and keeps an account of connections and effects."""
 
-    def __init__(self, number: int, account: Account, work: float) -> None:
+    def __init__(self, number: int, account: BackendStats, work: float) -> None:
         super().__init__(number, self.serve)
-        self.account = account
+        self.backend_stats = account
         self.work = work  # seconds
-        self.born = 0.0  # when it started cold; 0: warm
-        self.came: list[float] = []  # while it is cold
-        self.away = False  # gone, or banned by operators: whatever comes now is a stale decision
+        self.cold_since = 0.0  # when it started cold; 0: warm
+        self.cold_arrivals: list[float] = []  # while it is cold
+        self.removed = False  # gone, or banned by operators: whatever comes now is a stale decision
 
     async def serve(self, backend: Backend, seen: Seen, writer: Writer) -> None:
         """One request."""
         self.seen.clear()
-        if self.born:
-            self.came.append(time.monotonic())
-        if self.away:
-            self.account.stale += 1
+        if self.cold_since:
+            self.cold_arrivals.append(time.monotonic())
+        if self.removed:
+            self.backend_stats.stale_requests += 1
         key = seen.headers.get(b"idempotency-key")
         if key is None and seen.line.startswith(b"POST"):
             key = seen.headers.get(b"x-call-id", b"?")  # each time it comes is an effect
-            self.account.effects[key] = self.account.effects.get(key, 0) + 1
-        elif key is not None and self.account.keys.first(time.monotonic(), key):
-            self.account.effects[key] = self.account.effects.get(key, 0) + 1
-        await asyncio.sleep(self.account.pace(self.work))
+            self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
+        elif key is not None and self.backend_stats.known_keys.first(time.monotonic(), key):
+            self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
+        await asyncio.sleep(self.backend_stats.draw_work(self.work))
         body = b"%s by %s" % (seen.headers.get(b"x-call-id", b"?"), self.host.encode())
         writer.write(reply(200, body, b"X-Backend: " + self.host.encode()))
 
-    def cold(self) -> float:
+    def cold_overload(self) -> float:
         """The most work that all proxies together sent it within a second, over what it could do at that moment."""
         worst = 0.0
-        for at, count in crowds(self.came, 1.0):
-            age = at - self.born
+        for at, count in windowed_counts(self.cold_arrivals, 1.0):
+            age = at - self.cold_since
             if age < COLD_FOR:
                 part = COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR
-                worst = max(worst, count * self.work / (CORES * part))
+                worst = max(worst, count * self.work / (BACKEND_CORES * part))
         return worst
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
-        self.account.connects.append(time.monotonic())
+        self.backend_stats.connect_times.append(time.monotonic())
         await super()._serve(reader, writer)
 
 
-class Lists(HostList):
+class FaultyDiscovery(HostList):
     """Discovery that counts what it is asked, and can be away."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
@@ -137,35 +139,37 @@
         self.calls += 1
         await super()._serve(reader, writer)
 
-    async def leave(self) -> None:
+    async def disconnect(self) -> None:
         """Go away: connections end, and new ones are refused."""
         await self.stop()
 
-    async def back(self) -> None:
+    async def reconnect(self) -> None:
         """Be there again."""
         await self.start(port=self.port)
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RequestResult:
     """One request as its caller saw it; seconds of this process's clock."""
 
-    asked: float
-    answered: float
-    how: str
+    sent_at: float
+    ended_at: float
+    outcome: str
     posted: bool = False
     address: tuple[str, int] = ("", 0)
 
 
-class Watched(Load):
+class RecordingLoad(Load):
     """Open-loop load that notes when each request was due to be asked, and what became of it."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.told: list[Told] = []
-        self.sent: dict[bytes, int] = {}  # keys (ids where there is none), and how often their message went out
-        self.wrong = 0  # answers that were not made for their request
-        self.second = 0  # connections on which more came than the answers that were asked for
+        self.results: list[RequestResult] = []
+        self.send_counts: dict[
+            bytes, int
+        ] = {}  # keys (ids where there is none), and how often their message went out
+        self.wrong_answers = 0  # answers that were not made for their request
+        self.extra_answers = 0  # connections on which more came than the answers that were asked for
 
     async def _exchange(
         self,
@@ -179,45 +183,45 @@
         if message.startswith(b"POST"):
             name = b"Idempotency-Key: " if b"Idempotency-Key: " in message else b"X-Call-Id: "
             key = message.split(name)[1].split(b"\r\n")[0]
-            self.sent[key] = self.sent.get(key, 0) + 1
-        self.second += bool(reader._buffer)  # type: ignore[attr-defined]
+            self.send_counts[key] = self.send_counts.get(key, 0) + 1
+        self.extra_answers += bool(reader._buffer)  # type: ignore[attr-defined]
         return await super()._exchange(address, reader, writer, message, budget, kept)
 
     def check(self, message: bytes, answer: Seen) -> None:
         """An answer has come: it has to name the request that it is for."""
         if answer.status == 200 and message.split(b"X-Call-Id: ")[1].split(b"\r\n")[0] not in answer.body:
-            self.wrong += 1
+            self.wrong_answers += 1
 
     async def _send(self, address: tuple[str, int], message: bytes, budget: float) -> str:
         begin = time.monotonic()
         how = await super()._send(address, message, budget)
-        self.told.append(Told(begin, time.monotonic(), how, message.startswith(b"POST"), address))
+        self.results.append(RequestResult(begin, time.monotonic(), how, message.startswith(b"POST"), address))
         return how
 
 
 @dataclass
-class Ways:
+class InstanceLinks:
     """One instance's own ways to discovery and to each backend, so that something can befall it alone."""
 
-    lists: Lists
-    discovery: Link
-    backends: dict[str, Link]  # by host
+    discovery_server: FaultyDiscovery
+    discovery_link: Link
+    backend_links: dict[str, Link]  # by host
 
-    async def set(self, mood: Mood, hosts: Collection[str] | None = None) -> None:
+    async def set_fault(self, mood: Mood, hosts: Collection[str] | None = None) -> None:
         """Its links to these backends (to all) are in this mood from now on."""
-        for host, link in self.backends.items():
+        for host, link in self.backend_links.items():
             if hosts is None or host in hosts:
                 await link.set(mood)
 
-    def via(self, entry: dict[str, Any]) -> dict[str, Any]:
+    def relayed_entry(self, entry: dict[str, Any]) -> dict[str, Any]:
         """Discovery's line about a backend as this instance is told it."""
-        return entry | {"dial": f"127.0.0.1:{self.backends[entry['host']].port}"}
+        return entry | {"dial": f"127.0.0.1:{self.backend_links[entry['host']].port}"}
 
     async def stop(self) -> None:
         """End all."""
-        for link in (self.discovery, *self.backends.values()):
+        for link in (self.discovery_link, *self.backend_links.values()):
             await link.stop()
-        await self.lists.stop()
+        await self.discovery_server.stop()
 
 
 class Fleet:
@@ -229,26 +233,26 @@
         name: str,
         count: int,
         tier: int,
-        comeback: bool,
+        recovery: bool,
         takeover: bool = False,
-        vigil: bool = False,
+        failure_detector: bool = False,
     ) -> None:
         self.folder = folder / name
         self.folder.mkdir(parents=True)
         self.name = name
         self.count = count
         self.tier = tier
-        self.comeback = comeback
+        self.recovery = recovery
         self.takeover = takeover
-        self.vigil = vigil
+        self.failure_detector = failure_detector
         self.policy: dict[str, float] = {}  # keys of the file's table
-        self.log_form = "text"
-        self.vigil_lines: list[str] = []  # of its table
-        self.lines: dict[str, list[str]] = {}  # of an instance's, by name
-        self.apart: list[str] = []  # instances that have ways of their own...
-        self.ways: dict[str, Ways] = {}  # ...and these, once the world has started
+        self.log_format = "text"
+        self.failure_detector_lines: list[str] = []  # of its table
+        self.instance_lines: dict[str, list[str]] = {}  # of an instance's, by name
+        self.isolated: list[str] = []  # instances that have ways of their own...
+        self.instance_links: dict[str, InstanceLinks] = {}  # ...and these, once the world has started
         self.ports = free_ports(count)
-        self.doors = free_ports(count)
+        self.management_ports = free_ports(count)
         self.process: asyncio.subprocess.Process | None = None
         self.file = self.folder / "fleet.toml"
         self.state = self.folder / "s"
@@ -257,7 +261,7 @@
     def write(self, discovery: int, extra: str = "") -> None:
         """The fleet's files."""
         raw = settings(self.tier, 0)
-        raw["Services"].append(ONCE)
+        raw["Services"].append(NON_REPEATABLE_SERVICE)
         (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw}))
         lines = [
             "[fleet]",
@@ -265,21 +269,21 @@
             'state = "s"',
             "[log]",
             'target = "fleet.log"',
-            f'form = "{self.log_form}"',
+            f'form = "{self.log_format}"',
             "[common]",
             'config = "proxy.json"',
             f'discovery = "127.0.0.1:{discovery}"',
             "sockets = 256",
         ]
-        for i, (port, door) in enumerate(zip(self.ports, self.doors, strict=True)):
+        for i, (port, door) in enumerate(zip(self.ports, self.management_ports, strict=True)):
             lines += ["[[instance]]", f'name = "p{i}"', f'listen = "127.0.0.1:{port}"']
             lines.append(f'management = "127.0.0.1:{door}"')
-            lines += self.lines.get(f"p{i}", [])
-            if f"p{i}" in self.ways:
-                lines.append(f'discovery = "127.0.0.1:{self.ways[f"p{i}"].discovery.port}"')
-        lines += ["[comeback]", extra] if self.comeback else []
+            lines += self.instance_lines.get(f"p{i}", [])
+            if f"p{i}" in self.instance_links:
+                lines.append(f'discovery = "127.0.0.1:{self.instance_links[f"p{i}"].discovery_link.port}"')
+        lines += ["[comeback]", extra] if self.recovery else []
         lines += ["[takeover]"] if self.takeover else []
-        lines += ["[vigil]", *self.vigil_lines] if self.vigil else []
+        lines += ["[vigil]", *self.failure_detector_lines] if self.failure_detector else []
         lines += ["[policy]", *(f"{key} = {value}" for key, value in self.policy.items())] if self.policy else []
         self.file.write_text("\n".join(lines) + "\n")
 
@@ -295,7 +299,7 @@
             "start",
             "-c",
             str(self.file),
-            env=os.environ | {"PYTHONPATH": _path()},
+            env=os.environ | {"PYTHONPATH": _python_path()},
             stdout=asyncio.subprocess.DEVNULL,
         )
 
@@ -306,34 +310,34 @@
         except (NoSupervisor, ControlError):
             return {}
 
-    async def rows(self) -> dict[str, dict[str, Any]]:
+    async def instance_status(self) -> dict[str, dict[str, Any]]:
         """Instances by name."""
         return {row["name"]: row for row in (await self.status()).get("instances", [])}
 
     async def pids(self) -> dict[str, int]:
         """Of instances that have a process, by name."""
-        return {name: int(row["pid"]) for name, row in (await self.rows()).items() if row["pid"]}
+        return {name: int(row["pid"]) for name, row in (await self.instance_status()).items() if row["pid"]}
 
-    async def replaced(self, name: str, pid: int) -> bool:
+    async def is_replaced(self, name: str, pid: int) -> bool:
         """Whether an instance has another process than this one, and it is ready."""
-        row = (await self.rows())[name]
+        row = (await self.instance_status())[name]
         return row["pid"] not in (None, pid) and row["state"] == "ready"
 
-    async def ready(self) -> bool:
+    async def is_ready(self) -> bool:
         """Whether all are."""
-        rows = await self.rows()
+        rows = await self.instance_status()
         return len(rows) == self.count and all(row["state"] == "ready" for row in rows.values())
 
     async def operate(self, call: str, host: str) -> None:
         """An order of operators, to every instance that listens."""
-        for door in self.doors:
+        for door in self.management_ports:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", door)
             except OSError:
                 continue
             body = orjson.dumps({"who": host})
             writer.write(f"POST /api/{call} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-            answer = await asyncio.wait_for(read_message(reader), PATIENCE)
+            answer = await asyncio.wait_for(read_message(reader), STEP_TIMEOUT)
             writer.close()
             if answer is None or answer.status // 100 != 2:
                 raise RuntimeError(f"{call} {host}: {answer.status if answer else 'no answer'}")
@@ -343,25 +347,25 @@
         path = self.folder / "fleet.log"
         return path.read_text() if path.exists() else ""
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End all."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
-            await asyncio.wait_for(self.process.wait(), PATIENCE)
+            await asyncio.wait_for(self.process.wait(), STEP_TIMEOUT)
 
     # ---- faults --------------------------------------------------------------------------
 
     async def signal(self, names: list[str], number: int) -> list[int]:
         """Signal instances; returns the pids of those that were there."""
-        rows = await self.rows()
-        return signal_all([rows[name]["pid"] for name in names if name in rows and rows[name]["pid"]], number)
+        rows = await self.instance_status()
+        return signal_processes([rows[name]["pid"] for name in names if name in rows and rows[name]["pid"]], number)
 
-    async def lose(self) -> list[int]:
+    async def kill_machine(self) -> list[int]:
         """The machine is lost: supervisor and instances at once."""
         pids = list((await self.pids()).values())
         await self.kill_supervisor(wait=False)
-        signal_all(pids, signal.SIGKILL)
+        signal_processes(pids, signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
         return pids
@@ -373,23 +377,23 @@
             if wait:
                 await self.process.wait()
 
-    def lose_store(self, names: list[str]) -> None:
+    def delete_store(self, names: list[str]) -> None:
         """The records of these instances are gone; the fleet's own too, if all are."""
-        for path in self._records(names):
+        for path in self._record_files(names):
             path.unlink(missing_ok=True)
         if len(names) == self.count:
             shutil.rmtree(self.state / "store", ignore_errors=True)
 
-    def damage_store(self, names: list[str], seed: int) -> None:
+    def corrupt_store(self, names: list[str], seed: int) -> None:
         """Some bytes of the records of these instances are other ones."""
-        for path in self._records(names):
+        for path in self._record_files(names):
             data = bytearray(path.read_bytes()) if path.exists() else bytearray()
             at = seed % max(1, len(data) - 256)
             data[at : at + 256] = bytes((seed + i) % 256 for i in range(len(data[at : at + 256])))
             if data:
                 path.write_bytes(data)
 
-    def turn_clock(self, names: list[str], seconds: float) -> None:
+    def shift_clock(self, names: list[str], seconds: float) -> None:
         """The machine's clock is set forth (back, if below 0) and it boots: what these instances kept tells of that.
 
         With all of them, the fleet's own records too. Only while no process has them open.
@@ -408,25 +412,25 @@
         if (self.state / "store").exists():
             shutil.copytree(self.state / "store", self.folder / "older")
 
-    def put_back_store(self) -> None:
+    def restore_store(self) -> None:
         """Put the instances' records back to that copy; the fleet's own stay."""
-        for path in self._records([f"p{i}" for i in range(self.count)]):
+        for path in self._record_files([f"p{i}" for i in range(self.count)]):
             path.unlink(missing_ok=True)
         for path in (self.folder / "older").glob("p*"):
             shutil.copy(path, self.state / "store" / path.name)
 
-    def _records(self, names: list[str]) -> list[Path]:
+    def _record_files(self, names: list[str]) -> list[Path]:
         store = self.state / "store"
         return [store / f"{name}.records{suffix}" for name in names for suffix in ("", "-wal", "-shm")]
 
 
-def signal_all(pids: list[int], number: int) -> list[int]:
+def signal_processes(pids: list[int], number: int) -> list[int]:
     """Signal these very processes; returns those that were there."""
     found = [Identity.of(pid) for pid in pids]
     return [one.pid for one in found if one is not None and one.signal(number)]
 
 
-async def until(condition: Any, patience: float = PATIENCE) -> bool:
+async def wait_until(condition: Any, patience: float = STEP_TIMEOUT) -> bool:
     """Wait for what has to become true; whether it did."""
     deadline = time.monotonic() + patience
     while time.monotonic() < deadline:
@@ -444,27 +448,27 @@
         self.folder = folder
         self.work = work
         self.seed = seed
-        self.account = Account()
-        self.backends = [Worker(i + 1, self.account, work) for i in range(backends)]
-        self.count = backends
+        self.backend_stats = BackendStats()
+        self.backends = [RecordingBackend(i + 1, self.backend_stats, work) for i in range(backends)]
+        self.last_backend_number = backends
         self.fleets: list[Fleet] = []
         self.links: dict[str, list[Link]] = {name: [] for name in links}
-        self.lists = Lists([])
-        self.load: Watched | None = None
-        self.kinds = KINDS
-        self.zones = 1  # that backends are in by turns
+        self.discovery = FaultyDiscovery([])
+        self.load: RecordingLoad | None = None
+        self.request_classes = REPEATABLE_CLASSES
+        self.zone_count = 1  # that backends are in by turns
         self._stop = asyncio.Event()
-        self._running: asyncio.Task[None] | None = None
+        self._load_task: asyncio.Task[None] | None = None
 
     def add_fleet(
-        self, name: str, count: int, tier: int, comeback: bool, takeover: bool = False, vigil: bool = False
+        self, name: str, count: int, tier: int, recovery: bool, takeover: bool = False, failure_detector: bool = False
     ) -> Fleet:
         """One more fleet, before the start."""
-        fleet = Fleet(self.folder, name, count, tier, comeback, takeover, vigil)
+        fleet = Fleet(self.folder, name, count, tier, recovery, takeover, failure_detector)
         self.fleets.append(fleet)
         return fleet
 
-    async def link(self, name: str, target: tuple[str, int] | str, at: str = "") -> int:
+    async def add_relay(self, name: str, target: tuple[str, int] | str, at: str = "") -> int:
         """A relay before an address, if this drill has one there; returns the port to use."""
         if name not in self.links:
             return 0
@@ -473,72 +477,72 @@
         self.links[name].append(link)
         return link.port
 
-    async def entry(self, backend: Worker, **changes: Any) -> dict[str, Any]:
+    async def discovery_entry(self, backend: RecordingBackend, **changes: Any) -> dict[str, Any]:
         """Discovery's line about a backend."""
-        port = await self.link("backend", ("127.0.0.1", backend.port)) or backend.port
-        site = ZONES[self.backends.index(backend) % self.zones]
+        port = await self.add_relay("backend", ("127.0.0.1", backend.port)) or backend.port
+        site = ZONES[self.backends.index(backend) % self.zone_count]
         return backend.entry(site=site, dial=f"127.0.0.1:{port}", **changes)
 
-    def of_zone(self, zone: int) -> list[str]:
+    def hosts_in_zone(self, zone: int) -> list[str]:
         """The backends of one zone."""
-        return [backend.host for backend in self.backends if self.backends.index(backend) % self.zones == zone]
+        return [backend.host for backend in self.backends if self.backends.index(backend) % self.zone_count == zone]
 
-    async def _ways(self) -> Ways:
-        lists = Lists([])
+    async def _start_instance_links(self) -> InstanceLinks:
+        lists = FaultyDiscovery([])
         await lists.start()
-        ways = Ways(lists, Link(("127.0.0.1", lists.port), self.seed), {})
-        await ways.discovery.start()
+        ways = InstanceLinks(lists, Link(("127.0.0.1", lists.port), self.seed), {})
+        await ways.discovery_link.start()
         for backend in self.backends:
-            link = ways.backends[backend.host] = Link(("127.0.0.1", backend.port), self.seed + backend.number)
+            link = ways.backend_links[backend.host] = Link(("127.0.0.1", backend.port), self.seed + backend.number)
             await link.start()
-        lists.hosts = [ways.via(entry) for entry in self.lists.hosts]
+        lists.hosts = [ways.relayed_entry(entry) for entry in self.discovery.hosts]
         return ways
 
-    def tell(self, *entries: dict[str, Any]) -> None:
+    def publish(self, *entries: dict[str, Any]) -> None:
         """Discovery tells of a change: to all that it reaches."""
-        self.lists.change(*entries)
+        self.discovery.change(*entries)
         for fleet in self.fleets:
-            for ways in fleet.ways.values():
-                ways.lists.change(*(ways.via(entry) for entry in entries))
+            for ways in fleet.instance_links.values():
+                ways.discovery_server.change(*(ways.relayed_entry(entry) for entry in entries))
 
     async def start(self, rate: float, extra: str = "") -> None:
         """Start all, and wait until every instance is ready."""
         for backend in self.backends:
             await backend.start()
-        self.lists.hosts = [await self.entry(backend) for backend in self.backends]
-        await self.lists.start()
-        where = await self.link("discovery", ("127.0.0.1", self.lists.port)) or self.lists.port
+        self.discovery.hosts = [await self.discovery_entry(backend) for backend in self.backends]
+        await self.discovery.start()
+        where = await self.add_relay("discovery", ("127.0.0.1", self.discovery.port)) or self.discovery.port
         for fleet in self.fleets:
-            fleet.ways = {name: await self._ways() for name in fleet.apart}
+            fleet.instance_links = {name: await self._start_instance_links() for name in fleet.isolated}
             fleet.write(where, extra)
             await fleet.start()
         for fleet in self.fleets:
-            if not await until(fleet.ready):
+            if not await wait_until(fleet.is_ready):
                 raise RuntimeError(f"fleet {fleet.name} is not ready; see {fleet.folder / 'fleet.log'}")
             if "control" in self.links:
                 relay = str(fleet.folder / "control.link")
-                await self.link("control", fleet.control, relay)
+                await self.add_relay("control", fleet.control, relay)
                 fleet.control = relay
         addresses = []
         for fleet in self.fleets:
             for port in fleet.ports:
-                addresses.append(("127.0.0.1", await self.link("caller", ("127.0.0.1", port)) or port))
-        self.load = Watched(addresses, self.kinds, list(TENANTS), rate, self.seed)
-        self.load.resends = self.kinds is KINDS
-        self._running = asyncio.create_task(self.load.run(self._stop))
+                addresses.append(("127.0.0.1", await self.add_relay("caller", ("127.0.0.1", port)) or port))
+        self.load = RecordingLoad(addresses, self.request_classes, list(TENANTS), rate, self.seed)
+        self.load.resends = self.request_classes is REPEATABLE_CLASSES
+        self._load_task = asyncio.create_task(self.load.run(self._stop))
 
     async def stop(self) -> None:
         """End all that was started."""
         self._stop.set()
-        if self._running is not None:
-            await self._running
+        if self._load_task is not None:
+            await self._load_task
         for fleet in self.fleets:
-            await fleet.end()
+            await fleet.stop()
         for link in [link for links in self.links.values() for link in links]:
             await link.stop()
-        for ways in [ways for fleet in self.fleets for ways in fleet.ways.values()]:
+        for ways in [ways for fleet in self.fleets for ways in fleet.instance_links.values()]:
             await ways.stop()
-        await self.lists.stop()
+        await self.discovery.stop()
         for backend in self.backends:
             await backend.stop()
 
@@ -546,19 +550,19 @@
         """Of every instance that runs."""
         return [pid for fleet in self.fleets for pid in (await fleet.pids()).values()]
 
-    async def all_there(self, gone: Collection[int] = ()) -> bool:
+    async def all_running(self, gone: Collection[int] = ()) -> bool:
         """Whether every instance has a process, and none of them is one of those that are gone."""
         pids = await self.pids()
         return len(pids) == sum(fleet.count for fleet in self.fleets) and not set(pids) & set(gone)
 
-    def twice(self) -> int:
+    def duplicate_effects(self) -> int:
         """Effects that came twice, of requests that went out once: a client's own repeat is not counted."""
-        sent = self.load.sent if self.load is not None else {}
-        return sum(count > 1 and sent.get(key) == 1 for key, count in self.account.effects.items())
+        sent = self.load.send_counts if self.load is not None else {}
+        return sum(count > 1 and sent.get(key) == 1 for key, count in self.backend_stats.effect_counts.items())
 
-    def cold(self) -> float:
+    def cold_overload(self) -> float:
         """The most that any cold backend was sent within a second, over what it could do; the rule allows three."""
-        return max((backend.cold() for backend in self.backends), default=0.0)
+        return max((backend.cold_overload() for backend in self.backends), default=0.0)
 
     async def replace_backends(self, share: float, seed: int) -> int:
         """Part of the backends are gone; others hold their addresses, under names of their own and lately started."""
@@ -567,20 +571,20 @@
         for old in gone:
             port = old.port
             await old.stop()
-            self.count += 1
-            fresh = Worker(self.count, self.account, self.work)
-            await until(partial(_listens, fresh, port), 5.0)
-            fresh.born = time.monotonic()
+            self.last_backend_number += 1
+            fresh = RecordingBackend(self.last_backend_number, self.backend_stats, self.work)
+            await wait_until(partial(_start_listening, fresh, port), 5.0)
+            fresh.cold_since = time.monotonic()
             self.backends[self.backends.index(old)] = fresh
-            line = next(h for h in self.lists.hosts if h["host"] == old.host)
+            line = next(h for h in self.discovery.hosts if h["host"] == old.host)
             changes.append(line | {"health": "terminated"})
             changes.append(line | {"host": fresh.host, "born_ms": time.time() * 1000.0})
-        self.lists.change(*changes)
-        self.lists.hosts = [h for h in self.lists.hosts if h["health"] != "terminated"]
+        self.discovery.change(*changes)
+        self.discovery.hosts = [h for h in self.discovery.hosts if h["health"] != "terminated"]
         return len(gone)
 
 
-async def _listens(backend: Worker, port: int) -> bool:
+async def _start_listening(backend: RecordingBackend, port: int) -> bool:
     try:
         await backend.start(port=port)
     except OSError:
--- a/cometusher/fault_injection/report.py
+++ b/cometusher/fault_injection/report.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cometusher.fault_injection.runner import Outcome
+    from cometusher.fault_injection.runner import RunResult
 
 WIDTH, HEIGHT, LEFT, BOTTOM = 900, 150, 50, 18
-BIN = 0.2  # seconds
-COLOURS = {
+BIN_WIDTH = 0.2  # seconds
+SERIES_COLOURS = {
     "served": "#2a7f4f",
     "refused": "#c98a1b",
     "failed": "#b03a2e",
@@ -20,7 +20,7 @@
     "unreachable": "#777777",
     "connections": "#33659a",
 }
-PHASES = {
+PHASE_COLOURS = {
     "full": "#2a7f4f",
     "ramping": "#8bc34a",
     "confirmed": "#c5e1a5",
@@ -35,12 +35,12 @@
 STYLE = "body{font:14px sans-serif;margin:2em}svg{display:block;margin-bottom:1em}td{padding-right:1em}"
 
 
-def counts(times: Sequence[float], end: float) -> list[int]:
+def bin_counts(times: Sequence[float], end: float) -> list[int]:
     """How many fall into each bin from 0 to the end."""
-    bins = [0] * (int(end / BIN) + 1)
+    bins = [0] * (int(end / BIN_WIDTH) + 1)
     for at in times:
         if 0.0 <= at <= end:
-            bins[int(at / BIN)] += 1
+            bins[int(at / BIN_WIDTH)] += 1
     return bins
 
 
@@ -51,96 +51,102 @@
         self.title = title
         self.end = end
         self.height = height
-        self.parts: list[str] = []
+        self.elements: list[str] = []
 
-    def x(self, at: float) -> float:
+    def x_position(self, at: float) -> float:
         """Where a moment lies."""
         return LEFT + (WIDTH - LEFT) * at / self.end
 
-    def within(self, at: float) -> float:
+    def clamped_x(self, at: float) -> float:
         """Where a moment lies, or the edge that it is beyond."""
-        return self.x(min(max(at, 0.0), self.end))
+        return self.x_position(min(max(at, 0.0), self.end))
 
-    def line(self, name: str, values: Sequence[int], most: int) -> None:
+    def add_curve(self, name: str, values: Sequence[int], most: int) -> None:
         """One curve over bins."""
         points = " ".join(
-            f"{self.x(i * BIN):.1f},{self.height - BOTTOM - (self.height - 2 * BOTTOM) * v / max(1, most):.1f}"
+            f"{self.x_position(i * BIN_WIDTH):.1f},"
+            f"{self.height - BOTTOM - (self.height - 2 * BOTTOM) * v / max(1, most):.1f}"
             for i, v in enumerate(values)
         )
-        colour = COLOURS.get(name, "#000000")
-        self.parts.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.5" points="{points}"/>')
+        colour = SERIES_COLOURS.get(name, "#000000")
+        self.elements.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.5" points="{points}"/>')
 
-    def events(self, done: Sequence[tuple[float, str]]) -> None:
+    def add_timeline(self, done: Sequence[tuple[float, str]]) -> None:
         """The timeline as upright lines."""
         for at, what in done:
-            x = self.x(at)
-            self.parts.append(
+            x = self.x_position(at)
+            self.elements.append(
                 f'<line x1="{x:.1f}" x2="{x:.1f}" y1="{BOTTOM}" y2="{self.height - BOTTOM}" stroke="#999999" '
                 f'stroke-dasharray="3,3"><title>{html.escape(what)}</title></line>'
             )
 
     def __str__(self) -> str:
         ticks = "".join(
-            f'<text x="{self.x(i * self.end / 10):.0f}" y="{self.height - 4}" font-size="10">{i * self.end / 10:.1f}'
-            "</text>"
+            f'<text x="{self.x_position(i * self.end / 10):.0f}" y="{self.height - 4}" font-size="10">'
+            f"{i * self.end / 10:.1f}</text>"
             for i in range(11)
         )
         return (
             f'<svg width="{WIDTH}" height="{self.height}" role="img"><title>{html.escape(self.title)}</title>'
-            f'<text x="4" y="12" font-size="12">{html.escape(self.title)}</text>{ticks}{"".join(self.parts)}</svg>'
+            f'<text x="4" y="12" font-size="12">{html.escape(self.title)}</text>{ticks}{"".join(self.elements)}</svg>'
         )
 
 
-def _requests(outcome: Outcome, end: float) -> Plot:
+def _request_plot(outcome: RunResult, end: float) -> Plot:
     plot = Plot("requests in 0.2 s, by what became of them, at the moment when they were asked", end)
     series = {
-        how: counts([row.asked for row in outcome.told if row.how == how], end)
+        how: bin_counts([row.sent_at for row in outcome.requests if row.outcome == how], end)
         for how in ("served", "refused", "failed", "lost", "unreachable")
     }
     most = max(max(values) for values in series.values())
     for name, values in series.items():
         if any(values):
-            plot.line(name, values, most)
-    plot.events(outcome.done)
+            plot.add_curve(name, values, most)
+    plot.add_timeline(outcome.timeline)
     return plot
 
 
-def _connections(outcome: Outcome, end: float) -> Plot:
+def _connection_plot(outcome: RunResult, end: float) -> Plot:
     plot = Plot("new connections to backends in 0.2 s", end)
-    values = counts(outcome.connects, end)
-    plot.line("connections", values, max(values))
-    plot.events(outcome.done)
+    values = bin_counts(outcome.connect_times, end)
+    plot.add_curve("connections", values, max(values))
+    plot.add_timeline(outcome.timeline)
     return plot
 
 
-def _states(outcome: Outcome, fleet: str, end: float) -> Plot:
+def _state_plot(outcome: RunResult, fleet: str, end: float) -> Plot:
     names = sorted({name for sample in outcome.samples for name in sample.states.get(fleet, {})})
     plot = Plot(f"{fleet}: each instance's state", end, 2 * BOTTOM + 8 * max(1, len(names)))
     for row, name in enumerate(names):
         for sample, after in zip(outcome.samples, [*outcome.samples[1:], None], strict=True):
             state = sample.states.get(fleet, {}).get(name)
-            if state is None or sample.at < 0.0:
+            if state is None or sample.time < 0.0:
                 continue
-            begin, until = plot.within(sample.at), plot.within(after.at if after is not None else end)
-            plot.parts.append(
+            begin, until = plot.clamped_x(sample.time), plot.clamped_x(after.time if after is not None else end)
+            plot.elements.append(
                 f'<rect x="{begin:.1f}" y="{BOTTOM + 8 * row}" width="{max(0.5, until - begin):.1f}" height="7" '
-                f'fill="{PHASES.get(state, "#000000")}"><title>{html.escape(f"{name}: {state}")}</title></rect>'
+                f'fill="{PHASE_COLOURS.get(state, "#000000")}">'
+                f"<title>{html.escape(f'{name}: {state}')}</title></rect>"
             )
-    plot.events(outcome.done)
+    plot.add_timeline(outcome.timeline)
     return plot
 
 
-def write_page(outcome: Outcome, path: Path) -> None:
+def write_page(outcome: RunResult, path: Path) -> None:
     """Write the page; raises OSError."""
     scenario = outcome.scenario
     end = scenario.calm + scenario.seconds
-    plots = [_requests(outcome, end), _connections(outcome, end)]
-    plots += [_states(outcome, part.name, end) for part in scenario.fleets]
-    legend = " ".join(f'<span style="color:{colour}">&#9632; {name}</span>' for name, colour in COLOURS.items())
-    legend += "<br>" + " ".join(f'<span style="color:{c}">&#9632;</span> {name}' for name, c in PHASES.items())
+    plots = [_request_plot(outcome, end), _connection_plot(outcome, end)]
+    plots += [_state_plot(outcome, part.name, end) for part in scenario.fleets]
+    legend = " ".join(
+        f'<span style="color:{colour}">&#9632; {name}</span>' for name, colour in SERIES_COLOURS.items()
+    )
+    legend += "<br>" + " ".join(f'<span style="color:{c}">&#9632;</span> {name}' for name, c in PHASE_COLOURS.items())
     rows = "".join(f"<tr><td>{name}</td><td>{value:.6g}</td></tr>" for name, value in outcome.figures.items())
-    faults = "".join(f"<li>{html.escape(fault)}</li>" for fault in outcome.faults) or "<li>as expected</li>"
-    done = "".join(f"<tr><td>{at:.2f} s</td><td>{html.escape(what)}</td></tr>" for at, what in outcome.done)
+    faults = (
+        "".join(f"<li>{html.escape(fault)}</li>" for fault in outcome.missed_expectations) or "<li>as expected</li>"
+    )
+    done = "".join(f"<tr><td>{at:.2f} s</td><td>{html.escape(what)}</td></tr>" for at, what in outcome.timeline)
     title = html.escape(f"{scenario.name}, seed {scenario.seed}")
     path.write_text(
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -15,350 +15,369 @@
 
 import orjson
 
-from cometusher.fault_injection.environment import MIXED, Fleet, Told, World, until
+from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, RequestResult, World, wait_until
 from cometusher.fault_injection.report import write_page
-from cometusher.fault_injection.scenario import OWN, Event, Scenario, pick, read_scenario, schedule
+from cometusher.fault_injection.scenario import (
+    OWN_LINKS,
+    Scenario,
+    ScheduledFault,
+    pick_targets,
+    read_scenario,
+    schedule,
+)
 from standins.faulty_link import Mood
 
-SAMPLE = 0.1  # seconds
-AT_ONCE = 0.3  # seconds within which a request is served at once
-WARM = 2.5  # seconds in which first connections are made, before the calm
-BLOWS = frozenset({"kill", "lose", "lose-store", "discovery-back", "continue"})  # what a return is counted from
+SAMPLE_INTERVAL = 0.1  # seconds
+PROMPT_LIMIT = 0.3  # seconds within which a request is served at once
+WARM_UP = 2.5  # seconds in which first connections are made, before the calm
+RECOVERY_STARTS = frozenset(
+    {"kill", "lose", "lose-store", "discovery-back", "continue"}
+)  # what a return is counted from
 
 
 @dataclass
 class Sample:
     """The world at one moment; `at` in seconds after the calm began."""
 
-    at: float
+    time: float
     states: dict[str, dict[str, str]] = field(default_factory=dict)  # fleet, instance: its phase or state
 
 
 @dataclass
-class Outcome:
+class RunResult:
     """What came of a drill."""
 
     scenario: Scenario
-    done: list[tuple[float, str]]  # the timeline as it was carried out
+    timeline: list[tuple[float, str]]  # the timeline as it was carried out
     samples: list[Sample]
-    told: list[Told]  # with times after the calm began
-    connects: list[float]
+    requests: list[RequestResult]  # with times after the calm began
+    connect_times: list[float]
     figures: dict[str, float]
-    returns: dict[str, list[dict[str, Any]]]  # what each fleet's supervisor measured itself
-    faults: list[str]
+    recoveries: dict[str, list[dict[str, Any]]]  # what each fleet's supervisor measured itself
+    missed_expectations: list[str]
 
 
-def _state(row: dict[str, Any]) -> str:
+def _instance_state(row: dict[str, Any]) -> str:
     """What an instance's row shows: of one that is ready its phase, if it has any."""
     state = str(row["state"])
     return str(row.get("comeback", {}).get("phase", state)) if state == "ready" else state
 
 
-def service_from(told: Sequence[Told], since: float) -> float:
+def time_to_full_service(told: Sequence[RequestResult], since: float) -> float:
     """Seconds after `since` until whatever is asked is served at once."""
-    bad = [row.asked for row in told if row.asked >= since and not _at_once(row)]
+    bad = [row.sent_at for row in told if row.sent_at >= since and not _is_prompt(row)]
     return max(bad, default=since) - since
 
 
-def _at_once(row: Told) -> bool:
-    return row.how == "served" and row.answered - row.asked <= AT_ONCE
+def _is_prompt(row: RequestResult) -> bool:
+    return row.outcome == "served" and row.ended_at - row.sent_at <= PROMPT_LIMIT
 
 
-class Drill:
+class FaultInjectionRun:
     """One run of a scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path, say: Callable[[str], None]) -> None:
         self.scenario = scenario
-        self.say = say
+        self.report = say
         self.world = World(folder, scenario.backends, scenario.work, scenario.links, scenario.seed)
         for part in scenario.fleets:
             fleet = self.world.add_fleet(
-                part.name, part.instances, part.tier, part.comeback, part.takeover, part.vigil
+                part.name, part.instances, part.tier, part.recovery, part.takeover, part.failure_detector
             )
-            fleet.apart = [f"p{i}" for i in range(min(part.own, part.instances))]
+            fleet.isolated = [f"p{i}" for i in range(min(part.isolated, part.instances))]
             if part.takeover:  # its faults are many single ends, and no reason to give up
                 fleet.policy = {"budget": 10_000, "backoff_to": 0.5, "hang_after": 2.5}
-        self.world.account.longest = scenario.longest
+        self.world.backend_stats.max_work = scenario.max_work
         if scenario.strict:
-            self.world.kinds = MIXED
-        self.done: list[tuple[float, str]] = []
+            self.world.request_classes = ALL_CLASSES
+        self.timeline: list[tuple[float, str]] = []
         self.samples: list[Sample] = []
         self._begin = 0.0
-        self._last = 0.0  # when the last blow was carried out, or discovery came back
-        self._fell = 0.0  # when processes were lost last
-        self._gone: list[int] = []  # pids of those
-        self._back = 0.0  # when the last process that was started since was there
-        self._estates: list[dict[str, int]] = []
-        self._watches: list[dict[str, int]] = []
-        self._older: tuple[int, list[dict[str, Any]]] = (0, [])
+        self._last_failure_at = 0.0  # when the last blow was carried out, or discovery came back
+        self._processes_lost_at = 0.0  # when processes were lost last
+        self._lost_pids: list[int] = []  # pids of those
+        self._processes_back_at = 0.0  # when the last process that was started since was there
+        self._takeover_counters: list[dict[str, int]] = []
+        self._detector_counters: list[dict[str, int]] = []
+        self._older_list: tuple[int, list[dict[str, Any]]] = (0, [])
 
     def now(self) -> float:
         """Seconds after the calm began."""
         return time.monotonic() - self._begin
 
-    async def run(self) -> Outcome:
+    async def run(self) -> RunResult:
         """From the start of all to the end of all."""
         scenario, world = self.scenario, self.world
         try:
             await world.start(scenario.rate)
-            await asyncio.sleep(WARM)
+            await asyncio.sleep(WARM_UP)
             self._begin = time.monotonic()
-            self._older = (world.lists.seq, list(world.lists.hosts))
+            self._older_list = (world.discovery.seq, list(world.discovery.hosts))
             sampler = asyncio.create_task(self._sample())
             for event in schedule(scenario):
-                await asyncio.sleep(max(0.0, scenario.calm + event.at - self.now()))
-                if event.at > 0.0 and self._last == 0.0:
-                    world.lists.calls = 0
-                await self._carry_out(event)
+                await asyncio.sleep(max(0.0, scenario.calm + event.time - self.now()))
+                if event.time > 0.0 and self._last_failure_at == 0.0:
+                    world.discovery.calls = 0
+                await self._apply(event)
             await asyncio.sleep(max(0.0, scenario.calm + scenario.seconds - self.now()))
             sampler.cancel()
             views = {fleet.name: await fleet.status() for fleet in world.fleets}
             returns = {name: view.get("comeback", []) for name, view in views.items()}
-            self._estates = [view.get("takeover", {}) for view in views.values()]
-            self._watches = [view.get("vigil", {}) for view in views.values()]
+            self._takeover_counters = [view.get("takeover", {}) for view in views.values()]
+            self._detector_counters = [view.get("vigil", {}) for view in views.values()]
         finally:
             await world.stop()
-        return self._outcome(returns)
+        return self._result(returns)
 
     async def _sample(self) -> None:
         while True:
             sample = Sample(self.now())
             for fleet in self.world.fleets:
-                rows = await fleet.rows()
-                sample.states[fleet.name] = {name: _state(row) for name, row in rows.items()}
+                rows = await fleet.instance_status()
+                sample.states[fleet.name] = {name: _instance_state(row) for name, row in rows.items()}
             self.samples.append(sample)
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(SAMPLE_INTERVAL)
 
     # ---- the timeline --------------------------------------------------------------------
 
-    async def _carry_out(self, event: Event) -> None:
+    async def _apply(self, event: ScheduledFault) -> None:
         fault = event.fault
-        words = [fault.deed, fault.fleet, fault.link, fault.mood if fault.link else ""]
+        words = [fault.action, fault.fleet, fault.link, fault.link_fault if fault.link else ""]
         text = " ".join(filter(None, [*words, "undone" if event.undo else ""]))
-        self.done.append((self.now(), text))
-        self.say(f"{self.now():6.2f} s  {text}")
+        self.timeline.append((self.now(), text))
+        self.report(f"{self.now():6.2f} s  {text}")
         fleets = [f for f in self.world.fleets if fault.fleet in ("", f.name)]
-        if fault.deed in BLOWS:
-            self._last = self.now()
-        if fault.deed in ("kill", "lose"):
-            self._fell = self.now()
-        await DOING[fault.deed](self, event, fleets)
-        if fault.deed in ("kill", "start"):
-            self._looking = asyncio.create_task(self._await_processes())
-
-    async def _await_processes(self) -> None:
+        if fault.action in RECOVERY_STARTS:
+            self._last_failure_at = self.now()
+        if fault.action in ("kill", "lose"):
+            self._processes_lost_at = self.now()
+        await ACTIONS[fault.action](self, event, fleets)
+        if fault.action in ("kill", "start"):
+            self._wait_task = asyncio.create_task(self._wait_for_processes())
+
+    async def _wait_for_processes(self) -> None:
         """Note when the last process that comes in place of those lost was there, beside the timeline."""
-        await until(partial(self.world.all_there, self._gone), 20.0)
-        self._back = self.now()
+        await wait_until(partial(self.world.all_running, self._lost_pids), 20.0)
+        self._processes_back_at = self.now()
 
-    async def _kill(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _kill(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
-            self._gone += await fleet.signal(self._instances(event, fleet), signal.SIGKILL)
+            self._lost_pids += await fleet.signal(self._instances(event, fleet), signal.SIGKILL)
 
-    async def _pause(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _pause(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
             number = signal.SIGCONT if event.undo else signal.SIGSTOP
             await fleet.signal(self._instances(event, fleet), number)
 
-    async def _go_on(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _continue(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
             await fleet.signal(self._instances(event, fleet), signal.SIGCONT)
 
-    async def _lose(self, event: Event, fleets: list[Fleet]) -> None:
-        self._gone += [pid for pids in await asyncio.gather(*(fleet.lose() for fleet in fleets)) for pid in pids]
+    async def _kill_machine(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
+        self._lost_pids += [
+            pid for pids in await asyncio.gather(*(fleet.kill_machine() for fleet in fleets)) for pid in pids
+        ]
 
-    async def _kill_supervisor(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _kill_supervisor(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
             await fleet.kill_supervisor()
 
-    async def _start(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _start(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
             await fleet.start()
 
     @staticmethod
-    def _instances(event: Event, fleet: Fleet) -> list[str]:
-        return pick(event, [f"p{i}" for i in range(fleet.count)])
+    def _instances(event: ScheduledFault, fleet: Fleet) -> list[str]:
+        return pick_targets(event, [f"p{i}" for i in range(fleet.count)])
 
-    async def _store(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _change_store(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
-            deed = event.fault.deed
+            deed = event.fault.action
             if deed == "lose-store":
-                fleet.lose_store(self._instances(event, fleet))
+                fleet.delete_store(self._instances(event, fleet))
             elif deed == "damage-store":
-                fleet.damage_store(self._instances(event, fleet), event.seed)
+                fleet.corrupt_store(self._instances(event, fleet), event.seed)
             elif deed in ("clock-back", "clock-forth"):
                 seconds = event.fault.value
-                fleet.turn_clock(self._instances(event, fleet), seconds if deed == "clock-forth" else -seconds)
+                fleet.shift_clock(self._instances(event, fleet), seconds if deed == "clock-forth" else -seconds)
             elif deed == "copy-store":
                 fleet.copy_store()
             else:
-                fleet.put_back_store()
+                fleet.restore_store()
 
-    async def _backends(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _change_backends(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         world, fault = self.world, event.fault
-        chosen = pick(event, [backend.host for backend in world.backends])
-        if fault.deed == "replace-backends":
+        chosen = pick_targets(event, [backend.host for backend in world.backends])
+        if fault.action == "replace-backends":
             await world.replace_backends(fault.share, event.seed)
             return
         for backend in [b for b in world.backends if b.host in chosen]:
-            if fault.deed == "slow-backends":
+            if fault.action == "slow-backends":
                 backend.work = world.work if event.undo else fault.value
                 continue
-            out = (fault.deed == "ban") is not event.undo
-            backend.away = False
+            out = (fault.action == "ban") is not event.undo
+            backend.removed = False
             for fleet in fleets:
                 await fleet.operate("exclude" if out else "include", backend.host)
             # What was on its way at the yes is no stale decision.
-            asyncio.get_running_loop().call_later(0.5, setattr, backend, "away", out)
+            asyncio.get_running_loop().call_later(0.5, setattr, backend, "removed", out)
 
-    async def _discovery(self, event: Event, fleets: list[Fleet]) -> None:
-        lists, deed = self.world.lists, event.fault.deed
+    async def _change_discovery(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
+        lists, deed = self.world.discovery, event.fault.action
         if deed == "discovery-away" and not event.undo:
-            await lists.leave()
+            await lists.disconnect()
         elif deed in ("discovery-away", "discovery-back"):
-            self._last = self.now()
-            await lists.back()
+            self._last_failure_at = self.now()
+            await lists.reconnect()
         elif deed == "discovery-empty":
-            self._older = (lists.seq, lists.hosts) if not event.undo else self._older
-            lists.hosts = list(self._older[1]) if event.undo else []
+            self._older_list = (lists.seq, lists.hosts) if not event.undo else self._older_list
+            lists.hosts = list(self._older_list[1]) if event.undo else []
             lists.seq += 1
-            await self._tell_whole()
+            await self._restart_discovery()
         else:
-            lists.seq, lists.hosts = max(0, self._older[0] - 1), list(self._older[1])
-            await self._tell_whole()
+            lists.seq, lists.hosts = max(0, self._older_list[0] - 1), list(self._older_list[1])
+            await self._restart_discovery()
 
-    async def _tell_whole(self) -> None:
+    async def _restart_discovery(self) -> None:
         """What discovery says now is told anew: its watches end, and are opened again."""
-        await self.world.lists.leave()
-        await self.world.lists.back()
+        await self.world.discovery.disconnect()
+        await self.world.discovery.reconnect()
 
-    async def _load(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _change_load(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         assert self.world.load is not None
         self.world.load.rate = self.scenario.rate if event.undo else event.fault.value
 
-    async def _link(self, event: Event, fleets: list[Fleet]) -> None:
+    async def _change_links(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         fault = event.fault
         mood = (
             Mood()
             if event.undo
-            else Mood(fault.mood, fault.way, seconds=fault.value, rate=fault.value, after=int(fault.value))
+            else Mood(
+                fault.link_fault, fault.direction, seconds=fault.value, rate=fault.value, after=int(fault.value)
+            )
         )
-        if fault.link in OWN:
-            for ways in [ways for fleet in fleets for ways in fleet.ways.values()]:
-                await (ways.set(mood) if fault.link == "own" else ways.discovery.set(mood))
+        if fault.link in OWN_LINKS:
+            for ways in [ways for fleet in fleets for ways in fleet.instance_links.values()]:
+                await (ways.set_fault(mood) if fault.link == "own" else ways.discovery_link.set(mood))
             return
         links = self.world.links[fault.link]
         names = [str(i) for i in range(len(links))]
-        for name in pick(event, names):
+        for name in pick_targets(event, names):
             await links[int(name)].set(mood)
 
     # ---- what came of it -----------------------------------------------------------------
 
-    def _outcome(self, returns: dict[str, list[dict[str, Any]]]) -> Outcome:
+    def _result(self, returns: dict[str, list[dict[str, Any]]]) -> RunResult:
         world, scenario = self.world, self.scenario
         assert world.load is not None
         told = sorted(
             (
-                replace(row, asked=row.asked - self._begin, answered=row.answered - self._begin)
-                for row in world.load.told
+                replace(row, sent_at=row.sent_at - self._begin, ended_at=row.ended_at - self._begin)
+                for row in world.load.results
             ),
-            key=lambda row: row.asked,
+            key=lambda row: row.sent_at,
         )
-        connects = [at - self._begin for at in world.account.connects]
+        connects = [at - self._begin for at in world.backend_stats.connect_times]
         figures = self._figures(told, connects)
         for blows in returns.values():
             figures["events"] += len([blow for blow in blows if blow["cause"] != "start"])
         faults = [
-            f"{expect.figure} is {figures[expect.figure]:.3g}, wanted from {expect.least:g} to {expect.most:g}"
-            for expect in scenario.expects
-            if not expect.least <= figures[expect.figure] <= expect.most
+            f"{expect.figure} is {figures[expect.figure]:.3g}, wanted from {expect.minimum:g} to {expect.maximum:g}"
+            for expect in scenario.expectations
+            if not expect.minimum <= figures[expect.figure] <= expect.maximum
         ]
-        return Outcome(scenario, self.done, self.samples, told, connects, figures, returns, faults)
+        return RunResult(scenario, self.timeline, self.samples, told, connects, figures, returns, faults)
 
-    def _figures(self, told: list[Told], connects: list[float]) -> dict[str, float]:
+    def _figures(self, told: list[RequestResult], connects: list[float]) -> dict[str, float]:
         world, scenario = self.world, self.scenario
         assert world.load is not None
-        since = [row for row in told if row.asked >= scenario.calm]
-        counts = {how: sum(row.how == how for row in since) for how in ("served", "refused", "failed", "lost")}
-        unreachable = sum(row.how == "unreachable" for row in since)
-        back = max(self._last, self._back)
-        first = next((row.answered for row in since if row.asked >= self._fell and row.how == "served"), back)
-        times = sorted(row.answered - row.asked for row in since if row.how == "served")
-        account = world.account
+        since = [row for row in told if row.sent_at >= scenario.calm]
+        counts = {how: sum(row.outcome == how for row in since) for how in ("served", "refused", "failed", "lost")}
+        unreachable = sum(row.outcome == "unreachable" for row in since)
+        back = max(self._last_failure_at, self._processes_back_at)
+        first = next(
+            (row.ended_at for row in since if row.sent_at >= self._processes_lost_at and row.outcome == "served"),
+            back,
+        )
+        times = sorted(row.ended_at - row.sent_at for row in since if row.outcome == "served")
+        account = world.backend_stats
         count = sum(fleet.count for fleet in world.fleets)
         return {
-            "full_s": service_from(told, back),
-            "back_s": service_from(told, self._back),
-            "first_s": max(0.0, first - self._fell),
+            "full_s": time_to_full_service(told, back),
+            "back_s": time_to_full_service(told, self._processes_back_at),
+            "first_s": max(0.0, first - self._processes_lost_at),
             "sent": len(since),
             **counts,
             "unreachable": unreachable,
             "unserved": len(since) - counts["served"],
-            "peak": self._peak(connects),
-            "calls": world.lists.calls / count,
-            "stale": account.stale,
-            "twice": world.twice(),
-            "wrong": world.load.wrong,
-            "cold": world.cold(),
+            "peak": self._relative_peak(connects),
+            "calls": world.discovery.calls / count,
+            "stale": account.stale_requests,
+            "twice": world.duplicate_effects(),
+            "wrong": world.load.wrong_answers,
+            "cold": world.cold_overload(),
             "events": 0.0,
-            "second": world.load.second,
-            "inherited": sum(estate.get("adopted", 0) for estate in self._estates),
-            "orphaned": sum(estate.get("lost", 0) for estate in self._estates),
-            "replaced": sum(watch.get("replaced", 0) for watch in self._watches),
-            "aside": sum(watch.get("unlike", 0) for watch in self._watches),
+            "second": world.load.extra_answers,
+            "inherited": sum(estate.get("adopted", 0) for estate in self._takeover_counters),
+            "orphaned": sum(estate.get("lost", 0) for estate in self._takeover_counters),
+            "replaced": sum(watch.get("replaced", 0) for watch in self._detector_counters),
+            "aside": sum(watch.get("unlike", 0) for watch in self._detector_counters),
             "p99_s": times[int(0.99 * (len(times) - 1))] if times else 0.0,
         }
 
-    def _peak(self, connects: list[float]) -> float:
+    def _relative_peak(self, connects: list[float]) -> float:
         """Most new connections in a bin after the calm, over the mean of the calm."""
-        account, begin = self.world.account, self._begin
-        usual = account.usual(begin, begin + self.scenario.calm)
-        return account.peak(begin + self.scenario.calm, begin + self.scenario.calm + self.scenario.seconds) / usual
-
-
-Doing = Callable[[Drill, Event, list[Fleet]], Any]
-DOING: dict[str, Doing] = {
-    "kill": Drill._kill,
-    "stop": Drill._pause,
-    "continue": Drill._go_on,
-    "lose": Drill._lose,
-    "kill-supervisor": Drill._kill_supervisor,
-    "start": Drill._start,
-    "lose-store": Drill._store,
-    "damage-store": Drill._store,
-    "clock-back": Drill._store,
-    "clock-forth": Drill._store,
-    "copy-store": Drill._store,
-    "put-back-store": Drill._store,
-    "replace-backends": Drill._backends,
-    "slow-backends": Drill._backends,
-    "ban": Drill._backends,
-    "unban": Drill._backends,
-    "discovery-away": Drill._discovery,
-    "discovery-back": Drill._discovery,
-    "discovery-empty": Drill._discovery,
-    "discovery-older": Drill._discovery,
-    "load": Drill._load,
-    "link": Drill._link,
+        account, begin = self.world.backend_stats, self._begin
+        usual = account.mean_connects(begin, begin + self.scenario.calm)
+        return (
+            account.peak_connects(begin + self.scenario.calm, begin + self.scenario.calm + self.scenario.seconds)
+            / usual
+        )
+
+
+Action = Callable[[FaultInjectionRun, ScheduledFault, list[Fleet]], Any]
+ACTIONS: dict[str, Action] = {
+    "kill": FaultInjectionRun._kill,
+    "stop": FaultInjectionRun._pause,
+    "continue": FaultInjectionRun._continue,
+    "lose": FaultInjectionRun._kill_machine,
+    "kill-supervisor": FaultInjectionRun._kill_supervisor,
+    "start": FaultInjectionRun._start,
+    "lose-store": FaultInjectionRun._change_store,
+    "damage-store": FaultInjectionRun._change_store,
+    "clock-back": FaultInjectionRun._change_store,
+    "clock-forth": FaultInjectionRun._change_store,
+    "copy-store": FaultInjectionRun._change_store,
+    "put-back-store": FaultInjectionRun._change_store,
+    "replace-backends": FaultInjectionRun._change_backends,
+    "slow-backends": FaultInjectionRun._change_backends,
+    "ban": FaultInjectionRun._change_backends,
+    "unban": FaultInjectionRun._change_backends,
+    "discovery-away": FaultInjectionRun._change_discovery,
+    "discovery-back": FaultInjectionRun._change_discovery,
+    "discovery-empty": FaultInjectionRun._change_discovery,
+    "discovery-older": FaultInjectionRun._change_discovery,
+    "load": FaultInjectionRun._change_load,
+    "link": FaultInjectionRun._change_links,
 }
 
 
-def as_json(outcome: Outcome) -> dict[str, Any]:
+def as_json(outcome: RunResult) -> dict[str, Any]:
     """The outcome as plain values."""
     return {
         "drill": outcome.scenario.name,
         "seed": outcome.scenario.seed,
         "figures": outcome.figures,
-        "timeline": [{"at": round(at, 3), "what": what} for at, what in outcome.done],
-        "returns": outcome.returns,
-        "faults": outcome.faults,
-        "ok": not outcome.faults,
+        "timeline": [{"at": round(at, 3), "what": what} for at, what in outcome.timeline],
+        "returns": outcome.recoveries,
+        "faults": outcome.missed_expectations,
+        "ok": not outcome.missed_expectations,
     }
 
 
-async def play(scenario: Scenario, folder: Path, say: Callable[[str], None] = lambda text: None) -> Outcome:
+async def run_scenario(scenario: Scenario, folder: Path, say: Callable[[str], None] = lambda text: None) -> RunResult:
     """Run a scenario in a folder of its own."""
-    return await Drill(scenario, folder, say).run()
+    return await FaultInjectionRun(scenario, folder, say).run()
 
 
 def main(path: Path, out: Path | None, json: bool) -> int:
@@ -369,7 +388,7 @@
         print(text, file=sys.stderr, flush=True)
 
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-        outcome = asyncio.run(play(scenario, Path(folder), say))
+        outcome = asyncio.run(run_scenario(scenario, Path(folder), say))
     values = as_json(outcome)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
@@ -380,6 +399,6 @@
     else:
         for name, value in outcome.figures.items():
             print(f"{name:<12} {value:.6g}")
-        for fault in outcome.faults:
+        for fault in outcome.missed_expectations:
             print(f"cometusher: {scenario.name}: {fault}", file=sys.stderr)
-    return 1 if outcome.faults else 0
+    return 1 if outcome.missed_expectations else 0
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -10,7 +10,7 @@
 from cometusher.toml_reader import Table, read_file
 
 #: What can be done, and to what.
-DEEDS = {
+ACTION_TARGETS = {
     "kill": "instances",
     "stop": "instances",
     "continue": "instances",
@@ -35,8 +35,8 @@
     "link": "links",
 }
 LINKS = ("caller", "backend", "discovery", "control")
-OWN = ("own", "own-discovery")  # of instances that have links of their own: to backends, to discovery
-MOODS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
+OWN_LINKS = ("own", "own-discovery")  # of instances that have links of their own: to backends, to discovery
+LINK_FAULTS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
 FIGURES = (
     "full_s",
     "back_s",
@@ -65,41 +65,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetPart:
+class ScenarioFleet:
     """One supervisor and its instances."""
 
     name: str
     tier: int
     instances: int
-    comeback: bool
+    recovery: bool
     takeover: bool
-    vigil: bool = False
-    own: int = 0  # instances, the first of them, that have links of their own
+    failure_detector: bool = False
+    isolated: int = 0  # instances, the first of them, that have links of their own
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """Something that is done at a moment."""
 
-    at: float  # seconds after the calm begins
-    about: float  # ...and up to so many later, drawn from the seed
-    deed: str
+    time: float  # seconds after the calm begins
+    time_spread: float  # ...and up to so many later, drawn from the seed
+    action: str
     fleet: str  # empty: all
     share: float
-    lasts: float  # seconds until it is undone; 0: it is not
+    duration: float  # seconds until it is undone; 0: it is not
     link: str
-    mood: str
-    way: str
+    link_fault: str
+    direction: str
     value: float  # of the mood, or the work, or the rate
 
 
 @dataclass(frozen=True, slots=True)
-class Expect:
+class Expectation:
     """A bound on a figure."""
 
     figure: str
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,47 +110,47 @@
     seed: int
     calm: float  # seconds before the first fault can be
     seconds: float  # after it
-    fleets: tuple[FleetPart, ...]
+    fleets: tuple[ScenarioFleet, ...]
     backends: int
     work: float  # seconds...
-    longest: float  # ...or between them and these; 0: all alike
+    max_work: float  # ...or between them and these; 0: all alike
     rate: float  # requests a second over all
     strict: bool  # all classes, and nothing is sent again by callers
     links: tuple[str, ...]  # those that a fault needs: only they go through a relay
     faults: tuple[Fault, ...]
-    expects: tuple[Expect, ...]
+    expectations: tuple[Expectation, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class ScheduledFault:
     """A fault at its moment, with what chance it has of its own."""
 
-    at: float
+    time: float
     fault: Fault
     seed: int
     undo: bool = False
 
 
-def schedule(scenario: Scenario) -> list[Event]:
+def schedule(scenario: Scenario) -> list[ScheduledFault]:
     """All that will be done, in order: the same for the same seed, whatever the machine does."""
     rng = Random(scenario.seed)
     events = []
     for fault in scenario.faults:
-        at, seed = fault.at + fault.about * rng.random(), rng.getrandbits(32)
-        events.append(Event(at, fault, seed))
-        if fault.lasts > 0.0:
-            events.append(Event(at + fault.lasts, fault, seed, undo=True))
-    return sorted(events, key=lambda event: event.at)
+        at, seed = fault.time + fault.time_spread * rng.random(), rng.getrandbits(32)
+        events.append(ScheduledFault(at, fault, seed))
+        if fault.duration > 0.0:
+            events.append(ScheduledFault(at + fault.duration, fault, seed, undo=True))
+    return sorted(events, key=lambda event: event.time)
 
 
-def pick(event: Event, names: Sequence[str]) -> list[str]:
+def pick_targets(event: ScheduledFault, names: Sequence[str]) -> list[str]:
     """The part of these that an event is about."""
     count = max(1, round(event.fault.share * len(names)))
     return Random(event.seed).sample(list(names), min(count, len(names)))
 
 
-def _read_fleet(table: Table) -> FleetPart:
-    part = FleetPart(
+def _read_fleet(table: Table) -> ScenarioFleet:
+    part = ScenarioFleet(
         table.text("name"),
         table.whole("tier", 0, 0, 2),
         table.whole("instances", 8, 1, 200),
@@ -163,35 +163,35 @@
     return part
 
 
-def _read_fault(table: Table, fleets: Sequence[FleetPart]) -> Fault:
-    deed = table.choice("do", None, tuple(DEEDS))
+def _read_fault(table: Table, fleets: Sequence[ScenarioFleet]) -> Fault:
+    deed = table.choice("do", None, tuple(ACTION_TARGETS))
     fleet = table.text("fleet", "") if table.has("fleet") else ""
     if fleet and fleet not in [part.name for part in fleets]:
         raise table.fault("fleet", f"{fleet!r} is not one of the fleets")
-    link = table.choice("link", "", LINKS + OWN) if table.has("link") else ""
-    if link in OWN and not any(part.own for part in fleets):
+    link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
+    if link in OWN_LINKS and not any(part.isolated for part in fleets):
         raise table.fault("link", f"{link!r} wants a fleet with `own`")
     if (deed == "link") is not bool(link):
         raise table.fault("link", 'belongs to `do = "link"`, and only there')
     fault = Fault(
-        at=table.number("at", 0.0, 0.0, 3600.0),
-        about=table.number("about", 0.0, 0.0, 3600.0),
-        deed=deed,
+        time=table.number("at", 0.0, 0.0, 3600.0),
+        time_spread=table.number("about", 0.0, 0.0, 3600.0),
+        action=deed,
         fleet=fleet,
         share=table.number("share", 1.0, 0.0, 1.0),
-        lasts=table.number("lasts", 0.0, 0.0, 3600.0),
+        duration=table.number("lasts", 0.0, 0.0, 3600.0),
         link=link,
-        mood=table.choice("mood", "pass", MOODS),
-        way=table.choice("way", "down", ("up", "down")),
+        link_fault=table.choice("mood", "pass", LINK_FAULTS),
+        direction=table.choice("way", "down", ("up", "down")),
         value=table.number("value", 0.0),
     )
     table.done()
     return fault
 
 
-def _read_expect(table: Table) -> Expect:
+def _read_expect(table: Table) -> Expectation:
     figure = table.choice("figure", None, FIGURES)
-    expect = Expect(figure, table.number("least", -1.0, -1.0), table.number("most", 1e9))
+    expect = Expectation(figure, table.number("least", -1.0, -1.0), table.number("most", 1e9))
     table.done()
     return expect
 
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -16,7 +16,7 @@
 import orjson
 from rig import PATIENCE, SETTINGS
 
-from cometusher.fault_injection.environment import Told, World, until
+from cometusher.fault_injection.environment import RequestResult, World, wait_until
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import read_stat
 from standins.ports import free_ports
@@ -41,7 +41,7 @@
 
 async def wait_for(condition: Callable[[], Any], what: str) -> None:
     """Wait for what must become true of a drill's world."""
-    assert await until(condition, 2 * PATIENCE), f"never: {what}"
+    assert await wait_until(condition, 2 * PATIENCE), f"never: {what}"
 
 
 @contextlib.asynccontextmanager
@@ -54,10 +54,10 @@
         await world.stop()
 
 
-async def next_requests(world: World, count: int) -> list[Told]:
+async def next_requests(world: World, count: int) -> list[RequestResult]:
     """So many more requests, whatever became of them."""
     assert world.load is not None
-    rows = world.load.told
+    rows = world.load.results
     before = len(rows)
     await wait_for(lambda: len(rows) >= before + count, "requests")
     return rows[before:]
@@ -66,7 +66,7 @@
 def assert_consistent(world: World) -> None:
     """No effect twice, no answer to another's request, and no second one."""
     assert world.load is not None
-    assert (world.twice(), world.load.wrong, world.load.second) == (0, 0, 0)
+    assert (world.duplicate_effects(), world.load.wrong_answers, world.load.extra_answers) == (0, 0, 0)
 
 
 def eventually(condition: Callable[[], Any], what: str = "") -> Any:
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -17,7 +17,7 @@
 from fleetrig import FleetRig, fleet_rig, run
 from rig import PATIENCE, Backend, serve_ok
 
-from cometusher.fault_injection.environment import until
+from cometusher.fault_injection.environment import wait_until
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.caller import Caller, request
 from standins.discovery import HostList
@@ -82,7 +82,7 @@
         async def holds() -> bool:
             return await asyncio.to_thread(condition)
 
-        assert await until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
+        assert await wait_until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
             f"{i}: {self.states(i)}\n{rig.log_text()[-1500:]}" for i, rig in enumerate(self.rigs)
         )
 
--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -35,7 +35,7 @@
 
 
 async def recovery_phases(fleet: Fleet) -> list[str]:
-    return [row.get("comeback", {}).get("phase", "") for row in (await fleet.rows()).values()]
+    return [row.get("comeback", {}).get("phase", "") for row in (await fleet.instance_status()).values()]
 
 
 async def all_full(fleet: Fleet) -> bool:
@@ -43,13 +43,13 @@
 
 
 async def discovery_reported_to_all(fleet: Fleet) -> bool:
-    rows = (await fleet.rows()).values()
+    rows = (await fleet.instance_status()).values()
     return len(rows) == fleet.count and all(row.get("comeback", {}).get("told") for row in rows)
 
 
 def served_count(world: World) -> int:
     assert world.load is not None
-    return sum(row.how == "served" for row in world.load.told)
+    return sum(row.outcome == "served" for row in world.load.results)
 
 
 async def wait_for_service(world: World, more: int = 30) -> None:
@@ -60,15 +60,15 @@
 
 def assert_consistent(world: World) -> None:
     assert world.load is not None
-    assert (world.account.stale, world.load.wrong) == (0, 0)
-    assert world.twice() == 0
+    assert (world.backend_stats.stale_requests, world.load.wrong_answers) == (0, 0)
+    assert world.duplicate_effects() == 0
 
 
 async def lose_fleet_and_discovery(w: World, fleet: Fleet) -> None:
     await wait_for_service(w)
     await wait_for_stored_lists(fleet)
-    await w.lists.leave()
-    await fleet.lose()
+    await w.discovery.disconnect()
+    await fleet.kill_machine()
 
 
 async def wait_for_stored_lists(fleet: Fleet) -> None:
@@ -84,10 +84,10 @@
             await lose_fleet_and_discovery(w, fleet)
             await fleet.start()
             await wait_for(lambda: all_full(fleet), "full service without discovery")
-            assert not [row for row in (await fleet.rows()).values() if row["comeback"]["told"]]
+            assert not [row for row in (await fleet.instance_status()).values() if row["comeback"]["told"]]
             await wait_for_service(w)
             assert (await fleet.status())["comeback"][-1]["cause"].startswith("the supervisor before")
-            await w.lists.back()
+            await w.discovery.reconnect()
             await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
@@ -101,31 +101,31 @@
     async def test() -> None:
         async with world(tmp_path, rate=1.0) as (w, fleet):
             text = fleet.file.read_text().replace("[log]", "[policy]\nready_within = 1.5\n[log]")
-            await w.lists.leave()
-            await fleet.lose()
-            fleet.lose_store([f"p{i}" for i in range(fleet.count)])
+            await w.discovery.disconnect()
+            await fleet.kill_machine()
+            fleet.delete_store([f"p{i}" for i in range(fleet.count)])
             fleet.file.write_text(text)
             await fleet.start()
             await wait_for(lambda: _all_waiting(fleet), "all wait")
-            pids = [row["pid"] for row in (await fleet.rows()).values()]
+            pids = [row["pid"] for row in (await fleet.instance_status()).values()]
             caller = Caller(*await asyncio.open_connection("127.0.0.1", fleet.ports[0]))
             caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             status, seen = await caller.answer()
             assert (status, seen.headers[b"x-comeback"]) == (503, b"nothing")
             caller.writer.write(request("report-view", budget="4000m", rid="w1"))
             await asyncio.sleep(2.0)
-            assert [row["pid"] for row in (await fleet.rows()).values()] == pids, "no process was replaced"
-            await w.lists.back()
+            assert [row["pid"] for row in (await fleet.instance_status()).values()] == pids, "no process was replaced"
+            await w.discovery.reconnect()
             assert (await caller.answer())[0] == 200, "the request was queued and then served"
             caller.leave()
-            await wait_for(fleet.ready, "ready")
+            await wait_for(fleet.is_ready, "ready")
             assert_consistent(w)
 
     run(test)
 
 
 async def _all_waiting(fleet: Fleet) -> bool:
-    rows = (await fleet.rows()).values()
+    rows = (await fleet.instance_status()).values()
     return await recovery_phases(fleet) == ["nothing"] * fleet.count and {row["state"] for row in rows} == {
         "starting"
     }
@@ -141,13 +141,13 @@
             await fleet.operate("exclude", banned.host)
             await wait_for(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
-            banned.away = True
-            await fleet.lose()
-            fleet.put_back_store()
+            banned.removed = True
+            await fleet.kill_machine()
+            fleet.restore_store()
             await fleet.start()
             await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w, 100)
-            assert w.account.stale == 0
+            assert w.backend_stats.stale_requests == 0
             await fleet.operate("include", banned.host)
             assert_consistent(w)
 
@@ -173,10 +173,10 @@
             await fleet.operate("exclude", banned.host)
             await wait_for(lambda: _orders_stored(fleet), "the fleet stores the orders")
             await asyncio.sleep(0.3)
-            banned.away = True
-            await w.lists.leave()
-            await fleet.lose()
-            fleet.turn_clock([f"p{i}" for i in range(fleet.count)], seconds)
+            banned.removed = True
+            await w.discovery.disconnect()
+            await fleet.kill_machine()
+            fleet.shift_clock([f"p{i}" for i in range(fleet.count)], seconds)
             await fleet.start()
             if seconds < 0.0:
                 await wait_for(lambda: all_full(fleet), "full service without discovery")
@@ -185,7 +185,7 @@
             else:
                 await wait_for(lambda: _all_waiting(fleet), "all wait")
                 assert fleet.log().count("stored list: old") >= fleet.count
-            await w.lists.back()
+            await w.discovery.reconnect()
             await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w, 100)
             assert_consistent(w)
@@ -196,21 +196,21 @@
 def test_drain_that_ended_during_an_outage_ends_with_discoverys_report(tmp_path: Path) -> None:
     async def test() -> None:
         async with world(tmp_path) as (w, fleet):
-            drained, line = w.backends[0], w.lists.hosts[0]
-            w.lists.change(line | {"health": "terminating"})
+            drained, line = w.backends[0], w.discovery.hosts[0]
+            w.discovery.change(line | {"health": "terminating"})
             await wait_for_service(w)
             await wait_for(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
-            await w.lists.leave()
-            await fleet.lose()
-            w.lists.change(line)
-            drained.away = True  # no instance can know otherwise
+            await w.discovery.disconnect()
+            await fleet.kill_machine()
+            w.discovery.change(line)
+            drained.removed = True  # no instance can know otherwise
             await fleet.start()
             await wait_for(lambda: all_full(fleet), "full service without discovery")
             await wait_for_service(w, 60)
-            assert w.account.stale == 0
-            drained.away = False
+            assert w.backend_stats.stale_requests == 0
+            drained.removed = False
             before = drained.connections
-            await w.lists.back()
+            await w.discovery.reconnect()
             await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for(lambda: drained.connections > before, "it is used again")
             assert_consistent(w)
@@ -226,9 +226,9 @@
             await fleet.start()
             await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w, 60)
-            dropped = [row["comeback"]["dropped"] for row in (await fleet.rows()).values()]
+            dropped = [row["comeback"]["dropped"] for row in (await fleet.instance_status()).values()]
             assert sum(dropped) > 0
-            await w.lists.back()
+            await w.discovery.reconnect()
             await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
             assert_consistent(w)
@@ -242,16 +242,16 @@
 
     async def test() -> None:
         async with world(tmp_path, extra="doubt_for = 600.0") as (w, fleet):
-            before = list(w.lists.hosts)
+            before = list(w.discovery.hosts)
             drained = w.backends[0]
-            w.lists.change(before[0] | {"health": "terminating"})
+            w.discovery.change(before[0] | {"health": "terminating"})
             await wait_for_service(w)
             await wait_for(lambda: _drain_stored(fleet, drained.host), "the drain is stored")
-            await fleet.lose()
-            drained.away = True
-            await w.lists.leave()
-            w.lists.hosts, w.lists.seq = ([], 9) if lie == "empty" else (before, 1)
-            await w.lists.back()
+            await fleet.kill_machine()
+            drained.removed = True
+            await w.discovery.disconnect()
+            w.discovery.hosts, w.discovery.seq = ([], 9) if lie == "empty" else (before, 1)
+            await w.discovery.reconnect()
             await fleet.start()
             await wait_for(lambda: all_full(fleet), "full")
             await wait_for(lambda: fleet.log().count("recovery: doubted") >= fleet.count, "doubts")
@@ -265,21 +265,21 @@
     async def test() -> None:
         async with world(tmp_path, extra="doubt_for = 0.5") as (w, fleet):
             await lose_fleet_and_discovery(w, fleet)
-            w.lists.hosts, w.lists.seq = [], 9
-            await w.lists.back()
+            w.discovery.hosts, w.discovery.seq = [], 9
+            await w.discovery.reconnect()
             await fleet.start()
             await wait_for(lambda: discovery_reported_to_all(fleet), "the empty list is accepted")
             assert fleet.log().count("recovery: doubted") >= fleet.count
             assert w.load is not None
-            asked = len(w.load.told)
+            asked = len(w.load.results)
             await wait_for(partial(_has_answers, w, asked + 20), "answers")
-            assert {row.how for row in w.load.told[asked + 10 :]} == {"refused"}
+            assert {row.outcome for row in w.load.results[asked + 10 :]} == {"refused"}
 
     run(test)
 
 
 def _has_answers(w: World, count: int) -> bool:
-    return w.load is not None and len(w.load.told) > count
+    return w.load is not None and len(w.load.results) > count
 
 
 async def _drain_stored(fleet: Fleet, host: str) -> bool:
@@ -299,10 +299,10 @@
             await wait_for_service(w)
             await wait_for_stored_lists(fleet)
             await w.links["discovery"][0].set(Mood("drop"))
-            await fleet.lose()
+            await fleet.kill_machine()
             await fleet.start()
-            await wait_for(w.all_there, "processes")
-            rows = await fleet.rows()
+            await wait_for(w.all_running, "processes")
+            rows = await fleet.instance_status()
             os.kill(rows["p0"]["pid"], signal.SIGSTOP)
             await wait_for(lambda: _stopped(rows["p0"]["pid"]), "stopped")
             await wait_for(lambda: _others_full(fleet, "p0"), "the others")
@@ -320,7 +320,7 @@
 
 
 async def _others_full(fleet: Fleet, name: str) -> bool:
-    rows = await fleet.rows()
+    rows = await fleet.instance_status()
     return all(row.get("comeback", {}).get("phase") == "full" for who, row in rows.items() if who != name)
 
 
@@ -335,11 +335,11 @@
             )
             assert await process.wait() == 0
             await asyncio.sleep(0.5)
-            await fleet.lose()
-            fleet.damage_store(["p0", "p2"], 5)
+            await fleet.kill_machine()
+            fleet.corrupt_store(["p0", "p2"], 5)
             await fleet.start()
             await wait_for(lambda: _states_restored(fleet), "the earlier states")
-            rows = await fleet.rows()
+            rows = await fleet.instance_status()
             assert rows["p1"]["state"] == "stopped" and rows["p0"]["generation"] > 1
             assert "epoch 2" in fleet.log()
             assert_consistent(w)
@@ -352,7 +352,7 @@
 
 
 async def _states_restored(fleet: Fleet) -> bool:
-    rows = await fleet.rows()
+    rows = await fleet.instance_status()
     states = {name: row["state"] for name, row in rows.items()}
     return states == {"p0": "ready", "p1": "stopped", "p2": "ready", "p3": "ready"}
 
@@ -364,13 +364,13 @@
             killed: set[int] = set()
             for failure in range(3):
                 names = [f"p{(failure + i) % 6}" for i in range(4)]
-                await wait_for(partial(w.all_there, killed), "processes")
+                await wait_for(partial(w.all_running, killed), "processes")
                 killed |= set(await fleet.signal(names, signal.SIGKILL))
                 await wait_for(partial(_event_count_reached, fleet, failure + 1), "an event")
             await wait_for(lambda: all_full(fleet), "full")
             await wait_for_service(w)
             assert w.load is not None
-            assert not [row for row in w.load.told if row.how in ("refused", "unreachable")]
+            assert not [row for row in w.load.results if row.outcome in ("refused", "unreachable")]
             assert_consistent(w)
 
     run(test)
--- a/tests/loopback/test_stalled_instances.py
+++ b/tests/loopback/test_stalled_instances.py
@@ -17,7 +17,7 @@
 from rig import PATIENCE
 from takeover_rig import HOOKS, environment, takeover_rig
 
-from cometusher.fault_injection.environment import MIXED, Fleet, World
+from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, World
 from cometusher.fleet.control import send_request
 from cometusher.fleet.identity import read_schedstat, read_stat
 from standins.caller import Caller, request
@@ -30,9 +30,9 @@
     folder: Path, count: int = 6, rate: float = RATE, lines: tuple[str, ...] = (), **policy: float
 ) -> AsyncIterator[tuple[World, Fleet]]:
     made = World(folder, 8, 0.03)
-    made.kinds = MIXED
+    made.request_classes = ALL_CLASSES
     fleet = made.add_fleet("f", count, 0, False, True, True)
-    fleet.vigil_lines, fleet.policy = list(lines), dict(policy)
+    fleet.failure_detector_lines, fleet.policy = list(lines), dict(policy)
     hooks(folder).mkdir()
     with environment(STALL_HOOKS="1", STAGE_HOOKS=str(hooks(folder)), PYTHONPATH=str(HOOKS)):
         async with running(made, rate):
@@ -45,7 +45,7 @@
 
 
 async def judged(fleet: Fleet, name: str, judgement: str) -> bool:
-    return bool((await fleet.rows())[name]["vigil"].get("judgement") == judgement)
+    return bool((await fleet.instance_status())[name]["vigil"].get("judgement") == judgement)
 
 
 async def counted(fleet: Fleet, name: str) -> int:
@@ -58,16 +58,16 @@
             assert w.load is not None
             await next_requests(w, 60)
             before = await fleet.pids()
-            begin = len(w.load.told)
+            begin = len(w.load.results)
             for name in ("p1", "p4"):
                 os.kill(before[name], signal.SIGSTOP)
             for name in ("p1", "p4"):
-                await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                await wait_for(partial(fleet.is_replaced, name, before[name]), f"a fresh {name}")
                 assert read_stat(before[name]) is None, "it was reaped"
             await next_requests(w, 80)
             after = await fleet.pids()
             assert all(after[name] == before[name] for name in ("p0", "p2", "p3", "p5")), "and nobody else"
-            lost = [one for one in w.load.told[begin:] if one.how == "lost"]
+            lost = [one for one in w.load.results[begin:] if one.outcome == "lost"]
             assert not lost, lost
             assert await counted(fleet, "replaced") == 2
             assert_consistent(w)
@@ -118,7 +118,7 @@
                     os.kill(before[name], signal.SIGSTOP)
             for name in before:
                 if name != "p0":
-                    await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                    await wait_for(partial(fleet.is_replaced, name, before[name]), f"a fresh {name}")
             assert (await fleet.pids())["p0"] == before["p0"]
             assert await counted(fleet, "replaced") == 5 and await counted(fleet, "held_back") >= 1
             await next_requests(w, 40)
@@ -132,13 +132,13 @@
         async with world(tmp_path, 4) as (w, fleet):
             assert fleet.process is not None and w.load is not None
             before = await fleet.pids()
-            begin = len(w.load.told)
+            begin = len(w.load.results)
             os.kill(fleet.process.pid, signal.SIGSTOP)
             await next_requests(w, 200)
             os.kill(fleet.process.pid, signal.SIGCONT)
             await next_requests(w, 80)
             assert await fleet.pids() == before and await counted(fleet, "replaced") == 0
-            assert not [one for one in w.load.told[begin:] if one.how == "lost"]
+            assert not [one for one in w.load.results[begin:] if one.outcome == "lost"]
 
     run(test)
 
@@ -150,14 +150,14 @@
         async with world(tmp_path, 4, rate=40.0) as (w, fleet):
             assert w.load is not None
             await next_requests(w, 30)
-            begin = len(w.load.told)
+            begin = len(w.load.results)
             for _ in range(3):
                 pid = (await fleet.pids())["p1"]
                 os.kill(pid, signal.SIGSTOP)
-                await wait_for(partial(fleet.replaced, "p1", pid), "a fresh p1")
+                await wait_for(partial(fleet.is_replaced, "p1", pid), "a fresh p1")
             await next_requests(w, 30)
             assert await counted(fleet, "replaced") == 3
-            assert not [one for one in w.load.told[begin:] if one.how == "lost"]
+            assert not [one for one in w.load.results[begin:] if one.outcome == "lost"]
             assert_consistent(w)
 
     run(test)
@@ -173,7 +173,7 @@
             )
             os.kill(before["p3"], signal.SIGSTOP)
             for name in before:
-                await wait_for(partial(fleet.replaced, name, before[name]), f"a fresh {name}")
+                await wait_for(partial(fleet.is_replaced, name, before[name]), f"a fresh {name}")
             assert "4 of 4 done" in (await rolling)["text"]
             await next_requests(w, 30)
             assert_consistent(w)
@@ -189,13 +189,13 @@
         async with world(tmp_path, 4, lines=("spinning_for = 0.8",)) as (w, fleet):
             assert w.load is not None
             await next_requests(w, 60)
-            begin, pids = len(w.load.told), await fleet.pids()
+            begin, pids = len(w.load.results), await fleet.pids()
             os.kill(pids["p2"], number)
-            await wait_for(partial(fleet.replaced, "p2", pids["p2"]), "a fresh p2")
+            await wait_for(partial(fleet.is_replaced, "p2", pids["p2"]), "a fresh p2")
             await next_requests(w, 60)
             after = await fleet.pids()
             assert {name for name in pids if after[name] != pids[name]} == {"p2"}
-            assert not [one for one in w.load.told[begin:] if one.how == "lost"]
+            assert not [one for one in w.load.results[begin:] if one.outcome == "lost"]
             assert_consistent(w)
             notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p2"])
             assert any(f"it is replaced: {cause}" in text for _, text in notes["notes"]["p2"]), notes
@@ -225,7 +225,7 @@
         async with world(tmp_path, 4, lines=("stopped_for = 30.0", "hung_for = 30.0")) as (w, fleet):
             assert w.load is not None
             await next_requests(w, 40)
-            begin, pids = len(w.load.told), await fleet.pids()
+            begin, pids = len(w.load.results), await fleet.pids()
             for pause in (0.05, 0.2, 0.05, 0.2, 0.4, 0.2):
                 os.kill(pids["p3"], signal.SIGSTOP)
                 await asyncio.sleep(pause)
@@ -233,7 +233,7 @@
                 await next_requests(w, 20)
             await wait_for(lambda: judged(fleet, "p3", "well"), "well")
             assert await fleet.pids() == pids and await counted(fleet, "relieved") == 0
-            assert not [one for one in w.load.told[begin:] if one.how == "lost"]
+            assert not [one for one in w.load.results[begin:] if one.outcome == "lost"]
             assert_consistent(w)
 
     run(test)
@@ -249,7 +249,7 @@
             answer = await asyncio.to_thread(send_request, Path(fleet.control), "reload", 3 * PATIENCE)
             assert "text" in answer
             for name in pids:
-                await wait_for(partial(fleet.replaced, name, pids[name]) if name == "p1" else fleet.ready, name)
+                await wait_for(partial(fleet.is_replaced, name, pids[name]) if name == "p1" else fleet.is_ready, name)
             await next_requests(w, 30)
             assert_consistent(w)
 
@@ -271,7 +271,7 @@
             os.kill(before["p2"], signal.SIGCONT)
             await next_requests(w, 20)
             os.kill(fleet.process.pid, signal.SIGCONT)
-            await wait_for(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
+            await wait_for(partial(fleet.is_replaced, "p1", before["p1"]), "a fresh p1")
             await next_requests(w, 60)
             after = await fleet.pids()
             assert {name for name in before if after[name] != before[name]} == {"p1"}
@@ -318,7 +318,7 @@
             rolling = asyncio.create_task(
                 asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE, names=["p0"])
             )
-            await rig.wait_until(partial(rig.fleet.replaced, "p0", old), "a fresh process beside the old one")
+            await rig.wait_until(partial(rig.fleet.is_replaced, "p0", old), "a fresh process beside the old one")
             assert read_stat(old) is not None, "it drains, with the request in hand"
             os.kill(old, signal.SIGSTOP)
 
@@ -343,14 +343,14 @@
         async with world(tmp_path, 4, rate=40.0, ready_within=120.0) as (w, fleet):
             assert w.load is not None
             await next_requests(w, 30)
-            begin, before = len(w.load.told), await fleet.pids()
+            begin, before = len(w.load.results), await fleet.pids()
             (hooks(tmp_path) / "p1.starting").write_text(str(int(signal.SIGSTOP)))
             os.kill(before["p1"], signal.SIGKILL)
-            await wait_for(partial(fleet.replaced, "p1", before["p1"]), "a fresh p1")
+            await wait_for(partial(fleet.is_replaced, "p1", before["p1"]), "a fresh p1")
             assert not (hooks(tmp_path) / "p1.starting").exists(), "one was stopped before it"
             assert await counted(fleet, "replaced") == 1
             await next_requests(w, 40)
-            assert not [one for one in w.load.told[begin:] if one.how == "lost"]
+            assert not [one for one in w.load.results[begin:] if one.outcome == "lost"]
             assert_consistent(w)
 
     run(test)
@@ -374,7 +374,7 @@
                 writer.close()
             finally:
                 os.kill(pid, signal.SIGCONT)
-            await wait_for(partial(fleet.replaced, "p2", before), "ready")
+            await wait_for(partial(fleet.is_replaced, "p2", before), "ready")
             await wait_for(lambda: judged(fleet, "p2", "well"), "well")
             assert (await fleet.pids())["p2"] == pid and await counted(fleet, "replaced") == 0
             assert await counted(fleet, "relieved") == 0
@@ -426,5 +426,5 @@
 
 
 async def all_well(fleet: Fleet) -> bool:
-    rows = (await fleet.rows()).values()
+    rows = (await fleet.instance_status()).values()
     return bool(rows) and all(row["vigil"].get("judgement") == "well" for row in rows)
--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -62,7 +62,7 @@
     answer = await caller.answer()
     if stage == "given":
         os.kill(pid, signal.SIGKILL)
-    await rig.wait_until(lambda: rig.fleet.replaced(name, pid), f"{name} died at {stage}")
+    await rig.wait_until(lambda: rig.fleet.is_replaced(name, pid), f"{name} died at {stage}")
     return answer
 
 
@@ -74,8 +74,8 @@
     """Replace an instance's process by a new one, which has no connection to a backend yet."""
     pid = await rig.pid_of(owner)
     os.kill(pid, signal.SIGKILL)
-    await rig.wait_until(lambda: rig.fleet.replaced(f"p{owner}", pid), f"a fresh p{owner}")
-    await rig.wait_until(rig.fleet.ready, "all ready")
+    await rig.wait_until(lambda: rig.fleet.is_replaced(f"p{owner}", pid), f"a fresh p{owner}")
+    await rig.wait_until(rig.fleet.is_ready, "all ready")
 
 
 async def assert_connection_serves(rig: TakeoverRig, caller: Caller) -> None:
@@ -136,7 +136,7 @@
                         rig.fleet.log()[-3000:],
                     )
                     assert seen.body.startswith(request_id) and not path.exists(), "a successor died there"
-                    await rig.wait_until(rig.fleet.ready, "all ready")
+                    await rig.wait_until(rig.fleet.is_ready, "all ready")
 
     run(test)
 
@@ -511,17 +511,17 @@
             rolling = asyncio.create_task(
                 asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE)
             )
-            await rig.wait_until(lambda: rig.fleet.replaced("p0", old["p0"]), "a new process beside the old one")
+            await rig.wait_until(lambda: rig.fleet.is_replaced("p0", old["p0"]), "a new process beside the old one")
             assert read_stat(old["p0"]) is not None, "it drains, with the request in flight"
             os.kill(old["p0"], signal.SIGKILL)
             await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
             for name in ("p1", "p2"):
-                await rig.wait_until(partial(rig.fleet.replaced, name, old[name]), f"a fresh {name}")
+                await rig.wait_until(partial(rig.fleet.is_replaced, name, old[name]), f"a fresh {name}")
             rig.backends_may_answer.set()
             status, seen = await caller.answer()
             assert status == 200 and seen.body.startswith(request_id) and rig.request_count(request_id) == 1
             assert "3 of 3 done" in (await rolling)["text"]
-            for door in rig.fleet.doors:
+            for door in rig.fleet.management_ports:
                 await rig.wait_until(lambda door=door: _listens(door), "operators reach the fresh process")
 
     run(test)
--- a/tests/takeover_rig.py
+++ b/tests/takeover_rig.py
@@ -14,7 +14,7 @@
 import orjson
 from rig import PATIENCE, SETTINGS, merge_settings
 
-from cometusher.fault_injection.environment import Fleet, until
+from cometusher.fault_injection.environment import Fleet, wait_until
 from standins.backend import Backend
 from standins.caller import Caller, request
 from standins.discovery import HostList
@@ -74,14 +74,14 @@
         self.fleet.file.write_text(text.replace("[takeover]", "[takeover]\n" + extra))
         with environment(STAGE_HOOKS=str(self.hooks), PYTHONPATH=str(HOOKS)):
             await self.fleet.start()
-        await self.wait_until(self.fleet.ready, "ready")
+        await self.wait_until(self.fleet.is_ready, "ready")
 
     async def stop(self) -> None:
         """Stop all."""
         self.backends_may_answer.set()
         for caller in self.callers:
             caller.leave()
-        await self.fleet.end()
+        await self.fleet.stop()
         await self.lists.stop()
         for backend in self.backends:
             await backend.stop()
@@ -90,7 +90,7 @@
 
     async def wait_until(self, condition: Any, what: str) -> None:
         """Wait until a condition holds; fails the test if it never does."""
-        assert await until(condition, 3 * PATIENCE), f"never: {what}\n{self.fleet.log()[-3000:]}"
+        assert await wait_until(condition, 3 * PATIENCE), f"never: {what}\n{self.fleet.log()[-3000:]}"
 
     def signal_at(self, stage: str, who: str = "any", number: int = signal.SIGKILL) -> Path:
         """Signal the first process that reaches a stage; the returned file is gone once that has happened."""
@@ -122,7 +122,7 @@
 
     async def instance_status(self) -> dict[str, dict[str, Any]]:
         """The status of each instance."""
-        return await self.fleet.rows()
+        return await self.fleet.instance_status()
 
     async def takeover_count(self, name: str) -> int:
         """One of the supervisor's takeover counters; -1 if there is none."""
