--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -44,14 +44,14 @@
 ]
 
 
-def windowed_counts(times: Iterable[float], span: float) -> Iterator[tuple[float, int]]:
+def windowed_counts(times: Iterable[float], window: float) -> Iterator[tuple[float, int]]:
     """Each of these moments, in order, and how many there were within a span (seconds) up to it."""
-    recent: deque[float] = deque()
-    for at in times:
-        recent.append(at)
-        while recent[0] < at - span:
-            recent.popleft()
-        yield at, len(recent)
+    in_window: deque[float] = deque()
+    for moment in times:
+        in_window.append(moment)
+        while in_window[0] < moment - window:
+            in_window.popleft()
+        yield moment, len(in_window)
 
 
 def _python_path() -> str:
@@ -116,11 +116,11 @@
     def cold_overload(self) -> float:
         """The most work that all proxies together sent it within a second, over what it could do at that moment."""
         worst = 0.0
-        for at, count in windowed_counts(self.cold_arrivals, 1.0):
-            age = at - self.cold_since
+        for arrival, count in windowed_counts(self.cold_arrivals, 1.0):
+            age = arrival - self.cold_since
             if age < COLD_FOR:
-                part = COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR
-                worst = max(worst, count * self.work / (BACKEND_CORES * part))
+                capacity_share = COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR
+                worst = max(worst, count * self.work / (BACKEND_CORES * capacity_share))
         return worst
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
@@ -193,10 +193,10 @@
             self.wrong_answers += 1
 
     async def _send(self, address: tuple[str, int], message: bytes, budget: float) -> str:
-        begin = time.monotonic()
-        how = await super()._send(address, message, budget)
-        self.results.append(RequestResult(begin, time.monotonic(), how, message.startswith(b"POST"), address))
-        return how
+        sent_at = time.monotonic()
+        outcome = await super()._send(address, message, budget)
+        self.results.append(RequestResult(sent_at, time.monotonic(), outcome, message.startswith(b"POST"), address))
+        return outcome
 
 
 @dataclass
@@ -207,11 +207,11 @@
     discovery_link: Link
     backend_links: dict[str, Link]  # by host
 
-    async def set_fault(self, mood: Mood, hosts: Collection[str] | None = None) -> None:
+    async def set_fault(self, fault: Mood, hosts: Collection[str] | None = None) -> None:
         """Its links to these backends (to all) are in this mood from now on."""
         for host, link in self.backend_links.items():
             if hosts is None or host in hosts:
-                await link.set(mood)
+                await link.set(fault)
 
     def relayed_entry(self, entry: dict[str, Any]) -> dict[str, Any]:
         """Discovery's line about a backend as this instance is told it."""
@@ -258,11 +258,11 @@
         self.state = self.folder / "s"
         self.control = str(self.state / "control.sock")
 
-    def write(self, discovery: int, extra: str = "") -> None:
+    def write(self, discovery: int, recovery_lines: str = "") -> None:
         """The fleet's files."""
-        raw = settings(self.tier, 0)
-        raw["Services"].append(NON_REPEATABLE_SERVICE)
-        (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw}))
+        raw_settings = settings(self.tier, 0)
+        raw_settings["Services"].append(NON_REPEATABLE_SERVICE)
+        (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw_settings}))
         lines = [
             "[fleet]",
             f'name = "{self.name}"',
@@ -275,13 +275,13 @@
             f'discovery = "127.0.0.1:{discovery}"',
             "sockets = 256",
         ]
-        for i, (port, door) in enumerate(zip(self.ports, self.management_ports, strict=True)):
-            lines += ["[[instance]]", f'name = "p{i}"', f'listen = "127.0.0.1:{port}"']
-            lines.append(f'management = "127.0.0.1:{door}"')
-            lines += self.instance_lines.get(f"p{i}", [])
-            if f"p{i}" in self.instance_links:
-                lines.append(f'discovery = "127.0.0.1:{self.instance_links[f"p{i}"].discovery_link.port}"')
-        lines += ["[comeback]", extra] if self.recovery else []
+        for index, (port, management_port) in enumerate(zip(self.ports, self.management_ports, strict=True)):
+            lines += ["[[instance]]", f'name = "p{index}"', f'listen = "127.0.0.1:{port}"']
+            lines.append(f'management = "127.0.0.1:{management_port}"')
+            lines += self.instance_lines.get(f"p{index}", [])
+            if f"p{index}" in self.instance_links:
+                lines.append(f'discovery = "127.0.0.1:{self.instance_links[f"p{index}"].discovery_link.port}"')
+        lines += ["[comeback]", recovery_lines] if self.recovery else []
         lines += ["[takeover]"] if self.takeover else []
         lines += ["[vigil]", *self.failure_detector_lines] if self.failure_detector else []
         lines += ["[policy]", *(f"{key} = {value}" for key, value in self.policy.items())] if self.policy else []
@@ -328,19 +328,19 @@
         rows = await self.instance_status()
         return len(rows) == self.count and all(row["state"] == "ready" for row in rows.values())
 
-    async def operate(self, call: str, host: str) -> None:
+    async def operate(self, operation: str, host: str) -> None:
         """An order of operators, to every instance that listens."""
-        for door in self.management_ports:
+        for port in self.management_ports:
             try:
-                reader, writer = await asyncio.open_connection("127.0.0.1", door)
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
             except OSError:
                 continue
             body = orjson.dumps({"who": host})
-            writer.write(f"POST /api/{call} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
+            writer.write(f"POST /api/{operation} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
             answer = await asyncio.wait_for(read_message(reader), STEP_TIMEOUT)
             writer.close()
             if answer is None or answer.status // 100 != 2:
-                raise RuntimeError(f"{call} {host}: {answer.status if answer else 'no answer'}")
+                raise RuntimeError(f"{operation} {host}: {answer.status if answer else 'no answer'}")
 
     def log(self) -> str:
         """All that was logged."""
@@ -388,8 +388,8 @@
         """Some bytes of the records of these instances are other ones."""
         for path in self._record_files(names):
             data = bytearray(path.read_bytes()) if path.exists() else bytearray()
-            at = seed % max(1, len(data) - 256)
-            data[at : at + 256] = bytes((seed + i) % 256 for i in range(len(data[at : at + 256])))
+            start = seed % max(1, len(data) - 256)
+            data[start : start + 256] = bytes((seed + i) % 256 for i in range(len(data[start : start + 256])))
             if data:
                 path.write_bytes(data)
 
@@ -398,12 +398,14 @@
 
         With all of them, the fleet's own records too. Only while no process has them open.
         """
-        own = [".fleet"] if len(names) == self.count else []
-        for name in [*names, *own]:
+        fleet_records = [".fleet"] if len(names) == self.count else []
+        for name in [*names, *fleet_records]:
             records = RecordFile(self.state / "store" / f"{name}.records")
             for kind, record in records.read([*KEPT_KINDS, FLEET_KIND]).items():
-                at = replace(record.written_at, unix=record.written_at.unix - seconds, boot="before", since_boot=0.0)
-                records.write([replace(record, written_at=at, serial=records.next_serial(kind))])
+                written_at = replace(
+                    record.written_at, unix=record.written_at.unix - seconds, boot="before", since_boot=0.0
+                )
+                records.write([replace(record, written_at=written_at, serial=records.next_serial(kind))])
             records.close()
 
     def copy_store(self) -> None:
@@ -426,16 +428,16 @@
 
 def signal_processes(pids: list[int], number: int) -> list[int]:
     """Signal these very processes; returns those that were there."""
-    found = [Identity.of(pid) for pid in pids]
-    return [one.pid for one in found if one is not None and one.signal(number)]
+    processes = [Identity.of(pid) for pid in pids]
+    return [process.pid for process in processes if process is not None and process.signal(number)]
 
 
-async def wait_until(condition: Any, patience: float = STEP_TIMEOUT) -> bool:
+async def wait_until(condition: Any, timeout: float = STEP_TIMEOUT) -> bool:
     """Wait for what has to become true; whether it did."""
-    deadline = time.monotonic() + patience
+    deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
-        found = condition()
-        if await found if asyncio.iscoroutine(found) else found:
+        result = condition()
+        if await result if asyncio.iscoroutine(result) else result:
             return True
         await asyncio.sleep(0.02)
     return False
@@ -468,12 +470,12 @@
         self.fleets.append(fleet)
         return fleet
 
-    async def add_relay(self, name: str, target: tuple[str, int] | str, at: str = "") -> int:
+    async def add_relay(self, name: str, target: tuple[str, int] | str, listen: str = "") -> int:
         """A relay before an address, if this drill has one there; returns the port to use."""
         if name not in self.links:
             return 0
         link = Link(target, self.seed + len(self.links[name]))
-        await link.start(at or ("127.0.0.1", 0))
+        await link.start(listen or ("127.0.0.1", 0))
         self.links[name].append(link)
         return link.port
 
@@ -488,33 +490,35 @@
         return [backend.host for backend in self.backends if self.backends.index(backend) % self.zone_count == zone]
 
     async def _start_instance_links(self) -> InstanceLinks:
-        lists = FaultyDiscovery([])
-        await lists.start()
-        ways = InstanceLinks(lists, Link(("127.0.0.1", lists.port), self.seed), {})
-        await ways.discovery_link.start()
+        discovery_server = FaultyDiscovery([])
+        await discovery_server.start()
+        instance_links = InstanceLinks(discovery_server, Link(("127.0.0.1", discovery_server.port), self.seed), {})
+        await instance_links.discovery_link.start()
         for backend in self.backends:
-            link = ways.backend_links[backend.host] = Link(("127.0.0.1", backend.port), self.seed + backend.number)
+            link = instance_links.backend_links[backend.host] = Link(
+                ("127.0.0.1", backend.port), self.seed + backend.number
+            )
             await link.start()
-        lists.hosts = [ways.relayed_entry(entry) for entry in self.discovery.hosts]
-        return ways
+        discovery_server.hosts = [instance_links.relayed_entry(entry) for entry in self.discovery.hosts]
+        return instance_links
 
     def publish(self, *entries: dict[str, Any]) -> None:
         """Discovery tells of a change: to all that it reaches."""
         self.discovery.change(*entries)
         for fleet in self.fleets:
-            for ways in fleet.instance_links.values():
-                ways.discovery_server.change(*(ways.relayed_entry(entry) for entry in entries))
+            for instance_links in fleet.instance_links.values():
+                instance_links.discovery_server.change(*(instance_links.relayed_entry(entry) for entry in entries))
 
-    async def start(self, rate: float, extra: str = "") -> None:
+    async def start(self, rate: float, recovery_lines: str = "") -> None:
         """Start all, and wait until every instance is ready."""
         for backend in self.backends:
             await backend.start()
         self.discovery.hosts = [await self.discovery_entry(backend) for backend in self.backends]
         await self.discovery.start()
-        where = await self.add_relay("discovery", ("127.0.0.1", self.discovery.port)) or self.discovery.port
+        discovery_port = await self.add_relay("discovery", ("127.0.0.1", self.discovery.port)) or self.discovery.port
         for fleet in self.fleets:
             fleet.instance_links = {name: await self._start_instance_links() for name in fleet.isolated}
-            fleet.write(where, extra)
+            fleet.write(discovery_port, recovery_lines)
             await fleet.start()
         for fleet in self.fleets:
             if not await wait_until(fleet.is_ready):
@@ -540,8 +544,10 @@
             await fleet.stop()
         for link in [link for links in self.links.values() for link in links]:
             await link.stop()
-        for ways in [ways for fleet in self.fleets for ways in fleet.instance_links.values()]:
-            await ways.stop()
+        for instance_links in [
+            instance_links for fleet in self.fleets for instance_links in fleet.instance_links.values()
+        ]:
+            await instance_links.stop()
         await self.discovery.stop()
         for backend in self.backends:
             await backend.stop()
@@ -550,10 +556,10 @@
         """Of every instance that runs."""
         return [pid for fleet in self.fleets for pid in (await fleet.pids()).values()]
 
-    async def all_running(self, gone: Collection[int] = ()) -> bool:
+    async def all_running(self, lost_pids: Collection[int] = ()) -> bool:
         """Whether every instance has a process, and none of them is one of those that are gone."""
         pids = await self.pids()
-        return len(pids) == sum(fleet.count for fleet in self.fleets) and not set(pids) & set(gone)
+        return len(pids) == sum(fleet.count for fleet in self.fleets) and not set(pids) & set(lost_pids)
 
     def duplicate_effects(self) -> int:
         """Effects that came twice, of requests that went out once: a client's own repeat is not counted."""
@@ -566,22 +572,22 @@
 
     async def replace_backends(self, share: float, seed: int) -> int:
         """Part of the backends are gone; others hold their addresses, under names of their own and lately started."""
-        gone = Random(seed).sample(self.backends, max(1, round(share * len(self.backends))))
+        removed = Random(seed).sample(self.backends, max(1, round(share * len(self.backends))))
         changes = []
-        for old in gone:
+        for old in removed:
             port = old.port
             await old.stop()
             self.last_backend_number += 1
-            fresh = RecordingBackend(self.last_backend_number, self.backend_stats, self.work)
-            await wait_until(partial(_start_listening, fresh, port), 5.0)
-            fresh.cold_since = time.monotonic()
-            self.backends[self.backends.index(old)] = fresh
-            line = next(h for h in self.discovery.hosts if h["host"] == old.host)
-            changes.append(line | {"health": "terminated"})
-            changes.append(line | {"host": fresh.host, "born_ms": time.time() * 1000.0})
+            replacement = RecordingBackend(self.last_backend_number, self.backend_stats, self.work)
+            await wait_until(partial(_start_listening, replacement, port), 5.0)
+            replacement.cold_since = time.monotonic()
+            self.backends[self.backends.index(old)] = replacement
+            entry = next(h for h in self.discovery.hosts if h["host"] == old.host)
+            changes.append(entry | {"health": "terminated"})
+            changes.append(entry | {"host": replacement.host, "born_ms": time.time() * 1000.0})
         self.discovery.change(*changes)
         self.discovery.hosts = [h for h in self.discovery.hosts if h["health"] != "terminated"]
-        return len(gone)
+        return len(removed)
 
 
 async def _start_listening(backend: RecordingBackend, port: int) -> bool:
--- a/cometusher/fault_injection/report.py
+++ b/cometusher/fault_injection/report.py
@@ -38,9 +38,9 @@
 def bin_counts(times: Sequence[float], end: float) -> list[int]:
     """How many fall into each bin from 0 to the end."""
     bins = [0] * (int(end / BIN_WIDTH) + 1)
-    for at in times:
-        if 0.0 <= at <= end:
-            bins[int(at / BIN_WIDTH)] += 1
+    for moment in times:
+        if 0.0 <= moment <= end:
+            bins[int(moment / BIN_WIDTH)] += 1
     return bins
 
 
@@ -53,38 +53,38 @@
         self.height = height
         self.elements: list[str] = []
 
-    def x_position(self, at: float) -> float:
+    def x_position(self, time: float) -> float:
         """Where a moment lies."""
-        return LEFT + (WIDTH - LEFT) * at / self.end
+        return LEFT + (WIDTH - LEFT) * time / self.end
 
-    def clamped_x(self, at: float) -> float:
+    def clamped_x(self, time: float) -> float:
         """Where a moment lies, or the edge that it is beyond."""
-        return self.x_position(min(max(at, 0.0), self.end))
+        return self.x_position(min(max(time, 0.0), self.end))
 
-    def add_curve(self, name: str, values: Sequence[int], most: int) -> None:
+    def add_curve(self, name: str, values: Sequence[int], maximum: int) -> None:
         """One curve over bins."""
         points = " ".join(
-            f"{self.x_position(i * BIN_WIDTH):.1f},"
-            f"{self.height - BOTTOM - (self.height - 2 * BOTTOM) * v / max(1, most):.1f}"
-            for i, v in enumerate(values)
+            f"{self.x_position(index * BIN_WIDTH):.1f},"
+            f"{self.height - BOTTOM - (self.height - 2 * BOTTOM) * value / max(1, maximum):.1f}"
+            for index, value in enumerate(values)
         )
         colour = SERIES_COLOURS.get(name, "#000000")
         self.elements.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.5" points="{points}"/>')
 
-    def add_timeline(self, done: Sequence[tuple[float, str]]) -> None:
+    def add_timeline(self, timeline: Sequence[tuple[float, str]]) -> None:
         """The timeline as upright lines."""
-        for at, what in done:
-            x = self.x_position(at)
+        for time, description in timeline:
+            x = self.x_position(time)
             self.elements.append(
                 f'<line x1="{x:.1f}" x2="{x:.1f}" y1="{BOTTOM}" y2="{self.height - BOTTOM}" stroke="#999999" '
-                f'stroke-dasharray="3,3"><title>{html.escape(what)}</title></line>'
+                f'stroke-dasharray="3,3"><title>{html.escape(description)}</title></line>'
             )
 
     def __str__(self) -> str:
         ticks = "".join(
-            f'<text x="{self.x_position(i * self.end / 10):.0f}" y="{self.height - 4}" font-size="10">'
-            f"{i * self.end / 10:.1f}</text>"
-            for i in range(11)
+            f'<text x="{self.x_position(tick * self.end / 10):.0f}" y="{self.height - 4}" font-size="10">'
+            f"{tick * self.end / 10:.1f}</text>"
+            for tick in range(11)
         )
         return (
             f'<svg width="{WIDTH}" height="{self.height}" role="img"><title>{html.escape(self.title)}</title>'
@@ -95,13 +95,15 @@
 def _request_plot(outcome: RunResult, end: float) -> Plot:
     plot = Plot("requests in 0.2 s, by what became of them, at the moment when they were asked", end)
     series = {
-        how: bin_counts([row.sent_at for row in outcome.requests if row.outcome == how], end)
-        for how in ("served", "refused", "failed", "lost", "unreachable")
+        request_outcome: bin_counts(
+            [request.sent_at for request in outcome.requests if request.outcome == request_outcome], end
+        )
+        for request_outcome in ("served", "refused", "failed", "lost", "unreachable")
     }
-    most = max(max(values) for values in series.values())
+    maximum = max(max(values) for values in series.values())
     for name, values in series.items():
         if any(values):
-            plot.add_curve(name, values, most)
+            plot.add_curve(name, values, maximum)
     plot.add_timeline(outcome.timeline)
     return plot
 
@@ -117,14 +119,17 @@
 def _state_plot(outcome: RunResult, fleet: str, end: float) -> Plot:
     names = sorted({name for sample in outcome.samples for name in sample.states.get(fleet, {})})
     plot = Plot(f"{fleet}: each instance's state", end, 2 * BOTTOM + 8 * max(1, len(names)))
-    for row, name in enumerate(names):
-        for sample, after in zip(outcome.samples, [*outcome.samples[1:], None], strict=True):
+    for line, name in enumerate(names):
+        for sample, next_sample in zip(outcome.samples, [*outcome.samples[1:], None], strict=True):
             state = sample.states.get(fleet, {}).get(name)
             if state is None or sample.time < 0.0:
                 continue
-            begin, until = plot.clamped_x(sample.time), plot.clamped_x(after.time if after is not None else end)
+            begin_x, end_x = (
+                plot.clamped_x(sample.time),
+                plot.clamped_x(next_sample.time if next_sample is not None else end),
+            )
             plot.elements.append(
-                f'<rect x="{begin:.1f}" y="{BOTTOM + 8 * row}" width="{max(0.5, until - begin):.1f}" height="7" '
+                f'<rect x="{begin_x:.1f}" y="{BOTTOM + 8 * line}" width="{max(0.5, end_x - begin_x):.1f}" height="7" '
                 f'fill="{PHASE_COLOURS.get(state, "#000000")}">'
                 f"<title>{html.escape(f'{name}: {state}')}</title></rect>"
             )
@@ -137,19 +142,23 @@
     scenario = outcome.scenario
     end = scenario.calm + scenario.seconds
     plots = [_request_plot(outcome, end), _connection_plot(outcome, end)]
-    plots += [_state_plot(outcome, part.name, end) for part in scenario.fleets]
+    plots += [_state_plot(outcome, fleet.name, end) for fleet in scenario.fleets]
     legend = " ".join(
         f'<span style="color:{colour}">&#9632; {name}</span>' for name, colour in SERIES_COLOURS.items()
     )
-    legend += "<br>" + " ".join(f'<span style="color:{c}">&#9632;</span> {name}' for name, c in PHASE_COLOURS.items())
+    legend += "<br>" + " ".join(
+        f'<span style="color:{colour}">&#9632;</span> {name}' for name, colour in PHASE_COLOURS.items()
+    )
     rows = "".join(f"<tr><td>{name}</td><td>{value:.6g}</td></tr>" for name, value in outcome.figures.items())
-    faults = (
-        "".join(f"<li>{html.escape(fault)}</li>" for fault in outcome.missed_expectations) or "<li>as expected</li>"
+    expectations = (
+        "".join(f"<li>{html.escape(missed)}</li>" for missed in outcome.missed_expectations) or "<li>as expected</li>"
+    )
+    timeline = "".join(
+        f"<tr><td>{time:.2f} s</td><td>{html.escape(description)}</td></tr>" for time, description in outcome.timeline
     )
-    done = "".join(f"<tr><td>{at:.2f} s</td><td>{html.escape(what)}</td></tr>" for at, what in outcome.timeline)
     title = html.escape(f"{scenario.name}, seed {scenario.seed}")
     path.write_text(
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>'
-        f"<h1>{title}</h1><ul>{faults}</ul><p>{legend}</p>{''.join(map(str, plots))}"
-        f"<h2>Figures</h2><table>{rows}</table><h2>Timeline</h2><table>{done}</table></html>\n"
+        f"<h1>{title}</h1><ul>{expectations}</ul><p>{legend}</p>{''.join(map(str, plots))}"
+        f"<h2>Figures</h2><table>{rows}</table><h2>Timeline</h2><table>{timeline}</table></html>\n"
     )
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -57,35 +57,40 @@
     missed_expectations: list[str]
 
 
-def _instance_state(row: dict[str, Any]) -> str:
+def _instance_state(status: dict[str, Any]) -> str:
     """What an instance's row shows: of one that is ready its phase, if it has any."""
-    state = str(row["state"])
-    return str(row.get("comeback", {}).get("phase", state)) if state == "ready" else state
+    state = str(status["state"])
+    return str(status.get("comeback", {}).get("phase", state)) if state == "ready" else state
 
 
-def time_to_full_service(told: Sequence[RequestResult], since: float) -> float:
+def time_to_full_service(requests: Sequence[RequestResult], since: float) -> float:
     """Seconds after `since` until whatever is asked is served at once."""
-    bad = [row.sent_at for row in told if row.sent_at >= since and not _is_prompt(row)]
-    return max(bad, default=since) - since
+    not_prompt = [request.sent_at for request in requests if request.sent_at >= since and not _is_prompt(request)]
+    return max(not_prompt, default=since) - since
 
 
-def _is_prompt(row: RequestResult) -> bool:
-    return row.outcome == "served" and row.ended_at - row.sent_at <= PROMPT_LIMIT
+def _is_prompt(request: RequestResult) -> bool:
+    return request.outcome == "served" and request.ended_at - request.sent_at <= PROMPT_LIMIT
 
 
 class FaultInjectionRun:
     """One run of a scenario."""
 
-    def __init__(self, scenario: Scenario, folder: Path, say: Callable[[str], None]) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, report: Callable[[str], None]) -> None:
         self.scenario = scenario
-        self.report = say
+        self.report = report
         self.world = World(folder, scenario.backends, scenario.work, scenario.links, scenario.seed)
-        for part in scenario.fleets:
+        for scenario_fleet in scenario.fleets:
             fleet = self.world.add_fleet(
-                part.name, part.instances, part.tier, part.recovery, part.takeover, part.failure_detector
+                scenario_fleet.name,
+                scenario_fleet.instances,
+                scenario_fleet.tier,
+                scenario_fleet.recovery,
+                scenario_fleet.takeover,
+                scenario_fleet.failure_detector,
             )
-            fleet.isolated = [f"p{i}" for i in range(min(part.isolated, part.instances))]
-            if part.takeover:  # its faults are many single ends, and no reason to give up
+            fleet.isolated = [f"p{index}" for index in range(min(scenario_fleet.isolated, scenario_fleet.instances))]
+            if scenario_fleet.takeover:  # its faults are many single ends, and no reason to give up
                 fleet.policy = {"budget": 10_000, "backoff_to": 0.5, "hang_after": 2.5}
         self.world.backend_stats.max_work = scenario.max_work
         if scenario.strict:
@@ -121,20 +126,20 @@
                 await self._apply(event)
             await asyncio.sleep(max(0.0, scenario.calm + scenario.seconds - self.now()))
             sampler.cancel()
-            views = {fleet.name: await fleet.status() for fleet in world.fleets}
-            returns = {name: view.get("comeback", []) for name, view in views.items()}
-            self._takeover_counters = [view.get("takeover", {}) for view in views.values()]
-            self._detector_counters = [view.get("vigil", {}) for view in views.values()]
+            statuses = {fleet.name: await fleet.status() for fleet in world.fleets}
+            recoveries = {name: status.get("comeback", []) for name, status in statuses.items()}
+            self._takeover_counters = [status.get("takeover", {}) for status in statuses.values()]
+            self._detector_counters = [status.get("vigil", {}) for status in statuses.values()]
         finally:
             await world.stop()
-        return self._result(returns)
+        return self._result(recoveries)
 
     async def _sample(self) -> None:
         while True:
             sample = Sample(self.now())
             for fleet in self.world.fleets:
-                rows = await fleet.instance_status()
-                sample.states[fleet.name] = {name: _instance_state(row) for name, row in rows.items()}
+                instances = await fleet.instance_status()
+                sample.states[fleet.name] = {name: _instance_state(status) for name, status in instances.items()}
             self.samples.append(sample)
             await asyncio.sleep(SAMPLE_INTERVAL)
 
@@ -146,7 +151,7 @@
         text = " ".join(filter(None, [*words, "undone" if event.undo else ""]))
         self.timeline.append((self.now(), text))
         self.report(f"{self.now():6.2f} s  {text}")
-        fleets = [f for f in self.world.fleets if fault.fleet in ("", f.name)]
+        fleets = [fleet for fleet in self.world.fleets if fault.fleet in ("", fleet.name)]
         if fault.action in RECOVERY_STARTS:
             self._last_failure_at = self.now()
         if fault.action in ("kill", "lose"):
@@ -188,19 +193,19 @@
 
     @staticmethod
     def _instances(event: ScheduledFault, fleet: Fleet) -> list[str]:
-        return pick_targets(event, [f"p{i}" for i in range(fleet.count)])
+        return pick_targets(event, [f"p{index}" for index in range(fleet.count)])
 
     async def _change_store(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         for fleet in fleets:
-            deed = event.fault.action
-            if deed == "lose-store":
+            action = event.fault.action
+            if action == "lose-store":
                 fleet.delete_store(self._instances(event, fleet))
-            elif deed == "damage-store":
+            elif action == "damage-store":
                 fleet.corrupt_store(self._instances(event, fleet), event.seed)
-            elif deed in ("clock-back", "clock-forth"):
+            elif action in ("clock-back", "clock-forth"):
                 seconds = event.fault.value
-                fleet.shift_clock(self._instances(event, fleet), seconds if deed == "clock-forth" else -seconds)
-            elif deed == "copy-store":
+                fleet.shift_clock(self._instances(event, fleet), seconds if action == "clock-forth" else -seconds)
+            elif action == "copy-store":
                 fleet.copy_store()
             else:
                 fleet.restore_store()
@@ -215,27 +220,27 @@
             if fault.action == "slow-backends":
                 backend.work = world.work if event.undo else fault.value
                 continue
-            out = (fault.action == "ban") is not event.undo
+            removed = (fault.action == "ban") is not event.undo
             backend.removed = False
             for fleet in fleets:
-                await fleet.operate("exclude" if out else "include", backend.host)
+                await fleet.operate("exclude" if removed else "include", backend.host)
             # What was on its way at the yes is no stale decision.
-            asyncio.get_running_loop().call_later(0.5, setattr, backend, "removed", out)
+            asyncio.get_running_loop().call_later(0.5, setattr, backend, "removed", removed)
 
     async def _change_discovery(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
-        lists, deed = self.world.discovery, event.fault.action
-        if deed == "discovery-away" and not event.undo:
-            await lists.disconnect()
-        elif deed in ("discovery-away", "discovery-back"):
+        discovery, action = self.world.discovery, event.fault.action
+        if action == "discovery-away" and not event.undo:
+            await discovery.disconnect()
+        elif action in ("discovery-away", "discovery-back"):
             self._last_failure_at = self.now()
-            await lists.reconnect()
-        elif deed == "discovery-empty":
-            self._older_list = (lists.seq, lists.hosts) if not event.undo else self._older_list
-            lists.hosts = list(self._older_list[1]) if event.undo else []
-            lists.seq += 1
+            await discovery.reconnect()
+        elif action == "discovery-empty":
+            self._older_list = (discovery.seq, discovery.hosts) if not event.undo else self._older_list
+            discovery.hosts = list(self._older_list[1]) if event.undo else []
+            discovery.seq += 1
             await self._restart_discovery()
         else:
-            lists.seq, lists.hosts = max(0, self._older_list[0] - 1), list(self._older_list[1])
+            discovery.seq, discovery.hosts = max(0, self._older_list[0] - 1), list(self._older_list[1])
             await self._restart_discovery()
 
     async def _restart_discovery(self) -> None:
@@ -249,7 +254,7 @@
 
     async def _change_links(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         fault = event.fault
-        mood = (
+        link_fault = (
             Mood()
             if event.undo
             else Mood(
@@ -257,81 +262,98 @@
             )
         )
         if fault.link in OWN_LINKS:
-            for ways in [ways for fleet in fleets for ways in fleet.instance_links.values()]:
-                await (ways.set_fault(mood) if fault.link == "own" else ways.discovery_link.set(mood))
+            for instance_links in [
+                instance_links for fleet in fleets for instance_links in fleet.instance_links.values()
+            ]:
+                await (
+                    instance_links.set_fault(link_fault)
+                    if fault.link == "own"
+                    else instance_links.discovery_link.set(link_fault)
+                )
             return
         links = self.world.links[fault.link]
-        names = [str(i) for i in range(len(links))]
+        names = [str(index) for index in range(len(links))]
         for name in pick_targets(event, names):
-            await links[int(name)].set(mood)
+            await links[int(name)].set(link_fault)
 
     # ---- what came of it -----------------------------------------------------------------
 
-    def _result(self, returns: dict[str, list[dict[str, Any]]]) -> RunResult:
+    def _result(self, recoveries: dict[str, list[dict[str, Any]]]) -> RunResult:
         world, scenario = self.world, self.scenario
         assert world.load is not None
-        told = sorted(
+        requests = sorted(
             (
-                replace(row, sent_at=row.sent_at - self._begin, ended_at=row.ended_at - self._begin)
-                for row in world.load.results
+                replace(request, sent_at=request.sent_at - self._begin, ended_at=request.ended_at - self._begin)
+                for request in world.load.results
             ),
-            key=lambda row: row.sent_at,
+            key=lambda request: request.sent_at,
         )
-        connects = [at - self._begin for at in world.backend_stats.connect_times]
-        figures = self._figures(told, connects)
-        for blows in returns.values():
-            figures["events"] += len([blow for blow in blows if blow["cause"] != "start"])
-        faults = [
+        connect_times = [moment - self._begin for moment in world.backend_stats.connect_times]
+        figures = self._figures(requests, connect_times)
+        for correlated_failures in recoveries.values():
+            figures["events"] += len([failure for failure in correlated_failures if failure["cause"] != "start"])
+        missed = [
             f"{expect.figure} is {figures[expect.figure]:.3g}, wanted from {expect.minimum:g} to {expect.maximum:g}"
             for expect in scenario.expectations
             if not expect.minimum <= figures[expect.figure] <= expect.maximum
         ]
-        return RunResult(scenario, self.timeline, self.samples, told, connects, figures, returns, faults)
+        return RunResult(scenario, self.timeline, self.samples, requests, connect_times, figures, recoveries, missed)
 
-    def _figures(self, told: list[RequestResult], connects: list[float]) -> dict[str, float]:
+    def _figures(self, requests: list[RequestResult], connect_times: list[float]) -> dict[str, float]:
         world, scenario = self.world, self.scenario
         assert world.load is not None
-        since = [row for row in told if row.sent_at >= scenario.calm]
-        counts = {how: sum(row.outcome == how for row in since) for how in ("served", "refused", "failed", "lost")}
-        unreachable = sum(row.outcome == "unreachable" for row in since)
-        back = max(self._last_failure_at, self._processes_back_at)
-        first = next(
-            (row.ended_at for row in since if row.sent_at >= self._processes_lost_at and row.outcome == "served"),
-            back,
+        after_calm = [request for request in requests if request.sent_at >= scenario.calm]
+        counts = {
+            outcome: sum(request.outcome == outcome for request in after_calm)
+            for outcome in ("served", "refused", "failed", "lost")
+        }
+        unreachable = sum(request.outcome == "unreachable" for request in after_calm)
+        recovery_start = max(self._last_failure_at, self._processes_back_at)
+        first_served = next(
+            (
+                request.ended_at
+                for request in after_calm
+                if request.sent_at >= self._processes_lost_at and request.outcome == "served"
+            ),
+            recovery_start,
         )
-        times = sorted(row.ended_at - row.sent_at for row in since if row.outcome == "served")
-        account = world.backend_stats
-        count = sum(fleet.count for fleet in world.fleets)
+        latencies = sorted(
+            request.ended_at - request.sent_at for request in after_calm if request.outcome == "served"
+        )
+        backend_stats = world.backend_stats
+        instance_count = sum(fleet.count for fleet in world.fleets)
         return {
-            "full_s": time_to_full_service(told, back),
-            "back_s": time_to_full_service(told, self._processes_back_at),
-            "first_s": max(0.0, first - self._processes_lost_at),
-            "sent": len(since),
+            "full_s": time_to_full_service(requests, recovery_start),
+            "back_s": time_to_full_service(requests, self._processes_back_at),
+            "first_s": max(0.0, first_served - self._processes_lost_at),
+            "sent": len(after_calm),
             **counts,
             "unreachable": unreachable,
-            "unserved": len(since) - counts["served"],
-            "peak": self._relative_peak(connects),
-            "calls": world.discovery.calls / count,
-            "stale": account.stale_requests,
+            "unserved": len(after_calm) - counts["served"],
+            "peak": self._relative_peak(connect_times),
+            "calls": world.discovery.calls / instance_count,
+            "stale": backend_stats.stale_requests,
             "twice": world.duplicate_effects(),
             "wrong": world.load.wrong_answers,
             "cold": world.cold_overload(),
             "events": 0.0,
             "second": world.load.extra_answers,
-            "inherited": sum(estate.get("adopted", 0) for estate in self._takeover_counters),
-            "orphaned": sum(estate.get("lost", 0) for estate in self._takeover_counters),
-            "replaced": sum(watch.get("replaced", 0) for watch in self._detector_counters),
-            "aside": sum(watch.get("unlike", 0) for watch in self._detector_counters),
-            "p99_s": times[int(0.99 * (len(times) - 1))] if times else 0.0,
+            "inherited": sum(takeover.get("adopted", 0) for takeover in self._takeover_counters),
+            "orphaned": sum(takeover.get("lost", 0) for takeover in self._takeover_counters),
+            "replaced": sum(detector.get("replaced", 0) for detector in self._detector_counters),
+            "aside": sum(detector.get("unlike", 0) for detector in self._detector_counters),
+            "p99_s": latencies[int(0.99 * (len(latencies) - 1))] if latencies else 0.0,
         }
 
-    def _relative_peak(self, connects: list[float]) -> float:
+    def _relative_peak(self, connect_times: list[float]) -> float:
         """Most new connections in a bin after the calm, over the mean of the calm."""
-        account, begin = self.world.backend_stats, self._begin
-        usual = account.mean_connects(begin, begin + self.scenario.calm)
+        backend_stats, begin = self.world.backend_stats, self._begin
+        baseline = backend_stats.mean_connects(begin, begin + self.scenario.calm)
         return (
-            account.peak_connects(begin + self.scenario.calm, begin + self.scenario.calm + self.scenario.seconds)
-            / usual
+            backend_stats.peak_connects(
+                begin + self.scenario.calm, begin + self.scenario.calm + self.scenario.seconds
+            )
+            / baseline
         )
 
 
@@ -362,25 +384,27 @@
 }
 
 
-def as_json(outcome: RunResult) -> dict[str, Any]:
+def as_json(result: RunResult) -> dict[str, Any]:
     """The outcome as plain values."""
     return {
-        "drill": outcome.scenario.name,
-        "seed": outcome.scenario.seed,
-        "figures": outcome.figures,
-        "timeline": [{"at": round(at, 3), "what": what} for at, what in outcome.timeline],
-        "returns": outcome.recoveries,
-        "faults": outcome.missed_expectations,
-        "ok": not outcome.missed_expectations,
+        "drill": result.scenario.name,
+        "seed": result.scenario.seed,
+        "figures": result.figures,
+        "timeline": [{"at": round(time, 3), "what": description} for time, description in result.timeline],
+        "returns": result.recoveries,
+        "faults": result.missed_expectations,
+        "ok": not result.missed_expectations,
     }
 
 
-async def run_scenario(scenario: Scenario, folder: Path, say: Callable[[str], None] = lambda text: None) -> RunResult:
+async def run_scenario(
+    scenario: Scenario, folder: Path, report: Callable[[str], None] = lambda text: None
+) -> RunResult:
     """Run a scenario in a folder of its own."""
-    return await FaultInjectionRun(scenario, folder, say).run()
+    return await FaultInjectionRun(scenario, folder, report).run()
 
 
-def main(path: Path, out: Path | None, json: bool) -> int:
+def main(path: Path, output_folder: Path | None, print_json: bool) -> int:
     """The command: returns 0 if all that the scenario expects came true, else 1. Raises ConfigError."""
     scenario = read_scenario(path)
 
@@ -388,17 +412,17 @@
         print(text, file=sys.stderr, flush=True)
 
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-        outcome = asyncio.run(run_scenario(scenario, Path(folder), say))
-    values = as_json(outcome)
-    if out is not None:
-        out.mkdir(parents=True, exist_ok=True)
-        (out / f"{scenario.name}.json").write_bytes(orjson.dumps(values, option=orjson.OPT_INDENT_2))
-        write_page(outcome, out / f"{scenario.name}.html")
-    if json:
+        result = asyncio.run(run_scenario(scenario, Path(folder), say))
+    values = as_json(result)
+    if output_folder is not None:
+        output_folder.mkdir(parents=True, exist_ok=True)
+        (output_folder / f"{scenario.name}.json").write_bytes(orjson.dumps(values, option=orjson.OPT_INDENT_2))
+        write_page(result, output_folder / f"{scenario.name}.html")
+    if print_json:
         print(orjson.dumps(values).decode())
     else:
-        for name, value in outcome.figures.items():
+        for name, value in result.figures.items():
             print(f"{name:<12} {value:.6g}")
-        for fault in outcome.missed_expectations:
-            print(f"cometusher: {scenario.name}: {fault}", file=sys.stderr)
-    return 1 if outcome.missed_expectations else 0
+        for missed in result.missed_expectations:
+            print(f"cometusher: {scenario.name}: {missed}", file=sys.stderr)
+    return 1 if result.missed_expectations else 0
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -136,10 +136,10 @@
     rng = Random(scenario.seed)
     events = []
     for fault in scenario.faults:
-        at, seed = fault.time + fault.time_spread * rng.random(), rng.getrandbits(32)
-        events.append(ScheduledFault(at, fault, seed))
+        time, seed = fault.time + fault.time_spread * rng.random(), rng.getrandbits(32)
+        events.append(ScheduledFault(time, fault, seed))
         if fault.duration > 0.0:
-            events.append(ScheduledFault(at + fault.duration, fault, seed, undo=True))
+            events.append(ScheduledFault(time + fault.duration, fault, seed, undo=True))
     return sorted(events, key=lambda event: event.time)
 
 
@@ -150,7 +150,7 @@
 
 
 def _read_fleet(table: Table) -> ScenarioFleet:
-    part = ScenarioFleet(
+    fleet = ScenarioFleet(
         table.text("name"),
         table.whole("tier", 0, 0, 2),
         table.whole("instances", 8, 1, 200),
@@ -160,23 +160,23 @@
         table.whole("own", 0, 0, 20),
     )
     table.done()
-    return part
+    return fleet
 
 
 def _read_fault(table: Table, fleets: Sequence[ScenarioFleet]) -> Fault:
-    deed = table.choice("do", None, tuple(ACTION_TARGETS))
+    action = table.choice("do", None, tuple(ACTION_TARGETS))
     fleet = table.text("fleet", "") if table.has("fleet") else ""
-    if fleet and fleet not in [part.name for part in fleets]:
+    if fleet and fleet not in [candidate.name for candidate in fleets]:
         raise table.fault("fleet", f"{fleet!r} is not one of the fleets")
     link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
-    if link in OWN_LINKS and not any(part.isolated for part in fleets):
+    if link in OWN_LINKS and not any(candidate.isolated for candidate in fleets):
         raise table.fault("link", f"{link!r} wants a fleet with `own`")
-    if (deed == "link") is not bool(link):
+    if (action == "link") is not bool(link):
         raise table.fault("link", 'belongs to `do = "link"`, and only there')
     fault = Fault(
         time=table.number("at", 0.0, 0.0, 3600.0),
         time_spread=table.number("about", 0.0, 0.0, 3600.0),
-        action=deed,
+        action=action,
         fleet=fleet,
         share=table.number("share", 1.0, 0.0, 1.0),
         duration=table.number("lasts", 0.0, 0.0, 3600.0),
@@ -203,25 +203,27 @@
 
 def build_scenario(path: Path, root: Table) -> Scenario:
     """A scenario out of its file's values; raises ConfigError naming file, line and key."""
-    head = root.table("drill")
-    name, seed = head.text("name", path.stem), head.whole("seed", 1)
-    calm, seconds = head.number("calm", 4.0, 0.5, 600.0), head.number("seconds", 8.0, 0.5, 3600.0)
-    head.done()
+    drill = root.table("drill")
+    name, seed = drill.text("name", path.stem), drill.whole("seed", 1)
+    calm, seconds = drill.number("calm", 4.0, 0.5, 600.0), drill.number("seconds", 8.0, 0.5, 3600.0)
+    drill.done()
     fleets = tuple(_read_fleet(table) for table in root.tables("fleet"))
     if not fleets:
         raise root.fault("fleet", "there is none")
-    if len({part.name for part in fleets}) < len(fleets):
+    if len({fleet.name for fleet in fleets}) < len(fleets):
         raise root.fault("fleet", "a name is there twice")
     table = root.table("backends")
     backends, work = table.whole("count", 16, 1, 500), table.number("work", 0.03, 0.0, 60.0)
-    longest = table.number("longest", 0.0, 0.0, 60.0)
+    max_work = table.number("longest", 0.0, 0.0, 60.0)
     table.done()
     table = root.table("load")
     rate = table.number("rate", 100.0, 0.1, 5000.0)
     strict = table.choice("callers", "mend", ("mend", "strict")) == "strict"
     table.done()
     faults = tuple(_read_fault(table, fleets) for table in root.tables("fault"))
-    expects = tuple(_read_expect(table) for table in root.tables("expect"))
+    expectations = tuple(_read_expect(table) for table in root.tables("expect"))
     root.done()
     links = tuple(link for link in LINKS if any(fault.link == link for fault in faults))
-    return Scenario(name, seed, calm, seconds, fleets, backends, work, longest, rate, strict, links, faults, expects)
+    return Scenario(
+        name, seed, calm, seconds, fleets, backends, work, max_work, rate, strict, links, faults, expectations
+    )
