--- a/cometusher/fault_injection/__init__.py
+++ b/cometusher/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Drills: several real processes, faults between them from a seed, load, and rules checked from outside."""
+"""Fault injection: real processes under load, faults drawn from a seed, and invariants checked from outside."""
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -1,4 +1,4 @@
-"""What a drill runs: backends, discovery, fleets of real processes, load, and the accounts that each side keeps."""
+"""The environment of a fault injection run: backends, discovery, fleets of real processes, load, and measurements."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 from standins.service_backend import Keys
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-STEP_TIMEOUT = 60.0  # seconds for any one step
-BACKEND_CORES = 2.0  # of each backend
-BIN_WIDTH = 0.2  # seconds over which new connections are counted
+STEP_TIMEOUT = 60.0  # seconds for each step of starting and stopping
+BACKEND_CORES = 2.0  # seconds of work that a warm backend can do in a second
+BIN_WIDTH = 0.2  # seconds; window in which new connections are counted
 REPEATABLE_CLASSES = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
 NON_REPEATABLE_SERVICE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
 ALL_CLASSES = [
@@ -45,7 +45,7 @@
 
 
 def windowed_counts(times: Iterable[float], window: float) -> Iterator[tuple[float, int]]:
-    """Each of these moments, in order, and how many there were within a span (seconds) up to it."""
+    """Yield each time of an ordered sequence, and how many times lie in the window (seconds) that ends there."""
     in_window: deque[float] = deque()
     for moment in times:
         in_window.append(moment)
@@ -60,44 +60,45 @@
 
 @dataclass
 class BackendStats:
-    """What the backends saw."""
+    """What the backends of a run measured together; times are seconds of the monotonic clock."""
 
     connect_times: list[float] = field(default_factory=list)
-    effect_counts: dict[bytes, int] = field(default_factory=dict)
-    stale_requests: int = 0
+    effect_counts: dict[bytes, int] = field(default_factory=dict)  # by idempotency key, or call id without one
+    stale_requests: int = 0  # requests at backends that had been removed or banned
     known_keys: Keys = field(
         default_factory=lambda: Keys(WINDOW)
-    )  # the group that knows a key again: all in one zone
-    max_work: float = 0.0  # seconds of work; above 0, each request's is drawn from that of its backend up to this
+    )  # the deduplication group: all backends are in one zone
+    # Seconds; above 0, the work of each request is drawn between its backend's and this.
+    max_work: float = 0.0
     rng: Random = field(default_factory=lambda: Random(1))
 
     def draw_work(self, work: float) -> float:
-        """Seconds of work of one request."""
+        """Seconds of work of one request, drawn log-uniformly where `max_work` is above the backend's."""
         return work if self.max_work <= work else work * (self.max_work / work) ** self.rng.random()
 
     def mean_connects(self, begin: float, end: float) -> float:
-        """New connections in BIN seconds, on average."""
+        """Mean number of new connections in BIN_WIDTH seconds; at least 1."""
         return max(1.0, sum(begin <= at <= end for at in self.connect_times) * BIN_WIDTH / (end - begin))
 
     def peak_connects(self, begin: float, end: float) -> int:
-        """Most new connections within BIN seconds."""
+        """Largest number of new connections within BIN_WIDTH seconds."""
         within = (at for at in self.connect_times if begin <= at <= end)
         return max((count for _, count in windowed_counts(within, BIN_WIDTH)), default=0)
 
 
 class RecordingBackend(Backend):
-    """A backend that works for a while, names itself, and keeps an account of connections and effects."""
+    """A backend that takes time for each request, answers with its name, and records connections and effects."""
 
     def __init__(self, number: int, account: BackendStats, work: float) -> None:
         super().__init__(number, self.serve)
         self.backend_stats = account
         self.work = work  # seconds
-        self.cold_since = 0.0  # when it started cold; 0: warm
-        self.cold_arrivals: list[float] = []  # while it is cold
-        self.removed = False  # gone, or banned by operators: whatever comes now is a stale decision
+        self.cold_since = 0.0  # monotonic time of a cold start; 0: warm
+        self.cold_arrivals: list[float] = []  # times of the requests since a cold start
+        self.removed = False  # removed, or banned by operators: each request that arrives now was a stale decision
 
     async def serve(self, backend: Backend, seen: Seen, writer: Writer) -> None:
-        """One request."""
+        """Serve one request."""
         self.seen.clear()
         if self.cold_since:
             self.cold_arrivals.append(time.monotonic())
@@ -105,7 +106,7 @@
             self.backend_stats.stale_requests += 1
         key = seen.headers.get(b"idempotency-key")
         if key is None and seen.line.startswith(b"POST"):
-            key = seen.headers.get(b"x-call-id", b"?")  # each time it comes is an effect
+            key = seen.headers.get(b"x-call-id", b"?")  # nothing deduplicates it: each arrival is an effect
             self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
         elif key is not None and self.backend_stats.known_keys.first(time.monotonic(), key):
             self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
@@ -114,7 +115,7 @@
         writer.write(reply(200, body, b"X-Backend: " + self.host.encode()))
 
     def cold_overload(self) -> float:
-        """The most work that all proxies together sent it within a second, over what it could do at that moment."""
+        """The most work that all proxies sent within one second, as a multiple of its capacity at that time."""
         worst = 0.0
         for arrival, count in windowed_counts(self.cold_arrivals, 1.0):
             age = arrival - self.cold_since
@@ -129,7 +130,7 @@
 
 
 class FaultyDiscovery(HostList):
-    """Discovery that counts what it is asked, and can be away."""
+    """A discovery service that counts its calls and can be made unreachable."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         super().__init__(hosts)
@@ -140,17 +141,17 @@
         await super()._serve(reader, writer)
 
     async def disconnect(self) -> None:
-        """Go away: connections end, and new ones are refused."""
+        """Become unreachable: connections end, and new ones are refused."""
         await self.stop()
 
     async def reconnect(self) -> None:
-        """Be there again."""
+        """Become reachable again on the same port."""
         await self.start(port=self.port)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestResult:
-    """One request as its caller saw it; seconds of this process's clock."""
+    """One request as its caller saw it; times are seconds of the monotonic clock."""
 
     sent_at: float
     ended_at: float
@@ -160,7 +161,7 @@
 
 
 class RecordingLoad(Load):
-    """Open-loop load that notes when each request was due to be asked, and what became of it."""
+    """Open-loop load that records the time and the outcome of each request."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -168,8 +169,8 @@
         self.send_counts: dict[
             bytes, int
         ] = {}  # keys (ids where there is none), and how often their message went out
-        self.wrong_answers = 0  # answers that were not made for their request
-        self.extra_answers = 0  # connections on which more came than the answers that were asked for
+        self.wrong_answers = 0  # answers to another request
+        self.extra_answers = 0  # requests before which a connection had received unrequested data
 
     async def _exchange(
         self,
@@ -188,7 +189,7 @@
         return await super()._exchange(address, reader, writer, message, budget, kept)
 
     def check(self, message: bytes, answer: Seen) -> None:
-        """An answer has come: it has to name the request that it is for."""
+        """Count an answer that does not name its request."""
         if answer.status == 200 and message.split(b"X-Call-Id: ")[1].split(b"\r\n")[0] not in answer.body:
             self.wrong_answers += 1
 
@@ -201,31 +202,31 @@
 
 @dataclass
 class InstanceLinks:
-    """One instance's own ways to discovery and to each backend, so that something can befall it alone."""
+    """One instance's own links to discovery and to each backend, so that faults can affect it alone."""
 
     discovery_server: FaultyDiscovery
     discovery_link: Link
     backend_links: dict[str, Link]  # by host
 
     async def set_fault(self, fault: Mood, hosts: Collection[str] | None = None) -> None:
-        """Its links to these backends (to all) are in this mood from now on."""
+        """Apply a fault to the links to these backends, or to all."""
         for host, link in self.backend_links.items():
             if hosts is None or host in hosts:
                 await link.set(fault)
 
     def relayed_entry(self, entry: dict[str, Any]) -> dict[str, Any]:
-        """Discovery's line about a backend as this instance is told it."""
+        """A backend's discovery entry with the address of this instance's link to it."""
         return entry | {"dial": f"127.0.0.1:{self.backend_links[entry['host']].port}"}
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop the links and the discovery service."""
         for link in (self.discovery_link, *self.backend_links.values()):
             await link.stop()
         await self.discovery_server.stop()
 
 
 class Fleet:
-    """One supervisor and its instances."""
+    """One supervisor and its instances, as processes."""
 
     def __init__(
         self,
@@ -245,12 +246,12 @@
         self.recovery = recovery
         self.takeover = takeover
         self.failure_detector = failure_detector
-        self.policy: dict[str, float] = {}  # keys of the file's table
+        self.policy: dict[str, float] = {}  # keys of the table [policy]
         self.log_format = "text"
-        self.failure_detector_lines: list[str] = []  # of its table
-        self.instance_lines: dict[str, list[str]] = {}  # of an instance's, by name
-        self.isolated: list[str] = []  # instances that have ways of their own...
-        self.instance_links: dict[str, InstanceLinks] = {}  # ...and these, once the world has started
+        self.failure_detector_lines: list[str] = []  # of the table [vigil]
+        self.instance_lines: dict[str, list[str]] = {}  # of an instance's table, by name
+        self.isolated: list[str] = []  # instances that have links of their own
+        self.instance_links: dict[str, InstanceLinks] = {}  # of the isolated instances, once the world has started
         self.ports = free_ports(count)
         self.management_ports = free_ports(count)
         self.process: asyncio.subprocess.Process | None = None
@@ -259,7 +260,7 @@
         self.control = str(self.state / "control.sock")
 
     def write(self, discovery: int, recovery_lines: str = "") -> None:
-        """The fleet's files."""
+        """Write the fleet's files; `discovery` is a port, `recovery_lines` are of the table [comeback]."""
         raw_settings = settings(self.tier, 0)
         raw_settings["Services"].append(NON_REPEATABLE_SERVICE)
         (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw_settings}))
@@ -288,7 +289,7 @@
         self.file.write_text("\n".join(lines) + "\n")
 
     async def start(self) -> None:
-        """A supervisor, in the foreground."""
+        """Start the supervisor in the foreground, unless it runs."""
         if self.process is not None and self.process.returncode is None:
             return
         self.process = await asyncio.create_subprocess_exec(
@@ -304,32 +305,32 @@
         )
 
     async def status(self) -> dict[str, Any]:
-        """What the supervisor tells; empty where there is none, or none that answers."""
+        """The supervisor's status; empty if none answers."""
         try:
             return await asyncio.to_thread(send_request, Path(self.control), "status", 5.0)
         except (NoSupervisor, ControlError):
             return {}
 
     async def instance_status(self) -> dict[str, dict[str, Any]]:
-        """Instances by name."""
+        """The status of each instance, by name."""
         return {row["name"]: row for row in (await self.status()).get("instances", [])}
 
     async def pids(self) -> dict[str, int]:
-        """Of instances that have a process, by name."""
+        """Process ids of the instances that have a process, by name."""
         return {name: int(row["pid"]) for name, row in (await self.instance_status()).items() if row["pid"]}
 
     async def is_replaced(self, name: str, pid: int) -> bool:
-        """Whether an instance has another process than this one, and it is ready."""
+        """Whether an instance has another process than `pid`, and it is ready."""
         row = (await self.instance_status())[name]
         return row["pid"] not in (None, pid) and row["state"] == "ready"
 
     async def is_ready(self) -> bool:
-        """Whether all are."""
+        """Whether all instances are ready."""
         rows = await self.instance_status()
         return len(rows) == self.count and all(row["state"] == "ready" for row in rows.values())
 
     async def operate(self, operation: str, host: str) -> None:
-        """An order of operators, to every instance that listens."""
+        """Send an operators' request to every instance that listens on its management address."""
         for port in self.management_ports:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -343,12 +344,12 @@
                 raise RuntimeError(f"{operation} {host}: {answer.status if answer else 'no answer'}")
 
     def log(self) -> str:
-        """All that was logged."""
+        """The text of the fleet's log."""
         path = self.folder / "fleet.log"
         return path.read_text() if path.exists() else ""
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop the fleet, also if its supervisor is stopped by a signal."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGCONT)
             self.process.terminate()
@@ -357,12 +358,12 @@
     # ---- faults --------------------------------------------------------------------------
 
     async def signal(self, names: list[str], number: int) -> list[int]:
-        """Signal instances; returns the pids of those that were there."""
+        """Signal instances; returns the pids of those that had a process."""
         rows = await self.instance_status()
         return signal_processes([rows[name]["pid"] for name in names if name in rows and rows[name]["pid"]], number)
 
     async def kill_machine(self) -> list[int]:
-        """The machine is lost: supervisor and instances at once."""
+        """Kill the supervisor and all instances at once, as the loss of a machine does."""
         pids = list((await self.pids()).values())
         await self.kill_supervisor(wait=False)
         signal_processes(pids, signal.SIGKILL)
@@ -371,21 +372,21 @@
         return pids
 
     async def kill_supervisor(self, wait: bool = True) -> None:
-        """Only the supervisor."""
+        """Kill only the supervisor."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             if wait:
                 await self.process.wait()
 
     def delete_store(self, names: list[str]) -> None:
-        """The records of these instances are gone; the fleet's own too, if all are."""
+        """Delete the records of these instances; with all of them, the fleet's own too."""
         for path in self._record_files(names):
             path.unlink(missing_ok=True)
         if len(names) == self.count:
             shutil.rmtree(self.state / "store", ignore_errors=True)
 
     def corrupt_store(self, names: list[str], seed: int) -> None:
-        """Some bytes of the records of these instances are other ones."""
+        """Overwrite some bytes of the records of these instances."""
         for path in self._record_files(names):
             data = bytearray(path.read_bytes()) if path.exists() else bytearray()
             start = seed % max(1, len(data) - 256)
@@ -394,9 +395,9 @@
                 path.write_bytes(data)
 
     def shift_clock(self, names: list[str], seconds: float) -> None:
-        """The machine's clock is set forth (back, if below 0) and it boots: what these instances kept tells of that.
+        """Rewrite these instances' records as if the clock had been set forward (back, if below 0) before a reboot.
 
-        With all of them, the fleet's own records too. Only while no process has them open.
+        With all instances, the fleet's own records too. No process may have the records open.
         """
         fleet_records = [".fleet"] if len(names) == self.count else []
         for name in [*names, *fleet_records]:
@@ -409,13 +410,13 @@
             records.close()
 
     def copy_store(self) -> None:
-        """Keep a copy of all records."""
+        """Copy all records aside."""
         shutil.rmtree(self.folder / "older", ignore_errors=True)
         if (self.state / "store").exists():
             shutil.copytree(self.state / "store", self.folder / "older")
 
     def restore_store(self) -> None:
-        """Put the instances' records back to that copy; the fleet's own stay."""
+        """Restore the instances' records from that copy; the fleet's own records stay."""
         for path in self._record_files([f"p{i}" for i in range(self.count)]):
             path.unlink(missing_ok=True)
         for path in (self.folder / "older").glob("p*"):
@@ -427,13 +428,13 @@
 
 
 def signal_processes(pids: list[int], number: int) -> list[int]:
-    """Signal these very processes; returns those that were there."""
+    """Signal processes by identity, not by a pid that may be reused; returns the pids of those signalled."""
     processes = [Identity.of(pid) for pid in pids]
     return [process.pid for process in processes if process is not None and process.signal(number)]
 
 
 async def wait_until(condition: Any, timeout: float = STEP_TIMEOUT) -> bool:
-    """Wait for what has to become true; whether it did."""
+    """Wait until a condition holds; returns whether it did within the timeout (seconds)."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         result = condition()
@@ -444,7 +445,7 @@
 
 
 class World:
-    """Backends, discovery, fleets and load."""
+    """Backends, discovery, fleets and load of one run."""
 
     def __init__(self, folder: Path, backends: int, work: float, links: tuple[str, ...] = (), seed: int = 1) -> None:
         self.folder = folder
@@ -458,20 +459,20 @@
         self.discovery = FaultyDiscovery([])
         self.load: RecordingLoad | None = None
         self.request_classes = REPEATABLE_CLASSES
-        self.zone_count = 1  # that backends are in by turns
+        self.zone_count = 1  # backends are distributed over the zones in turn
         self._stop = asyncio.Event()
         self._load_task: asyncio.Task[None] | None = None
 
     def add_fleet(
         self, name: str, count: int, tier: int, recovery: bool, takeover: bool = False, failure_detector: bool = False
     ) -> Fleet:
-        """One more fleet, before the start."""
+        """Add a fleet; only before `start`."""
         fleet = Fleet(self.folder, name, count, tier, recovery, takeover, failure_detector)
         self.fleets.append(fleet)
         return fleet
 
     async def add_relay(self, name: str, target: tuple[str, int] | str, listen: str = "") -> int:
-        """A relay before an address, if this drill has one there; returns the port to use."""
+        """Start a relay to an address, if this run has links of that name; returns its port, or 0."""
         if name not in self.links:
             return 0
         link = Link(target, self.seed + len(self.links[name]))
@@ -480,13 +481,13 @@
         return link.port
 
     async def discovery_entry(self, backend: RecordingBackend, **changes: Any) -> dict[str, Any]:
-        """Discovery's line about a backend."""
+        """A backend's discovery entry, with the address of its relay if it has one."""
         port = await self.add_relay("backend", ("127.0.0.1", backend.port)) or backend.port
         site = ZONES[self.backends.index(backend) % self.zone_count]
         return backend.entry(site=site, dial=f"127.0.0.1:{port}", **changes)
 
     def hosts_in_zone(self, zone: int) -> list[str]:
-        """The backends of one zone."""
+        """Hosts of the backends in one zone."""
         return [backend.host for backend in self.backends if self.backends.index(backend) % self.zone_count == zone]
 
     async def _start_instance_links(self) -> InstanceLinks:
@@ -503,14 +504,14 @@
         return instance_links
 
     def publish(self, *entries: dict[str, Any]) -> None:
-        """Discovery tells of a change: to all that it reaches."""
+        """Publish changed entries through discovery, and through the discovery of each isolated instance."""
         self.discovery.change(*entries)
         for fleet in self.fleets:
             for instance_links in fleet.instance_links.values():
                 instance_links.discovery_server.change(*(instance_links.relayed_entry(entry) for entry in entries))
 
     async def start(self, rate: float, recovery_lines: str = "") -> None:
-        """Start all, and wait until every instance is ready."""
+        """Start everything and wait until every instance is ready; raises RuntimeError if one does not get ready."""
         for backend in self.backends:
             await backend.start()
         self.discovery.hosts = [await self.discovery_entry(backend) for backend in self.backends]
@@ -536,7 +537,7 @@
         self._load_task = asyncio.create_task(self.load.run(self._stop))
 
     async def stop(self) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         self._stop.set()
         if self._load_task is not None:
             await self._load_task
@@ -553,25 +554,25 @@
             await backend.stop()
 
     async def pids(self) -> list[int]:
-        """Of every instance that runs."""
+        """Process ids of all running instances."""
         return [pid for fleet in self.fleets for pid in (await fleet.pids()).values()]
 
     async def all_running(self, lost_pids: Collection[int] = ()) -> bool:
-        """Whether every instance has a process, and none of them is one of those that are gone."""
+        """Whether every instance has a process, and none is one of the lost ones."""
         pids = await self.pids()
         return len(pids) == sum(fleet.count for fleet in self.fleets) and not set(pids) & set(lost_pids)
 
     def duplicate_effects(self) -> int:
-        """Effects that came twice, of requests that went out once: a client's own repeat is not counted."""
+        """Number of effects that occurred more than once although the client sent the request once."""
         sent = self.load.send_counts if self.load is not None else {}
         return sum(count > 1 and sent.get(key) == 1 for key, count in self.backend_stats.effect_counts.items())
 
     def cold_overload(self) -> float:
-        """The most that any cold backend was sent within a second, over what it could do; the rule allows three."""
+        """The largest `RecordingBackend.cold_overload`; the specification allows 3."""
         return max((backend.cold_overload() for backend in self.backends), default=0.0)
 
     async def replace_backends(self, share: float, seed: int) -> int:
-        """Part of the backends are gone; others hold their addresses, under names of their own and lately started."""
+        """Replace part of the backends by cold ones with other names at the same addresses; returns how many."""
         removed = Random(seed).sample(self.backends, max(1, round(share * len(self.backends))))
         changes = []
         for old in removed:
--- a/cometusher/fault_injection/report.py
+++ b/cometusher/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""One page of a drill: plots over time as SVG, the timeline in each of them, the figures and what was expected."""
+"""The HTML page of a fault injection run: SVG plots over time, the figures, the expectations and the timeline."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def bin_counts(times: Sequence[float], end: float) -> list[int]:
-    """How many fall into each bin from 0 to the end."""
+    """Number of times in each bin of BIN_WIDTH seconds from 0 to the end."""
     bins = [0] * (int(end / BIN_WIDTH) + 1)
     for moment in times:
         if 0.0 <= moment <= end:
@@ -54,15 +54,15 @@
         self.elements: list[str] = []
 
     def x_position(self, time: float) -> float:
-        """Where a moment lies."""
+        """X coordinate of a time."""
         return LEFT + (WIDTH - LEFT) * time / self.end
 
     def clamped_x(self, time: float) -> float:
-        """Where a moment lies, or the edge that it is beyond."""
+        """X coordinate of a time, limited to the plot."""
         return self.x_position(min(max(time, 0.0), self.end))
 
     def add_curve(self, name: str, values: Sequence[int], maximum: int) -> None:
-        """One curve over bins."""
+        """Add the curve of one series of bin counts."""
         points = " ".join(
             f"{self.x_position(index * BIN_WIDTH):.1f},"
             f"{self.height - BOTTOM - (self.height - 2 * BOTTOM) * value / max(1, maximum):.1f}"
@@ -72,7 +72,7 @@
         self.elements.append(f'<polyline fill="none" stroke="{colour}" stroke-width="1.5" points="{points}"/>')
 
     def add_timeline(self, timeline: Sequence[tuple[float, str]]) -> None:
-        """The timeline as upright lines."""
+        """Add the timeline as vertical lines."""
         for time, description in timeline:
             x = self.x_position(time)
             self.elements.append(
@@ -92,35 +92,33 @@
         )
 
 
-def _request_plot(outcome: RunResult, end: float) -> Plot:
-    plot = Plot("requests in 0.2 s, by what became of them, at the moment when they were asked", end)
+def _request_plot(result: RunResult, end: float) -> Plot:
+    plot = Plot("requests in 0.2 s by outcome, at the time when they were sent", end)
     series = {
-        request_outcome: bin_counts(
-            [request.sent_at for request in outcome.requests if request.outcome == request_outcome], end
-        )
-        for request_outcome in ("served", "refused", "failed", "lost", "unreachable")
+        outcome: bin_counts([request.sent_at for request in result.requests if request.outcome == outcome], end)
+        for outcome in ("served", "refused", "failed", "lost", "unreachable")
     }
     maximum = max(max(values) for values in series.values())
     for name, values in series.items():
         if any(values):
             plot.add_curve(name, values, maximum)
-    plot.add_timeline(outcome.timeline)
+    plot.add_timeline(result.timeline)
     return plot
 
 
-def _connection_plot(outcome: RunResult, end: float) -> Plot:
+def _connection_plot(result: RunResult, end: float) -> Plot:
     plot = Plot("new connections to backends in 0.2 s", end)
-    values = bin_counts(outcome.connect_times, end)
+    values = bin_counts(result.connect_times, end)
     plot.add_curve("connections", values, max(values))
-    plot.add_timeline(outcome.timeline)
+    plot.add_timeline(result.timeline)
     return plot
 
 
-def _state_plot(outcome: RunResult, fleet: str, end: float) -> Plot:
-    names = sorted({name for sample in outcome.samples for name in sample.states.get(fleet, {})})
+def _state_plot(result: RunResult, fleet: str, end: float) -> Plot:
+    names = sorted({name for sample in result.samples for name in sample.states.get(fleet, {})})
     plot = Plot(f"{fleet}: each instance's state", end, 2 * BOTTOM + 8 * max(1, len(names)))
     for line, name in enumerate(names):
-        for sample, next_sample in zip(outcome.samples, [*outcome.samples[1:], None], strict=True):
+        for sample, next_sample in zip(result.samples, [*result.samples[1:], None], strict=True):
             state = sample.states.get(fleet, {}).get(name)
             if state is None or sample.time < 0.0:
                 continue
@@ -133,28 +131,28 @@
                 f'fill="{PHASE_COLOURS.get(state, "#000000")}">'
                 f"<title>{html.escape(f'{name}: {state}')}</title></rect>"
             )
-    plot.add_timeline(outcome.timeline)
+    plot.add_timeline(result.timeline)
     return plot
 
 
-def write_page(outcome: RunResult, path: Path) -> None:
+def write_page(result: RunResult, path: Path) -> None:
     """Write the page; raises OSError."""
-    scenario = outcome.scenario
+    scenario = result.scenario
     end = scenario.calm + scenario.seconds
-    plots = [_request_plot(outcome, end), _connection_plot(outcome, end)]
-    plots += [_state_plot(outcome, fleet.name, end) for fleet in scenario.fleets]
+    plots = [_request_plot(result, end), _connection_plot(result, end)]
+    plots += [_state_plot(result, fleet.name, end) for fleet in scenario.fleets]
     legend = " ".join(
         f'<span style="color:{colour}">&#9632; {name}</span>' for name, colour in SERIES_COLOURS.items()
     )
     legend += "<br>" + " ".join(
         f'<span style="color:{colour}">&#9632;</span> {name}' for name, colour in PHASE_COLOURS.items()
     )
-    rows = "".join(f"<tr><td>{name}</td><td>{value:.6g}</td></tr>" for name, value in outcome.figures.items())
+    rows = "".join(f"<tr><td>{name}</td><td>{value:.6g}</td></tr>" for name, value in result.figures.items())
     expectations = (
-        "".join(f"<li>{html.escape(missed)}</li>" for missed in outcome.missed_expectations) or "<li>as expected</li>"
+        "".join(f"<li>{html.escape(missed)}</li>" for missed in result.missed_expectations) or "<li>as expected</li>"
     )
     timeline = "".join(
-        f"<tr><td>{time:.2f} s</td><td>{html.escape(description)}</td></tr>" for time, description in outcome.timeline
+        f"<tr><td>{time:.2f} s</td><td>{html.escape(description)}</td></tr>" for time, description in result.timeline
     )
     title = html.escape(f"{scenario.name}, seed {scenario.seed}")
     path.write_text(
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -1,4 +1,4 @@
-"""Running a drill: the timeline carried out, samples taken, rules and expectations checked, one page and one JSON."""
+"""Runs a fault injection scenario, samples the fleets, checks the expectations and writes the results."""
 
 from __future__ import annotations
 
@@ -27,44 +27,44 @@
 )
 from standins.faulty_link import Mood
 
-SAMPLE_INTERVAL = 0.1  # seconds
-PROMPT_LIMIT = 0.3  # seconds within which a request is served at once
-WARM_UP = 2.5  # seconds in which first connections are made, before the calm
+SAMPLE_INTERVAL = 0.1  # seconds between samples of the instances' states
+PROMPT_LIMIT = 0.3  # seconds within which a request counts as served promptly
+WARM_UP = 2.5  # seconds for the first connections, before measurements begin
 RECOVERY_STARTS = frozenset(
     {"kill", "lose", "lose-store", "discovery-back", "continue"}
-)  # what a return is counted from
+)  # actions from which the time of a recovery is measured
 
 
 @dataclass
 class Sample:
-    """The world at one moment; `at` in seconds after the calm began."""
+    """The instances' states at one time, in seconds after the measurements began."""
 
     time: float
-    states: dict[str, dict[str, str]] = field(default_factory=dict)  # fleet, instance: its phase or state
+    states: dict[str, dict[str, str]] = field(default_factory=dict)  # by fleet and instance: recovery phase or state
 
 
 @dataclass
 class RunResult:
-    """What came of a drill."""
+    """The results of a run; all times are seconds after the measurements began."""
 
     scenario: Scenario
-    timeline: list[tuple[float, str]]  # the timeline as it was carried out
+    timeline: list[tuple[float, str]]  # when each action was applied
     samples: list[Sample]
-    requests: list[RequestResult]  # with times after the calm began
+    requests: list[RequestResult]
     connect_times: list[float]
     figures: dict[str, float]
-    recoveries: dict[str, list[dict[str, Any]]]  # what each fleet's supervisor measured itself
+    recoveries: dict[str, list[dict[str, Any]]]  # each fleet's recoveries as its supervisor reports them
     missed_expectations: list[str]
 
 
 def _instance_state(status: dict[str, Any]) -> str:
-    """What an instance's row shows: of one that is ready its phase, if it has any."""
+    """An instance's state, or its recovery phase if it is ready and has one."""
     state = str(status["state"])
     return str(status.get("comeback", {}).get("phase", state)) if state == "ready" else state
 
 
 def time_to_full_service(requests: Sequence[RequestResult], since: float) -> float:
-    """Seconds after `since` until whatever is asked is served at once."""
+    """Seconds from `since` to the last request that was not served promptly; 0 if there is none."""
     not_prompt = [request.sent_at for request in requests if request.sent_at >= since and not _is_prompt(request)]
     return max(not_prompt, default=since) - since
 
@@ -90,7 +90,7 @@
                 scenario_fleet.failure_detector,
             )
             fleet.isolated = [f"p{index}" for index in range(min(scenario_fleet.isolated, scenario_fleet.instances))]
-            if scenario_fleet.takeover:  # its faults are many single ends, and no reason to give up
+            if scenario_fleet.takeover:  # many single exits are injected, and must not exhaust the restart budget
                 fleet.policy = {"budget": 10_000, "backoff_to": 0.5, "hang_after": 2.5}
         self.world.backend_stats.max_work = scenario.max_work
         if scenario.strict:
@@ -98,20 +98,22 @@
         self.timeline: list[tuple[float, str]] = []
         self.samples: list[Sample] = []
         self._begin = 0.0
-        self._last_failure_at = 0.0  # when the last blow was carried out, or discovery came back
-        self._processes_lost_at = 0.0  # when processes were lost last
-        self._lost_pids: list[int] = []  # pids of those
-        self._processes_back_at = 0.0  # when the last process that was started since was there
+        self._last_failure_at = (
+            0.0  # when the last action of RECOVERY_STARTS was applied, or discovery became reachable
+        )
+        self._processes_lost_at = 0.0  # when processes were last killed
+        self._lost_pids: list[int] = []
+        self._processes_back_at = 0.0  # when every killed process had been replaced
         self._takeover_counters: list[dict[str, int]] = []
         self._detector_counters: list[dict[str, int]] = []
         self._older_list: tuple[int, list[dict[str, Any]]] = (0, [])
 
     def now(self) -> float:
-        """Seconds after the calm began."""
+        """Seconds after the measurements began."""
         return time.monotonic() - self._begin
 
     async def run(self) -> RunResult:
-        """From the start of all to the end of all."""
+        """Start everything, apply the timeline, stop everything, and return the results."""
         scenario, world = self.scenario, self.world
         try:
             await world.start(scenario.rate)
@@ -161,7 +163,7 @@
             self._wait_task = asyncio.create_task(self._wait_for_processes())
 
     async def _wait_for_processes(self) -> None:
-        """Note when the last process that comes in place of those lost was there, beside the timeline."""
+        """Record when all lost processes have been replaced; runs while the timeline goes on."""
         await wait_until(partial(self.world.all_running, self._lost_pids), 20.0)
         self._processes_back_at = self.now()
 
@@ -224,7 +226,7 @@
             backend.removed = False
             for fleet in fleets:
                 await fleet.operate("exclude" if removed else "include", backend.host)
-            # What was on its way at the yes is no stale decision.
+            # A request that was in flight when the ban was acknowledged is not a stale decision.
             asyncio.get_running_loop().call_later(0.5, setattr, backend, "removed", removed)
 
     async def _change_discovery(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
@@ -244,7 +246,7 @@
             await self._restart_discovery()
 
     async def _restart_discovery(self) -> None:
-        """What discovery says now is told anew: its watches end, and are opened again."""
+        """End all watches of discovery, so that instances reconnect and receive the current list."""
         await self.world.discovery.disconnect()
         await self.world.discovery.reconnect()
 
@@ -276,7 +278,7 @@
         for name in pick_targets(event, names):
             await links[int(name)].set(link_fault)
 
-    # ---- what came of it -----------------------------------------------------------------
+    # ---- results -------------------------------------------------------------------------
 
     def _result(self, recoveries: dict[str, list[dict[str, Any]]]) -> RunResult:
         world, scenario = self.world, self.scenario
@@ -293,7 +295,7 @@
         for correlated_failures in recoveries.values():
             figures["events"] += len([failure for failure in correlated_failures if failure["cause"] != "start"])
         missed = [
-            f"{expect.figure} is {figures[expect.figure]:.3g}, wanted from {expect.minimum:g} to {expect.maximum:g}"
+            f"{expect.figure} is {figures[expect.figure]:.3g}, expected {expect.minimum:g} to {expect.maximum:g}"
             for expect in scenario.expectations
             if not expect.minimum <= figures[expect.figure] <= expect.maximum
         ]
@@ -346,7 +348,7 @@
         }
 
     def _relative_peak(self, connect_times: list[float]) -> float:
-        """Most new connections in a bin after the calm, over the mean of the calm."""
+        """Peak of new connections per bin after the calm period, as a multiple of the calm period's mean."""
         backend_stats, begin = self.world.backend_stats, self._begin
         baseline = backend_stats.mean_connects(begin, begin + self.scenario.calm)
         return (
@@ -385,7 +387,7 @@
 
 
 def as_json(result: RunResult) -> dict[str, Any]:
-    """The outcome as plain values."""
+    """The results as plain values for JSON."""
     return {
         "drill": result.scenario.name,
         "seed": result.scenario.seed,
@@ -400,12 +402,12 @@
 async def run_scenario(
     scenario: Scenario, folder: Path, report: Callable[[str], None] = lambda text: None
 ) -> RunResult:
-    """Run a scenario in a folder of its own."""
+    """Run a scenario in an empty folder; `report` receives a line for each action."""
     return await FaultInjectionRun(scenario, folder, report).run()
 
 
 def main(path: Path, output_folder: Path | None, print_json: bool) -> int:
-    """The command: returns 0 if all that the scenario expects came true, else 1. Raises ConfigError."""
+    """The command `drill`; returns 0 if all expectations are met, else 1. Raises ConfigError."""
     scenario = read_scenario(path)
 
     def say(text: str) -> None:
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""A drill's file, read and checked whole, and the schedule of faults that its seed makes of it."""
+"""Fault injection scenarios: reads and validates a scenario file, and derives its fault schedule from the seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from cometusher.toml_reader import Table, read_file
 
-#: What can be done, and to what.
+#: Each action, and what it is applied to.
 ACTION_TARGETS = {
     "kill": "instances",
     "stop": "instances",
@@ -35,7 +35,7 @@
     "link": "links",
 }
 LINKS = ("caller", "backend", "discovery", "control")
-OWN_LINKS = ("own", "own-discovery")  # of instances that have links of their own: to backends, to discovery
+OWN_LINKS = ("own", "own-discovery")  # links of isolated instances alone: to backends, to discovery
 LINK_FAULTS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
 FIGURES = (
     "full_s",
@@ -74,28 +74,28 @@
     recovery: bool
     takeover: bool
     failure_detector: bool = False
-    isolated: int = 0  # instances, the first of them, that have links of their own
+    isolated: int = 0  # number of instances, from the first, that have links of their own
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that is done at a moment."""
+    """One fault of a scenario: an action, its targets and its time."""
 
-    time: float  # seconds after the calm begins
-    time_spread: float  # ...and up to so many later, drawn from the seed
+    time: float  # seconds after the calm period
+    time_spread: float  # seconds; the largest delay after that, drawn from the seed
     action: str
-    fleet: str  # empty: all
-    share: float
-    duration: float  # seconds until it is undone; 0: it is not
+    fleet: str  # a fleet's name; empty: all
+    share: float  # part of the targets that the action is applied to
+    duration: float  # seconds until it is undone; 0: never
     link: str
     link_fault: str
     direction: str
-    value: float  # of the mood, or the work, or the rate
+    value: float  # of the link fault, the work (seconds), the rate (requests/s) or the clock (seconds)
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """A bound on a figure."""
+    """The range in which a figure of the results must lie."""
 
     figure: str
     minimum: float
@@ -104,26 +104,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole file."""
+    """A scenario file."""
 
     name: str
     seed: int
-    calm: float  # seconds before the first fault can be
-    seconds: float  # after it
+    calm: float  # seconds before the first fault
+    seconds: float  # after the calm period
     fleets: tuple[ScenarioFleet, ...]
     backends: int
-    work: float  # seconds...
-    max_work: float  # ...or between them and these; 0: all alike
-    rate: float  # requests a second over all
-    strict: bool  # all classes, and nothing is sent again by callers
-    links: tuple[str, ...]  # those that a fault needs: only they go through a relay
+    work: float  # seconds of work of a request
+    max_work: float  # seconds; above 0, the work of each request is drawn between `work` and this
+    rate: float  # requests a second, over all fleets
+    strict: bool  # callers send all classes of request, and repeat none
+    links: tuple[str, ...]  # the links that faults apply to; only these go through a relay
     faults: tuple[Fault, ...]
     expectations: tuple[Expectation, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """A fault at its moment, with what chance it has of its own."""
+    """A fault at its drawn time, with the seed of its own random choices."""
 
     time: float
     fault: Fault
@@ -132,7 +132,7 @@
 
 
 def schedule(scenario: Scenario) -> list[ScheduledFault]:
-    """All that will be done, in order: the same for the same seed, whatever the machine does."""
+    """The faults in order of time, and the undoing of those that have a duration; depends on the seed alone."""
     rng = Random(scenario.seed)
     events = []
     for fault in scenario.faults:
@@ -144,7 +144,7 @@
 
 
 def pick_targets(event: ScheduledFault, names: Sequence[str]) -> list[str]:
-    """The part of these that an event is about."""
+    """The names that an event is applied to; at least one, the same for the same event."""
     count = max(1, round(event.fault.share * len(names)))
     return Random(event.seed).sample(list(names), min(count, len(names)))
 
@@ -170,9 +170,9 @@
         raise table.fault("fleet", f"{fleet!r} is not one of the fleets")
     link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
     if link in OWN_LINKS and not any(candidate.isolated for candidate in fleets):
-        raise table.fault("link", f"{link!r} wants a fleet with `own`")
+        raise table.fault("link", f"{link!r} needs a fleet with `own` above 0")
     if (action == "link") is not bool(link):
-        raise table.fault("link", 'belongs to `do = "link"`, and only there')
+        raise table.fault("link", 'required with `do = "link"`, and allowed only there')
     fault = Fault(
         time=table.number("at", 0.0, 0.0, 3600.0),
         time_spread=table.number("about", 0.0, 0.0, 3600.0),
@@ -197,21 +197,21 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Read a drill's file; raises ConfigError naming file, line and key."""
+    """Read a scenario file; raises ConfigError naming file, line and key."""
     return build_scenario(path, read_file(path))
 
 
 def build_scenario(path: Path, root: Table) -> Scenario:
-    """A scenario out of its file's values; raises ConfigError naming file, line and key."""
+    """Build a scenario from the values of its file; raises ConfigError naming file, line and key."""
     drill = root.table("drill")
     name, seed = drill.text("name", path.stem), drill.whole("seed", 1)
     calm, seconds = drill.number("calm", 4.0, 0.5, 600.0), drill.number("seconds", 8.0, 0.5, 3600.0)
     drill.done()
     fleets = tuple(_read_fleet(table) for table in root.tables("fleet"))
     if not fleets:
-        raise root.fault("fleet", "there is none")
+        raise root.fault("fleet", "at least one is required")
     if len({fleet.name for fleet in fleets}) < len(fleets):
-        raise root.fault("fleet", "a name is there twice")
+        raise root.fault("fleet", "a name is used twice")
     table = root.table("backends")
     backends, work = table.whole("count", 16, 1, 500), table.number("work", 0.03, 0.0, 60.0)
     max_work = table.number("longest", 0.0, 0.0, 60.0)
