--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -30,8 +30,8 @@
 
 from apart import alone, burn  # noqa: E402
 
-from cometusher.fault_injection.environment import World, signal_all  # noqa: E402
-from cometusher.fleet.observations import Look, judge_again, read_evidence  # noqa: E402
+from cometusher.fault_injection.environment import World, signal_processes  # noqa: E402
+from cometusher.fleet.observations import ObservationRound, read_observations, replay_detector  # noqa: E402
 from standins.load import quantile  # noqa: E402
 from weldroute.failure_detector import FailureDetectorPolicy, Response  # noqa: E402
 
@@ -46,7 +46,12 @@
         world = World(Path(folder), 8, 0.03)
         fleet = world.add_fleet("a", instances, 0, False, False, True)
         # Nobody is replaced: what is looked for is the moment of the first suspicion.
-        fleet.vigil_lines = [f'record = "{path}"', "hung_for = 1000", "stopped_for = 1000", "spinning_for = 1000"]
+        fleet.failure_detector_lines = [
+            f'record = "{path}"',
+            "hung_for = 1000",
+            "stopped_for = 1000",
+            "spinning_for = 1000",
+        ]
         burners = (
             []
             if stops
@@ -63,22 +68,22 @@
                 await asyncio.sleep(REST)
                 if stops:
                     pid = (await fleet.pids())[f"p{rng.randrange(instances)}"]
-                    signal_all([pid], 19)
+                    signal_processes([pid], 19)
                     await asyncio.sleep(PAUSE * (0.9 + 0.2 * rng.random()))
-                    signal_all([pid], 18)
+                    signal_processes([pid], 18)
         finally:
             await world.stop()
             for one in burners:
                 await asyncio.to_thread(one.join)
 
 
-def by_silence(looks: Iterator[Look], excused: bool = True) -> Iterator[Look]:
+def by_silence(looks: Iterator[ObservationRound], excused: bool = True) -> Iterator[ObservationRound]:
     """Without the kernel's word that one is stopped; nor, unless `excused`, that it waited for a processor."""
     for look in looks:
-        seen = {key: replace(one, stopped=False) for key, one in look.seen.items()}
+        seen = {key: replace(one, stopped=False) for key, one in look.observations.items()}
         if not excused:
             seen = {key: replace(one, cpu_wait=0.0) for key, one in seen.items()}
-        yield replace(look, seen=seen)
+        yield replace(look, observations=seen)
 
 
 @dataclass(frozen=True)
@@ -101,14 +106,14 @@
         return quantile(self.times, part) if self.times else float("inf")
 
 
-def stopped(looks: list[Look]) -> list[tuple[tuple[str, int], float, float]]:
+def stopped(looks: list[ObservationRound]) -> list[tuple[tuple[str, int], float, float]]:
     """Each stop: of whom, its last turn, and the last look that saw it stopped."""
     found: dict[tuple[str, int], tuple[float, float]] = {}
     done = []
     for look in looks:
-        for key, one in look.seen.items():
+        for key, one in look.observations.items():
             if one.stopped:
-                found[key] = (one.last_heartbeat, look.at)
+                found[key] = (one.last_heartbeat, look.observed_at)
             elif key in found:
                 done.append((key, *found.pop(key)))
     return done
@@ -117,13 +122,14 @@
 def judge(threshold: float, calm: Path, stops: Path, excused: bool = True) -> Judged:
     """Both recordings, by one threshold."""
     policy = FailureDetectorPolicy(suspect=threshold, certain=max(threshold, 12.0), hung_for=1e3, spinning_for=1e3)
-    quiet = list(read_evidence(calm))
+    quiet = list(read_observations(calm))
     alarms = sum(
-        act.response is Response.DIVERT_ACCEPTS for _, act in judge_again(by_silence(iter(quiet), excused), policy)
+        act.response is Response.DIVERT_ACCEPTS
+        for _, act in replay_detector(by_silence(iter(quiet), excused), policy)
     )
-    hours = sum(len(look.seen) * look.every for look in quiet) / 3600.0
-    looks = list(read_evidence(stops))
-    judged = judge_again(by_silence(iter(looks), excused), policy)
+    hours = sum(len(look.observations) * look.interval for look in quiet) / 3600.0
+    looks = list(read_observations(stops))
+    judged = replay_detector(by_silence(iter(looks), excused), policy)
     acts = [(at, act.key) for at, act in judged if act.response is Response.DIVERT_ACCEPTS]
     times, missed = [], 0
     for key, turned, until in stopped(looks):
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""A drill's file, read and checked whole, and the schedule of faults that its seed makes of it."""
+"""Fault injection scenarios: reads and validates a scenario file, and derives its fault schedule from the seed."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from cometusher.toml_reader import Table, read_file
 
-#: What can be done, and to what.
-DEEDS = {
+#: Each action, and what it is applied to.
+ACTION_TARGETS = {
     "kill": "instances",
     "stop": "instances",
     "continue": "instances",
@@ -35,8 +35,8 @@
     "link": "links",
 }
 LINKS = ("caller", "backend", "discovery", "control")
-OWN = ("own", "own-discovery")  # of instances that have links of their own: to backends, to discovery
-MOODS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
+OWN_LINKS = ("own", "own-discovery")  # links of isolated instances alone: to backends, to discovery
+LINK_FAULTS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
 FIGURES = (
     "full_s",
     "back_s",
@@ -65,92 +65,92 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetPart:
+class ScenarioFleet:
     """One supervisor and its instances."""
 
     name: str
     tier: int
     instances: int
-    comeback: bool
+    recovery: bool
     takeover: bool
-    vigil: bool = False
-    own: int = 0  # instances, the first of them, that have links of their own
+    failure_detector: bool = False
+    isolated: int = 0  # number of instances, from the first, that have links of their own
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that is done at a moment."""
-
-    at: float  # seconds after the calm begins
-    about: float  # ...and up to so many later, drawn from the seed
-    deed: str
-    fleet: str  # empty: all
-    share: float
-    lasts: float  # seconds until it is undone; 0: it is not
+    """One fault of a scenario: an action, its targets and its time."""
+
+    time: float  # seconds after the calm period
+    time_spread: float  # seconds; the largest delay after that, drawn from the seed
+    action: str
+    fleet: str  # a fleet's name; empty: all
+    share: float  # part of the targets that the action is applied to
+    duration: float  # seconds until it is undone; 0: never
     link: str
-    mood: str
-    way: str
-    value: float  # of the mood, or the work, or the rate
+    link_fault: str
+    direction: str
+    value: float  # of the link fault, the work (seconds), the rate (requests/s) or the clock (seconds)
 
 
 @dataclass(frozen=True, slots=True)
-class Expect:
-    """A bound on a figure."""
+class Expectation:
+    """The range in which a figure of the results must lie."""
 
     figure: str
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole file."""
+    """A scenario file."""
 
     name: str
     seed: int
-    calm: float  # seconds before the first fault can be
-    seconds: float  # after it
-    fleets: tuple[FleetPart, ...]
+    calm: float  # seconds before the first fault
+    seconds: float  # after the calm period
+    fleets: tuple[ScenarioFleet, ...]
     backends: int
-    work: float  # seconds...
-    longest: float  # ...or between them and these; 0: all alike
-    rate: float  # requests a second over all
-    strict: bool  # all classes, and nothing is sent again by callers
-    links: tuple[str, ...]  # those that a fault needs: only they go through a relay
+    work: float  # seconds of work of a request
+    max_work: float  # seconds; above 0, the work of each request is drawn between `work` and this
+    rate: float  # requests a second, over all fleets
+    strict: bool  # callers send all classes of request, and repeat none
+    links: tuple[str, ...]  # the links that faults apply to; only these go through a relay
     faults: tuple[Fault, ...]
-    expects: tuple[Expect, ...]
+    expectations: tuple[Expectation, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
-    """A fault at its moment, with what chance it has of its own."""
+class ScheduledFault:
+    """A fault at its drawn time, with the seed of its own random choices."""
 
-    at: float
+    time: float
     fault: Fault
     seed: int
     undo: bool = False
 
 
-def schedule(scenario: Scenario) -> list[Event]:
-    """All that will be done, in order: the same for the same seed, whatever the machine does."""
+def schedule(scenario: Scenario) -> list[ScheduledFault]:
+    """The faults in order of time, and the undoing of those that have a duration; depends on the seed alone."""
     rng = Random(scenario.seed)
     events = []
     for fault in scenario.faults:
-        at, seed = fault.at + fault.about * rng.random(), rng.getrandbits(32)
-        events.append(Event(at, fault, seed))
-        if fault.lasts > 0.0:
-            events.append(Event(at + fault.lasts, fault, seed, undo=True))
-    return sorted(events, key=lambda event: event.at)
+        time, seed = fault.time + fault.time_spread * rng.random(), rng.getrandbits(32)
+        events.append(ScheduledFault(time, fault, seed))
+        if fault.duration > 0.0:
+            events.append(ScheduledFault(time + fault.duration, fault, seed, undo=True))
+    return sorted(events, key=lambda event: event.time)
 
 
-def pick(event: Event, names: Sequence[str]) -> list[str]:
-    """The part of these that an event is about."""
+def pick_targets(event: ScheduledFault, names: Sequence[str]) -> list[str]:
+    """The names that an event is applied to; at least one, the same for the same event."""
     count = max(1, round(event.fault.share * len(names)))
     return Random(event.seed).sample(list(names), min(count, len(names)))
 
 
-def _read_fleet(table: Table) -> FleetPart:
-    part = FleetPart(
+def _read_fleet(table: Table) -> ScenarioFleet:
+    fleet = ScenarioFleet(
         table.text("name"),
         table.whole("tier", 0, 0, 2),
         table.whole("instances", 8, 1, 200),
@@ -160,68 +160,70 @@
         table.whole("own", 0, 0, 20),
     )
     table.done()
-    return part
+    return fleet
 
 
-def _read_fault(table: Table, fleets: Sequence[FleetPart]) -> Fault:
-    deed = table.choice("do", None, tuple(DEEDS))
+def _read_fault(table: Table, fleets: Sequence[ScenarioFleet]) -> Fault:
+    action = table.choice("do", None, tuple(ACTION_TARGETS))
     fleet = table.text("fleet", "") if table.has("fleet") else ""
-    if fleet and fleet not in [part.name for part in fleets]:
+    if fleet and fleet not in [candidate.name for candidate in fleets]:
         raise table.fault("fleet", f"{fleet!r} is not one of the fleets")
-    link = table.choice("link", "", LINKS + OWN) if table.has("link") else ""
-    if link in OWN and not any(part.own for part in fleets):
-        raise table.fault("link", f"{link!r} wants a fleet with `own`")
-    if (deed == "link") is not bool(link):
-        raise table.fault("link", 'belongs to `do = "link"`, and only there')
+    link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
+    if link in OWN_LINKS and not any(candidate.isolated for candidate in fleets):
+        raise table.fault("link", f"{link!r} needs a fleet with `own` above 0")
+    if (action == "link") is not bool(link):
+        raise table.fault("link", 'required with `do = "link"`, and allowed only there')
     fault = Fault(
-        at=table.number("at", 0.0, 0.0, 3600.0),
-        about=table.number("about", 0.0, 0.0, 3600.0),
-        deed=deed,
+        time=table.number("at", 0.0, 0.0, 3600.0),
+        time_spread=table.number("about", 0.0, 0.0, 3600.0),
+        action=action,
         fleet=fleet,
         share=table.number("share", 1.0, 0.0, 1.0),
-        lasts=table.number("lasts", 0.0, 0.0, 3600.0),
+        duration=table.number("lasts", 0.0, 0.0, 3600.0),
         link=link,
-        mood=table.choice("mood", "pass", MOODS),
-        way=table.choice("way", "down", ("up", "down")),
+        link_fault=table.choice("mood", "pass", LINK_FAULTS),
+        direction=table.choice("way", "down", ("up", "down")),
         value=table.number("value", 0.0),
     )
     table.done()
     return fault
 
 
-def _read_expect(table: Table) -> Expect:
+def _read_expect(table: Table) -> Expectation:
     figure = table.choice("figure", None, FIGURES)
-    expect = Expect(figure, table.number("least", -1.0, -1.0), table.number("most", 1e9))
+    expect = Expectation(figure, table.number("least", -1.0, -1.0), table.number("most", 1e9))
     table.done()
     return expect
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Read a drill's file; raises ConfigError naming file, line and key."""
+    """Read a scenario file; raises ConfigError naming file, line and key."""
     return build_scenario(path, read_file(path))
 
 
 def build_scenario(path: Path, root: Table) -> Scenario:
-    """A scenario out of its file's values; raises ConfigError naming file, line and key."""
-    head = root.table("drill")
-    name, seed = head.text("name", path.stem), head.whole("seed", 1)
-    calm, seconds = head.number("calm", 4.0, 0.5, 600.0), head.number("seconds", 8.0, 0.5, 3600.0)
-    head.done()
+    """Build a scenario from the values of its file; raises ConfigError naming file, line and key."""
+    drill = root.table("drill")
+    name, seed = drill.text("name", path.stem), drill.whole("seed", 1)
+    calm, seconds = drill.number("calm", 4.0, 0.5, 600.0), drill.number("seconds", 8.0, 0.5, 3600.0)
+    drill.done()
     fleets = tuple(_read_fleet(table) for table in root.tables("fleet"))
     if not fleets:
-        raise root.fault("fleet", "there is none")
-    if len({part.name for part in fleets}) < len(fleets):
-        raise root.fault("fleet", "a name is there twice")
+        raise root.fault("fleet", "at least one is required")
+    if len({fleet.name for fleet in fleets}) < len(fleets):
+        raise root.fault("fleet", "a name is used twice")
     table = root.table("backends")
     backends, work = table.whole("count", 16, 1, 500), table.number("work", 0.03, 0.0, 60.0)
-    longest = table.number("longest", 0.0, 0.0, 60.0)
+    max_work = table.number("longest", 0.0, 0.0, 60.0)
     table.done()
     table = root.table("load")
     rate = table.number("rate", 100.0, 0.1, 5000.0)
     strict = table.choice("callers", "mend", ("mend", "strict")) == "strict"
     table.done()
     faults = tuple(_read_fault(table, fleets) for table in root.tables("fault"))
-    expects = tuple(_read_expect(table) for table in root.tables("expect"))
+    expectations = tuple(_read_expect(table) for table in root.tables("expect"))
     root.done()
     links = tuple(link for link in LINKS if any(fault.link == link for fault in faults))
-    return Scenario(name, seed, calm, seconds, fleets, backends, work, longest, rate, strict, links, faults, expects)
+    return Scenario(
+        name, seed, calm, seconds, fleets, backends, work, max_work, rate, strict, links, faults, expectations
+    )
--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -1,7 +1,8 @@
-"""What processes of a fleet leave behind: books and connections of the dead, handed on to heirs.
+"""Hands the in-flight requests and connections of processes that have died to other processes, their successors.
 
-Decisions are `weldroute.takeover.Estate`'s; here are the sockets and the memory. All of it is asked of a keeper only
-when its instance has been reaped, and nothing here waits: keepers and heirs that are slow hold up nobody else's.
+`weldroute.takeover.TakeoverPlanner` decides; this module owns the sockets and the shared memory with the journals.
+A process's descriptor holder is asked for its descriptors only after the process has been reaped. Nothing here
+blocks: a slow descriptor holder or successor delays no other process's requests.
 """
 
 from __future__ import annotations
@@ -28,516 +29,582 @@
 from weldroute.request_journal import BUSY, IDLE, ConnectionRecord, OrphanedJournal, Stage
 from weldroute.takeover import RequestRef, TakeoverPlanner
 
-log = logging.getLogger("cometusher.fleet.estate")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.estate")  # operators' tools know the log records by this name
 
-TICK = 0.02  # seconds between looks, while anything is on its way
-GRACE = 1.0  # seconds after its deadline, or its owner's end, in which an heir may still say what became of it
-STRANDED = 3.0  # seconds that connections without work wait for anybody to be there...
-MOST_STRANDED = 256  # ...and so many offers of them
-MOVED_FOR = 5.0  # seconds within which an heir has noted what was moved to it
-MOST_MOVES = 16  # heirs that a connection without work is offered to
-OTHERS = 1 << 30  # among what a keeper was asked for: connections that nothing was noted of
-ASKED_AT_ONCE = 64  # pieces of work that a keeper is asked for in one message
+POLL_INTERVAL = 0.02  # seconds, while anything is being handed over
+ADOPTION_GRACE = 1.0  # seconds after a request's deadline, or its owner's exit, in which a successor may adopt it
+STRANDED_TIMEOUT = 3.0  # seconds that idle connections wait for a successor
+MAX_STRANDED = 256  # offers of idle connections that wait at once
+MOVE_RECORD_LIFETIME = 5.0  # seconds within which a successor records the connections moved to it
+MAX_MOVES = 16  # successors that an idle connection is offered to
+UNRECORDED = 1 << 30  # key in `pending`: the connections that the journal does not record
+HOLDER_BATCH = 64  # requests in one message to a descriptor holder
 
-Heirs = Callable[[int], Iterable[tuple[int, int]]]  # of a tier: processes, and the requests that they have in hand
+SuccessorSource = Callable[[int], Iterable[tuple[int, int]]]  # by tier: processes and their in-flight requests
 
 
 @dataclass(slots=True)
-class Holding:
-    """What the supervisor holds of one process."""
+class ProcessResources:
+    """The journal, sockets and descriptors that the supervisor holds for one process."""
 
     process: int
     name: str
     tier: int
     port: int  # that its callers connect to
-    left: OrphanedJournal
-    book: int  # which on the shelf
-    shelf: int  # descriptor
-    keeper: socket.socket
-    door: socket.socket  # where offers are put in...
-    back: socket.socket  # ...and the end that the process reads from
-    child_keeper: socket.socket | None  # until the process has it
-    keeper_pid: int = 0
-    keeper_pidfd: int = -1
-    dead: bool = False
-    asked: set[int] = field(default_factory=set)  # names of what its keeper is to give; below 0: batches of rows
-    batches: dict[int, list[tuple[ConnectionRecord, int]]] = field(
-        default_factory=dict
-    )  # with the slot, if there is an entry
-    until: dict[int, float] = field(default_factory=dict)  # by slot
-    parts: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: the caller, attempts
-    peers: dict[int, int] = field(default_factory=dict)  # by slot: the name of the caller's connection
-    copies: set[int] = field(default_factory=set)  # connections of work that it was offered when it died, by name
-    moved: dict[int, tuple[float, ConnectionRecord]] = field(
-        default_factory=dict
-    )  # to it, by name, and until when that counts
-
-    def pass_on(self) -> dict[int, int]:
-        """The descriptors for the process, by the numbers that it has them at."""
-        assert self.child_keeper is not None
-        return {POOL_FD: self.shelf, HOLDER_FD: self.child_keeper.fileno(), CHANNEL_FD: self.back.fileno()}
-
-    def passed_on(self) -> None:
-        """It has them."""
-        if self.child_keeper is not None:
-            self.child_keeper.close()
-            self.child_keeper = None
-
-
-class Estates:
-    """All that the processes of one fleet leave."""
-
-    def __init__(self, spec: TakeoverSpec, loop: asyncio.AbstractEventLoop, heirs: Heirs) -> None:
+    journal: OrphanedJournal
+    journal_index: int  # in the journal pool
+    pool_fd: int  # of the journal pool
+    holder_socket: socket.socket
+    offer_socket: socket.socket  # sends offers to the process
+    offer_receiver: socket.socket  # the other end; the process has a duplicate
+    child_holder_socket: socket.socket | None  # until the process has its own
+    holder_pid: int = 0
+    holder_pidfd: int = -1
+    is_reaped: bool = False
+    pending: set[int] = field(default_factory=set)  # asked of its holder: slots; below 0: batches of connections
+    # With the slot of the connection's request, or -1 if there is none.
+    connection_batches: dict[int, list[tuple[ConnectionRecord, int]]] = field(default_factory=dict)
+    deadlines: dict[int, float] = field(default_factory=dict)  # by slot
+    request_descriptors: dict[int, list[int | None]] = field(default_factory=dict)  # by slot: caller, then attempts
+    caller_connection_ids: dict[int, int] = field(default_factory=dict)  # by slot
+    # Caller connections of the requests that had been offered to it, and not adopted, when it died.
+    offered_copies: set[int] = field(default_factory=set)
+    # By connection id: until when the move is remembered, and the connection's state when it was moved.
+    recently_moved: dict[int, tuple[float, ConnectionRecord]] = field(default_factory=dict)
+
+    def child_descriptors(self) -> dict[int, int]:
+        """The descriptors that the process needs, by the numbers that they get in it."""
+        assert self.child_holder_socket is not None
+        return {
+            POOL_FD: self.pool_fd,
+            HOLDER_FD: self.child_holder_socket.fileno(),
+            CHANNEL_FD: self.offer_receiver.fileno(),
+        }
+
+    def close_child_end(self) -> None:
+        """The process has its descriptors (or never will): close the end that only it needs."""
+        if self.child_holder_socket is not None:
+            self.child_holder_socket.close()
+            self.child_holder_socket = None
+
+
+class OrphanedRequests:
+    """Takes over the requests and connections of all dead processes of one fleet."""
+
+    def __init__(self, spec: TakeoverSpec, loop: asyncio.AbstractEventLoop, successors: SuccessorSource) -> None:
         self.spec = spec
         self._loop = loop
-        self._heirs = heirs
-        self._estate = TakeoverPlanner(spec.pace, spec.patience)
-        self._holdings: dict[int, Holding] = {}
+        self._successors = successors
+        self._planner = TakeoverPlanner(spec.pace, spec.patience)
+        self._processes: dict[int, ProcessResources] = {}
         self._ports: dict[int, set[int]] = {}  # that callers connect to, by tier
-        self._shelf = spec.shelf
+        self._pool = spec.journal_pool
         self._memfd = os.memfd_create("shelf", os.MFD_CLOEXEC)
-        os.ftruncate(self._memfd, self._shelf.bytes)
-        self._memory = mmap.mmap(self._memfd, self._shelf.bytes)
+        os.ftruncate(self._memfd, self._pool.bytes)
+        self._memory = mmap.mmap(self._memfd, self._pool.bytes)
         self._view = memoryview(self._memory)
-        self._books = deque(range(self._shelf.books))  # that are free...
-        self._resting: deque[tuple[float, int]] = deque()  # ...and that will be: answers in them may be asked for
-        self._count = 0
+        self._free_journals = deque(range(self._pool.books))  # indexes
+        # Until when each journal is kept, because its stored answers may still be requested.
+        self._retained_journals: deque[tuple[float, int]] = deque()
+        self._process_count = 0
         self._ticking = False
-        self._stranded: list[tuple[float, int, Offer]] = []  # until when they wait, for an heir of which tier
-        self._moving: dict[int, float] = {}  # heirs that were sent connections without work, and since when
+        self._stranded: list[tuple[float, int, Offer]] = []  # until when they wait, tier
+        self._unreceived_since: dict[int, float] = {}  # successors: since when idle connections wait
         self.counts = {"left": 0, "adopted": 0, "lost": 0, "taken_back": 0, "declined": 0, "moved": 0, "closed": 0}
 
     # ---- processes -----------------------------------------------------------------------
 
-    def make(self, name: str, tier: int, port: int) -> Holding:
-        """For a process that is about to start; raises OSError."""
-        self._count += 1
+    def open_resources(self, name: str, tier: int, port: int) -> ProcessResources:
+        """Prepare the journal and sockets of a process that is about to start; raises OSError."""
+        self._process_count += 1
         self._ports.setdefault(tier, set()).add(port)
-        book = self._take_book()
-        left = OrphanedJournal(self._shelf.journal_memory(self._view, book), self._shelf.size)
-        keeper, child_keeper = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        door, back = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        for one in (keeper, door, back):
-            one.setblocking(False)
-        holding = Holding(self._count, name, tier, port, left, book, self._memfd, keeper, door, back, child_keeper)
-        self._holdings[holding.process] = holding
-        return holding
-
-    def _take_book(self) -> int:
-        """A book that is all zeros; raises OSError where there is none."""
+        journal_index = self._take_journal()
+        journal = OrphanedJournal(self._pool.journal_memory(self._view, journal_index), self._pool.size)
+        holder_socket, child_holder_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        offer_socket, offer_receiver = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        for sock in (holder_socket, offer_socket, offer_receiver):
+            sock.setblocking(False)
+        resources = ProcessResources(
+            self._process_count,
+            name,
+            tier,
+            port,
+            journal,
+            journal_index,
+            self._memfd,
+            holder_socket,
+            offer_socket,
+            offer_receiver,
+            child_holder_socket,
+        )
+        self._processes[resources.process] = resources
+        return resources
+
+    def _take_journal(self) -> int:
+        """Return the index of a zeroed journal; raises OSError if there is none."""
         now = self._loop.time()
-        while self._resting and (self._resting[0][0] <= now or not self._books):
-            self._books.append(self._resting.popleft()[1])
-        if not self._books:
-            raise OSError("no book is free")
-        book = self._books.popleft()
-        self._memory.madvise(mmap.MADV_REMOVE, self._shelf.journal_offset(book), self._shelf.journal_stride)
-        return book
-
-    def told(self, holding: Holding) -> dict[str, Any]:
-        """What the process is told of it, as a part of its file."""
-        return {"takeover": assignment_values(JournalAssignment(holding.process, holding.book, self._shelf))}
-
-    def started(self, holding: Holding) -> None:
-        """It has started."""
-        holding.passed_on()
-        self._loop.add_reader(holding.keeper.fileno(), self._from_keeper, holding)
-
-    def reaped(self, holding: Holding) -> None:
-        """It is no more, for certain: only now may anybody else act for it."""
-        if holding.dead:
+        while self._retained_journals and (self._retained_journals[0][0] <= now or not self._free_journals):
+            self._free_journals.append(self._retained_journals.popleft()[1])
+        if not self._free_journals:
+            raise OSError("no request journal is free")
+        journal_index = self._free_journals.popleft()
+        self._memory.madvise(mmap.MADV_REMOVE, self._pool.journal_offset(journal_index), self._pool.journal_stride)
+        return journal_index
+
+    def takeover_values(self, resources: ProcessResources) -> dict[str, Any]:
+        """The part of the process's configuration file that assigns its journal."""
+        return {
+            "takeover": assignment_values(JournalAssignment(resources.process, resources.journal_index, self._pool))
+        }
+
+    def on_started(self, resources: ProcessResources) -> None:
+        """The process has started."""
+        resources.close_child_end()
+        self._loop.add_reader(resources.holder_socket.fileno(), self._on_holder_readable, resources)
+
+    def on_reaped(self, resources: ProcessResources) -> None:
+        """The process has been reaped; only now may successors act on its requests."""
+        if resources.is_reaped:
             return
-        holding.dead = True
-        holding.passed_on()
-        given = {piece for piece, claim in self._estate.assigned() if claim.successor == holding.process}
-        self._see_adopted()
-        unproven = given & set(self._estate.claims)  # noted by it at most, not adopted: they are in the book before
-        holding.copies = {self._holdings[process].peers[slot] for process, slot in unproven}
-        self._estate.on_reaped(holding.process)
-        self._take_in(holding, unproven)
-        self._drain(holding)
-        self._go_on()
-
-    def _take_in(self, holding: Holding, unproven: set[RequestRef]) -> None:
-        """Ask the keeper for the connections of all that is in the book."""
-        asks: list[tuple[int, list[int]]] = []
-        rows: list[tuple[ConnectionRecord, int]] = []
-        taken = set()  # connections with an entry
-        for slot in holding.left.slots():
-            entry = holding.left.record_at(slot)
-            if entry is None:
-                log.warning("%s: an entry of its book can't be read", holding.name)
+        resources.is_reaped = True
+        resources.close_child_end()
+        assigned = {piece for piece, claim in self._planner.assigned() if claim.successor == resources.process}
+        self._collect_adopted()
+        # Recorded by it at most, but not adopted; the previous owner's journal has them.
+        unproven = assigned & set(self._planner.claims)
+        resources.offered_copies = {
+            self._processes[process].caller_connection_ids[slot] for process, slot in unproven
+        }
+        self._planner.on_reaped(resources.process)
+        self._request_descriptors(resources, unproven)
+        self._receive_back(resources)
+        self._advance()
+
+    def _request_descriptors(self, resources: ProcessResources, unproven: set[RequestRef]) -> None:
+        """Ask the descriptor holder for the descriptors of all requests and connections in the journal."""
+        descriptor_requests: list[tuple[int, list[int]]] = []
+        connections: list[tuple[ConnectionRecord, int]] = []
+        recorded = set()  # descriptors of callers that a record names
+        for slot in resources.journal.slots():
+            record = resources.journal.record_at(slot)
+            if record is None:
+                log.warning("%s: invalid record in its request journal", resources.name)
                 continue
-            if entry.caller_descriptor < 0:
-                continue  # an answer that is only kept
-            taken.add(entry.caller_descriptor)
-            if entry.origin is not None and (entry.origin.process, entry.origin.slot) in unproven:
+            if record.caller_descriptor < 0:
+                continue  # an answer that is only stored
+            recorded.add(record.caller_descriptor)
+            if record.origin is not None and (record.origin.process, record.origin.slot) in unproven:
                 continue
-            holding.until[slot] = max(entry.deadline, self._loop.time()) + GRACE
-            holding.peers[slot] = entry.caller_connection_id
-            if entry.stage is Stage.ANSWERED:
-                # Most likely between two requests: its connection tells.
-                rows.append(
+            resources.deadlines[slot] = max(record.deadline, self._loop.time()) + ADOPTION_GRACE
+            resources.caller_connection_ids[slot] = record.caller_connection_id
+            if record.stage is Stage.ANSWERED:
+                # Its connection is most likely idle; the connection's byte counters show whether the answer was sent.
+                connections.append(
                     (
                         ConnectionRecord(
-                            entry.caller_descriptor,
-                            entry.caller_connection_id,
-                            entry.bytes_read,
-                            entry.bytes_written + entry.answer_length,
+                            record.caller_descriptor,
+                            record.caller_connection_id,
+                            record.bytes_read,
+                            record.bytes_written + record.answer_length,
                         ),
                         slot,
                     )
                 )
                 continue
-            asks.append((slot, [entry.caller_descriptor, *(one.descriptor for one in entry.attempts)]))
-        rows += [(row, -1) for row in holding.left.connections([IDLE]) if row.descriptor not in taken]
-        before = self.counts["left"]
-        self.counts["left"] += len(asks)
-        for at in range(0, len(rows), BATCH_DESCRIPTORS):
-            name = -1 - at
-            holding.batches[name] = rows[at : at + BATCH_DESCRIPTORS]
-            asks.append((name, [row.descriptor for row, _ in rows[at : at + BATCH_DESCRIPTORS]]))
-        holding.asked = {OTHERS, *(name for name, _ in asks)}
-        if asks:
+            descriptor_requests.append(
+                (slot, [record.caller_descriptor, *(attempt.descriptor for attempt in record.attempts)])
+            )
+        connections += [
+            (connection, -1)
+            for connection in resources.journal.connections([IDLE])
+            if connection.descriptor not in recorded
+        ]
+        left_before = self.counts["left"]
+        self.counts["left"] += len(descriptor_requests)
+        for start in range(0, len(connections), BATCH_DESCRIPTORS):
+            batch_id = -1 - start
+            resources.connection_batches[batch_id] = connections[start : start + BATCH_DESCRIPTORS]
+            descriptor_requests.append(
+                (
+                    batch_id,
+                    [connection.descriptor for connection, _ in connections[start : start + BATCH_DESCRIPTORS]],
+                )
+            )
+        resources.pending = {UNRECORDED, *(batch_id for batch_id, _ in descriptor_requests)}
+        if descriptor_requests:
             log.info(
-                "%s (process %d) left %d requests in hand and %d connections",
-                holding.name,
-                holding.process,
-                self.counts["left"] - before,
-                len(rows),
+                "%s (process %d) left %d in-flight requests and %d idle connections",
+                resources.name,
+                resources.process,
+                self.counts["left"] - left_before,
+                len(connections),
                 extra={"event": "left"},
             )
         try:
-            for at in range(0, len(asks), ASKED_AT_ONCE):
-                holding.keeper.send(orjson.dumps(asks[at : at + ASKED_AT_ONCE]))
-            known = taken | {row.descriptor for row in holding.left.connections([IDLE, BUSY])}
-            ports = sorted(self._ports[holding.tier])  # what was moved to it came to another's
-            holding.keeper.send(orjson.dumps({"ports": ports, "known": sorted(known)}))
-        except OSError as fault:
-            self._keeper_lost(holding, f"its keeper can't be asked: {fault.strerror}")
-
-    # ---- keepers -------------------------------------------------------------------------
-
-    def _from_keeper(self, holding: Holding) -> None:
-        for _ in range(ASKED_AT_ONCE):
-            if holding.keeper.fileno() < 0:
-                return  # what it gave last was all
+            for start in range(0, len(descriptor_requests), HOLDER_BATCH):
+                resources.holder_socket.send(orjson.dumps(descriptor_requests[start : start + HOLDER_BATCH]))
+            known_descriptors = recorded | {
+                connection.descriptor for connection in resources.journal.connections([IDLE, BUSY])
+            }
+            ports = sorted(self._ports[resources.tier])  # connections moved to it came in at other processes' ports
+            resources.holder_socket.send(orjson.dumps({"ports": ports, "known": sorted(known_descriptors)}))
+        except OSError as error:
+            self._on_holder_lost(resources, f"its descriptor holder cannot be reached: {error.strerror}")
+
+    # ---- descriptor holders --------------------------------------------------------------
+
+    def _on_holder_readable(self, resources: ProcessResources) -> None:
+        for _ in range(HOLDER_BATCH):
+            if resources.holder_socket.fileno() < 0:
+                return  # the previous message completed its task
             try:
-                data, descriptors, _, _ = socket.recv_fds(holding.keeper, MAX_MESSAGE, MAX_DESCRIPTORS)
+                data, descriptors, _, _ = socket.recv_fds(resources.holder_socket, MAX_MESSAGE, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
                 data, descriptors = b"", []
             if not data:
-                self._keeper_lost(holding, "its keeper is gone")
+                self._on_holder_lost(resources, "its descriptor holder has exited")
                 return
             values = orjson.loads(data)
             if isinstance(values, dict):
-                self._keeper_starts(holding, int(values["pid"]))
+                self._on_holder_started(resources, int(values["pid"]))
             elif values[0] == "others":
-                self._others(holding, values[1], descriptors)
+                self._on_unrecorded(resources, values[1], descriptors)
             else:
-                self._given(holding, values[0], values[1], descriptors)
+                self._on_descriptors(resources, values[0], values[1], descriptors)
 
-    def _keeper_starts(self, holding: Holding, pid: int) -> None:
-        holding.keeper_pid = pid
-        holding.keeper_pidfd = os.pidfd_open(pid)
-        self._loop.add_reader(holding.keeper_pidfd, self._keeper_ended, holding)
+    def _on_holder_started(self, resources: ProcessResources, pid: int) -> None:
+        resources.holder_pid = pid
+        resources.holder_pidfd = os.pidfd_open(pid)
+        self._loop.add_reader(resources.holder_pidfd, self._on_holder_exit, resources)
 
-    def _keeper_ended(self, holding: Holding) -> None:
-        self._loop.remove_reader(holding.keeper_pidfd)
-        os.close(holding.keeper_pidfd)
+    def _on_holder_exit(self, resources: ProcessResources) -> None:
+        self._loop.remove_reader(resources.holder_pidfd)
+        os.close(resources.holder_pidfd)
         with contextlib.suppress(ChildProcessError):
-            os.waitpid(holding.keeper_pid, 0)
-        holding.keeper_pid, holding.keeper_pidfd = 0, -1
-
-    def _keeper_lost(self, holding: Holding, why: str) -> None:
-        """Nothing more comes of it; what it was asked for and has not given is lost."""
-        if holding.keeper.fileno() >= 0:
-            self._loop.remove_reader(holding.keeper.fileno())
-            holding.keeper.close()
-        lost = [name for name in holding.asked if 0 <= name < OTHERS]
-        holding.asked.clear()
-        if not holding.dead:
-            log.warning("%s: %s: what it has in hand would be lost with it", holding.name, why)
+            os.waitpid(resources.holder_pid, 0)
+        resources.holder_pid, resources.holder_pidfd = 0, -1
+
+    def _on_holder_lost(self, resources: ProcessResources, reason: str) -> None:
+        """The descriptor holder is gone; requests whose descriptors it has not sent are lost."""
+        if resources.holder_socket.fileno() >= 0:
+            self._loop.remove_reader(resources.holder_socket.fileno())
+            resources.holder_socket.close()
+        lost = [request_id for request_id in resources.pending if 0 <= request_id < UNRECORDED]
+        resources.pending.clear()
+        if not resources.is_reaped:
+            log.warning("%s: %s: its in-flight requests would be lost if it exited", resources.name, reason)
         elif lost:
             self.counts["lost"] += len(lost)
-            log.warning("%s: %s: %d requests are lost", holding.name, why, len(lost))
-        self._forget()
-
-    def _given(self, holding: Holding, name: int, have: list[bool], descriptors: list[int]) -> None:
-        """The keeper has given what belongs to one piece of work, or some connections without."""
-        holding.asked.discard(name)
-        given = iter(descriptors)
-        parts = [next(given, None) if there else None for there in have]
-        if name >= 0:
-            holding.parts[name] = parts
-            self._estate.add_orphans(holding.process, [(name, holding.until[name])])
+            log.warning("%s: %s: %d in-flight requests are lost", resources.name, reason, len(lost))
+        self._remove_finished()
+
+    def _on_descriptors(
+        self, resources: ProcessResources, request_id: int, present: list[bool], descriptors: list[int]
+    ) -> None:
+        """The holder has sent the descriptors of one request, or of a batch of idle connections."""
+        resources.pending.discard(request_id)
+        received = iter(descriptors)
+        found = [next(received, None) if is_present else None for is_present in present]
+        if request_id >= 0:
+            resources.request_descriptors[request_id] = found
+            self._planner.add_orphans(resources.process, [(request_id, resources.deadlines[request_id])])
         else:
-            self._sort_out(holding, holding.batches.pop(name), parts)
-        self._next(holding)
+            self._classify_connections(resources, resources.connection_batches.pop(request_id), found)
+        self._release_holder_when_done(resources)
 
-    def _next(self, holding: Holding) -> None:
-        if not holding.asked:
+    def _release_holder_when_done(self, resources: ProcessResources) -> None:
+        if not resources.pending:
             with contextlib.suppress(OSError):
-                holding.keeper.send(b"[]")
-        self._go_on()
+                resources.holder_socket.send(b"[]")
+        self._advance()
 
-    def _others(self, holding: Holding, names: list[int], descriptors: list[int]) -> None:
-        """Connections that its book knows nothing of.
+    def _on_unrecorded(self, resources: ProcessResources, connection_ids: list[int], descriptors: list[int]) -> None:
+        """The holder has sent connections that the journal does not record; an empty list ends them.
 
-        What was moved to it and not noted yet is as it was. What belongs to work that it was offered is a copy of
-        what is held here, or in the next heir's hand by now. The rest it had accepted, and its code has seen nothing
-        of it.
+        A connection that was moved to the process and not recorded yet is in the state that it was moved in. One that
+        belongs to a request offered to the process is a duplicate of a descriptor held here, or held by the next
+        successor by now. The others had been accepted by the process, but its code has read nothing from them.
         """
-        if names:
-            there = []
-            for name, number in zip(names, descriptors, strict=True):
-                if name in holding.copies:
-                    close_all([number])
+        if connection_ids:
+            connections = []
+            for connection_id, descriptor in zip(connection_ids, descriptors, strict=True):
+                if connection_id in resources.offered_copies:
+                    close_all([descriptor])
                 else:
-                    there.append((holding.moved.get(name, (0.0, ConnectionRecord(0, name, 0, 0)))[1], number))
-            if there:
-                self._move(holding, there)
+                    connections.append(
+                        (
+                            resources.recently_moved.get(
+                                connection_id, (0.0, ConnectionRecord(0, connection_id, 0, 0))
+                            )[1],
+                            descriptor,
+                        )
+                    )
+            if connections:
+                self._move_connections(resources, connections)
         else:
-            holding.asked.discard(OTHERS)
-        self._next(holding)
-
-    def _sort_out(self, holding: Holding, rows: list[tuple[ConnectionRecord, int]], parts: list[int | None]) -> None:
-        """Connections that should be between two requests: those of which an answer is not out are work."""
+            resources.pending.discard(UNRECORDED)
+        self._release_holder_when_done(resources)
+
+    def _classify_connections(
+        self,
+        resources: ProcessResources,
+        connections: list[tuple[ConnectionRecord, int]],
+        descriptors: list[int | None],
+    ) -> None:
+        """Sort connections into idle ones, which move, and those whose answer was not sent, which are requests."""
         idle = []
-        for (row, slot), number in zip(rows, parts, strict=True):
-            if number is None:
+        for (connection, slot), descriptor in zip(connections, descriptors, strict=True):
+            if descriptor is None:
                 continue
-            seen = read_counters_at(number, row.connection_id)
-            entry = holding.left.record_at(slot) if slot >= 0 else None
-            if entry is not None and seen is not None and seen.written < row.bytes_written:
+            counters = read_counters_at(descriptor, connection.connection_id)
+            record = resources.journal.record_at(slot) if slot >= 0 else None
+            if record is not None and counters is not None and counters.written < connection.bytes_written:
                 self.counts["left"] += 1
-                holding.parts[slot] = [number, *(None for _ in entry.attempts)]
-                holding.peers[slot] = entry.caller_connection_id
-                self._estate.add_orphans(holding.process, [(slot, holding.until[slot])])
-            elif entry is not None and entry.closes_connection:
-                close_all([number])
+                resources.request_descriptors[slot] = [descriptor, *(None for _ in record.attempts)]
+                resources.caller_connection_ids[slot] = record.caller_connection_id
+                self._planner.add_orphans(resources.process, [(slot, resources.deadlines[slot])])
+            elif record is not None and record.closes_connection:
+                close_all([descriptor])
             else:
-                idle.append((row, number))
+                idle.append((connection, descriptor))
         if idle:
-            self._move(holding, idle)
-
-    def _move(
-        self, holding: Holding, there: list[tuple[ConnectionRecord, int]], but: int = 0, first: int = 0
+            self._move_connections(resources, idle)
+
+    def _move_connections(
+        self,
+        resources: ProcessResources,
+        connections: list[tuple[ConnectionRecord, int]],
+        excluded: int = 0,
+        preferred: int = 0,
     ) -> None:
-        """Connections without work go to whoever has the least to do."""
-        self._send_on(
-            holding.tier,
+        """Send idle connections to the available process with the fewest requests."""
+        self._send_connections(
+            resources.tier,
             Offer(
-                holding.process,
-                rows=[[row.connection_id, row.bytes_read, row.bytes_written] for row, _ in there],
-                descriptors=[number for _, number in there],
+                resources.process,
+                rows=[
+                    [connection.connection_id, connection.bytes_read, connection.bytes_written]
+                    for connection, _ in connections
+                ],
+                descriptors=[descriptor for _, descriptor in connections],
             ),
-            but,
-            first,
+            excluded,
+            preferred,
         )
 
-    def accepted(self, holding: Holding, connections: list[socket.socket], itself: bool = False) -> None:
-        """Connections that were accepted for a process, of which nothing was read: it has them, or others do."""
-        rows = [(ConnectionRecord(0, connection_id_of(one), 0, 0), one.detach()) for one in connections]
-        but, first = (0, holding.process) if itself else (holding.process, 0)
-        for at in range(0, len(rows), BATCH_DESCRIPTORS):
-            self._move(holding, rows[at : at + BATCH_DESCRIPTORS], but, first)
-        self._go_on()
+    def distribute_accepted(
+        self, resources: ProcessResources, sockets: list[socket.socket], to_itself: bool = False
+    ) -> None:
+        """Send on connections accepted for a process, of which nothing was read: to others, or to itself first."""
+        connections = [(ConnectionRecord(0, connection_id_of(sock), 0, 0), sock.detach()) for sock in sockets]
+        excluded, preferred = (0, resources.process) if to_itself else (resources.process, 0)
+        for start in range(0, len(connections), BATCH_DESCRIPTORS):
+            self._move_connections(resources, connections[start : start + BATCH_DESCRIPTORS], excluded, preferred)
+        self._advance()
 
-    def _send_on(self, tier: int, offer: Offer, but: int = 0, first: int = 0) -> None:
-        """Connections without work, to any but one, or to one before all others.
+    def _send_connections(self, tier: int, offer: Offer, excluded: int = 0, preferred: int = 0) -> None:
+        """Send idle connections to any successor but `excluded`, to `preferred` first.
 
-        Where nobody is they wait; where nobody takes them they end.
+        They wait while there is no successor, up to STRANDED_TIMEOUT, and are closed after MAX_MOVES attempts.
         """
-        heirs = self._able(tier) if offer.term < MOST_MOVES else []
-        heirs.sort(key=lambda heir: heir[0] != first)
+        successors = self._available_successors(tier) if offer.term < MAX_MOVES else []
+        successors.sort(key=lambda successor: successor[0] != preferred)
         offer.term += 1
-        for process, _ in heirs:
-            if process == but:
+        for process, _ in successors:
+            if process == excluded:
                 continue
             with contextlib.suppress(OSError):
-                heir = self._holdings[process]
-                offer.send(heir.door)
+                resources = self._processes[process]
+                offer.send(resources.offer_socket)
                 now = self._loop.time()
-                heir.moved = {name: one for name, one in heir.moved.items() if one[0] > now}
-                heir.moved |= {row[0]: (now + MOVED_FOR, ConnectionRecord(0, *row)) for row in offer.rows}
-                self._moving.setdefault(process, now)
+                resources.recently_moved = {
+                    connection_id: move for connection_id, move in resources.recently_moved.items() if move[0] > now
+                }
+                resources.recently_moved |= {
+                    connection[0]: (now + MOVE_RECORD_LIFETIME, ConnectionRecord(0, *connection))
+                    for connection in offer.rows
+                }
+                self._unreceived_since.setdefault(process, now)
                 self.counts["moved"] += len(offer.descriptors)
                 offer.close()
                 return
         offer.term -= 1
-        if offer.term < MOST_MOVES and len(self._stranded) < MOST_STRANDED:
-            self._stranded.append((self._loop.time() + STRANDED, tier, offer))
+        if offer.term < MAX_MOVES and len(self._stranded) < MAX_STRANDED:
+            self._stranded.append((self._loop.time() + STRANDED_TIMEOUT, tier, offer))
             return
         self.counts["closed"] += len(offer.descriptors)
         offer.close()
 
-    def _able(self, tier: int) -> list[tuple[int, int]]:
-        """Heirs, the least at work first: with what was moved to them since they last told, or one would have all."""
+    def _available_successors(self, tier: int) -> list[tuple[int, int]]:
+        """Successors by load; counts connections moved to them since their last report, or one would get them all."""
         now = self._loop.time()
-        heirs = [
-            (process, count + sum(until > now for until, _ in self._holdings[process].moved.values()))
-            for process, count in self._heirs(tier)
+        successors = [
+            (process, count + sum(until > now for until, _ in self._processes[process].recently_moved.values()))
+            for process, count in self._successors(tier)
         ]
-        return self._estate.available(now, heirs)
+        return self._planner.available(now, successors)
 
-    def _offer_stranded(self) -> None:
-        """Connections without work for which there was nobody: most likely a process is about to be there."""
+    def _retry_stranded(self) -> None:
+        """Send idle connections for which there was no successor; most likely a process is about to be ready."""
         stranded, self._stranded = self._stranded, []
         for until, tier, offer in stranded:
             if self._loop.time() >= until:
                 self.counts["closed"] += len(offer.descriptors)
                 offer.close()
-            elif self._able(tier):
-                self._send_on(tier, offer)
+            elif self._available_successors(tier):
+                self._send_connections(tier, offer)
             else:
                 self._stranded.append((until, tier, offer))
 
-    # ---- heirs ---------------------------------------------------------------------------
+    # ---- successors ----------------------------------------------------------------------
 
-    def declined(self, holding: Holding, values: dict[str, Any]) -> None:
-        """An heir says that it can't carry a piece of work."""
+    def on_declined(self, resources: ProcessResources, values: dict[str, Any]) -> None:
+        """A successor reports that it can't adopt a request."""
         try:
-            piece, term = (int(values["process"]), int(values["slot"])), int(values["term"])
+            request, term = (int(values["process"]), int(values["slot"])), int(values["term"])
         except (KeyError, TypeError, ValueError):
             return
-        self.counts["declined"] += self._estate.on_declined(piece, holding.process, term)
-        self._go_on()
+        self.counts["declined"] += self._planner.on_declined(request, resources.process, term)
+        self._advance()
 
-    def _see_adopted(self) -> None:
-        for piece, claim in self._estate.assigned():
-            holding = self._holdings[piece[0]]
-            if holding.left.adopted_term(piece[1]) == claim.term:
+    def _collect_adopted(self) -> None:
+        for request, claim in self._planner.assigned():
+            resources = self._processes[request[0]]
+            if resources.journal.adopted_term(request[1]) == claim.term:
                 self.counts["adopted"] += 1
-                self._estate.on_adopted(piece)
-                self._let_go(holding, piece[1])
+                self._planner.on_adopted(request)
+                self._close_descriptors(resources, request[1])
 
     @staticmethod
-    def _let_go(holding: Holding, slot: int) -> None:
-        close_all([number for number in holding.parts.pop(slot, []) if number is not None])
+    def _close_descriptors(resources: ProcessResources, slot: int) -> None:
+        close_all(
+            [descriptor for descriptor in resources.request_descriptors.pop(slot, []) if descriptor is not None]
+        )
 
-    def _offer(self) -> None:
+    def _offer_orphans(self) -> None:
         now = self._loop.time()
-        tiers = {self._holdings[piece[0]].tier for piece in self._estate.orphans}
+        tiers = {self._processes[request[0]].tier for request in self._planner.orphans}
         for tier in tiers:
-            mine = [piece for piece in self._estate.orphans if self._holdings[piece[0]].tier == tier]
-            others = [piece for piece in self._estate.orphans if self._holdings[piece[0]].tier != tier]
-            self._estate.orphans = mine
-            given = self._estate.assign(now, self._able(tier))
-            self._estate.orphans += others
-            for heir, rows in given.items():
-                for piece, term in rows:
-                    self._offer_one(heir, piece, term)
-
-    def _offer_one(self, heir: int, piece: RequestRef, term: int) -> None:
-        holding = self._holdings[piece[0]]
-        parts = holding.parts[piece[1]]
-        if parts[0] is None:  # its caller has gone
-            self._estate.on_adopted(piece)
-            self._let_go(holding, piece[1])
+            in_tier = [request for request in self._planner.orphans if self._processes[request[0]].tier == tier]
+            in_other_tiers = [
+                request for request in self._planner.orphans if self._processes[request[0]].tier != tier
+            ]
+            self._planner.orphans = in_tier
+            assigned = self._planner.assign(now, self._available_successors(tier))
+            self._planner.orphans += in_other_tiers
+            for successor, requests in assigned.items():
+                for request, term in requests:
+                    self._offer_request(successor, request, term)
+
+    def _offer_request(self, successor: int, request: RequestRef, term: int) -> None:
+        resources = self._processes[request[0]]
+        descriptors = resources.request_descriptors[request[1]]
+        if descriptors[0] is None:  # its caller has disconnected
+            self._planner.on_adopted(request)
+            self._close_descriptors(resources, request[1])
             return
-        holding.left.claim(piece[1], term)
+        resources.journal.claim(request[1], term)
         offer = Offer(
-            piece[0],
-            piece[1],
+            request[0],
+            request[1],
             term,
-            [part is not None for part in parts[1:]],
-            book=holding.book,
-            descriptors=[part for part in parts if part is not None],
+            [descriptor is not None for descriptor in descriptors[1:]],
+            book=resources.journal_index,
+            descriptors=[descriptor for descriptor in descriptors if descriptor is not None],
         )
         try:
-            offer.send(self._holdings[heir].door)
+            offer.send(self._processes[successor].offer_socket)
         except OSError:
-            self._estate.on_declined(piece, heir, term)
+            self._planner.on_declined(request, successor, term)
 
-    def _take_back(self) -> None:
-        """What slow heirs have not received; and then nobody has."""
+    def _withdraw_offers(self) -> None:
+        """Take back the offers that slow successors have not received, so that others may get them."""
         now = self._loop.time()
-        for heir in self._estate.slow_successors(now):
-            holding = self._holdings.get(heir)
-            if holding is not None:
-                if is_waiting(holding.back):
-                    self._estate.avoid(now, heir)
-                self._drain(holding)
-        for heir, since in list(self._moving.items()):
-            holding = self._holdings.get(heir)
-            if holding is None or holding.dead or not is_waiting(holding.back):
-                del self._moving[heir]
+        for successor in self._planner.slow_successors(now):
+            resources = self._processes.get(successor)
+            if resources is not None:
+                if is_waiting(resources.offer_receiver):
+                    self._planner.avoid(now, successor)
+                self._receive_back(resources)
+        for successor, since in list(self._unreceived_since.items()):
+            resources = self._processes.get(successor)
+            if resources is None or resources.is_reaped or not is_waiting(resources.offer_receiver):
+                del self._unreceived_since[successor]
             elif now - since > self.spec.patience:
-                self._estate.avoid(now, heir)
-                self._drain(holding)
+                self._planner.avoid(now, successor)
+                self._receive_back(resources)
 
-    def _drain(self, holding: Holding) -> None:
-        """Receive what it has not received."""
-        self._moving.pop(holding.process, None)
+    def _receive_back(self, resources: ProcessResources) -> None:
+        """Receive the offers that a successor has not received itself."""
+        self._unreceived_since.pop(resources.process, None)
         with contextlib.suppress(OSError, EOFError):
-            while (offer := receive(holding.back)) is not None:
-                piece = (offer.process, offer.slot)
+            while (offer := receive(resources.offer_receiver)) is not None:
+                request = (offer.process, offer.slot)
                 if offer.slot < 0:
-                    self._send_on(holding.tier, offer, but=holding.process)
+                    self._send_connections(resources.tier, offer, excluded=resources.process)
                     continue
-                self.counts["taken_back"] += self._estate.on_withdrawn(piece, holding.process, offer.term)
+                self.counts["taken_back"] += self._planner.on_withdrawn(request, resources.process, offer.term)
                 offer.close()
 
-    # ---- time ----------------------------------------------------------------------------
+    # ---- progress ------------------------------------------------------------------------
 
-    def _go_on(self) -> None:
-        """Hand on what can be, and look again as long as anything is on its way."""
-        self._see_adopted()
-        self._take_back()
-        for piece in self._estate.expire(self._loop.time()):
+    def _advance(self) -> None:
+        """Hand over what can be handed over, and poll as long as any offer is pending."""
+        self._collect_adopted()
+        self._withdraw_offers()
+        for request in self._planner.expire(self._loop.time()):
             self.counts["lost"] += 1
-            log.warning("%s: a request in hand found no heir", self._holdings[piece[0]].name)
-            self._let_go(self._holdings[piece[0]], piece[1])
-        self._offer()
-        self._offer_stranded()
-        self._forget()
-        if (self._estate.claims or self._moving or self._stranded) and not self._ticking:
+            log.warning("%s: no successor for an in-flight request; it is lost", self._processes[request[0]].name)
+            self._close_descriptors(self._processes[request[0]], request[1])
+        self._offer_orphans()
+        self._retry_stranded()
+        self._remove_finished()
+        if (self._planner.claims or self._unreceived_since or self._stranded) and not self._ticking:
             self._ticking = True
-            self._loop.call_later(TICK, self._tick)
+            self._loop.call_later(POLL_INTERVAL, self._tick)
 
     def _tick(self) -> None:
         self._ticking = False
-        self._go_on()
-
-    def _forget(self) -> None:
-        """Let go of the dead of whom nothing is left."""
-        for process, holding in list(self._holdings.items()):
-            if holding.dead and not holding.asked and not self._estate.has_claims(process):
-                del self._holdings[process]
-                self._end(holding)
-
-    def _end(self, holding: Holding) -> None:
-        holding.passed_on()
-        for slot in list(holding.parts):
-            self._let_go(holding, slot)
-        if holding.keeper.fileno() >= 0:
-            self._loop.remove_reader(holding.keeper.fileno())
-        for one in (holding.keeper, holding.door, holding.back):
-            one.close()
-        self._resting.append((self._loop.time() + self.spec.rests, holding.book))
-
-    def dropped(self, holding: Holding) -> None:
-        """Its process could not be started."""
-        self._holdings.pop(holding.process, None)
-        self._end(holding)
+        self._advance()
+
+    def _remove_finished(self) -> None:
+        """Release the resources of dead processes whose requests are all settled."""
+        for process, resources in list(self._processes.items()):
+            if resources.is_reaped and not resources.pending and not self._planner.has_claims(process):
+                del self._processes[process]
+                self._close_resources(resources)
+
+    def _close_resources(self, resources: ProcessResources) -> None:
+        resources.close_child_end()
+        for slot in list(resources.request_descriptors):
+            self._close_descriptors(resources, slot)
+        if resources.holder_socket.fileno() >= 0:
+            self._loop.remove_reader(resources.holder_socket.fileno())
+        for sock in (resources.holder_socket, resources.offer_socket, resources.offer_receiver):
+            sock.close()
+        self._retained_journals.append((self._loop.time() + self.spec.answer_retention, resources.journal_index))
+
+    def discard(self, resources: ProcessResources) -> None:
+        """Release the resources of a process that could not be started."""
+        self._processes.pop(resources.process, None)
+        self._close_resources(resources)
 
     def view(self) -> dict[str, int]:
-        """What operators want to know."""
-        return self.counts | {"waiting": len(self._estate.claims)}
+        """Counters for operators."""
+        return self.counts | {"waiting": len(self._planner.claims)}
 
     def close(self) -> None:
-        """The supervisor ends: so do keepers, and what nobody has inherited."""
-        for holding in list(self._holdings.values()):
-            if holding.keeper_pid:
-                self._loop.remove_reader(holding.keeper_pidfd)
+        """Kill all descriptor holders and close what no successor has adopted; the supervisor is shutting down."""
+        for resources in list(self._processes.values()):
+            if resources.holder_pid:
+                self._loop.remove_reader(resources.holder_pidfd)
                 with contextlib.suppress(OSError):
-                    signal.pidfd_send_signal(holding.keeper_pidfd, signal.SIGKILL)
-                self._keeper_ended(holding)
-            self._end(holding)
-        self._holdings.clear()
+                    signal.pidfd_send_signal(resources.holder_pidfd, signal.SIGKILL)
+                self._on_holder_exit(resources)
+            self._close_resources(resources)
+        self._processes.clear()
         for _, _, offer in self._stranded:
             offer.close()
         os.close(self._memfd)
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -1,4 +1,4 @@
-"""The file of a fleet, read and checked whole: which instances, with what, and how they are looked after."""
+"""Reads and validates a fleet's file: its instances, their configurations, and how they are supervised."""
 
 from __future__ import annotations
 
@@ -27,182 +27,185 @@
 from weldroute.request_journal import BLOCK_SIZE, JournalPool, JournalSize
 from weldroute.snapshots import AgeLimits
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-MOST = 1024  # instances
-SPARE_BOOKS = 8
-MAX_SOCKET_PATH = 100  # bytes
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+MAX_INSTANCES = 1024
+SPARE_JOURNALS = 8  # request journals beyond two for each instance
+MAX_SOCKET_PATH = 100  # bytes; sun_path of unix(7) has 108
 MIN_SECRET, MAX_SECRET = 32, 1024  # bytes
-MAX_MEMBER = 128  # characters of a name
-RELOADABLE = frozenset({"discovery", "limits", "known"})  # what an instance takes over while it runs
+MAX_MEMBER_NAME = 128  # characters
+RELOADABLE_KEYS = frozenset({"discovery", "limits", "known"})  # keys that a running instance can apply
 
 
-def as_file(values: dict[str, Any]) -> bytes:
-    """An instance's own file."""
+def serialize_config(values: dict[str, Any]) -> bytes:
+    """Return the content of an instance's configuration file."""
     return orjson.dumps(values, option=orjson.OPT_INDENT_2)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSpec:
-    """One instance: all that it needs to start."""
+    """One instance: everything that is needed to start it."""
 
     name: str
     listen: Address
-    values: dict[str, Any]  # the platform's configuration, with what the fleet's file lays over it
-    command: tuple[str, ...]  # in place of the proxy; empty for the proxy
+    values: dict[str, Any]  # the configuration file's, overridden by those of the fleet's file
+    command: tuple[str, ...]  # runs instead of the proxy; empty for the proxy
     memory_mb: int
     sockets: int
 
     @property
     def tier(self) -> int:
-        """Which tier it stands before; 0 where its file does not say."""
+        """The tier that it balances; 0 if its file does not say."""
         settings = self.values.get("settings")
         tier = settings.get("Tier", 0) if isinstance(settings, dict) else 0
         return tier if isinstance(tier, int) else 0
 
     @property
     def version(self) -> str:
-        """Names the configuration; the same content has the same name everywhere."""
-        return hashlib.sha256(as_file(self.values) + repr(self.command).encode()).hexdigest()[:12]
+        """A digest of the configuration; the same content has the same version everywhere."""
+        return hashlib.sha256(serialize_config(self.values) + repr(self.command).encode()).hexdigest()[:12]
 
-    def placed(self, place: dict[str, int]) -> dict[str, Any]:
-        """Its configuration at a place of the ring, as a process of it is told."""
+    def at_ring_position(self, ring_position: dict[str, int]) -> dict[str, Any]:
+        """Return its configuration with the settings of a ring position, as a process gets it."""
         settings = self.values.get("settings")
-        return self.values | {"settings": settings | place} if isinstance(settings, dict) else self.values
+        return self.values | {"settings": settings | ring_position} if isinstance(settings, dict) else self.values
 
-    def needs_restart(self, fresh: InstanceSpec) -> bool:
-        """Whether the change to another configuration is more than a running instance can take over."""
-        fixed, other = ({k: v for k, v in spec.values.items() if k not in RELOADABLE} for spec in (self, fresh))
-        return (fixed, self.command) != (other, fresh.command) or self.sockets != fresh.sockets
+    def needs_restart(self, new: InstanceSpec) -> bool:
+        """Whether changing to another configuration needs a new process."""
+        fixed, new_fixed = (
+            {k: v for k, v in spec.values.items() if k not in RELOADABLE_KEYS} for spec in (self, new)
+        )
+        return (fixed, self.command) != (new_fixed, new.command) or self.sockets != new.sockets
 
 
 @dataclass(frozen=True, slots=True)
 class LogSpec:
-    """Where records go."""
+    """Where log records go."""
 
-    target: str = "stderr"  # or a path
+    target: str = "stderr"  # or the path of a file
     form: str = "text"
     max_bytes: int = 10 * 1024 * 1024
     keep: int = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Recorded:
-    """Where what the watch saw is kept."""
+class ObservationFileSpec:
+    """The file in which the failure detector's observations are recorded."""
 
     path: Path
-    most: int  # bytes
+    size_limit: int  # bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a fleet lives: all that a command needs to reach it."""
+class FleetLocation:
+    """The files of a fleet: all that a command needs to reach it."""
 
     name: str
-    path: Path  # of the file
-    state: Path
+    file: Path  # the fleet's file
+    state_directory: Path
 
     @property
     def lock_file(self) -> Path:
-        """Held by the one supervisor of this state directory."""
-        return self.state / "supervisor.lock"
+        """Locked by the only supervisor of this state directory."""
+        return self.state_directory / "supervisor.lock"
 
     @property
     def pid_file(self) -> Path:
-        """Tells who holds the lock; never believed without it."""
-        return self.state / "supervisor.pid"
+        """Names the holder of the lock, for people; never trusted unless the lock is held."""
+        return self.state_directory / "supervisor.pid"
 
     @property
-    def control(self) -> Path:
+    def control_socket(self) -> Path:
         """The control socket."""
-        return self.state / "control.sock"
+        return self.state_directory / "control.sock"
 
     @property
     def roster(self) -> Path:
-        """The processes that the supervisor has started, for the one after it."""
-        return self.state / "instances.json"
+        """The processes that the supervisor has started; read by the next supervisor."""
+        return self.state_directory / "instances.json"
 
     @property
     def store(self) -> Path:
-        """The folder of records that outlive processes."""
-        return self.state / "store"
+        """The folder of stored records."""
+        return self.state_directory / "store"
 
-    def records(self, name: str) -> Path:
-        """An instance's own records."""
+    def records_file(self, name: str) -> Path:
+        """An instance's record file."""
         return self.store / f"{name}.records"
 
     @property
-    def fleet_records(self) -> Path:
-        """The supervisor's own; no instance's name begins with a dot."""
+    def fleet_records_file(self) -> Path:
+        """The supervisor's record file; no instance's name begins with a dot."""
         return self.store / ".fleet.records"
 
     def instance_file(self, name: str) -> Path:
-        """An instance's own configuration."""
-        return self.state / f"instance-{name}.json"
+        """An instance's configuration file."""
+        return self.state_directory / f"instance-{name}.json"
 
 
 @dataclass(frozen=True, slots=True)
-class ComebackSpec:
-    """How instances come back: what each may do, what it may believe, and what is a blow."""
+class RecoverySpec:
+    """How instances recover after a restart, which stored records they trust, and what is a correlated failure."""
 
     plan: RecoveryPlan
     limits: AgeLimits
-    herd: CorrelationPolicy
+    correlation: CorrelationPolicy
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverSpec:
-    """What is covered of work in hand, and at what pace it is handed on."""
+    """How many in-flight requests are journalled, and how fast orphaned ones are handed over."""
 
-    shelf: JournalPool = field(default_factory=JournalPool)
-    rests: float = 10.0  # seconds in which the answers of a dead process can be asked for: the longest window
-    pace: int = 32  # pieces that one heir has to adopt at once
-    patience: float = 0.25  # seconds until what an heir has not received is taken back
+    journal_pool: JournalPool = field(default_factory=JournalPool)
+    answer_retention: float = 10.0  # seconds that a dead process's answers can be requested: the longest window
+    pace: int = 32  # requests that one successor is offered at once
+    patience: float = 0.25  # seconds until an offer that a successor has not received is withdrawn
 
 
 @dataclass(frozen=True, slots=True)
-class MeshSpec:
-    """How this supervisor talks with those of other machines."""
+class ClusterSpec:
+    """How this supervisor communicates with those of other machines."""
 
     listen: Address
-    address: str  # as others reach it
-    name: str  # that nobody else has
+    address: str  # at which others reach it
+    name: str  # unique in the cluster
     seeds: tuple[str, ...]
     secret: Path
     zone: str = ""
     policy: MemberPolicy = field(default_factory=MemberPolicy)
-    grantors: tuple[str, ...] = ()  # addresses of members whose majority decides who has a duty; none: nobody does
+    grantors: tuple[str, ...] = ()  # addresses of members whose majority grants leases; if none, nobody gets one
     lease: LeasePolicy = field(default_factory=LeasePolicy)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSpec:
-    """A fleet's whole file."""
+    """The content of a fleet's file."""
 
-    place: Place
-    spawn: str  # "fork" from the warmed supervisor, or "exec" of a new interpreter
+    location: FleetLocation
+    spawn: str  # "fork" of the supervisor with all modules imported, or "exec" of a new interpreter
     policy: SupervisionPolicy
     log: LogSpec
     instances: dict[str, InstanceSpec]
-    comeback: ComebackSpec | None = None  # switched on by its table
-    takeover: TakeoverSpec | None = None  # likewise
-    vigil: FailureDetectorPolicy | None = None  # likewise...
-    comparison: OutlierPolicy = field(default_factory=OutlierPolicy)  # ...with its comparison of siblings...
-    recorded: Recorded | None = None  # ...and where to keep what the watch saw
-    mesh: MeshSpec | None = None  # likewise
-
-    def ring_place(self, name: str) -> dict[str, int]:
-        """Which of how many before its tier an instance is, as settings; nothing for a command of the operators' own.
-
-        Guards against all of a fleet taking the same part of a long list for their own, since their common file says
-        the same of them: the ring of backends would be used in one place only. The file's own `Ordinal` is where this
-        fleet begins, for there may be others on other machines. It is told at the start of a process and is not a
-        part of its configuration: who else is there must not replace it.
+    recovery: RecoverySpec | None = None  # enabled by the table [comeback]
+    takeover: TakeoverSpec | None = None  # enabled by the table [takeover]
+    failure_detection: FailureDetectorPolicy | None = None  # enabled by the table [vigil]
+    outliers: OutlierPolicy = field(default_factory=OutlierPolicy)  # keys of [vigil] too
+    observation_file: ObservationFileSpec | None = None  # keys of [vigil] too
+    cluster: ClusterSpec | None = None  # enabled by the table [mesh]
+
+    def ring_position(self, name: str) -> dict[str, int]:
+        """Return the settings Ordinal and Instances: an instance's number in its tier; none for a custom command.
+
+        Without them all instances of a fleet would choose the same subset of a long list of backends, because they
+        share one configuration file, and the rest of the ring would stay unused. The file's own `Ordinal` is the
+        number of this fleet's first instance, since other machines may run further ones. A process gets its position
+        when it starts; it is no part of the configuration's version, so that adding or removing other instances does
+        not replace the process.
         """
-        one = self.instances[name]
-        if one.command:
+        instance = self.instances[name]
+        if instance.command:
             return {}
-        settings = one.values["settings"]
-        names = [other.name for other in self.instances.values() if other.tier == one.tier and not other.command]
+        settings = instance.values["settings"]
+        names = [other.name for other in self.instances.values() if other.tier == instance.tier and not other.command]
         total = max(len(names), int(settings.get("Instances") or 1))
         return {"Ordinal": (int(settings.get("Ordinal") or 0) + names.index(name)) % total, "Instances": total}
 
@@ -217,33 +220,33 @@
             assert isinstance(default, float)
             values[item.name] = table.number(item.name, default)
     table.done()
-    return _checked(table, SupervisionPolicy(**values))
+    return _validated(table, SupervisionPolicy(**values))
 
 
-class _Checked(Protocol):
+class _Checkable(Protocol):
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first invalid field."""
 
 
-P = TypeVar("P", bound=_Checked)
+P = TypeVar("P", bound=_Checkable)
 
 
-def _checked(table: Table, policy: P) -> P:
-    """A policy that makes sense; the error of one that does not names the key."""
+def _validated(table: Table, policy: P) -> P:
+    """Return a policy that passes its own check; raises ConfigError naming the key of one that does not."""
     try:
         policy.check()
-    except ValueError as fault:
-        key, _, why = str(fault).partition(": ")
-        raise table.fault(key, why) from None
+    except ValueError as error:
+        key, _, reason = str(error).partition(": ")
+        raise table.fault(key, reason) from None
     return policy
 
 
-def _read_comeback(root: Table, instances: int) -> ComebackSpec | None:
-    """The table `[comeback]`; None where the file has none."""
+def _read_recovery(root: Table, instances: int) -> RecoverySpec | None:
+    """Read the table `[comeback]`; None if the file has none."""
     if not root.has("comeback"):
         return None
     table = root.table("comeback")
-    plan, limits, herd = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
+    plan, limits, correlation = RecoveryPlan(), AgeLimits(), CorrelationPolicy()
     try:
         plan = RecoveryPlan(
             instances=max(1, instances),
@@ -256,104 +259,114 @@
             retry_after=table.number("retry_after", plan.retry_after, 0.0, 3600.0),
         )
         limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
-        herd = CorrelationPolicy(
-            share=table.number("herd_share", herd.share, 0.001, 1.0),
-            least=table.whole("herd_least", herd.least, 2),
-            within=table.number("herd_within", herd.within, 0.01, 600.0),
-            pace=table.number("starts", herd.pace, 0.1, 1e4),
-            forgiven=table.whole("forgiven", herd.forgiven),
+        correlation = CorrelationPolicy(
+            share=table.number("herd_share", correlation.share, 0.001, 1.0),
+            least=table.whole("herd_least", correlation.least, 2),
+            within=table.number("herd_within", correlation.within, 0.01, 600.0),
+            pace=table.number("starts", correlation.pace, 0.1, 1e4),
+            forgiven=table.whole("forgiven", correlation.forgiven),
         )
         plan.check()
         limits.check()
-        herd.check()
-    except ValueError as fault:
-        raise table.fault("", str(fault)) from None
+        correlation.check()
+    except ValueError as error:
+        raise table.fault("", str(error)) from None
     table.done()
-    return ComebackSpec(plan, limits, herd)
+    return RecoverySpec(plan, limits, correlation)
 
 
 def _read_takeover(root: Table, instances: Collection[InstanceSpec]) -> TakeoverSpec | None:
-    """The table `[takeover]`; None where the file has none."""
+    """Read the table `[takeover]`; None if the file has none."""
     if not root.has("takeover"):
         return None
     table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
     entries = table.whole("entries", size.entries, 1, 2**16)
     kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
-    own = JournalSize(entries, kilobytes * 1024 // BLOCK_SIZE, max((one.sockets for one in instances), default=1))
-    # As many again: for those that take over from a process, and for what the dead leave.
-    shelf = JournalPool(own, 2 * len(instances) + SPARE_BOOKS, table.whole("keys", JournalPool().keys, 64, 2**22))
-    found = TakeoverSpec(
-        shelf,
-        table.number("rests", spec.rests, 0.0, 600.0),
+    journal_size = JournalSize(
+        entries, kilobytes * 1024 // BLOCK_SIZE, max((instance.sockets for instance in instances), default=1)
+    )
+    # Two for each instance: its replacement runs beside it, and journals of dead processes are kept for a while.
+    journal_pool = JournalPool(
+        journal_size, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22)
+    )
+    takeover = TakeoverSpec(
+        journal_pool,
+        table.number("rests", spec.answer_retention, 0.0, 600.0),
         table.whole("pace", spec.pace, 1, 10_000),
         table.number("patience", spec.patience, 0.02, 60.0),
     )
     table.done()
-    return found
+    return takeover
 
 
-def _read_vigil(root: Table, base: Path) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, Recorded | None]:
-    """The table `[vigil]`, whose keys are those of all three; None where the file has none."""
+def _read_failure_detection(
+    root: Table, base: Path
+) -> tuple[FailureDetectorPolicy | None, OutlierPolicy, ObservationFileSpec | None]:
+    """Read the table `[vigil]`, which has the keys of all three; no failure detection if the file has none."""
     if not root.has("vigil"):
         return None, OutlierPolicy(), None
     table = root.table("vigil")
-    record, most = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
-    values, others = (
-        {item.name: table.number(item.name, getattr(usual, item.name), 0.001, 1e6) for item in fields(usual)}
-        for usual in (FailureDetectorPolicy(), OutlierPolicy())
+    record, size_limit = table.text("record", ""), int(table.number("record_mb", 64.0, 0.001, 1e4) * 2**20)
+    detector_values, outlier_values = (
+        {item.name: table.number(item.name, getattr(defaults, item.name), 0.001, 1e6) for item in fields(defaults)}
+        for defaults in (FailureDetectorPolicy(), OutlierPolicy())
     )
     table.done()
-    recorded = Recorded(base / record, most) if record else None
-    return _checked(table, FailureDetectorPolicy(**values)), _checked(table, OutlierPolicy(**others)), recorded
+    observation_file = ObservationFileSpec(base / record, size_limit) if record else None
+    return (
+        _validated(table, FailureDetectorPolicy(**detector_values)),
+        _validated(table, OutlierPolicy(**outlier_values)),
+        observation_file,
+    )
 
 
-def _read_mesh(root: Table, base: Path) -> MeshSpec | None:
-    """The table `[mesh]`; None where the file has none."""
+def _read_cluster(root: Table, base: Path) -> ClusterSpec | None:
+    """Read the table `[mesh]`; None if the file has none."""
     if not root.has("mesh"):
         return None
-    table, usual = root.table("mesh"), MemberPolicy()
+    table, defaults = root.table("mesh"), MemberPolicy()
     listen = table.address("listen")
-    if not _numeric(listen):
+    if not _is_numeric(listen):
         raise table.fault("listen", "not an IP address and a port from 1 to 65535")
     address = "{}:{}".format(*table.address("address", "{}:{}".format(*listen)))
     seeds, grantors = _read_members(table, "seeds"), _read_members(table, "grantors")
     if len(set(grantors)) != len(grantors):
-        raise table.fault("grantors", "one is there twice")
+        raise table.fault("grantors", "an address is listed twice")
     name, zone = table.text("name", address), table.text("zone", "")
-    if len(name) > MAX_MEMBER:
-        raise table.fault("name", f"longer than {MAX_MEMBER} characters")
+    if len(name) > MAX_MEMBER_NAME:
+        raise table.fault("name", f"longer than {MAX_MEMBER_NAME} characters")
     values: dict[str, Any] = {}
     for item in fields(MemberPolicy):
-        default = getattr(usual, item.name)
+        default = getattr(defaults, item.name)
         read = table.whole if isinstance(default, int) else table.number
         values[item.name] = read(item.name, default)
     lease = LeasePolicy(length=table.number("lease", LeasePolicy().length, 0.5, 600.0))
     secret = base / table.text("secret")
     table.done()
-    policy = _checked(table, MemberPolicy(**values))
-    return MeshSpec(listen, address, name, seeds, secret, zone, policy, grantors, lease)
+    policy = _validated(table, MemberPolicy(**values))
+    return ClusterSpec(listen, address, name, seeds, secret, zone, policy, grantors, lease)
 
 
 def _read_members(table: Table, key: str) -> tuple[str, ...]:
-    """Addresses of other members."""
-    found = table.texts(key)
-    for one in found:
+    """Read a list of members' addresses."""
+    members = table.texts(key)
+    for address in members:
         try:
-            good = _numeric(read_address(one, key))
+            is_valid = _is_numeric(read_address(address, key))
         except ConfigError:
-            good = False
-        if not good:
-            raise table.fault(key, f"{one!r} is not an IP address and a port")
-    return found
+            is_valid = False
+        if not is_valid:
+            raise table.fault(key, f"{address!r} is not an IP address and a port")
+    return members
 
 
 def read_secret(path: Path) -> bytes:
-    """The key that all members of a fleet share; raises ConfigError. Never shown, nor a part of any spec."""
+    """Read the secret that all members of a cluster share; raises ConfigError. Never shown nor part of a spec."""
     try:
         mode = path.stat().st_mode
         data = path.read_bytes()
-    except OSError as fault:
-        raise ConfigError(f"{path}: {fault.strerror}") from None
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
     if stat.S_IMODE(mode) & 0o077:
         raise ConfigError(f"{path}: others may read it; chmod 600")
     if not MIN_SECRET <= len(data.strip()) <= MAX_SECRET:
@@ -374,8 +387,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Common:
-    """Settings that hold for an instance unless it has its own."""
+class _CommonSettings:
+    """Settings of all instances that don't have their own."""
 
     config: str = ""
     discovery: str = ""
@@ -386,8 +399,8 @@
     command: tuple[str, ...] = ()
 
 
-def _read_common(table: Table, base: _Common) -> _Common:
-    return _Common(
+def _read_common(table: Table, base: _CommonSettings) -> _CommonSettings:
+    return _CommonSettings(
         config=table.text("config", base.config),
         discovery=table.text("discovery", base.discovery),
         zone=table.text("zone", base.zone),
@@ -398,10 +411,10 @@
     )
 
 
-def _numeric(address: Address) -> bool:
-    """Whether it is an IP address and a port.
+def _is_numeric(address: Address) -> bool:
+    """Whether it is an IP address and a valid port.
 
-    A name would have to be looked up, which blocks and needs threads; neither goes with forking.
+    A host name would have to be resolved, which blocks or needs threads; a process that forks can do neither.
     """
     try:
         ipaddress.ip_address(address[0])
@@ -410,8 +423,8 @@
     return 1 <= address[1] <= 65535
 
 
-class _Reader:
-    """Builds instances, and reads each file that they name once."""
+class _InstanceReader:
+    """Builds the instances' specs, and reads each configuration file once."""
 
     def __init__(self, base: Path) -> None:
         self.base = base
@@ -419,54 +432,54 @@
         self.instances: dict[str, InstanceSpec] = {}
         self._addresses: dict[Address, str] = {}
 
-    def _load(self, table: Table, name: str) -> dict[str, Any]:
+    def _load_config(self, table: Table, name: str) -> dict[str, Any]:
         if name not in self._files:
             path = self.base / name
             try:
                 values = orjson.loads(path.read_bytes())
-            except OSError as fault:
-                raise table.fault("config", f"{path}: {fault.strerror}") from None
-            except orjson.JSONDecodeError as fault:
-                raise table.fault("config", f"{path}: not JSON: {fault}") from None
+            except OSError as error:
+                raise table.fault("config", f"{path}: {error.strerror}") from None
+            except orjson.JSONDecodeError as error:
+                raise table.fault("config", f"{path}: not JSON: {error}") from None
             if not isinstance(values, dict):
                 raise table.fault("config", f"{path}: not an object")
             self._files[name] = values
         return self._files[name]
 
     def add(
-        self, table: Table, name: str, listen: Address, common: _Common, management: Address | None = None
+        self, table: Table, name: str, listen: Address, common: _CommonSettings, management: Address | None = None
     ) -> None:
-        """Check one instance whole, and take it in."""
-        if not NAME.fullmatch(name):
+        """Validate and add one instance; raises ConfigError."""
+        if not NAME_PATTERN.fullmatch(name):
             raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
         if name in self.instances:
             raise table.fault("name", f"{name!r} is there twice")
         if listen in self._addresses:
             raise table.fault("listen", f"{listen[0]}:{listen[1]} is also {self._addresses[listen]!r}'s")
-        if not _numeric(listen):
+        if not _is_numeric(listen):
             raise table.fault("listen", "not an IP address and a port from 1 to 65535")
-        if len(self.instances) >= MOST:
-            raise table.fault("", f"more than {MOST} instances")
+        if len(self.instances) >= MAX_INSTANCES:
+            raise table.fault("", f"more than {MAX_INSTANCES} instances")
         if not common.config and not common.command:
             raise table.fault("config", "missing")
-        values = dict(self._load(table, common.config)) if common.config else {}
+        values = dict(self._load_config(table, common.config)) if common.config else {}
         values |= {"name": name, "listen": f"{listen[0]}:{listen[1]}"}
         values["limits"] = {**values.get("limits", {}), "memory_mb": common.memory_mb, "sockets": common.sockets}
         if common.discovery:
             values["discovery"] = common.discovery
         if management is not None:
             values["management"] = "{}:{}".format(*management)
-        self._place(values, common)
+        self._apply_place(values, common)
         if not common.command:
             try:
                 config.check(values)
-            except ConfigError as fault:
-                raise table.fault("config", f"{self.base / common.config}: {fault}") from None
+            except ConfigError as error:
+                raise table.fault("config", f"{self.base / common.config}: {error}") from None
         self._addresses[listen] = name
         self.instances[name] = InstanceSpec(name, listen, values, common.command, common.memory_mb, common.sockets)
 
     @staticmethod
-    def _place(values: dict[str, Any], common: _Common) -> None:
+    def _apply_place(values: dict[str, Any], common: _CommonSettings) -> None:
         settings = values.get("settings")
         if isinstance(settings, dict):
             if common.zone:
@@ -477,89 +490,99 @@
             values["settings"] = settings
 
 
-def _read_range(table: Table, reader: _Reader, common: _Common) -> None:
+def _read_range(table: Table, reader: _InstanceReader, common: _CommonSettings) -> None:
     pattern = table.text("name")
     if pattern.count("{}") != 1:
         raise table.fault("name", f"{pattern!r} needs one {{}} for the number")
     host = table.text("host", "127.0.0.1")
-    text = table.text("ports")
-    match = re.fullmatch(r"(\d{1,5})-(\d{1,5})", text)
+    ports = table.text("ports")
+    match = re.fullmatch(r"(\d{1,5})-(\d{1,5})", ports)
     if not match or not 1 <= int(match[1]) <= int(match[2]) <= 65535:
-        raise table.fault("ports", f"{text!r} is not a range such as 9000-9039")
-    own = _read_common(table, common)
+        raise table.fault("ports", f"{ports!r} is not a range such as 9000-9039")
+    range_settings = _read_common(table, common)
     table.done()
-    for i, port in enumerate(range(int(match[1]), int(match[2]) + 1)):
-        reader.add(table, pattern.replace("{}", str(i)), (host, port), own)
+    for number, port in enumerate(range(int(match[1]), int(match[2]) + 1)):
+        reader.add(table, pattern.replace("{}", str(number)), (host, port), range_settings)
 
 
-def _read_place(path: Path, head: Table) -> Place:
-    name = head.text("name", "fleet")
-    if not NAME.fullmatch(name):
-        raise head.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
-    place = Place(name, path, path.parent / head.text("state"))
-    if len(os.fsencode(place.control)) > MAX_SOCKET_PATH:
-        raise head.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
-    return place
+def _read_location(path: Path, table: Table) -> FleetLocation:
+    name = table.text("name", "fleet")
+    if not NAME_PATTERN.fullmatch(name):
+        raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
+    location = FleetLocation(name, path, path.parent / table.text("state"))
+    if len(os.fsencode(location.control_socket)) > MAX_SOCKET_PATH:
+        raise table.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
+    return location
 
 
-def read_place(path: Path) -> Place:
-    """Read of a fleet's file only where the fleet lives; raises ConfigError."""
+def read_location(path: Path) -> FleetLocation:
+    """Read only the location from a fleet's file; raises ConfigError."""
     path = Path(os.path.abspath(path))
-    return _read_place(path, read_file(path).table("fleet"))
+    return _read_location(path, read_file(path).table("fleet"))
 
 
 def read_spec(path: Path) -> FleetSpec:
-    """Read a fleet's file and all that it names; raises ConfigError naming file, line and key."""
+    """Read a fleet's file and the files that it names; raises ConfigError naming file, line and key."""
     path = Path(os.path.abspath(path))
     spec = build_spec(path, read_file(path))
-    if spec.mesh is not None:
-        read_secret(spec.mesh.secret)
+    if spec.cluster is not None:
+        read_secret(spec.cluster.secret)
     return spec
 
 
 def build_spec(path: Path, root: Table) -> FleetSpec:
-    """A fleet out of its file's values; raises ConfigError naming file, line and key."""
+    """Build a fleet from its file's values; raises ConfigError naming file, line and key."""
     base = path.parent
-    head = root.table("fleet")
-    place = _read_place(path, head)
-    spawn = head.choice("spawn", "fork", ("fork", "exec"))
-    head.done()
+    fleet_table = root.table("fleet")
+    location = _read_location(path, fleet_table)
+    spawn = fleet_table.choice("spawn", "fork", ("fork", "exec"))
+    fleet_table.done()
     policy = _read_policy(root.table("policy"))
-    log = _read_log(root.table("log"), base)
+    log_spec = _read_log(root.table("log"), base)
     table = root.table("common")
-    common = _read_common(table, _Common())
+    common = _read_common(table, _CommonSettings())
     table.done()
-    reader = _Reader(base)
+    reader = _InstanceReader(base)
     for table in root.tables("instance"):
-        listen, own, name_ = table.address("listen"), _read_common(table, common), table.text("name")
+        listen, instance_settings, name_ = table.address("listen"), _read_common(table, common), table.text("name")
         management = table.address("management") if table.has("management") else None
         table.done()
-        reader.add(table, name_, listen, own, management)
+        reader.add(table, name_, listen, instance_settings, management)
     for table in root.tables("range"):
         _read_range(table, reader, common)
-    comeback = _read_comeback(root, len(reader.instances))
+    recovery = _read_recovery(root, len(reader.instances))
     takeover = _read_takeover(root, reader.instances.values())
-    vigil, comparison, recorded = _read_vigil(root, base)
-    mesh = _read_mesh(root, base)
+    failure_detection, outliers, observation_file = _read_failure_detection(root, base)
+    cluster = _read_cluster(root, base)
     root.done()
     if not reader.instances:
         raise ConfigError(f"{path}: instance: there is none")
     return FleetSpec(
-        place, spawn, policy, log, reader.instances, comeback, takeover, vigil, comparison, recorded, mesh
+        location,
+        spawn,
+        policy,
+        log_spec,
+        reader.instances,
+        recovery,
+        takeover,
+        failure_detection,
+        outliers,
+        observation_file,
+        cluster,
     )
 
 
 def write_private(path: Path, content: bytes) -> None:
-    """Replace a file whole, readable by its owner only; raises OSError."""
-    rest = path.with_name(path.name + ".new")
-    descriptor = os.open(rest, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
+    """Replace a file atomically; only its owner may read it. Raises OSError."""
+    temporary = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
     with os.fdopen(descriptor, "wb") as file:
         file.write(content)
-    os.replace(rest, path)
+    os.replace(temporary, path)
 
 
-def prepare_state(path: Path) -> None:
-    """Make the state directory, for its owner only; raises ConfigError where it can't be used."""
+def prepare_state_directory(path: Path) -> None:
+    """Create the state directory for its owner only; raises ConfigError if it is unusable."""
     try:
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         info = path.stat()
@@ -567,5 +590,5 @@
             raise ConfigError(f"state directory {path}: belongs to user {info.st_uid}")
         if stat.S_IMODE(info.st_mode) & 0o022:
             raise ConfigError(f"state directory {path}: others may write there")
-    except OSError as fault:
-        raise ConfigError(f"state directory {path}: not writable: {fault.strerror}") from fault
+    except OSError as error:
+        raise ConfigError(f"state directory {path}: not writable: {error.strerror}") from error
