--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -58,28 +58,28 @@
 }
 
 
-def containers_over_bound(root: object, nodes: int) -> dict[str, tuple[int, int]]:
+def containers_over_bound(root: object, backends: int) -> dict[str, tuple[int, int]]:
     """What holds more than is stated, where discovery lists so many backends: how many, and the bound."""
     found = {}
     for name, count in containers(root).items():
-        fixed, each = BOUNDS.get(name, (0, 0))
-        if count > fixed + each * nodes:
-            found[name] = (count, fixed + each * nodes)
+        fixed, per_backend = BOUNDS.get(name, (0, 0))
+        if count > fixed + per_backend * backends:
+            found[name] = (count, fixed + per_backend * backends)
     return found
 
 
-def _attributes(thing: object) -> Iterator[tuple[str, Any]]:
+def _attributes(instance: object) -> Iterator[tuple[str, Any]]:
     """The attributes of an object, slots and all."""
-    yield from getattr(thing, "__dict__", {}).items()
-    for kind in type(thing).__mro__:
-        slots = kind.__dict__.get("__slots__", ())
+    yield from getattr(instance, "__dict__", {}).items()
+    for base in type(instance).__mro__:
+        slots = base.__dict__.get("__slots__", ())
         for name in (slots,) if isinstance(slots, str) else slots:
-            if hasattr(thing, name):
-                yield name, getattr(thing, name)
+            if hasattr(instance, name):
+                yield name, getattr(instance, name)
 
 
-def _is_audited(thing: object) -> bool:
-    module = type(thing).__module__
+def _is_audited(instance: object) -> bool:
+    module = type(instance).__module__
     return module.startswith(AUDITED_MODULES) and not module.startswith(EXCLUDED_MODULES)
 
 
@@ -87,23 +87,23 @@
     """The most that any container of each name holds: `Class.attribute`, and `[]` behind it for one within it."""
     found: dict[str, int] = {}
     seen: set[int] = {id(root)}
-    waiting: list[tuple[str, object]] = [(type(root).__name__, root)]
-    while waiting:
-        name, thing = waiting.pop()
-        if isinstance(thing, CONTAINER_TYPES):
-            found[name] = max(found.get(name, 0), len(thing))
-            inner: list[tuple[str, object]] = []
-            if not isinstance(thing, bytearray):
-                inner = [(f"{name}[]", item) for item in (thing.values() if isinstance(thing, dict) else thing)]
-                inner += [(f"{name}[]", item) for item in (thing if isinstance(thing, dict) else ())]
-        elif isinstance(thing, tuple):
-            inner = [(name, item) for item in thing]
-        elif _is_audited(thing):
-            inner = [(f"{type(thing).__name__}.{part}", value) for part, value in _attributes(thing)]
+    pending: list[tuple[str, object]] = [(type(root).__name__, root)]
+    while pending:
+        name, value = pending.pop()
+        if isinstance(value, CONTAINER_TYPES):
+            found[name] = max(found.get(name, 0), len(value))
+            children: list[tuple[str, object]] = []
+            if not isinstance(value, bytearray):
+                children = [(f"{name}[]", item) for item in (value.values() if isinstance(value, dict) else value)]
+                children += [(f"{name}[]", item) for item in (value if isinstance(value, dict) else ())]
+        elif isinstance(value, tuple):
+            children = [(name, item) for item in value]
+        elif _is_audited(value):
+            children = [(f"{type(value).__name__}.{child_name}", child) for child_name, child in _attributes(value)]
         else:
             continue
-        for part, value in inner:
-            if id(value) not in seen:
-                seen.add(id(value))
-                waiting.append((part, value))
+        for child_name, child in children:
+            if id(child) not in seen:
+                seen.add(id(child))
+                pending.append((child_name, child))
     return found
--- a/cometusher/simulation/loop.py
+++ b/cometusher/simulation/loop.py
@@ -125,17 +125,17 @@
             if not handle.cancelled():
                 self._ready.append(handle)
         for _ in range(len(self._ready)):
-            handle_ = self._ready.popleft()
-            if handle_.cancelled():
+            next_handle = self._ready.popleft()
+            if next_handle.cancelled():
                 continue
-            machine = handle_._context.get(CURRENT_MACHINE)  # type: ignore[attr-defined]
+            machine = next_handle._context.get(CURRENT_MACHINE)  # type: ignore[attr-defined]
             if machine is not None and machine.stopped:
-                machine.defer(handle_)
+                machine.defer(next_handle)
                 continue
             self.steps += 1
-            handle_._run()
+            next_handle._run()
             if self.steps - self._last_advance_step > MAX_STEPS_PER_INSTANT:
-                raise Stuck(f"time stands still: {handle_!r}")
+                raise Stuck(f"time stands still: {next_handle!r}")
             if self._stuck_error is not None:
                 raise self._stuck_error  # the handle took it for a fault of the callback
             if self.after_step is not None:
@@ -148,12 +148,12 @@
             raise RuntimeError("a loop is running already")
         self._running = True
         asyncio._set_running_loop(self)
-        before = self._start_watchdog()
+        previous_handler = self._start_watchdog()
         try:
             while not self._stopping:
                 self._run_once()
         finally:
-            self._stop_watchdog(before)
+            self._stop_watchdog(previous_handler)
             asyncio._set_running_loop(None)
             self._running = self._stopping = False
 
@@ -178,7 +178,7 @@
     def _start_watchdog(self) -> Any:
         """Processor time, not real time: a slow machine does not count as a stuck callback."""
 
-        def look(number: int, frame: FrameType | None) -> None:
+        def check_progress(signal_number: int, frame: FrameType | None) -> None:
             if self._watchdog_step == self.steps and frame is not None:
                 self._stuck_error = Stuck(
                     f"a callback never yields: {frame.f_code.co_qualname}, line {frame.f_lineno}"
@@ -186,14 +186,14 @@
                 raise self._stuck_error
             self._watchdog_step = self.steps
 
-        before = signal.signal(signal.SIGVTALRM, look)
+        previous_handler = signal.signal(signal.SIGVTALRM, check_progress)
         signal.setitimer(signal.ITIMER_VIRTUAL, STUCK_CPU_TIMEOUT / 2.0, STUCK_CPU_TIMEOUT / 2.0)
-        return before
+        return previous_handler
 
     @staticmethod
-    def _stop_watchdog(before: Any) -> None:
+    def _stop_watchdog(previous_handler: Any) -> None:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0.0)
-        signal.signal(signal.SIGVTALRM, before)
+        signal.signal(signal.SIGVTALRM, previous_handler)
 
     def is_running(self) -> bool:
         """Whether it runs."""
@@ -310,9 +310,9 @@
     try:
         return loop.run_until_complete(main)
     finally:
-        left = sorted(loop.tasks, key=lambda task: task.get_name())
-        for task in left:
+        unfinished = sorted(loop.tasks, key=lambda task: task.get_name())
+        for task in unfinished:
             task.cancel()
-        if left and sys.exc_info()[0] is not Stuck:
-            loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        if unfinished and sys.exc_info()[0] is not Stuck:
+            loop.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
         loop.close()
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -39,8 +39,8 @@
 SYN_RETRIES = (1.0, 2.0, 4.0, 8.0, 16.0)  # seconds between tries to connect (RFC 6298, 2)
 
 
-def _os_error(number: int) -> OSError:
-    return OSError(number, os.strerror(number))
+def _os_error(code: int) -> OSError:
+    return OSError(code, os.strerror(code))
 
 
 @dataclass
@@ -99,27 +99,27 @@
             self.network.loop._ready.extend(self._deferred)
             self._deferred.clear()
 
-    def kill(self, keeps: bool = False) -> list[VirtualTransport]:
+    def kill(self, keep_connections: bool = False) -> list[VirtualTransport]:
         """The process dies: its connections are reset, and what comes to its address is refused.
 
         Where a second process `keeps` its connections they stay, and are returned.
         """
-        kept = [one for one in self.transports if keeps and not one.is_closing()]
+        kept_connections = [item for item in self.transports if keep_connections and not item.is_closing()]
         self.dead = self.stopped = True
         self._deferred.clear()
         for listener in list(self.network.listeners.values()):
             if listener.machine is self:
                 listener.close()
-            for holder in [one for one in listener.holders if one.machine is self]:
+            for holder in [item for item in listener.holders if item.machine is self]:
                 holder.close()
         for transport in list(self.transports):
-            if transport in kept:
+            if transport in kept_connections:
                 transport.orphan()
             else:
                 transport.kill()
         self.network.loop.discard_tasks(list(self.tasks))
         self.tasks.clear()
-        return kept
+        return kept_connections
 
     @property
     def silent(self) -> bool:
@@ -141,12 +141,12 @@
 class VirtualTransport(asyncio.Transport):
     """One end of a connection."""
 
-    def __init__(self, network: VirtualNetwork, machine: Machine | None, here: Address, there: Address) -> None:
+    def __init__(self, network: VirtualNetwork, machine: Machine | None, local: Address, remote: Address) -> None:
         super().__init__()
         self._network = network
         self._loop = network.loop
         self.machine = machine
-        self._addresses = {"sockname": here, "peername": there}
+        self._addresses = {"sockname": local, "peername": remote}
         self._context = machine.context() if machine is not None else contextvars.copy_context()
         self._protocol: asyncio.Protocol | None = None
         self.peer: VirtualTransport | None = None
@@ -307,31 +307,31 @@
 
     # ---- sending -------------------------------------------------------------------------
 
-    def _transmit(self, size: int, arrives: Callable[[], None]) -> None:
+    def _transmit(self, size: int, deliver: Callable[[], None]) -> None:
         """Put something on the wire. A timer brings the next that is due, whichever: nothing overtakes."""
-        here, there = self._addresses["sockname"][0], self._addresses["peername"][0]
+        local, remote = self._addresses["sockname"][0], self._addresses["peername"][0]
         network = self._network
-        if network.silent and (here in network.silent or there in network.silent):
+        if network.silent and (local in network.silent or remote in network.silent):
             network.transports_with_loss[self] = None
             return
         if self._blocked_deliveries or (
-            network.partitioned_pairs and frozenset((here, there)) in network.partitioned_pairs
+            network.partitioned_pairs and frozenset((local, remote)) in network.partitioned_pairs
         ):
-            self._blocked_deliveries.append((size, arrives))
+            self._blocked_deliveries.append((size, deliver))
             network.blocked_transports[self] = None
             return
-        link = network.link_between(here, there)
+        link = network.link_between(local, remote)
         self._link_free_at = max(self._link_free_at, self._loop.time()) + size / link.bandwidth
         delay = link.latency * (1.0 + link.jitter * self._loop.rng.random())
         self._last_delivery_at = max(self._last_delivery_at, self._link_free_at + delay)
-        self._deliveries.append(arrives)
+        self._deliveries.append(deliver)
         self._loop.call_at(self._last_delivery_at, self._deliver_next, context=network.neutral_context)
 
     def retransmit_blocked(self) -> None:
         """The way is open again: what was kept is sent once more."""
-        kept, self._blocked_deliveries = self._blocked_deliveries, deque()
-        for size, arrives in kept:
-            self._transmit(size, arrives)
+        blocked, self._blocked_deliveries = self._blocked_deliveries, deque()
+        for size, deliver in blocked:
+            self._transmit(size, deliver)
 
     def _deliver_next(self) -> None:
         self._deliveries.popleft()()
@@ -368,8 +368,8 @@
         if self._reset_received or self._descriptor_closed:
             return None
         unread = sum(map(len, self._receive_buffer))
-        quiet = self._loop.time() - self._last_arrival if unread else 0.0
-        return ConnectionCounters(self.bytes_written, self.bytes_read, self._eof_received, unread, quiet)
+        idle = self._loop.time() - self._last_arrival if unread else 0.0
+        return ConnectionCounters(self.bytes_written, self.bytes_read, self._eof_received, unread, idle)
 
     def assign_to(self, machine: Machine) -> None:
         """A process has accepted it, on a listener that several hold, or was handed it."""
@@ -382,15 +382,15 @@
         peer = self.peer
         if peer is None:
             return
-        room = RECEIVE_WINDOW - self._bytes_in_transit - sum(map(len, peer._receive_buffer))
-        while self._send_buffer and room > 0:
-            size = min(len(self._send_buffer), room)
+        window_left = RECEIVE_WINDOW - self._bytes_in_transit - sum(map(len, peer._receive_buffer))
+        while self._send_buffer and window_left > 0:
+            size = min(len(self._send_buffer), window_left)
             cut = self._network.default_link.cut
             while size > 1 and self._loop.rng.random() < cut:
                 size = self._loop.rng.randint(1, size - 1)
             segment = bytes(self._send_buffer[:size])
             del self._send_buffer[:size]
-            room -= size
+            window_left -= size
             self._bytes_in_transit += size
             self._transmit(size, functools.partial(peer._on_segment, segment))
         if self._writing_paused and len(self._send_buffer) <= self._low_water and not self._descriptor_closed:
@@ -456,10 +456,10 @@
         if self._protocol is None or self._read_scheduled or self._descriptor_closed:
             return
         self._read_scheduled = True
-        lazy = self._network.max_read_delay
-        if lazy and self._loop.rng.random() < 0.5:
+        max_delay = self._network.max_read_delay
+        if max_delay and self._loop.rng.random() < 0.5:
             # A process at work looks at its sockets when it comes to it, and in no order.
-            self._loop.call_later(lazy * self._loop.rng.random(), self._read, context=self._context)
+            self._loop.call_later(max_delay * self._loop.rng.random(), self._read, context=self._context)
         else:
             self._call_soon(self._read)
 
@@ -552,20 +552,20 @@
     def _notify_holders(self) -> None:
         """Every process that watches wakes up; the first that runs accepts (no EPOLLEXCLUSIVE)."""
         self._notify_scheduled = False
-        for holder, (waits, context) in list(self.holders.items()):
+        for holder, (on_waiting, context) in list(self.holders.items()):
             if not holder.notify_scheduled:
                 holder.notify_scheduled = True
-                self.network.loop.call_soon(self._notify_holder, holder, waits, context=context)
+                self.network.loop.call_soon(self._notify_holder, holder, on_waiting, context=context)
         if self.queue and self.holders:
             self._notify_scheduled = True
             self.network.loop.call_later(
                 READINESS_INTERVAL, self._notify_holders, context=self.network.neutral_context
             )
 
-    def _notify_holder(self, holder: SharedListener, waits: Callable[[], None]) -> None:
+    def _notify_holder(self, holder: SharedListener, on_waiting: Callable[[], None]) -> None:
         holder.notify_scheduled = False
         if holder in self.holders and self.queue:
-            waits()
+            on_waiting()
 
     def _accept_all(self) -> None:
         while self.queue and self.factory is not None:
@@ -666,18 +666,18 @@
 
     def add_machine(self, address: str, descriptors: int = 1024) -> Machine:
         """A new machine, or a new process at an address whose last one is dead."""
-        self.machines[address] = made = Machine(self, address, descriptors)
-        return made
+        self.machines[address] = machine = Machine(self, address, descriptors)
+        return machine
 
-    def link_between(self, here: str, there: str) -> Link:
+    def link_between(self, local: str, remote: str) -> Link:
         """What lies between two addresses."""
         if self.link_overrides:
-            return self.link_overrides.get(here) or self.link_overrides.get(there) or self.default_link
+            return self.link_overrides.get(local) or self.link_overrides.get(remote) or self.default_link
         return self.default_link
 
-    def set_silent(self, address: str, whether: bool) -> None:
+    def set_silent(self, address: str, silent: bool) -> None:
         """A machine says and hears nothing; when it is back, connections that missed something are reset."""
-        if whether:
+        if silent:
             self.silent.add(address)
             return
         self.silent.discard(address)
@@ -689,10 +689,10 @@
                     if end is not None:
                         end._on_reset()
 
-    def set_partitioned(self, one: str, other: str, whether: bool) -> None:
+    def set_partitioned(self, first: str, second: str, partitioned: bool) -> None:
         """Nothing passes between two machines; what is sent meanwhile arrives when the way is open again."""
-        pair = frozenset((one, other))
-        if whether:
+        pair = frozenset((first, second))
+        if partitioned:
             self.partitioned_pairs.add(pair)
             return
         self.partitioned_pairs.discard(pair)
@@ -740,9 +740,9 @@
             if machine is not None:
                 machine.descriptors_used -= 1
             raise
-        here = (machine.address if machine is not None else "127.0.0.1", self._next_port())
-        near = VirtualTransport(self, machine, here, address)
-        far = VirtualTransport(self, listener.machine, address, here)
+        local_address = (machine.address if machine is not None else "127.0.0.1", self._next_port())
+        near = VirtualTransport(self, machine, local_address, address)
+        far = VirtualTransport(self, listener.machine, address, local_address)
         near.peer, far.peer = far, near
         listener.enqueue(far)
         protocol = factory()
@@ -752,20 +752,20 @@
 
     async def _handshake(self, address: Address, machine: Machine | None) -> VirtualListener:
         """Three ways of a handshake; a SYN that finds a full queue or a silent machine is sent again, in vain."""
-        here = machine.address if machine is not None else "127.0.0.1"
-        for wait in SYN_RETRIES:
-            await asyncio.sleep(2.0 * self.link_between(here, address[0]).latency)
+        local = machine.address if machine is not None else "127.0.0.1"
+        for delay in SYN_RETRIES:
+            await asyncio.sleep(2.0 * self.link_between(local, address[0]).latency)
             listener = self.listeners.get(address)
             if (
-                self.silent.intersection((here, address[0]))
-                or frozenset((here, address[0])) in self.partitioned_pairs
+                self.silent.intersection((local, address[0]))
+                or frozenset((local, address[0])) in self.partitioned_pairs
             ):
                 pass
             elif listener is None:
                 raise ConnectionRefusedError(errno.ECONNREFUSED, os.strerror(errno.ECONNREFUSED))
             elif len(listener.queue) < listener.backlog:
                 return listener
-            await asyncio.sleep(wait)
+            await asyncio.sleep(delay)
         raise TimeoutError(errno.ETIMEDOUT, os.strerror(errno.ETIMEDOUT))
 
 
@@ -839,7 +839,7 @@
 
     def read(self) -> dict[str, Record]:
         """What is there."""
-        return {kind: read_record(form) for kind, form in self.records.items()}
+        return {kind: read_record(data) for kind, data in self.records.items()}
 
 
 class DiskRecordWriter:
@@ -855,12 +855,12 @@
 
     def put(self, kind: str, body: object) -> None:
         """Have a form written soon."""
-        form = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
-        self._surroundings.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(form)))
+        data = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
+        self._surroundings.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
 
-    def _write(self, kind: str, form: dict[str, Any]) -> None:
+    def _write(self, kind: str, data: dict[str, Any]) -> None:
         if self._machine is None or not self._machine.dead:
-            self._disk.records[kind] = form
+            self._disk.records[kind] = data
 
     async def close(self) -> None:
         """Nothing is held open."""
@@ -875,12 +875,12 @@
         epoch: float = 1.6e9,
         memory: SharedMemory | None = None,
         disk: VirtualDisk | None = None,
-        covers: Callable[[JournalAssignment], TakeoverChannel] | None = None,
+        open_channel: Callable[[JournalAssignment], TakeoverChannel] | None = None,
     ) -> None:
         self._network = network
         self._memory = memory
         self._disk = disk or VirtualDisk()
-        self._open_channel = covers
+        self._open_channel = open_channel
         self.loop = network.loop
         self.epoch = epoch  # Unix time at the world's beginning; a change of it is a step of the wall clock
 
--- a/cometusher/simulation/oracles.py
+++ b/cometusher/simulation/oracles.py
@@ -33,11 +33,11 @@
     """One breach of a rule."""
 
     oracle: str
-    at: float
+    time: float
     text: str
 
     def __str__(self) -> str:
-        return f"{self.at:.6f} {self.oracle}: {self.text}"
+        return f"{self.time:.6f} {self.oracle}: {self.text}"
 
 
 @dataclass
@@ -45,7 +45,7 @@
     """One sending of a request to a node."""
 
     backend: str
-    sent_at: float
+    started_at: float
     is_pending: Callable[[], bool]  # whether its proxy still waits for it
     is_complete: Callable[[], bool]  # whether its last byte is written
     rejected: bool = False
@@ -94,24 +94,26 @@
 
     def overlap(self, begin: float, end: float) -> float:
         """Seconds of a span that it was held up."""
-        return sum(max(0.0, min(end, b) - max(begin, a)) for a, b in self.spans)
+        return sum(max(0.0, min(end, stop) - max(begin, start)) for start, stop in self.spans)
 
     def contains(self, now: float) -> bool:
         """Whether it is held up now."""
-        return any(a <= now < b for a, b in self.spans)
+        return any(start <= now < stop for start, stop in self.spans)
 
 
 class RunChecker:
     """The account of one run, and what breaks the rules in it."""
 
-    def __init__(self, settings: Settings, zones: dict[str, str], path: float, pace: float = 0.0) -> None:
-        self._classes = {kind.name: kind for kind in settings.classes}
+    def __init__(
+        self, settings: Settings, zones: dict[str, str], round_trip: float, seconds_per_byte: float = 0.0
+    ) -> None:
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
         self._rules = settings.rules
         self._max_attempts = settings.limits.max_attempts
         self._second_copies = settings.limits.second_copies
         self._zones = zones  # of nodes
-        self._round_trip = path  # seconds that a message may take to a proxy and back...
-        self._seconds_per_byte = pace  # ...and each byte of a long one beside that
+        self._round_trip = round_trip  # seconds that a message may take to a proxy and back...
+        self._seconds_per_byte = seconds_per_byte  # ...and each byte of a long one beside that
         self._requests: dict[str, RequestState] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._open_counts: dict[str, int] = {}
@@ -134,13 +136,13 @@
 
     # ---- the account ---------------------------------------------------------------------
 
-    def record_event(self, now: float, *what: object) -> None:
+    def record_event(self, now: float, *fields: object) -> None:
         """One line of the account."""
-        self.trace.append((now, *what))
+        self.trace.append((now, *fields))
 
     def trace_lines(self) -> list[str]:
         """The account, to be read."""
-        return [" ".join([f"{row[0]:11.6f}", *map(str, row[1:])]) for row in self.trace]
+        return [" ".join([f"{event[0]:11.6f}", *map(str, event[1:])]) for event in self.trace]
 
     def digest(self) -> str:
         """The same for runs that did the same."""
@@ -154,11 +156,11 @@
     def outcome_counts(self) -> dict[str, int]:
         """How requests ended."""
         counts: dict[str, int] = {}
-        for row in self._requests.values():
-            counts[row.outcome or "open"] = counts.get(row.outcome or "open", 0) + 1
+        for request in self._requests.values():
+            counts[request.outcome or "open"] = counts.get(request.outcome or "open", 0) + 1
         return dict(sorted(counts.items()))
 
-    def open_requests(self, proxy: str) -> int:
+    def open_request_count(self, proxy: str) -> int:
         """Requests that wait for their answer."""
         return self._open_counts.get(proxy, 0)
 
@@ -166,155 +168,159 @@
         """Whether a proxy can do nothing, or could not a moment ago."""
         return self.blocked_seconds(proxy, now - CATCH_UP_PERIOD, now) > 0.0
 
-    def _end_request(self, now: float, row: RequestState, how: str) -> None:
-        if not row.outcome:
-            self._open_counts[row.proxy] -= 1
-        row.outcome, row.ended_at = how, now
+    def _end_request(self, now: float, request: RequestState, outcome: str) -> None:
+        if not request.outcome:
+            self._open_counts[request.proxy] -= 1
+        request.outcome, request.ended_at = outcome, now
 
     # ---- callers -------------------------------------------------------------------------
 
     def on_request_sent(
         self,
         now: float,
-        rid: str,
-        kind: str,
+        request_id: str,
+        class_name: str,
         proxy: str,
         caller: str,
         budget: float,
-        body: int = 0,
-        want: int = 0,
+        body_size: int = 0,
+        answer_size: int = 0,
         key: bytes = b"",
         holder: str = "",
-        alone: bool = False,
+        no_live_proxy: bool = False,
     ) -> None:
         """A request's last byte was written.
 
         `holder` has the connection, where another proxy had it moved there; `alone`: all that could are dead.
         """
-        due = (
+        deadline = (
             now
             + budget
             + self._rules.answer_slack
             + TIMING_SLACK
             + self._round_trip
-            + self._seconds_per_byte * (body + want)
+            + self._seconds_per_byte * (body_size + answer_size)
         )
-        row = self._requests.get(rid)
-        if row is None:
-            row = self._add_request(now, rid, kind, proxy, caller, body, want)
-        elif row.deadline < math.inf:
-            raise ValueError(f"{rid} is sent twice by its caller")
-        row.sent_at, row.deadline, row.budget, row.key = now, due, budget, key
-        row.other_holders |= {holder} - {"", proxy}
-        row.no_live_proxy = alone
-        for attempt in row.attempts:
-            attempt.sent_at = now  # a node begins with the last byte
-        heapq.heappush(self._deadlines, (due, rid))
-        self.record_event(now, "sent", rid, kind, proxy, f"{budget:.3f}")
+        request = self._requests.get(request_id)
+        if request is None:
+            request = self._add_request(now, request_id, class_name, proxy, caller, body_size, answer_size)
+        elif request.deadline < math.inf:
+            raise ValueError(f"{request_id} is sent twice by its caller")
+        request.sent_at, request.deadline, request.budget, request.key = now, deadline, budget, key
+        request.other_holders |= {holder} - {"", proxy}
+        request.no_live_proxy = no_live_proxy
+        for attempt in request.attempts:
+            attempt.started_at = now  # a node begins with the last byte
+        heapq.heappush(self._deadlines, (deadline, request_id))
+        self.record_event(now, "sent", request_id, class_name, proxy, f"{budget:.3f}")
 
     def on_request_started(
-        self, now: float, rid: str, kind: str, proxy: str, caller: str, body: int, want: int
+        self, now: float, request_id: str, class_name: str, proxy: str, caller: str, body_size: int, answer_size: int
     ) -> None:
         """The first bytes of a long request were written: it may be passed on while it comes."""
-        if rid not in self._requests:
-            self._add_request(now, rid, kind, proxy, caller, body, want)
-            self.record_event(now, "coming", rid, kind, proxy)
+        if request_id not in self._requests:
+            self._add_request(now, request_id, class_name, proxy, caller, body_size, answer_size)
+            self.record_event(now, "coming", request_id, class_name, proxy)
 
     def _add_request(
-        self, now: float, rid: str, kind: str, proxy: str, caller: str, body: int, want: int
+        self, now: float, request_id: str, class_name: str, proxy: str, caller: str, body_size: int, answer_size: int
     ) -> RequestState:
-        row = self._requests[rid] = RequestState(self._classes[kind], proxy, caller, now, math.inf, body, want)
+        request = self._requests[request_id] = RequestState(
+            self._classes[class_name], proxy, caller, now, math.inf, body_size, answer_size
+        )
         self._open_counts[proxy] = self._open_counts.get(proxy, 0) + 1
-        return row
+        return request
 
-    def on_answer(self, now: float, rid: str, status: int, body: bytes, want: int) -> None:
+    def on_answer(self, now: float, request_id: str, status: int, body: bytes, answer_size: int) -> None:
         """A whole answer has come."""
-        row = self._requests.get(rid)
-        self.record_event(now, "answered", rid, status, len(body))
-        if row is None:
+        request = self._requests.get(request_id)
+        self.record_event(now, "answered", request_id, status, len(body))
+        if request is None:
             return  # a request of which not all was written: turned away early
-        if row.outcome and row.outcome != ENDED_WITH_PROXY:  # of those an heir may still tell
-            self.report_violation(now, "one answer", f"{rid} was answered again, with {status}")
+        if request.outcome and request.outcome != ENDED_WITH_PROXY:  # of those an heir may still tell
+            self.report_violation(now, "one answer", f"{request_id} was answered again, with {status}")
             return
-        self._end_request(now, row, _outcome(status))
+        self._end_request(now, request, _outcome(status))
         if status == 200:
-            if not body.startswith(b"report " + rid.encode() + b" ") or len(body) < want:
-                self.report_violation(now, "right answer", f"{rid} got {body[:40]!r} of {len(body)} bytes")
-            elif not row.runs:
-                self.report_violation(now, "right answer", f"{rid} was served by nobody")
+            if not body.startswith(b"report " + request_id.encode() + b" ") or len(body) < answer_size:
+                self.report_violation(now, "right answer", f"{request_id} got {body[:40]!r} of {len(body)} bytes")
+            elif not request.runs:
+                self.report_violation(now, "right answer", f"{request_id} was served by nobody")
         elif status in (429, 503):
-            self._check_refusal(now, rid, row)
+            self._check_refusal(now, request_id, request)
         elif status in REJECTION_STATUSES:
-            self.report_violation(now, "turned away", f"{rid} was told {status}: {body!r}")
+            self.report_violation(now, "turned away", f"{request_id} was told {status}: {body!r}")
 
-    def _check_refusal(self, now: float, rid: str, row: RequestState) -> None:
+    def _check_refusal(self, now: float, request_id: str, request: RequestState) -> None:
         """To refuse says that a further try is harmless."""
-        harmless = row.request_class.repeat is Repeat.SAFE or (
-            row.request_class.repeat is Repeat.KEYED and row.request_class.group is Group.ALL
+        harmless = request.request_class.repeat is Repeat.SAFE or (
+            request.request_class.repeat is Repeat.KEYED and request.request_class.group is Group.ALL
         )
-        maybe = [attempt for attempt in row.attempts if not attempt.rejected and attempt.is_complete()]
-        if maybe and not harmless:
+        unfinished = [attempt for attempt in request.attempts if not attempt.rejected and attempt.is_complete()]
+        if unfinished and not harmless:
             self.report_violation(
-                now, "no effect twice", f"{rid} was refused, and may have run at {maybe[0].backend}"
+                now, "no effect twice", f"{request_id} was refused, and may have run at {unfinished[0].backend}"
             )
 
-    def is_waiting(self, now: float, rid: str) -> bool:
+    def is_waiting(self, now: float, request_id: str) -> bool:
         """Whether it has come to its proxy by now, whole, and is not answered."""
-        row = self._requests.get(rid)
-        return row is not None and not row.outcome and row.sent_at + self._round_trip < now
+        request = self._requests.get(request_id)
+        return request is not None and not request.outcome and request.sent_at + self._round_trip < now
 
-    def on_answer_started(self, now: float, rid: str) -> None:
+    def on_answer_started(self, now: float, request_id: str) -> None:
         """The head of its answer has come: if that is a long one, the rest may take its time."""
-        row = self._requests.get(rid)
-        if row is not None and not row.outcome and row.answer_size > LONG_MESSAGE:
-            row.deadline = max(row.deadline, now + STALL_TIMEOUT)
-            self.record_event(now, "begun", rid)
+        request = self._requests.get(request_id)
+        if request is not None and not request.outcome and request.answer_size > LONG_MESSAGE:
+            request.deadline = max(request.deadline, now + STALL_TIMEOUT)
+            self.record_event(now, "begun", request_id)
 
-    def on_request_resent(self, now: float, rid: str) -> None:
+    def on_request_resent(self, now: float, request_id: str) -> None:
         """It crossed a close between requests, and was written once more: its time begins anew."""
-        row = self._requests[rid]
-        row.deadline += now - row.sent_at
-        row.sent_at = now
-        for attempt in row.attempts:
+        request = self._requests[request_id]
+        request.deadline += now - request.sent_at
+        request.sent_at = now
+        for attempt in request.attempts:
             attempt.rejected = True  # its proxy had not read the whole of it, so that no node had either
-        self.record_event(now, "resent", rid)
+        self.record_event(now, "resent", request_id)
 
-    def on_connection_lost(self, now: float, rid: str) -> None:
+    def on_connection_lost(self, now: float, request_id: str) -> None:
         """Its connection ended with no whole answer."""
-        row = self._requests.get(rid)
-        if row is None or row.outcome:
+        request = self._requests.get(request_id)
+        if request is None or request.outcome:
             return
-        self._end_request(now, row, "lost")
-        self.record_event(now, "lost", rid)
-        if not self._is_excused(row, now):
-            self.report_violation(now, "no request lost", f"{rid} had no answer from {row.proxy}")
+        self._end_request(now, request, "lost")
+        self.record_event(now, "lost", request_id)
+        if not self._is_excused(request, now):
+            self.report_violation(now, "no request lost", f"{request_id} had no answer from {request.proxy}")
 
-    def on_answer_cut(self, now: float, rid: str) -> None:
+    def on_answer_cut(self, now: float, request_id: str) -> None:
         """Its connection ended in the middle of an answer: right only where a node broke one off."""
-        row = self._requests.get(rid)
-        if row is None or row.outcome:
+        request = self._requests.get(request_id)
+        if request is None or request.outcome:
             return
-        broken = (
-            self.cutting_backends | self.faulted_backends if row.answer_size > LONG_MESSAGE else self.cutting_backends
+        allowed = (
+            self.cutting_backends | self.faulted_backends
+            if request.answer_size > LONG_MESSAGE
+            else self.cutting_backends
         )
-        if broken.isdisjoint(attempt.backend for attempt in row.attempts):
-            self.on_connection_lost(now, rid)
+        if allowed.isdisjoint(attempt.backend for attempt in request.attempts):
+            self.on_connection_lost(now, request_id)
         else:
-            self._end_request(now, row, "cut")
-            self.record_event(now, "cut", rid)
+            self._end_request(now, request, "cut")
+            self.record_event(now, "cut", request_id)
 
-    def on_caller_left(self, now: float, rid: str) -> None:
+    def on_caller_left(self, now: float, request_id: str) -> None:
         """Its caller went away."""
-        row = self._requests.get(rid)
-        if row is not None and not row.outcome:
-            self._end_request(now, row, "left")
-            self.record_event(now, "left", rid)
+        request = self._requests.get(request_id)
+        if request is not None and not request.outcome:
+            self._end_request(now, request, "left")
+            self.record_event(now, "left", request_id)
 
     def on_caller_died(self, now: float, caller: str) -> None:
         """All that it waits for is void."""
-        for rid, row in self._requests.items():
-            if row.caller == caller:
-                self.on_caller_left(now, rid)
+        for request_id, request in self._requests.items():
+            if request.caller == caller:
+                self.on_caller_left(now, request_id)
 
     def on_surplus_data(self, now: float, proxy: str, data: bytes) -> None:
         """A caller read what it had not asked for."""
@@ -322,162 +328,176 @@
 
     # ---- proxies -------------------------------------------------------------------------
 
-    def must_be_abandoned(self, now: float, rid: str) -> bool:
+    def must_be_abandoned(self, now: float, request_id: str) -> bool:
         """Whether a request has ended, and its time as well, and its proxy must know."""
-        row = self._requests.get(rid)
-        if row is None or not row.outcome or row.proxy in self.slack:
+        request = self._requests.get(request_id)
+        if request is None or not request.outcome or request.proxy in self.slack:
             return False
-        return now > max(row.deadline, row.ended_at) + self._round_trip + RECHECK_INTERVAL + self.blocked_seconds(
-            row.proxy, row.sent_at, now
-        )
+        return now > max(
+            request.deadline, request.ended_at
+        ) + self._round_trip + RECHECK_INTERVAL + self.blocked_seconds(request.proxy, request.sent_at, now)
 
-    def body_size(self, rid: str) -> int:
+    def body_size(self, request_id: str) -> int:
         """Bytes of a request's body."""
-        row = self._requests.get(rid)
-        return row.body_size if row is not None else 0
+        request = self._requests.get(request_id)
+        return request.body_size if request is not None else 0
 
     def on_attempt_started(
         self,
         now: float,
         proxy: str,
-        rid: str,
-        node: str,
-        out: Callable[[], bool] = lambda: False,
-        whole: Callable[[], bool] = lambda: True,
-        said: dict[bytes, bytes] | None = None,
+        request_id: str,
+        backend: str,
+        is_pending: Callable[[], bool] = lambda: False,
+        is_complete: Callable[[], bool] = lambda: True,
+        headers: dict[bytes, bytes] | None = None,
     ) -> None:
         """A proxy began to write a request to a node.
 
         `out` tells whether it still waits for that, `whole` whether it has written the last byte: a node begins
         with that one, so what is not whole never ran. `said` are the headers.
         """
-        self.record_event(now, "wrote", rid, proxy, node)
-        row = self._requests.get(rid)
-        if row is not None and proxy != row.proxy:
-            row.other_holders.add(proxy)
-        if row is None:
-            self.report_violation(now, "right request", f"{proxy} sent {rid}, which nobody asked for, to {node}")
+        self.record_event(now, "wrote", request_id, proxy, backend)
+        request = self._requests.get(request_id)
+        if request is not None and proxy != request.proxy:
+            request.other_holders.add(proxy)
+        if request is None:
+            self.report_violation(
+                now, "right request", f"{proxy} sent {request_id}, which nobody asked for, to {backend}"
+            )
             return
-        if row.outcome and rid in self.duplicated_ids:
+        if request.outcome and request_id in self.duplicated_ids:
             return  # the id was free again
-        if row.outcome and (row.outcome != "left" or self._caller_departure_known(row, now)):
-            self.report_violation(now, "nothing after", f"{rid} was sent to {node} after its end ({row.outcome})")
-        if said is not None:
-            self._check_forwarded_headers(now, rid, row, node, said)
-        self._check_repeat(now, rid, row, node)
-        if not self._second_copies and any(earlier.is_pending() for earlier in row.attempts):
-            self.report_violation(now, "copies", f"{rid} was sent to {node} while it was out already")
-        row.attempts.append(Attempt(node, now, out, whole))
-        if len(row.attempts) > self._max_attempts:
-            self.report_violation(now, "attempts", f"{rid} was sent {len(row.attempts)} times")
-        told = self._known_states.get((proxy, node))
-        if told is not None and not told.up:
-            late = (
+        if request.outcome and (request.outcome != "left" or self._caller_departure_known(request, now)):
+            self.report_violation(
+                now, "nothing after", f"{request_id} was sent to {backend} after its end ({request.outcome})"
+            )
+        if headers is not None:
+            self._check_forwarded_headers(now, request_id, request, backend, headers)
+        self._check_repeat(now, request_id, request, backend)
+        if not self._second_copies and any(earlier.is_pending() for earlier in request.attempts):
+            self.report_violation(now, "copies", f"{request_id} was sent to {backend} while it was out already")
+        request.attempts.append(Attempt(backend, now, is_pending, is_complete))
+        if len(request.attempts) > self._max_attempts:
+            self.report_violation(now, "attempts", f"{request_id} was sent {len(request.attempts)} times")
+        known_state = self._known_states.get((proxy, backend))
+        if known_state is not None and not known_state.up:
+            delay = (
                 now
-                - told.since
+                - known_state.since
                 - self._rules.drain_grace
                 - TIMING_SLACK
-                - self.blocked_seconds(proxy, told.since, now)
+                - self.blocked_seconds(proxy, known_state.since, now)
+            )
+            if delay > self.slack.get(proxy, 0.0):
+                self.report_violation(
+                    now, "drains", f"{request_id} was sent to {backend}, {delay:.3f} s after the grace"
+                )
+        if (proxy, backend) in self._bans:
+            elapsed = now - self._bans[proxy, backend]
+            self.report_violation(
+                now, "bans", f"{request_id} was sent to {backend}, {elapsed:.3f} s after the yes to its ban"
             )
-            if late > self.slack.get(proxy, 0.0):
-                self.report_violation(now, "drains", f"{rid} was sent to {node}, {late:.3f} s after the grace")
-        if (proxy, node) in self._bans:
-            since = now - self._bans[proxy, node]
-            self.report_violation(now, "bans", f"{rid} was sent to {node}, {since:.3f} s after the yes to its ban")
-        recent = self._recent_sends.setdefault(node, deque())
-        recent.append((now, told is not None and told.born_ms > 0.0))
+        recent = self._recent_sends.setdefault(backend, deque())
+        recent.append((now, known_state is not None and known_state.born_ms > 0.0))
         while recent[0][0] < now - self._rules.fall_after:
             recent.popleft()
 
     def _check_forwarded_headers(
-        self, now: float, rid: str, row: RequestState, node: str, said: dict[bytes, bytes]
+        self, now: float, request_id: str, request: RequestState, backend: str, headers: dict[bytes, bytes]
     ) -> None:
         """What is sent on never says more than there is: the time that is left, and the caller's own key."""
-        text = said.get(b"x-budget", b"")
+        budget_text = headers.get(b"x-budget", b"")
         try:
-            told = float(text[:-1]) / {b"m": 1e3, b"u": 1e6}[text[-1:]]
+            budget = float(budget_text[:-1]) / {b"m": 1e3, b"u": 1e6}[budget_text[-1:]]
         except (ValueError, KeyError):
-            self.report_violation(now, "right request", f"{rid} was sent to {node} with the time {text!r}")
+            self.report_violation(
+                now, "right request", f"{request_id} was sent to {backend} with the time {budget_text!r}"
+            )
             return
-        if row.budget:
+        if request.budget:
             # Its time counts from when its proxy reads it: late where that has much to do, or has had no descriptor.
-            spare = self._round_trip + READ_DELAY + max(self.slack.get(holder, 0.0) for holder in row.holders)
-            spare += self._holders_blocked_seconds(row, row.sent_at - 2.0 * CATCH_UP_PERIOD, now)
-            left = row.budget - max(0.0, now - row.sent_at - spare)
-            if told > left + 0.001:
+            tolerance = self._round_trip + READ_DELAY + max(self.slack.get(holder, 0.0) for holder in request.holders)
+            tolerance += self._holders_blocked_seconds(request, request.sent_at - 2.0 * CATCH_UP_PERIOD, now)
+            remaining = request.budget - max(0.0, now - request.sent_at - tolerance)
+            if budget > remaining + 0.001:
                 self.report_violation(
-                    now, "right request", f"{rid} was sent to {node} with {told:.3f} s of {left:.3f}"
+                    now, "right request", f"{request_id} was sent to {backend} with {budget:.3f} s of {remaining:.3f}"
                 )
-        key = said.get(b"idempotency-key")
-        if (key is not None) is not (row.request_class.repeat is Repeat.KEYED) or (row.key and key != row.key):
-            self.report_violation(now, "right request", f"{rid} was sent to {node} with the key {key!r}")
+        key = headers.get(b"idempotency-key")
+        if (key is not None) is not (request.request_class.repeat is Repeat.KEYED) or (
+            request.key and key != request.key
+        ):
+            self.report_violation(now, "right request", f"{request_id} was sent to {backend} with the key {key!r}")
 
-    def _caller_departure_known(self, row: RequestState, now: float) -> bool:
+    def _caller_departure_known(self, request: RequestState, now: float) -> bool:
         """Whether its proxy must know by now that its caller has left."""
-        known = row.ended_at + self._round_trip + TIMING_SLACK + self.slack.get(row.proxy, 0.0)
-        return now > known + self._holders_blocked_seconds(row, row.sent_at, now)
+        known_at = request.ended_at + self._round_trip + TIMING_SLACK + self.slack.get(request.proxy, 0.0)
+        return now > known_at + self._holders_blocked_seconds(request, request.sent_at, now)
 
-    def _check_repeat(self, now: float, rid: str, row: RequestState, node: str) -> None:
+    def _check_repeat(self, now: float, request_id: str, request: RequestState, backend: str) -> None:
         """A further attempt: whether every earlier one allows it."""
-        for earlier in row.attempts:
-            if earlier.rejected or row.request_class.repeat is Repeat.SAFE or not earlier.is_complete():
+        for earlier in request.attempts:
+            if earlier.rejected or request.request_class.repeat is Repeat.SAFE or not earlier.is_complete():
                 continue
-            where = f"{rid} was sent to {node}, and may have run at {earlier.backend}"
-            if row.request_class.repeat is Repeat.UNSAFE:
-                self.report_violation(now, "no effect twice", where)
-            elif row.request_class.group is not Group.ALL and self._zones.get(node) != self._zones.get(
+            text = f"{request_id} was sent to {backend}, and may have run at {earlier.backend}"
+            if request.request_class.repeat is Repeat.UNSAFE:
+                self.report_violation(now, "no effect twice", text)
+            elif request.request_class.group is not Group.ALL and self._zones.get(backend) != self._zones.get(
                 earlier.backend
             ):
-                self.report_violation(now, "no effect twice", f"{where}, of another group")
-            elif now - earlier.sent_at > row.request_class.window + TIMING_SLACK:
-                self.report_violation(now, "no effect twice", f"{where}, {now - earlier.sent_at:.3f} s earlier")
+                self.report_violation(now, "no effect twice", f"{text}, of another group")
+            elif now - earlier.started_at > request.request_class.window + TIMING_SLACK:
+                self.report_violation(now, "no effect twice", f"{text}, {now - earlier.started_at:.3f} s earlier")
 
-    def on_discovery_update(self, now: float, proxy: str, node: str, up: bool, born: float) -> None:
+    def on_discovery_update(self, now: float, proxy: str, backend: str, up: bool, born_ms: float) -> None:
         """Discovery has written a line about a node to a proxy."""
-        known = self._known_states.get((proxy, node))
-        if known is None or known.up != up or known.born_ms != born:
-            self._known_states[proxy, node] = BackendState(up, now, born)
-        self.record_event(now, "told", proxy, node, "up" if up else "ends")
+        known_state = self._known_states.get((proxy, backend))
+        if known_state is None or known_state.up != up or known_state.born_ms != born_ms:
+            self._known_states[proxy, backend] = BackendState(up, now, born_ms)
+        self.record_event(now, "told", proxy, backend, "up" if up else "ends")
 
     def on_blocked(self, now: float, proxy: str) -> None:
         """From here on it can't do anything, or nobody can reach it."""
         self._blocked_spans.setdefault(proxy, BlockedSpans()).spans.append((now, math.inf))
 
-    def on_unblocked(self, now: float, proxy: str, after: float = 0.0) -> None:
+    def on_unblocked(self, now: float, proxy: str, extra: float = 0.0) -> None:
         """It can again, `after` some seconds in which the rest arrives."""
-        held = self._blocked_spans.setdefault(proxy, BlockedSpans())
-        for i in reversed(range(len(held.spans))):
-            if held.spans[i][1] == math.inf:
-                held.spans[i] = (held.spans[i][0], now + after)
+        blocked = self._blocked_spans.setdefault(proxy, BlockedSpans())
+        for i in reversed(range(len(blocked.spans))):
+            if blocked.spans[i][1] == math.inf:
+                blocked.spans[i] = (blocked.spans[i][0], now + extra)
                 return
 
-    def on_banned(self, now: float, proxy: str, node: str) -> None:
+    def on_banned(self, now: float, proxy: str, backend: str) -> None:
         """Operators have had their yes: from here on nothing new goes there."""
-        self._bans[proxy, node] = now
-        self.record_event(now, "banned", proxy, node)
+        self._bans[proxy, backend] = now
+        self.record_event(now, "banned", proxy, backend)
 
-    def on_unbanned(self, proxy: str, node: str) -> None:
+    def on_unbanned(self, proxy: str, backend: str) -> None:
         """They ask for its return."""
-        self._bans.pop((proxy, node), None)
+        self._bans.pop((proxy, backend), None)
 
     def on_new_proxy(self, proxy: str) -> None:
         """A new proxy at the place of an old one: what operators had ordered is forgotten."""
         for key in [key for key in self._bans if key[0] == proxy]:
             del self._bans[key]
 
-    def on_killed(self, now: float, proxy: str, forgets: bool = True, kept: bool = False) -> None:
+    def on_killed(self, now: float, proxy: str, loses_state: bool = True, state_kept: bool = False) -> None:
         """A process of it is dead, and what that had taken is lost; all that it was told, unless another lives.
 
         Where its state is kept, what it had known for a while outlives it: a decision against that is a stale one.
         """
         self._deaths.setdefault(proxy, []).append(now)
-        if not forgets:
+        if not loses_state:
             return
         known_from = now - PERSIST_DELAY - self.blocked_seconds(proxy, now - 10.0, now)
-        for key in [key for key, told in self._known_states.items() if key[0] == proxy]:
-            if not kept or self._known_states[key].since >= known_from:
+        for key in [key for key, state in self._known_states.items() if key[0] == proxy]:
+            if not state_kept or self._known_states[key].since >= known_from:
                 del self._known_states[key]
-        for key in [key for key, since in self._bans.items() if key[0] == proxy and kept and since >= known_from]:
+        for key in [
+            key for key, since in self._bans.items() if key[0] == proxy and state_kept and since >= known_from
+        ]:
             del self._bans[key]
 
     def on_state_lost(self, proxy: str) -> None:
@@ -487,104 +507,111 @@
 
     def blocked_seconds(self, proxy: str, begin: float, end: float) -> float:
         """Seconds of a span in which a proxy was held up."""
-        held = self._blocked_spans.get(proxy)
-        return held.overlap(begin, end) if held is not None else 0.0
+        blocked = self._blocked_spans.get(proxy)
+        return blocked.overlap(begin, end) if blocked is not None else 0.0
 
-    def _holders_blocked_seconds(self, row: RequestState, begin: float, end: float) -> float:
+    def _holders_blocked_seconds(self, request: RequestState, begin: float, end: float) -> float:
         """Seconds of a span in which those that had a request in hand were held up."""
-        return sum(self.blocked_seconds(holder, begin, end) for holder in row.holders)
+        return sum(self.blocked_seconds(holder, begin, end) for holder in request.holders)
 
-    def _holder_died(self, row: RequestState, now: float) -> bool:
+    def _holder_died(self, request: RequestState, now: float) -> bool:
         """Whether a proxy that had it in hand was killed since it was sent."""
-        if row.no_live_proxy:
+        if request.no_live_proxy:
             return True
-        dead = (at for holder in row.holders for at in self._deaths.get(holder, ()))
-        return any(row.sent_at - self._round_trip <= at <= now for at in dead)
+        dead = (at for holder in request.holders for at in self._deaths.get(holder, ()))
+        return any(request.sent_at - self._round_trip <= at <= now for at in dead)
 
-    def _is_excused(self, row: RequestState, now: float) -> bool:
+    def _is_excused(self, request: RequestState, now: float) -> bool:
         """Whether its proxy died, or could not be reached, since it was sent."""
-        return self._holder_died(row, now) or self._holders_blocked_seconds(row, row.sent_at, now) > 0.0
+        return self._holder_died(request, now) or self._holders_blocked_seconds(request, request.sent_at, now) > 0.0
 
     # ---- nodes ---------------------------------------------------------------------------
 
-    def on_backend_received(self, now: float, rid: str, node: str, body: int) -> None:
+    def on_backend_received(self, now: float, request_id: str, backend: str, body_size: int) -> None:
         """A request's last byte has come to a node."""
-        self.record_event(now, "came", rid, node)
-        row = self._requests.get(rid)
-        if rid in self.duplicated_ids:
+        self.record_event(now, "came", request_id, backend)
+        request = self._requests.get(request_id)
+        if request_id in self.duplicated_ids:
             return
-        if row is None or not any(attempt.backend == node for attempt in row.attempts):
-            self.report_violation(now, "right request", f"{node} got {rid}, which nobody sent there")
-        elif body != row.body_size:
-            self.report_violation(now, "right request", f"{node} got {rid} with {body} bytes of {row.body_size}")
+        if request is None or not any(attempt.backend == backend for attempt in request.attempts):
+            self.report_violation(now, "right request", f"{backend} got {request_id}, which nobody sent there")
+        elif body_size != request.body_size:
+            self.report_violation(
+                now, "right request", f"{backend} got {request_id} with {body_size} bytes of {request.body_size}"
+            )
 
-    def on_backend_rejected(self, now: float, rid: str, node: str) -> None:
+    def on_backend_rejected(self, now: float, request_id: str, backend: str) -> None:
         """A node turned it away: it never ran there."""
-        self.record_event(now, "rejected", rid, node)
-        for attempt in reversed(self._requests[rid].attempts):
-            if attempt.backend == node and not attempt.rejected:
+        self.record_event(now, "rejected", request_id, backend)
+        for attempt in reversed(self._requests[request_id].attempts):
+            if attempt.backend == backend and not attempt.rejected:
                 attempt.rejected = True
                 return
 
-    def on_backend_ran(self, now: float, rid: str, node: str, key: str | None, effect: bool) -> None:
+    def on_backend_ran(self, now: float, request_id: str, backend: str, key: str | None, effect: bool) -> None:
         """It begins to run; `key` names the effect of a keyed request."""
-        self.record_event(now, "ran", rid, node, "anew" if effect else "known")
-        row = self._requests.get(rid)
-        if row is None:
+        self.record_event(now, "ran", request_id, backend, "anew" if effect else "known")
+        request = self._requests.get(request_id)
+        if request is None:
             return
-        row.runs += 1
-        if row.request_class.repeat is not Repeat.SAFE and effect:
+        request.runs += 1
+        if request.request_class.repeat is not Repeat.SAFE and effect:
             # What was sent in time may run after a keyed class's window, and is then nobody's fault.
-            window = row.request_class.window if key is not None else math.inf
-            first = self._first_effects.setdefault(key or rid, now)
-            if first < now <= first + window:
-                self.report_violation(now, "no effect twice", f"{rid} took effect a second time, at {node}")
+            window = request.request_class.window if key is not None else math.inf
+            first_effect = self._first_effects.setdefault(key or request_id, now)
+            if first_effect < now <= first_effect + window:
+                self.report_violation(now, "no effect twice", f"{request_id} took effect a second time, at {backend}")
 
-    def check_descriptors(self, now: float, proxy: str, used: int, most: int) -> None:
+    def check_descriptors(self, now: float, proxy: str, total: int, limit: int) -> None:
         """The descriptors that connections of all processes of a proxy take."""
-        if used > most:
+        if total > limit:
             self.report_violation(
-                now, "descriptors", f"the processes of {proxy} have {used} where {most} are for both"
+                now, "descriptors", f"the processes of {proxy} have {total} where {limit} are for both"
             )
 
     def on_ready_while_evacuated(self, now: float, proxy: str) -> None:
         """The front was told yes while operators have the proxy evacuated."""
         self.report_violation(now, "drains", f"{proxy} says yes to the front while it is evacuated")
 
-    def on_cold_overload(self, now: float, node: str, sent: float, carries: float) -> None:
+    def on_cold_overload(self, now: float, backend: str, load: float, capacity: float) -> None:
         """A cold node was sent more than it bears."""
-        recent = self._recent_sends.get(node, deque())
-        knew = sum(knows for _, knows in recent)
+        recent = self._recent_sends.get(backend, deque())
+        informed = sum(is_informed for _, is_informed in recent)
         self.record_event(
-            now, "fell", node, f"{sent:.3f} of {carries:.3f}", f"{knew} of {len(recent)} by those that knew"
+            now, "fell", backend, f"{load:.3f} of {capacity:.3f}", f"{informed} of {len(recent)} by those that knew"
         )
-        if knew >= 2 * len(recent) / 3:
-            self.report_violation(now, "cold", f"{node} was sent {sent:.3f} s of work where it bears {carries:.3f}")
+        if informed >= 2 * len(recent) / 3:
+            self.report_violation(
+                now, "cold", f"{backend} was sent {load:.3f} s of work where it bears {capacity:.3f}"
+            )
 
     # ---- every step ----------------------------------------------------------------------
 
     def check_deadlines(self, now: float) -> None:
         """Whether an answer is overdue; to be called after every step."""
         while self._deadlines and self._deadlines[0][0] <= now:
-            _, rid = heapq.heappop(self._deadlines)
-            row = self._requests[rid]
-            if row.outcome:
+            _, request_id = heapq.heappop(self._deadlines)
+            request = self._requests[request_id]
+            if request.outcome:
                 continue
             if any(
-                holder in self._blocked_spans and self._blocked_spans[holder].contains(now) for holder in row.holders
+                holder in self._blocked_spans and self._blocked_spans[holder].contains(now)
+                for holder in request.holders
             ):
-                heapq.heappush(self._deadlines, (now + RECHECK_INTERVAL, rid))
+                heapq.heappush(self._deadlines, (now + RECHECK_INTERVAL, request_id))
                 continue
-            due = row.deadline + self._holders_blocked_seconds(row, row.sent_at, now)
-            due += max(self.slack.get(holder, 0.0) for holder in row.holders)
-            if due > now:
-                heapq.heappush(self._deadlines, (due, rid))
+            deadline = request.deadline + self._holders_blocked_seconds(request, request.sent_at, now)
+            deadline += max(self.slack.get(holder, 0.0) for holder in request.holders)
+            if deadline > now:
+                heapq.heappush(self._deadlines, (deadline, request_id))
                 continue
-            dead = self._holder_died(row, now)
-            self._end_request(now, row, ENDED_WITH_PROXY if dead else "overdue")
-            if not dead and not self._is_excused(row, now):
+            holder_died = self._holder_died(request, now)
+            self._end_request(now, request, ENDED_WITH_PROXY if holder_died else "overdue")
+            if not holder_died and not self._is_excused(request, now):
                 self.report_violation(
-                    now, "one answer in time", f"{rid} has none from {row.proxy}, {now - row.sent_at:.3f} s on"
+                    now,
+                    "one answer in time",
+                    f"{request_id} has none from {request.proxy}, {now - request.sent_at:.3f} s on",
                 )
 
 
--- a/cometusher/simulation/orphans.py
+++ b/cometusher/simulation/orphans.py
@@ -33,12 +33,12 @@
 class VirtualTakeoverChannel:
     """A process's side."""
 
-    def __init__(self, estates: VirtualOrphans, covered: JournalAssignment) -> None:
+    def __init__(self, orphans: VirtualOrphans, assignment: JournalAssignment) -> None:
         self.pool = JOURNAL_POOL
-        self.process = covered.process
-        self.number = covered.book
-        self.keys: KeyIndex = estates.keys
-        self._orphans = estates
+        self.process = assignment.process
+        self.number = assignment.book
+        self.keys: KeyIndex = orphans.keys
+        self._orphans = orphans
 
     @property
     def memory(self) -> memoryview:
@@ -49,11 +49,11 @@
         """Any book; raises ValueError for one that is not there."""
         return OrphanedJournal(JOURNAL_POOL.journal_memory(self._orphans.view, book), JOURNAL_POOL.size)
 
-    def start_receiving(self, offered: Callable[[ReceivedOffer], None], room: Callable[[], bool]) -> None:
+    def start_receiving(self, on_offer: Callable[[ReceivedOffer], None], has_capacity: Callable[[], bool]) -> None:
         """Call for each offer from here on."""
         machine = CURRENT_MACHINE.get()
         assert machine is not None
-        self._orphans.receivers[self.process] = (machine, offered)
+        self._orphans.receivers[self.process] = (machine, on_offer)
 
 
 @dataclass
@@ -66,7 +66,7 @@
     planner: TakeoverPlanner = field(default_factory=TakeoverPlanner)
     memory: bytearray = field(default_factory=lambda: bytearray(JOURNAL_POOL.bytes))
     receivers: dict[int, tuple[Machine, Callable[[ReceivedOffer], None]]] = field(default_factory=dict)
-    connections: dict[RequestRef, list[VirtualTransport | None]] = field(default_factory=dict)
+    held_connections: dict[RequestRef, list[VirtualTransport | None]] = field(default_factory=dict)
     started_count: int = 0
     adopted: int = 0
     lost: int = 0
@@ -94,104 +94,117 @@
     def on_died(self, process: int, orphans: list[VirtualTransport]) -> None:
         """A process is dead; its connections are here a moment later."""
         self.receivers.pop(process, None)
-        self._after_delay(self._on_reaped, process, {one.number: one for one in orphans})
+        self._after_delay(self._on_reaped, process, {connection.number: connection for connection in orphans})
 
-    def _after_delay(self, what: Callable[..., None], *arguments: object) -> None:
-        self.loop.call_later(self.rng.uniform(*DETECTION_DELAY), what, *arguments, context=contextvars.Context())
+    def _after_delay(self, callback: Callable[..., None], *arguments: object) -> None:
+        self.loop.call_later(self.rng.uniform(*DETECTION_DELAY), callback, *arguments, context=contextvars.Context())
 
     def _on_reaped(self, process: int, orphans: dict[int, VirtualTransport]) -> None:
-        given = {piece for piece, claim in self.planner.assigned() if claim.successor == process}
+        offered = {piece for piece, claim in self.planner.assigned() if claim.successor == process}
         self._record_adoptions()
-        unproven = given & set(self.planner.claims)
+        unconfirmed = offered & set(self.planner.claims)
         self.planner.on_reaped(process)
-        left, known = self._journal(process), set()
-        read = {slot: left.record_at(slot) for slot in left.slots()}
-        entries = {slot: entry for slot, entry in read.items() if entry is not None and entry.caller_descriptor >= 0}
+        journal, caller_descriptors = self._journal(process), set()
+        records = {slot: journal.record_at(slot) for slot in journal.slots()}
+        open_records = {
+            slot: record for slot, record in records.items() if record is not None and record.caller_descriptor >= 0
+        }
         # Here a connection is one object, where a kernel gives out copies: whoever used it last has it.
-        last = {
+        last_use = {
             one.descriptor: one.sent_at
             for one in sorted(
-                (one for entry in entries.values() for one in entry.attempts), key=lambda one: one.sent_at
+                (one for record in open_records.values() for one in record.attempts), key=lambda one: one.sent_at
             )
         }
-        for slot, entry in entries.items():
-            known.add(entry.caller_descriptor)
-            if entry.origin is not None and (entry.origin.process, entry.origin.slot) in unproven:
+        for slot, record in open_records.items():
+            caller_descriptors.add(record.caller_descriptor)
+            if record.origin is not None and (record.origin.process, record.origin.slot) in unconfirmed:
                 continue
-            self.connections[process, slot] = [
-                orphans.pop(entry.caller_descriptor, None),
+            self.held_connections[process, slot] = [
+                orphans.pop(record.caller_descriptor, None),
                 *(
-                    orphans.pop(one.descriptor, None) if last[one.descriptor] == one.sent_at else None
-                    for one in entry.attempts
+                    orphans.pop(one.descriptor, None) if last_use[one.descriptor] == one.sent_at else None
+                    for one in record.attempts
                 ),
             ]
-            self.planner.add_orphans(process, [(slot, max(entry.deadline, self.loop.time()) + EXPIRY_GRACE)])
-        self._move_idle_connections(process, left, orphans, known)
-        for rest in orphans.values():
-            rest.kill()
+            self.planner.add_orphans(process, [(slot, max(record.deadline, self.loop.time()) + EXPIRY_GRACE)])
+        self._move_idle_connections(process, journal, orphans, caller_descriptors)
+        for connection in orphans.values():
+            connection.kill()
         self._tick()
 
     def _move_idle_connections(
-        self, process: int, left: OrphanedJournal, orphans: dict[int, VirtualTransport], known: set[int]
+        self,
+        process: int,
+        journal: OrphanedJournal,
+        orphans: dict[int, VirtualTransport],
+        caller_descriptors: set[int],
     ) -> None:
         """Connections between two requests."""
-        rows = [
-            (row, orphans.pop(row.descriptor))
-            for row in left.connections([IDLE])
-            if row.descriptor in orphans and row.descriptor not in known
+        idle = [
+            (record, orphans.pop(record.descriptor))
+            for record in journal.connections([IDLE])
+            if record.descriptor in orphans and record.descriptor not in caller_descriptors
         ]
-        heirs = sorted(self.successors(), key=lambda heir: heir[1])
-        if heirs and heirs[0][0] in self.receivers:
+        successors = sorted(self.successors(), key=lambda successor: successor[1])
+        if successors and successors[0][0] in self.receivers:
             moved = [
-                (ConnectionRecord(0, row.connection_id, row.bytes_read, row.bytes_written), one) for row, one in rows
+                (ConnectionRecord(0, record.connection_id, record.bytes_read, record.bytes_written), connection)
+                for record, connection in idle
             ]
-            self._offer(heirs[0][0], ReceivedOffer(0, process, -1, 0, None, None, [], list(moved)))
+            self._offer(successors[0][0], ReceivedOffer(0, process, -1, 0, None, None, [], list(moved)))
         else:
-            for _, one in rows:
-                one.kill()
-        for row in left.connections([BUSY]):
-            if row.descriptor in orphans:
-                orphans.pop(row.descriptor).kill()
+            for _, connection in idle:
+                connection.kill()
+        for record in journal.connections([BUSY]):
+            if record.descriptor in orphans:
+                orphans.pop(record.descriptor).kill()
 
-    def _offer(self, heir: int, received: ReceivedOffer) -> None:
-        machine, offered = self.receivers[heir]
-        self.loop.call_later(self.rng.uniform(*DETECTION_DELAY), offered, received, context=machine.context())
+    def _offer(self, successor: int, received: ReceivedOffer) -> None:
+        machine, on_offer = self.receivers[successor]
+        self.loop.call_later(self.rng.uniform(*DETECTION_DELAY), on_offer, received, context=machine.context())
 
     def _record_adoptions(self) -> None:
-        for piece, claim in self.planner.assigned():
-            if self._journal(piece[0]).adopted_term(piece[1]) == claim.term:
+        for request, claim in self.planner.assigned():
+            if self._journal(request[0]).adopted_term(request[1]) == claim.term:
                 self.adopted += 1
-                self.planner.on_adopted(piece)
-                del self.connections[piece]
+                self.planner.on_adopted(request)
+                del self.held_connections[request]
 
     def _tick(self) -> None:
         self._ticking = False
         now = self.loop.time()
         self._record_adoptions()
-        for piece in self.planner.expire(now):
+        for request in self.planner.expire(now):
             self.lost += 1
-            for one in filter(None, self.connections.pop(piece)):
-                one.kill()
-        for heir, rows in self.planner.assign(
-            now, [each for each in self.successors() if each[0] in self.receivers]
+            for connection in filter(None, self.held_connections.pop(request)):
+                connection.kill()
+        for successor, offers in self.planner.assign(
+            now, [process for process in self.successors() if process[0] in self.receivers]
         ).items():
-            for piece, term in rows:
-                self._offer_request(heir, piece, term)
+            for request, term in offers:
+                self._offer_request(successor, request, term)
         if self.planner.claims and not self._ticking:
             self._ticking = True
             self.loop.call_later(TICK_INTERVAL, self._tick, context=contextvars.Context())
 
-    def _offer_request(self, heir: int, piece: RequestRef, term: int) -> None:
-        left, parts = self._journal(piece[0]), self.connections[piece]
-        if parts[0] is None:
-            self.planner.on_adopted(piece)
-            for one in filter(None, self.connections.pop(piece)):
-                one.kill()
+    def _offer_request(self, successor: int, request: RequestRef, term: int) -> None:
+        journal, connections = self._journal(request[0]), self.held_connections[request]
+        if connections[0] is None:
+            self.planner.on_adopted(request)
+            for connection in filter(None, self.held_connections.pop(request)):
+                connection.kill()
             return
-        left.claim(piece[1], term)
+        journal.claim(request[1], term)
         self._offer(
-            heir,
+            successor,
             ReceivedOffer(
-                self._journal_by_process[piece[0]], piece[0], piece[1], term, left, parts[0], list(parts[1:])
+                self._journal_by_process[request[0]],
+                request[0],
+                request[1],
+                term,
+                journal,
+                connections[0],
+                list(connections[1:]),
             ),
         )
--- a/cometusher/simulation/script.py
+++ b/cometusher/simulation/script.py
@@ -146,15 +146,15 @@
 
 def target_counts(plan: Plan) -> dict[str, int]:
     """How many there are of what can be named in a fault."""
-    nodes = plan.zones * plan.backends
+    backends = plan.zones * plan.backends
     return {
-        "proxy": plan.zones * plan.proxies + (plan.tiers - 1) * nodes,
-        "backend": nodes * plan.tiers,
+        "proxy": plan.zones * plan.proxies + (plan.tiers - 1) * backends,
+        "backend": backends * plan.tiers,
         "discovery": plan.tiers,
     }
 
 
-def draw(seed: int, world: str = "any") -> Plan:
+def draw_plan(seed: int, world: str = "any") -> Plan:
     """The plan of a seed; raises KeyError for a world that is not known."""
     rng = Random(f"fenneldeal {world} {seed}")
     name = rng.choice(WORLDS) if world == "any" else world
@@ -191,17 +191,17 @@
     """A part of the worlds keeps state and has blows; not those with upgrades, whose processes share otherwise."""
     if rng.random() >= 0.3:
         return plan
-    found = list(plan.faults)
+    faults = list(plan.faults)
     for _ in range(rng.choice((1, 1, 2, 3))):
-        what = rng.choice(RESTART_FAULTS)
+        kind = rng.choice(RESTART_FAULTS)
         at = round(rng.uniform(0.8, plan.seconds - 0.5), 3)
-        amount = FAULT_KINDS[what][1]
-        whom = f"proxy/{0 if what == 'blow' else rng.randrange(target_counts(plan)['proxy'])}"
+        draw_amount = FAULT_KINDS[kind][1]
+        target = f"proxy/{0 if kind == 'blow' else rng.randrange(target_counts(plan)['proxy'])}"
         seconds = round(rng.choice((0.05, 0.3, 1.0)) * rng.uniform(0.5, 1.5), 3)
-        found.append(Fault(at, what, whom, seconds, amount(rng) if amount else 0.0))
+        faults.append(Fault(at, kind, target, seconds, draw_amount(rng) if draw_amount else 0.0))
         if rng.random() < 0.5:
-            found.append(Fault(max(0.1, round(at - 0.1, 3)), "kill", "discovery/0", round(rng.uniform(0.5, 3.0), 3)))
-    return replace(plan, keeps=1, faults=tuple(sorted(found, key=lambda fault: fault.at)))
+            faults.append(Fault(max(0.1, round(at - 0.1, 3)), "kill", "discovery/0", round(rng.uniform(0.5, 3.0), 3)))
+    return replace(plan, keeps=1, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
 def _add_takeover_faults(rng: Random, plan: Plan) -> Plan:
@@ -209,86 +209,98 @@
     count = plan.zones * plan.proxies
     if plan.tiers > 1 or count < 2 or rng.random() >= 0.5:
         return plan
-    found = list(plan.faults)
+    faults = list(plan.faults)
     for _ in range(rng.choice((1, 2, 3, 5))):
         at = round(rng.uniform(0.4, plan.seconds - 0.5), 3)
-        whom = rng.randrange(count)
-        found.append(Fault(at, "kill", f"proxy/{whom}", round(rng.choice((0.05, 0.3, 1.0)), 3)))
+        victim = rng.randrange(count)
+        faults.append(Fault(at, "kill", f"proxy/{victim}", round(rng.choice((0.05, 0.3, 1.0)), 3)))
         if rng.random() < 0.4:
             # Heirs that are paused, and killed in the middle of what they inherit.
-            heir = (whom + 1 + rng.randrange(count - 1)) % count
-            what = rng.choice(("pause", "kill"))
-            found.append(Fault(round(at + rng.uniform(0.0, 0.08), 3), what, f"proxy/{heir}", 0.2))
-    return replace(plan, covers=1, faults=tuple(sorted(found, key=lambda fault: fault.at)))
+            successor = (victim + 1 + rng.randrange(count - 1)) % count
+            kind = rng.choice(("pause", "kill"))
+            faults.append(Fault(round(at + rng.uniform(0.0, 0.08), 3), kind, f"proxy/{successor}", 0.2))
+    return replace(plan, covers=1, faults=tuple(sorted(faults, key=lambda fault: fault.at)))
 
 
 def _draw_faults(rng: Random, plan: Plan) -> list[Fault]:
-    many = target_counts(plan)
-    found: list[Fault] = []
+    available = target_counts(plan)
+    faults: list[Fault] = []
     for _ in range(rng.choice((0, 1, 2, 3, 4, 5, 7))):
-        what = rng.choice(sorted(set(FAULT_KINDS) - set(RESTART_FAULTS)))
-        whose, amount = FAULT_KINDS[what]
-        whom = rng.choice(whose)
+        kind = rng.choice(sorted(set(FAULT_KINDS) - set(RESTART_FAULTS)))
+        targets, draw_amount = FAULT_KINDS[kind]
+        target = rng.choice(targets)
         at = round(rng.uniform(0.3, plan.seconds - 0.5), 3)
-        if found and rng.random() < 0.2:
-            at = found[-1].at  # two at one tick
+        if faults and rng.random() < 0.2:
+            at = faults[-1].at  # two at one tick
         seconds = (
-            0.0 if what in INSTANT_FAULTS else round(rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.5, 1.5), 3)
+            0.0 if kind in INSTANT_FAULTS else round(rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.5, 1.5), 3)
         )
-        found.append(Fault(at, what, f"{whom}/{rng.randrange(many[whom])}", seconds, amount(rng) if amount else 0.0))
-    for fault in list(found):
-        found += _companion_faults(rng, fault)
-    return found
+        faults.append(
+            Fault(
+                at,
+                kind,
+                f"{target}/{rng.randrange(available[target])}",
+                seconds,
+                draw_amount(rng) if draw_amount else 0.0,
+            )
+        )
+    for fault in list(faults):
+        faults += _companion_faults(rng, fault)
+    return faults
 
 
 def _companion_faults(rng: Random, fault: Fault) -> list[Fault]:
     """What is drawn beside some faults, since they are worst together."""
-    found = []
-    before = max(0.1, round(fault.at - 0.4, 3))
+    faults = []
+    earlier = max(0.1, round(fault.at - 0.4, 3))
     if fault.what == "upgrade":
         if rng.random() < 0.5:
-            what = rng.choice(("ban", "evacuate"))
-            found.append(Fault(before, what, fault.whom, 1.5, float(rng.randrange(8)) if what == "ban" else 0.0))
+            kind = rng.choice(("ban", "evacuate"))
+            faults.append(Fault(earlier, kind, fault.whom, 1.5, float(rng.randrange(8)) if kind == "ban" else 0.0))
         if rng.random() < 0.3:
-            found += [Fault(at, "crowd", fault.whom, 1.5, 120.0) for at in (before, round(fault.at + 0.1, 3))]
+            faults += [Fault(at, "crowd", fault.whom, 1.5, 120.0) for at in (earlier, round(fault.at + 0.1, 3))]
     elif fault.what == "ban" and rng.random() < 0.5:
-        found.append(Fault(max(0.1, round(fault.at - 0.003, 3)), "burst", fault.whom, 0.0, 40.0))
-    return found
+        faults.append(Fault(max(0.1, round(fault.at - 0.003, 3)), "burst", fault.whom, 0.0, 40.0))
+    return faults
 
 
 def _draw_requests(rng: Random, plan: Plan) -> list[PlannedRequest]:
     rate = rng.choice((10.0, 25.0, 50.0))
-    at = 0.2
+    time = 0.2
     times: list[float] = []
-    while (at := at + rng.expovariate(rate)) < plan.seconds:
-        times.append(at)
+    while (time := time + rng.expovariate(rate)) < plan.seconds:
+        times.append(time)
     for fault in plan.faults:
         if fault.what == "burst":
             times += [fault.at + 0.0005 * i for i in range(int(fault.by))]
-    return [_draw_request(rng, number, at, plan) for number, at in enumerate(sorted(times), 1)]
+    return [_draw_request(rng, number, time, plan) for number, time in enumerate(sorted(times), 1)]
 
 
-def _draw_request(rng: Random, number: int, at: float, plan: Plan) -> PlannedRequest:
-    kind = rng.choices(REQUEST_CLASSES, (6, 3, 2))[0]
-    ask = PlannedRequest(
+def _draw_request(rng: Random, number: int, time: float, plan: Plan) -> PlannedRequest:
+    class_name = rng.choices(REQUEST_CLASSES, (6, 3, 2))[0]
+    request = PlannedRequest(
         number,
-        round(at, 4),
-        kind,
+        round(time, 4),
+        class_name,
         rng.randrange(plan.zones),
         round(rng.choice((0.3, 1.0, 1.5)), 1),
         want=rng.choice((0, 0, 200, 4000, 60000)),
-        body=0 if kind == "view" else rng.choice((0, 5, 3000, 60000)),
+        body=0 if class_name == "view" else rng.choice((0, 5, 3000, 60000)),
         leaves=round(rng.uniform(0.0, 0.4), 3) if rng.random() < 0.05 else 0.0,
         slow=round(rng.uniform(0.05, 1.2), 3) if rng.random() < 0.03 else 0.0,
     )
     # A line made narrow would take longer for these than there is time; theirs counts from the last byte.
-    if plan.bandwidth >= 1e7 and rng.random() < LONG_SHARE and not any(f.what == "narrow" for f in plan.faults):
-        ask = replace(ask, want=rng.choice((200, *LONG_SIZES)))
-        if ask.want > LONG_THRESHOLD:
-            ask = replace(ask, dawdle=round(rng.choice((0.0, rng.uniform(0.1, 1.0))), 3))
-        if kind != "view":
-            ask = replace(ask, body=rng.choice(LONG_SIZES))
-    return ask
+    if (
+        plan.bandwidth >= 1e7
+        and rng.random() < LONG_SHARE
+        and not any(fault.what == "narrow" for fault in plan.faults)
+    ):
+        request = replace(request, want=rng.choice((200, *LONG_SIZES)))
+        if request.want > LONG_THRESHOLD:
+            request = replace(request, dawdle=round(rng.choice((0.0, rng.uniform(0.1, 1.0))), 3))
+        if class_name != "view":
+            request = replace(request, body=rng.choice(LONG_SIZES))
+    return request
 
 
 # ---- the text ------------------------------------------------------------------------------
@@ -313,19 +325,19 @@
 _DEFAULT_REQUEST = PlannedRequest(0, 0.0, "view")
 
 
-def write(plan: Plan) -> str:
+def format_plan(plan: Plan) -> str:
     """The script of a plan."""
     lines = []
-    for head, names in _STATEMENTS.items():
+    for statement, names in _STATEMENTS.items():
         values = " ".join(f"{name} {getattr(plan, name):.12g}" for name in names)
-        lines.append(f"world {plan.world} {values}" if head == "world" else f"{head} {values}")
-    for ask in plan.requests:
+        lines.append(f"world {plan.world} {values}" if statement == "world" else f"{statement} {values}")
+    for request in plan.requests:
         extra = "".join(
-            f" {name} {getattr(ask, name):g}"
+            f" {name} {getattr(request, name):g}"
             for name in _REQUEST_OPTIONS
-            if getattr(ask, name) != getattr(_DEFAULT_REQUEST, name)
+            if getattr(request, name) != getattr(_DEFAULT_REQUEST, name)
         )
-        lines.append(f"request {ask.number} at {ask.at:.12g} {ask.kind}{extra}")
+        lines.append(f"request {request.number} at {request.at:.12g} {request.kind}{extra}")
     for fault in plan.faults:
         extra = (f" for {fault.seconds:g}" if fault.seconds else "") + (f" by {fault.by:.12g}" if fault.by else "")
         lines.append(f"fault at {fault.at:.12g} {fault.what} {fault.whom}{extra}")
@@ -345,28 +357,28 @@
     def wrong(self, text: str) -> ConfigError:
         return ConfigError(f"{self.name}:{self.line}: {text}")
 
-    def number(self, kind: Callable[[str], Any], name: str, text: str) -> Any:
+    def number(self, convert: Callable[[str], Any], name: str, text: str) -> Any:
         try:
-            value = kind(text)
+            value = convert(text)
         except ValueError:
             raise self.wrong(f"{name}: {text!r} is not a number") from None
         if not -1e15 < value < 1e15:
             raise self.wrong(f"{name}: {text} is out of range")
         return value
 
-    def pairs(self, words: list[str], known: dict[str, Callable[[str], Any]]) -> dict[str, Any]:
+    def pairs(self, words: list[str], converters: dict[str, Callable[[str], Any]]) -> dict[str, Any]:
         if len(words) % 2:
             raise self.wrong(f"{words[-1]!r} has no value")
         found = {}
         for name, text in zip(words[::2], words[1::2], strict=True):
-            if name not in known:
-                raise self.wrong(f"{name!r} is not one of {', '.join(known)}")
-            found[name] = self.number(known[name], name, text)
+            if name not in converters:
+                raise self.wrong(f"{name!r} is not one of {', '.join(converters)}")
+            found[name] = self.number(converters[name], name, text)
         return found
 
     def statement(self, words: list[str]) -> None:
         head, *rest = words
-        kinds: dict[str, Callable[[str], Any]] = {
+        converters: dict[str, Callable[[str], Any]] = {
             item.name: float if item.type == "float" else int for item in fields(Plan)
         }
         if head in _STATEMENTS:
@@ -374,7 +386,7 @@
                 if not rest:
                     raise self.wrong("world: no name")
                 self.values["world"], *rest = rest
-            self.values |= self.pairs(rest, {name: kinds[name] for name in _STATEMENTS[head]})
+            self.values |= self.pairs(rest, {name: converters[name] for name in _STATEMENTS[head]})
         elif head == "request":
             self.request(rest)
         elif head == "fault":
@@ -385,20 +397,22 @@
     def request(self, words: list[str]) -> None:
         if len(words) < 4 or words[1] != "at" or words[3] not in REQUEST_CLASSES:
             raise self.wrong(f"request: not of the form NUMBER at SECONDS {'|'.join(REQUEST_CLASSES)}")
-        number, at = self.number(int, "request", words[0]), self.number(float, "at", words[2])
+        number, time = self.number(int, "request", words[0]), self.number(float, "at", words[2])
         if any(ask.number == number for ask in self.requests[-1:]):
             raise self.wrong(f"request: there is a {number} already")
-        self.requests.append(PlannedRequest(number, at, words[3], **self.pairs(words[4:], dict(_REQUEST_OPTIONS))))
+        self.requests.append(PlannedRequest(number, time, words[3], **self.pairs(words[4:], dict(_REQUEST_OPTIONS))))
 
     def fault(self, words: list[str]) -> None:
         if len(words) < 4 or words[0] != "at" or words[2] not in FAULT_KINDS:
             names = ", ".join(sorted(FAULT_KINDS))
             raise self.wrong(f"fault: not of the form at SECONDS WHAT WHOM; WHAT is one of {names}")
-        extra = self.pairs(words[4:], {name: kind for name, (_, kind) in _FAULT_OPTIONS.items()})
-        whose = FAULT_KINDS[words[2]][0]
-        kind, slash, number = words[3].partition("/")
-        if kind not in whose or not slash or not number.isdigit():
-            raise self.wrong(f"{words[2]}: {words[3]!r} is not {' or '.join(f'{one}/NUMBER' for one in whose)}")
+        extra = self.pairs(words[4:], {name: target_kind for name, (_, target_kind) in _FAULT_OPTIONS.items()})
+        targets = FAULT_KINDS[words[2]][0]
+        target_kind, slash, number = words[3].partition("/")
+        if target_kind not in targets or not slash or not number.isdigit():
+            raise self.wrong(
+                f"{words[2]}: {words[3]!r} is not {' or '.join(f'{target}/NUMBER' for target in targets)}"
+            )
         values = {_FAULT_OPTIONS[name][0]: value for name, value in extra.items()}
         self.faults.append(Fault(self.number(float, "at", words[1]), words[2], words[3], **values))
 
@@ -413,19 +427,19 @@
             or not 0.0 <= plan.cut < 0.95
         ):
             raise self.wrong("a world has at most 2 tiers and 200 machines, and cut is under 0.95")
-        many = target_counts(plan)
+        available = target_counts(plan)
         for fault in plan.faults:
-            kind, _, number = fault.whom.partition("/")
-            if int(number) >= many[kind]:
-                raise self.wrong(f"{fault.whom}: there are {many[kind]}")
-        if any(not 0 <= ask.zone < plan.zones or ask.budget <= 0.0 for ask in plan.requests):
+            target_kind, _, number = fault.whom.partition("/")
+            if int(number) >= available[target_kind]:
+                raise self.wrong(f"{fault.whom}: there are {available[target_kind]}")
+        if any(not 0 <= request.zone < plan.zones or request.budget <= 0.0 for request in plan.requests):
             raise self.wrong("a request's zone is not there, or its budget is 0")
-        if len({ask.number for ask in plan.requests}) < len(plan.requests):
+        if len({request.number for request in plan.requests}) < len(plan.requests):
             raise self.wrong("two requests have one number")
         return plan
 
 
-def read(text: str, name: str = "script") -> Plan:
+def parse_plan(text: str, name: str = "script") -> Plan:
     """The plan of a script; raises ConfigError."""
     reader = _Reader(name)
     for reader.line, line in enumerate(text.splitlines(), 1):
--- a/cometusher/simulation/seed_search.py
+++ b/cometusher/simulation/seed_search.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from cometusher.simulation.script import Fault, Plan, PlannedRequest, draw
+from cometusher.simulation.script import Fault, Plan, PlannedRequest, draw_plan
 from cometusher.simulation.world import Result, run_plan
 
 T = TypeVar("T", PlannedRequest, Fault)
@@ -47,7 +47,7 @@
 
 def run_seed(world: str, seed: int) -> SeedResult:
     """Run one seed."""
-    result = run_plan(draw(seed, world))
+    result = run_plan(draw_plan(seed, world))
     return SeedResult(
         seed,
         result.plan.world,
@@ -92,13 +92,13 @@
             return ()
         size = max(1, len(kept) // 2)
         while kept:
-            at = 0
-            while at < len(kept):
-                fewer = kept[:at] + kept[at + size :]
+            start = 0
+            while start < len(kept):
+                fewer = kept[:start] + kept[start + size :]
                 if fewer and fails(fewer):
                     kept = fewer
                 else:
-                    at += size
+                    start += size
             if size == 1:
                 break
             size = max(1, size // 2)
@@ -107,30 +107,32 @@
     def shrink(self, plan: Plan) -> Plan:
         """The smallest plan that was found; the same one if nothing can go."""
         plan = self._fewer_faults(plan)
-        requests = self.minimize(plan.requests, lambda some: self.fails(replace(plan, requests=some)))
+        requests = self.minimize(plan.requests, lambda subset: self.fails(replace(plan, requests=subset)))
         plan = self._fewer_faults(replace(plan, requests=requests))
         for changes in self._simplifications(plan):
-            fresh = replace(plan, **changes)  # type: ignore[arg-type]
-            if fresh != plan and self.fails(fresh):
-                plan = fresh
+            simpler = replace(plan, **changes)  # type: ignore[arg-type]
+            if simpler != plan and self.fails(simpler):
+                plan = simpler
         return plan
 
     def _fewer_faults(self, plan: Plan) -> Plan:
-        faults = self.minimize(plan.faults, lambda some: self.fails(replace(plan, faults=some)))
+        faults = self.minimize(plan.faults, lambda subset: self.fails(replace(plan, faults=subset)))
         return replace(plan, faults=faults)
 
     @staticmethod
     def _simplifications(plan: Plan) -> list[dict[str, float]]:
-        last = max([ask.at for ask in plan.requests] + [f.at + f.seconds for f in plan.faults] + [0.5])
+        last = max(
+            [request.at for request in plan.requests] + [fault.at + fault.seconds for fault in plan.faults] + [0.5]
+        )
         return [{"seconds": round(min(plan.seconds, last + 1.0), 1)}, {"cut": 0.0}, {"jitter": 0.0}]
 
 
-def shrink(plan: Plan, most: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
+def shrink(plan: Plan, max_runs: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
     """The smallest plan that fails as this one does, and the rule that it breaks; ValueError if it breaks none."""
     oracles = run_plan(plan).oracles
     if not oracles:
         raise ValueError("the plan breaks no rule")
-    return Shrinker(oracles[0], max_runs=most).shrink(plan), oracles[0]
+    return Shrinker(oracles[0], max_runs=max_runs).shrink(plan), oracles[0]
 
 
 def in_fresh_processes(code: str, folder: Path, hash_seeds: Iterable[int]) -> set[str]:
--- a/cometusher/simulation/simulate.py
+++ b/cometusher/simulation/simulate.py
@@ -14,8 +14,8 @@
 
 def parse_seeds(text: str) -> range:
     """`A..B`, B not counted; raises ConfigError."""
-    first, dots, last = text.partition("..")
-    if not dots or not first.isdigit() or not last.isdigit() or int(first) >= int(last):
+    first, separator, last = text.partition("..")
+    if not separator or not first.isdigit() or not last.isdigit() or int(first) >= int(last):
         raise ConfigError(f"--seeds: {text!r} is not A..B with A below B")
     return range(int(first), int(last))
 
@@ -24,11 +24,11 @@
     """The plan in a file; raises ConfigError."""
     path = Path(name)
     try:
-        return script.read(path.read_text(), name)
-    except OSError as fault:
-        raise ConfigError(f"{name}: {fault.strerror}") from fault
-    except UnicodeDecodeError as fault:
-        raise ConfigError(f"{name}: not text: {fault.reason}") from fault
+        return script.parse_plan(path.read_text(), name)
+    except OSError as error:
+        raise ConfigError(f"{name}: {error.strerror}") from error
+    except UnicodeDecodeError as error:
+        raise ConfigError(f"{name}: not text: {error.reason}") from error
 
 
 def _show(result: Result, trace: bool) -> int:
@@ -36,44 +36,44 @@
         print("\n".join(result.lines))
     for violation in result.violations[: None if trace else seed_search.MAX_VIOLATIONS]:
         print(f"broken: {violation}")
-    ended = ", ".join(f"{n} {how}" for how, n in result.outcomes.items())
-    size = f"{result.seconds:.1f} virtual seconds, {result.steps} steps"
-    print(f"{ended or 'no requests'}; {size}; digest {result.digest}")
+    ended = ", ".join(f"{count} {outcome}" for outcome, count in result.outcomes.items())
+    extent = f"{result.seconds:.1f} virtual seconds, {result.steps} steps"
+    print(f"{ended or 'no requests'}; {extent}; digest {result.digest}")
     return 1 if result.violations else 0
 
 
-def _shrink(plan: script.Plan, folder: Path, tries: int) -> Path:
-    small, oracle = seed_search.shrink(plan, tries)
+def _shrink(plan: script.Plan, folder: Path, max_runs: int) -> Path:
+    smallest, oracle = seed_search.shrink(plan, max_runs)
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{plan.world}-{plan.seed}.world"
-    path.write_text(f"# breaks: {oracle}\n{script.write(small)}")
+    path.write_text(f"# breaks: {oracle}\n{script.format_plan(smallest)}")
     return path
 
 
 def _search(options: argparse.Namespace) -> int:
-    wanted = parse_seeds(options.seeds)
+    seeds = parse_seeds(options.seeds)
     failed: list[seed_search.SeedResult] = []
     virtual = 0.0
     requests = done = 0
-    clock = seed_search.Stopwatch()
-    for found in seed_search.search(wanted, options.world, options.jobs):
+    stopwatch = seed_search.Stopwatch()
+    for result in seed_search.search(seeds, options.world, options.jobs):
         done += 1
-        virtual += found.seconds
-        requests += found.requests
-        if found.oracles:
-            failed.append(found)
-            print(f"seed {found.seed} ({found.world}): {found.text[0]}", flush=True)
+        virtual += result.seconds
+        requests += result.requests
+        if result.oracles:
+            failed.append(result)
+            print(f"seed {result.seed} ({result.world}): {result.text[0]}", flush=True)
             if options.first:
                 break
         if done % PROGRESS_INTERVAL == 0:
-            print(f"{done} seeds, {len(failed)} failed, {60.0 * done / clock.seconds():.0f} a minute", flush=True)
-    spent = clock.seconds()
+            print(f"{done} seeds, {len(failed)} failed, {60.0 * done / stopwatch.seconds():.0f} a minute", flush=True)
+    elapsed = stopwatch.seconds()
     print(
         f"simulate: seeds={done} failed={len(failed)} requests={requests} virtual_s={virtual:.0f} "
-        f"real_s={spent:.1f} virtual_over_real={virtual / spent:.0f} seeds_per_minute={60.0 * done / spent:.0f}"
+        f"real_s={elapsed:.1f} virtual_over_real={virtual / elapsed:.0f} seeds_per_minute={60.0 * done / elapsed:.0f}"
     )
     if failed and not options.keep:
-        path = _shrink(script.draw(failed[0].seed, options.world), Path(options.out), options.tries)
+        path = _shrink(script.draw_plan(failed[0].seed, options.world), Path(options.out), options.tries)
         print(f"the first is shrunk to {path}; play it with: cometusher simulate --replay {path}")
     return 1 if failed else 0
 
@@ -87,9 +87,9 @@
     if options.replay:
         return _show(run_plan(load_plan(options.replay), options.steps), options.trace)
     if options.seed is not None:
-        plan = script.draw(options.seed, options.world)
+        plan = script.draw_plan(options.seed, options.world)
         if options.script:
-            print(script.write(plan), end="")
+            print(script.format_plan(plan), end="")
             return 0
         return _show(run_plan(plan, options.steps), options.trace)
     if options.seeds:
