--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -193,7 +193,7 @@
     address: str
     speed: float
     machine: Machine | None = None
-    backend: Node | None = None
+    service: Node | None = None
     own_proxy: ProxySlot | None = None  # its own proxy to the tier behind
     leaving: bool = False
 
@@ -262,45 +262,45 @@
         self.network = VirtualNetwork(self.loop, Link(plan.latency, plan.jitter, plan.bandwidth, plan.cut))
         self.network.max_read_delay = plan.lazy
         self.rng = Random(f"world {plan.seed}")
-        nodes = plan.zones * plan.backends
-        self.backends = [
+        backends_per_tier = plan.zones * plan.backends
+        self.backend_slots = [
             BackendSlot(
-                n,
-                n // nodes,
-                n % nodes // plan.backends,
-                f"10.2.{n // nodes}.{n % nodes + 1}",
-                SPEEDS[n % len(SPEEDS)],
+                number,
+                number // backends_per_tier,
+                number % backends_per_tier // plan.backends,
+                f"10.2.{number // backends_per_tier}.{number % backends_per_tier + 1}",
+                SPEEDS[number % len(SPEEDS)],
             )
-            for n in range(nodes * plan.tiers)
+            for number in range(backends_per_tier * plan.tiers)
         ]
         self.discoveries = [DiscoveryTier(tier) for tier in range(plan.tiers)]
-        self.proxies: list[ProxySlot] = []
+        self.proxy_slots: list[ProxySlot] = []
         for zone in range(plan.zones):
             for i in range(plan.proxies):
                 self._add_proxy(f"10.1.{zone}.{i + 1}", 0, zone, None)
         if plan.tiers > 1:
-            for stand in self.backends[:nodes]:
-                stand.own_proxy = self._add_proxy(f"10.5.0.{stand.number + 1}", 1, stand.zone, stand)
+            for backend in self.backend_slots[:backends_per_tier]:
+                backend.own_proxy = self._add_proxy(f"10.5.0.{backend.number + 1}", 1, backend.zone, backend)
         self.keys = {(tier, zone): Keys(KEY_WINDOW) for tier in range(plan.tiers) for zone in range(plan.zones)}
         self.client_machines = [self.network.add_machine(f"10.3.{zone}.1", 100000) for zone in range(plan.zones)]
         self.client_pools: list[Courier] = []
-        self.longest_message = max([ask.want + ask.body for ask in plan.requests], default=0)
+        self.longest_message = max([request.want + request.body for request in plan.requests], default=0)
         # From SIGTERM to SIGKILL: whoever reads a long answer slowly is waited for.
-        dawdles = max([ask.dawdle for ask in plan.requests], default=0.0)
-        self.patience = DEADLINE + 0.7 + 2.0 * dawdles + self._seconds_per_byte(plan) * self.longest_message
+        longest_pause = max([request.dawdle for request in plan.requests], default=0.0)
+        self.patience = DEADLINE + 0.7 + 2.0 * longest_pause + self._seconds_per_byte(plan) * self.longest_message
         self.round_trip = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
         self.checker = RunChecker(
-            self.proxies[0].config.settings,
-            {stand.host: f"z{stand.zone}" for stand in self.backends},
+            self.proxy_slots[0].config.settings,
+            {backend.host: f"z{backend.zone}" for backend in self.backend_slots},
             self.round_trip,
             self._seconds_per_byte(plan),
         )
-        self._backend_by_address = {stand.address: stand for stand in self.backends}
-        self._backend_by_host = {stand.host: stand for stand in self.backends}
+        self._backend_by_address = {backend.address: backend for backend in self.backend_slots}
+        self._backend_by_host = {backend.host: backend for backend in self.backend_slots}
         self.orphans = (
             VirtualOrphans(self.loop, Random(f"estate {plan.seed}"), self._successors) if plan.covers else None
         )
-        self._proxy_by_address = {door.address[0]: door for door in self.proxies}
+        self._proxy_by_address = {slot.address[0]: slot for slot in self.proxy_slots}
         self._active_faults: dict[int, Undo] = {}
         self._fault_count = 0
         self._attempt_by_transport: dict[
@@ -316,13 +316,13 @@
     @staticmethod
     def _seconds_per_byte(plan: Plan) -> float:
         """Seconds that each byte of a long message may take: a window a round trip, over each of three ways."""
-        trip = 2.0 * plan.latency * (1.0 + plan.jitter) + 3.0 * plan.lazy
-        return 3.0 * (trip / WINDOW_BYTES + 1.0 / plan.bandwidth)
+        round_trip = 2.0 * plan.latency * (1.0 + plan.jitter) + 3.0 * plan.lazy
+        return 3.0 * (round_trip / WINDOW_BYTES + 1.0 / plan.bandwidth)
 
-    def _add_proxy(self, address: str, tier: int, zone: int, owner: BackendSlot | None) -> ProxySlot:
-        plan, number = self.plan, len(self.proxies)
+    def _add_proxy(self, address: str, tier: int, zone: int, for_backend: BackendSlot | None) -> ProxySlot:
+        plan, number = self.plan, len(self.proxy_slots)
         raw = settings(plan, tier, zone, number if tier == 0 else 0, plan.zones * plan.proxies if tier == 0 else 1)
-        told = config.Config(
+        proxy_config = config.Config(
             name=f"proxy/{number}",
             listen=(address, PORT),
             discovery=(f"10.4.{tier}.1", PORT),
@@ -333,48 +333,48 @@
             settings=read_settings(raw),
             zones=tuple(raw["Zones"]),
         )
-        door = ProxySlot(f"proxy/{number}", (address, PORT), tier, zone, told, owner)
-        self.proxies.append(door)
-        return door
+        slot = ProxySlot(f"proxy/{number}", (address, PORT), tier, zone, proxy_config, for_backend)
+        self.proxy_slots.append(slot)
+        return slot
 
     # ---- starting and ending processes ---------------------------------------------------
 
-    async def _run_on(self, machine: Machine, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        await self.loop.create_task(make(), context=machine.context())
+    async def _run_on(self, machine: Machine, start: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        await self.loop.create_task(start(), context=machine.context())
 
-    def _spawn(self, machine: Machine, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        self.loop.create_task(make(), context=machine.context())
+    def _spawn(self, machine: Machine, start: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        self.loop.create_task(start(), context=machine.context())
 
-    def _start_process(self, door: ProxySlot) -> Process:
+    def _start_process(self, slot: ProxySlot) -> Process:
         """A process of a proxy begins."""
         # Its own books keep a part of the descriptors for what is not a connection; none of that is here.
-        machine = self.network.add_machine(door.address[0], door.config.sockets)
-        machine.on_write = lambda transport, data: self._on_proxy_write(door, transport, data)
-        machine.on_descriptors_exhausted = lambda: self._on_descriptors_exhausted(door, machine)
-        door.process_count += 1
-        calls = (door.address[0], MANAGEMENT_PORT + door.process_count % MANAGEMENT_PORTS)
-        estates = self.orphans if door.tier == 0 else None
-        covered = estates.assign_journal() if estates is not None else None
-        covers = partial(VirtualTakeoverChannel, estates) if estates is not None else None
-        surroundings = VirtualRuntime(self.network, EPOCH, door.shared_memory, door.disk, covers)
-        process = Process(machine, surroundings, calls, door.process_count, journal=covered)
-        listener = self.network.listeners.get(door.address) if self.plan.shared else None
-
-        def hear(values: dict[str, Any]) -> None:
-            door.operator_orders = values.get("standing", door.operator_orders)
+        machine = self.network.add_machine(slot.address[0], slot.config.sockets)
+        machine.on_write = lambda transport, data: self._on_proxy_write(slot, transport, data)
+        machine.on_descriptors_exhausted = lambda: self._on_descriptors_exhausted(slot, machine)
+        slot.process_count += 1
+        management = (slot.address[0], MANAGEMENT_PORT + slot.process_count % MANAGEMENT_PORTS)
+        orphans = self.orphans if slot.tier == 0 else None
+        journal = orphans.assign_journal() if orphans is not None else None
+        open_channel = partial(VirtualTakeoverChannel, orphans) if orphans is not None else None
+        runtime = VirtualRuntime(self.network, EPOCH, slot.shared_memory, slot.disk, open_channel)
+        process = Process(machine, runtime, management, slot.process_count, journal=journal)
+        listener = self.network.listeners.get(slot.address) if self.plan.shared else None
+
+        def on_report(values: dict[str, Any]) -> None:
+            slot.operator_orders = values.get("standing", slot.operator_orders)
 
         async def begin() -> None:
-            told = replace(
-                door.config,
-                seed=door.config.seed + 100 * door.process_count,
-                management=calls,
+            proxy_config = replace(
+                slot.config,
+                seed=slot.config.seed + 100 * slot.process_count,
+                management=management,
                 shared="shared" if self.plan.shared else None,
-                returning=self._recovery_config(door),
-                covered=covered,
+                returning=self._recovery_config(slot),
+                covered=journal,
             )
-            process.proxy = proxy = Proxy(told, process.surroundings)
+            process.proxy = proxy = Proxy(proxy_config, process.surroundings)
             if proxy.recovery is not None:
-                proxy.recovery.report = hear
+                proxy.recovery.report = on_report
             if listener is None:
                 proxy.start()
             else:
@@ -386,311 +386,322 @@
     def _successors(self) -> list[tuple[int, int]]:
         """Processes of the first tier that serve, and what they have in hand."""
         return [
-            (door.process.journal.process, door.process.proxy.open_requests)
-            for door in self.proxies
-            if door.routed
-            and door.up
-            and door.process is not None
-            and door.process.journal is not None
-            and door.process.proxy is not None
+            (slot.process.journal.process, slot.process.proxy.open_requests)
+            for slot in self.proxy_slots
+            if slot.routed
+            and slot.up
+            and slot.process is not None
+            and slot.process.journal is not None
+            and slot.process.proxy is not None
         ]
 
-    def _recovery_config(self, door: ProxySlot) -> RecoveryConfig | None:
+    def _recovery_config(self, slot: ProxySlot) -> RecoveryConfig | None:
         """What a supervisor would tell of its return."""
         if not self.plan.keeps:
             return None
-        many = sum(each.tier == door.tier for each in self.proxies)
+        tier_proxies = sum(each.tier == slot.tier for each in self.proxy_slots)
         limits = AgeLimits()
-        owner = Owner("world", door.name, 1)
-        plan = ReturnPlan(instances=many, returning=many, list_for=limits.list_for)
-        version = door.operator_orders["version"] if door.operator_orders is not None else 0
-        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), door.operator_orders)
+        owner = Owner("world", slot.name, 1)
+        plan = ReturnPlan(instances=tier_proxies, returning=tier_proxies, list_for=limits.list_for)
+        version = slot.operator_orders["version"] if slot.operator_orders is not None else 0
+        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), slot.operator_orders)
 
-    def start_proxy(self, door: ProxySlot) -> None:
+    def start_proxy(self, slot: ProxySlot) -> None:
         """A proxy begins, with one process."""
         now = self.loop.time()
-        door.draining = door.starved = False
-        door.accepts_until = 0.0
-        door.generation += 1
-        door.upgrades_in_progress = 0
-        door.evacuated = False
+        slot.draining = slot.starved = False
+        slot.accepts_until = 0.0
+        slot.generation += 1
+        slot.upgrades_in_progress = 0
+        slot.evacuated = False
         if not self.plan.keeps:
-            door.banned_hosts.clear()
-            self.checker.on_new_proxy(door.name)
-        door.other_processes.clear()
-        door.shared_memory = SharedMemory()
+            slot.banned_hosts.clear()
+            self.checker.on_new_proxy(slot.name)
+        slot.other_processes.clear()
+        slot.shared_memory = SharedMemory()
         if self.plan.shared:
-            self._open_listener(door)
-        self.checker.record_event(now, "start", door.name)
-        door.process = self._start_process(door)
-        if door.for_backend is None:
+            self._open_listener(slot)
+        self.checker.record_event(now, "start", slot.name)
+        slot.process = self._start_process(slot)
+        if slot.for_backend is None:
             self.loop.call_soon(
-                self._poll_ready, door, door.generation, context=self.client_machines[door.zone].context()
+                self._poll_ready, slot, slot.generation, context=self.client_machines[slot.zone].context()
             )
 
-    def _open_listener(self, door: ProxySlot) -> None:
+    def _open_listener(self, slot: ProxySlot) -> None:
         """The platform listens for a proxy."""
-        if door.address not in self.network.listeners:
-            contextvars.Context().run(self.network.listen, door.address)
+        if slot.address not in self.network.listeners:
+            contextvars.Context().run(self.network.listen, slot.address)
 
-    def _close_listener(self, door: ProxySlot) -> None:
-        listener = self.network.listeners.get(door.address)
+    def _close_listener(self, slot: ProxySlot) -> None:
+        listener = self.network.listeners.get(slot.address)
         if self.plan.shared and listener is not None:
             listener.close()
 
-    def _poll_ready(self, door: ProxySlot, life: int) -> None:
+    def _poll_ready(self, slot: ProxySlot, generation: int) -> None:
         """The front takes in a proxy that says that it is ready."""
-        if door.generation != life or door.routed or not door.up:
+        if slot.generation != generation or slot.routed or not slot.up:
             return
 
         def done(end: End, answer: Seen | None) -> None:
-            if answer is not None and answer.status == 200 and door.generation == life and door.up:
-                door.routed = True
-                self.checker.record_event(self.loop.time(), "ready", door.name)
+            if answer is not None and answer.status == 200 and slot.generation == generation and slot.up:
+                slot.routed = True
+                self.checker.record_event(self.loop.time(), "ready", slot.name)
             else:
-                self.loop.call_later(0.1, self._poll_ready, door, life)
+                self.loop.call_later(0.1, self._poll_ready, slot, generation)
 
-        self.client_pools[door.zone].send(Parcel(door.address, [READY_REQUEST], done=done))
+        self.client_pools[slot.zone].send(Parcel(slot.address, [READY_REQUEST], done=done))
 
-    def end_proxy(self, door: ProxySlot, excused: bool) -> None:
+    def end_proxy(self, slot: ProxySlot, excused: bool) -> None:
         """A proxy's process ends; what it owes is lost, and excused only if it was killed."""
         now = self.loop.time()
-        if not door.up or door.machine is None:
+        if not slot.up or slot.machine is None:
             return
-        self.checker.record_event(now, "ends", door.name, "killed" if excused else "by itself")
+        self.checker.record_event(now, "ends", slot.name, "killed" if excused else "by itself")
         if excused:
-            self.checker.on_killed(now, door.name, kept=bool(self.plan.keeps))
-        for process in (door.process, *door.other_processes):
+            self.checker.on_killed(now, slot.name, state_kept=bool(self.plan.keeps))
+        for process in (slot.process, *slot.other_processes):
             if process is not None:
-                orphans = process.machine.kill(keeps=process.journal is not None)
+                orphans = process.machine.kill(keep_connections=process.journal is not None)
                 process.proxy = None
                 if self.orphans is not None and process.journal is not None:
                     self.orphans.on_died(process.journal.process, orphans)
-        self._close_listener(door)
-        life = door.generation
+        self._close_listener(slot)
+        generation = slot.generation
 
-        def notice() -> None:
-            if door.generation == life:
-                door.routed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        self.loop.call_later(self.rng.uniform(*FRONT_DEATH_DELAY), notice, context=contextvars.Context())
+        self.loop.call_later(self.rng.uniform(*FRONT_DEATH_DELAY), stop_routing, context=contextvars.Context())
 
-    async def start_backend(self, stand: BackendSlot, cold: bool) -> None:
+    async def start_backend(self, backend: BackendSlot, cold: bool) -> None:
         """A node's process begins."""
         now = self.loop.time()
-        stand.machine = self.network.add_machine(stand.address, 4096)
-        stand.leaving = False
-        node = stand.backend = Node(
-            stand.host,
-            f"z{stand.zone}",
-            stand.speed,
+        backend.machine = self.network.add_machine(backend.address, 4096)
+        backend.leaving = False
+        service = backend.service = Node(
+            backend.host,
+            f"z{backend.zone}",
+            backend.speed,
             WORK_SECONDS,
-            self.keys[stand.tier, stand.zone],
-            Random(f"{self.plan.seed} {stand.number} {now}"),
+            self.keys[backend.tier, backend.zone],
+            Random(f"{self.plan.seed} {backend.number} {now}"),
             self,
             cold_from=COLD_FROM,
             cold_for=COLD_PERIOD if cold else 0.0,
             fall=(FALL_MULTIPLE, FALL_AFTER),
             born=now,
         )
-        if stand.own_proxy is not None:
-            node.behind = stand.own_proxy.address
-        await self._run_on(stand.machine, lambda: node.start(stand.address, PORT))
-        node.courier.was_read = _peer_has_read
-        node.courier.surplus = self._on_surplus_data
+        if backend.own_proxy is not None:
+            service.behind = backend.own_proxy.address
+        await self._run_on(backend.machine, lambda: service.start(backend.address, PORT))
+        service.courier.was_read = _peer_has_read
+        service.courier.surplus = self._on_surplus_data
         born = int((EPOCH + now) * 1000.0) if cold else 0
-        entry = node.entry(dial=f"{stand.address}:{PORT}", born_ms=born)
+        entry = service.entry(dial=f"{backend.address}:{PORT}", born_ms=born)
         if not cold:
-            self.discoveries[stand.tier].entries[stand.host] = entry
+            self.discoveries[backend.tier].entries[backend.host] = entry
         else:
-            self.loop.call_later(0.2, self._publish, stand, entry, context=contextvars.Context())
-        if stand.own_proxy is not None:
-            self.start_proxy(stand.own_proxy)
+            self.loop.call_later(0.2, self._publish, backend, entry, context=contextvars.Context())
+        if backend.own_proxy is not None:
+            self.start_proxy(backend.own_proxy)
 
-    def end_backend(self, stand: BackendSlot) -> None:
+    def end_backend(self, backend: BackendSlot) -> None:
         """A node's process dies, and its own proxy with it."""
-        if not stand.up or stand.machine is None:
+        if not backend.up or backend.machine is None:
             return
-        self.checker.record_event(self.loop.time(), "ends", stand.host)
-        self.checker.on_caller_died(self.loop.time(), stand.host)
-        stand.machine.kill()
-        if stand.own_proxy is not None:
-            self.end_proxy(stand.own_proxy, True)
-        self.loop.call_later(DISCOVERY_DEATH_DELAY, self._publish_death, stand, context=contextvars.Context())
-
-    def _publish_death(self, stand: BackendSlot) -> None:
-        if not stand.up:
-            self._publish(stand, self.discoveries[stand.tier].entries[stand.host] | {"health": "terminated"})
-
-    def _publish(self, stand: BackendSlot, entry: dict[str, Any]) -> None:
+        self.checker.record_event(self.loop.time(), "ends", backend.host)
+        self.checker.on_caller_died(self.loop.time(), backend.host)
+        backend.machine.kill()
+        if backend.own_proxy is not None:
+            self.end_proxy(backend.own_proxy, True)
+        self.loop.call_later(DISCOVERY_DEATH_DELAY, self._publish_death, backend, context=contextvars.Context())
+
+    def _publish_death(self, backend: BackendSlot) -> None:
+        if not backend.up:
+            self._publish(backend, self.discoveries[backend.tier].entries[backend.host] | {"health": "terminated"})
+
+    def _publish(self, backend: BackendSlot, entry: dict[str, Any]) -> None:
         """Discovery is told."""
-        registry = self.discoveries[stand.tier]
-        registry.entries[stand.host] = entry
+        registry = self.discoveries[backend.tier]
+        registry.entries[backend.host] = entry
         registry.seq += 1
         for machine, hosts in zip(registry.machines, registry.lists, strict=True):
             if not machine.dead:
                 self.loop.call_soon(hosts.change, entry, context=machine.context())
 
-    async def start_discovery(self, registry: DiscoveryTier, which: int) -> None:
+    async def start_discovery(self, registry: DiscoveryTier, index: int) -> None:
         """A discovery service begins, with the list as it is."""
-        address = f"10.4.{registry.tier}.{which + 1}"
+        address = f"10.4.{registry.tier}.{index + 1}"
         machine = self.network.add_machine(address, 4096)
         hosts = HostList(list(registry.entries.values()))
         hosts.seq = registry.seq
-        hosts.on_tell = lambda watch, seq, entries: self._on_discovery_update(registry, which, watch, seq, entries)
-        registry.machines[which : which + 1] = [machine]
-        registry.lists[which : which + 1] = [hosts]
+        hosts.on_tell = lambda watch, seq, entries: self._on_discovery_update(registry, index, watch, seq, entries)
+        registry.machines[index : index + 1] = [machine]
+        registry.lists[index : index + 1] = [hosts]
         await self._run_on(machine, lambda: hosts.start(address, PORT))
-        registry.starting.discard(which)
+        registry.starting.discard(index)
 
     def _on_discovery_update(
-        self, registry: DiscoveryTier, which: int, watch: Watch, seq: int, entries: list[dict[str, Any]]
+        self, registry: DiscoveryTier, index: int, watch: Watch, seq: int, entries: list[dict[str, Any]]
     ) -> None:
-        door = self._proxy_by_address.get(watch.writer.get_extra_info("peername")[0])
-        if door is None or watch.writer.is_closing():
+        slot = self._proxy_by_address.get(watch.writer.get_extra_info("peername")[0])
+        if slot is None or watch.writer.is_closing():
             return
-        key = (f"{door.name} {door.generation}", which)
+        key = (f"{slot.name} {slot.generation}", index)
         if seq < registry.last_seen_seq.get(key, 0):
             return  # an older change after a newer one tells nothing
         registry.last_seen_seq[key] = seq
         now = self.loop.time()
         for entry in entries:
             self.checker.on_discovery_update(
-                now, door.name, entry["host"], entry["health"] == "in_service", entry["born_ms"]
+                now, slot.name, entry["host"], entry["health"] == "in_service", entry["born_ms"]
             )
 
     # ---- what the account is told --------------------------------------------------------
 
-    def _on_proxy_write(self, door: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
+    def _on_proxy_write(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
         """All that a proxy writes passes here; what goes to a node begins an attempt."""
         if MANAGEMENT_PORT <= transport.get_extra_info("sockname")[1] < MANAGEMENT_PORT + MANAGEMENT_PORTS:
-            self._on_management_answer(door, transport, data)
+            self._on_management_answer(slot, transport, data)
             return
-        stand = self._backend_by_address.get(transport.get_extra_info("peername")[0])
-        if stand is None or transport.get_extra_info("sockname")[1] == PORT:
+        backend = self._backend_by_address.get(transport.get_extra_info("peername")[0])
+        if backend is None or transport.get_extra_info("sockname")[1] == PORT:
             return
-        found = CALL_ID.search(data)
-        if found is not None:
-            rid, told = found[1].decode(), transport.bytes_read
+        match = CALL_ID.search(data)
+        if match is not None:
+            request_id, bytes_read_before = match[1].decode(), transport.bytes_read
             if transport.pending:
-                text = f"{door.name} wrote {rid} to a connection on which something else had come"
+                text = f"{slot.name} wrote {request_id} to a connection on which something else had come"
                 self.checker.report_violation(self.loop.time(), "right answer", text)
-            self._attempt_by_transport[transport] = (door.name, rid, told)
-            rows = [row.partition(b":") for row in data[: data.find(b"\r\n\r\n")].split(b"\r\n")[1:]]
-            last = transport.bytes_written + data.find(b"\r\n\r\n") + 4 + self.checker.body_size(rid)
+            self._attempt_by_transport[transport] = (slot.name, request_id, bytes_read_before)
+            header_lines = [line.partition(b":") for line in data[: data.find(b"\r\n\r\n")].split(b"\r\n")[1:]]
+            end_of_request = transport.bytes_written + data.find(b"\r\n\r\n") + 4 + self.checker.body_size(request_id)
             self.checker.on_attempt_started(
                 self.loop.time(),
-                door.name,
-                rid,
-                stand.host,
-                lambda: transport.bytes_read == told and not transport.ended,
-                lambda: transport.bytes_written >= last,
-                {name.strip().lower(): value.strip() for name, _, value in rows},
+                slot.name,
+                request_id,
+                backend.host,
+                lambda: transport.bytes_read == bytes_read_before and not transport.ended,
+                lambda: transport.bytes_written >= end_of_request,
+                {name.strip().lower(): value.strip() for name, _, value in header_lines},
             )
 
-    def _on_management_answer(self, door: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
+    def _on_management_answer(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
         """A yes holds from the moment that it is given, whenever it is heard."""
         peer = transport.get_extra_info("peername")
-        for parcel, host in list(self._pending_bans.items()):
-            there = parcel.line.transport if parcel.line is not None else None
-            if there is not None and there.get_extra_info("sockname") == peer:
-                del self._pending_bans[parcel]
+        for pending, host in list(self._pending_bans.items()):
+            client_transport = pending.line.transport if pending.line is not None else None
+            if client_transport is not None and client_transport.get_extra_info("sockname") == peer:
+                del self._pending_bans[pending]
                 if data.startswith(b"HTTP/1.1 200"):
-                    self.checker.on_banned(self.loop.time(), door.name, host)
-            elif parcel.over:
-                del self._pending_bans[parcel]
+                    self.checker.on_banned(self.loop.time(), slot.name, host)
+            elif pending.over:
+                del self._pending_bans[pending]
 
     def _request_id(self, seen: Seen) -> str:
         return seen.headers.get(b"x-call-id", b"-").decode()
 
-    def came(self, node: Node, seen: Seen) -> None:
-        self.checker.on_backend_received(self.loop.time(), self._request_id(seen), node.host, len(seen.body))
+    def came(self, service: Node, seen: Seen) -> None:
+        self.checker.on_backend_received(self.loop.time(), self._request_id(seen), service.host, len(seen.body))
 
-    def rejected(self, node: Node, seen: Seen) -> None:
-        self.checker.on_backend_rejected(self.loop.time(), self._request_id(seen), node.host)
+    def rejected(self, service: Node, seen: Seen) -> None:
+        self.checker.on_backend_rejected(self.loop.time(), self._request_id(seen), service.host)
 
-    def ran(self, node: Node, seen: Seen, effect: bool) -> None:
+    def ran(self, service: Node, seen: Seen, effect: bool) -> None:
         key = seen.headers.get(b"idempotency-key")
-        tier = self._backend_by_host[node.host].tier
-        name = None if key is None else f"{tier} {key.decode()}"
-        self.checker.on_backend_ran(self.loop.time(), self._request_id(seen), node.host, name, effect)
+        tier = self._backend_by_host[service.host].tier
+        effect_key = None if key is None else f"{tier} {key.decode()}"
+        self.checker.on_backend_ran(self.loop.time(), self._request_id(seen), service.host, effect_key, effect)
 
-    def fell(self, node: Node, sent: float, carries: float) -> None:
-        self.checker.on_cold_overload(self.loop.time(), node.host, sent, carries)
+    def fell(self, service: Node, sent: float, carries: float) -> None:
+        self.checker.on_cold_overload(self.loop.time(), service.host, sent, carries)
 
-    def calls(self, node: Node, parcel: Parcel, seen: Seen, budget: float) -> Parcel:
+    def calls(self, service: Node, pending: Parcel, seen: Seen, budget: float) -> Parcel:
         """A node calls the tier behind through its own proxy, as any caller does."""
-        found = CALL_ID.search(parcel.pieces[0])
-        door = self._backend_by_host[node.host].own_proxy
-        assert found is not None and door is not None
-        kind = seen.headers[b"x-call-class"].decode()
-        want = int(seen.headers.get(b"x-want", b"0"))
-        self._track(parcel, found[1].decode(), kind, door, node.host, budget, want)
-        return parcel
+        match = CALL_ID.search(pending.pieces[0])
+        slot = self._backend_by_host[service.host].own_proxy
+        assert match is not None and slot is not None
+        class_name = seen.headers[b"x-call-class"].decode()
+        answer_size = int(seen.headers.get(b"x-want", b"0"))
+        self._track(pending, match[1].decode(), class_name, slot, service.host, budget, answer_size)
+        return pending
 
     def _on_surplus_data(self, address: Address, data: bytes) -> None:
         self.checker.on_surplus_data(self.loop.time(), self._proxy_by_address[address[0]].name, data)
 
     def _track(
-        self, parcel: Parcel, rid: str, kind: str, door: ProxySlot, caller: str, budget: float, want: int
+        self,
+        pending: Parcel,
+        request_id: str,
+        class_name: str,
+        slot: ProxySlot,
+        caller: str,
+        budget: float,
+        answer_size: int,
     ) -> None:
         """Have the account follow a parcel."""
-        done = parcel.done
-        ledger, loop = self.checker, self.loop
+        done = pending.done
+        checker, loop = self.checker, self.loop
 
-        message = b"".join(parcel.pieces)
-        found = IDEMPOTENCY_KEY.search(message)
-        key = found[1] if found is not None else b""
-        body = len(message) - message.find(b"\r\n\r\n") - 4
+        message = b"".join(pending.pieces)
+        match = IDEMPOTENCY_KEY.search(message)
+        key = match[1] if match is not None else b""
+        body_size = len(message) - message.find(b"\r\n\r\n") - 4
 
-        def written() -> None:
-            if parcel.tries:
-                ledger.on_request_resent(loop.time(), rid)
+        def on_written() -> None:
+            if pending.tries:
+                checker.on_request_resent(loop.time(), request_id)
             else:
-                ledger.on_request_sent(
+                checker.on_request_sent(
                     loop.time(),
-                    rid,
-                    kind,
-                    door.name,
+                    request_id,
+                    class_name,
+                    slot.name,
                     caller,
                     budget,
-                    body,
-                    want,
+                    body_size,
+                    answer_size,
                     key,
-                    self._connection_holder(parcel),
-                    alone=not any(each.up and each.routed for each in self.proxies if each.tier == door.tier),
+                    self._connection_holder(pending),
+                    no_live_proxy=not any(
+                        each.up and each.routed for each in self.proxy_slots if each.tier == slot.tier
+                    ),
                 )
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: End, answer: Seen | None) -> None:
             now = loop.time()
             if answer is not None:
-                ledger.on_answer(now, rid, answer.status, answer.body, want)
+                checker.on_answer(now, request_id, answer.status, answer.body, answer_size)
             elif end is End.LOST:
-                ledger.on_connection_lost(now, rid)
+                checker.on_connection_lost(now, request_id)
             elif end is End.CUT:
-                ledger.on_answer_cut(now, rid)
+                checker.on_answer_cut(now, request_id)
             else:
-                ledger.on_caller_left(now, rid)
-                if end is End.UNREACHED and door.up and now < door.accepts_until:
-                    ledger.report_violation(
-                        now, "drains", f"{door.name} refused {rid} while the front still sent to it"
+                checker.on_caller_left(now, request_id)
+                if end is End.UNREACHED and slot.up and now < slot.accepts_until:
+                    checker.report_violation(
+                        now, "drains", f"{slot.name} refused {request_id} while the front still sent to it"
                     )
             done(end, answer)
 
-        parcel.written, parcel.done = written, ended
-        parcel.begun = lambda: ledger.on_answer_started(loop.time(), rid)
-        if body > LONG_MESSAGE:
-            parcel.coming = lambda: ledger.on_request_started(loop.time(), rid, kind, door.name, caller, body, want)
+        pending.written, pending.done = on_written, on_end
+        pending.begun = lambda: checker.on_answer_started(loop.time(), request_id)
+        if body_size > LONG_MESSAGE:
+            pending.coming = lambda: checker.on_request_started(
+                loop.time(), request_id, class_name, slot.name, caller, body_size, answer_size
+            )
 
-    def _connection_holder(self, parcel: Parcel) -> str:
+    def _connection_holder(self, pending: Parcel) -> str:
         """Which proxy has the connection that a parcel is on; empty for none that is known."""
-        there = parcel.line.transport if parcel.line is not None else None
-        far = there.peer if isinstance(there, VirtualTransport) else None
+        near = pending.line.transport if pending.line is not None else None
+        far = near.peer if isinstance(near, VirtualTransport) else None
         return next(
             (
-                door.name
-                for door in self.proxies
-                for process in (door.process, *door.other_processes)
+                slot.name
+                for slot in self.proxy_slots
+                for process in (slot.process, *slot.other_processes)
                 if far is not None and process is not None and process.machine is far.machine
             ),
             "",
@@ -698,57 +709,59 @@
 
     # ---- clients -------------------------------------------------------------------------
 
-    def send_planned(self, ask: PlannedRequest, attempt: int = 0) -> None:
+    def send_planned(self, planned: PlannedRequest, attempt: int = 0) -> None:
         """A client sends a request: on a connection that it has, or on one through the front."""
-        courier = self.client_pools[ask.zone]
-        doors = [
-            door
-            for door in self.proxies
-            if door.for_backend is None and door.zone == ask.zone and (door.routed or courier.has_idle(door.address))
+        client_pool = self.client_pools[planned.zone]
+        slots = [
+            slot
+            for slot in self.proxy_slots
+            if slot.for_backend is None
+            and slot.zone == planned.zone
+            and (slot.routed or client_pool.has_idle(slot.address))
         ]
-        if not doors:
-            self.checker.record_event(self.loop.time(), "nowhere", ask.number)
+        if not slots:
+            self.checker.record_event(self.loop.time(), "nowhere", planned.number)
             return
-        self._send_request(ask, attempt, self.rng.choice(doors))
+        self._send_request(planned, attempt, self.rng.choice(slots))
 
-    def _send_request(self, ask: PlannedRequest, attempt: int, door: ProxySlot) -> Parcel:
-        rid = f"{ask.number:x}-{attempt}"
-        method = b"GET" if ask.kind == "view" else b"POST"
-        rows = [
+    def _send_request(self, planned: PlannedRequest, attempt: int, slot: ProxySlot) -> Parcel:
+        request_id = f"{planned.number:x}-{attempt}"
+        method = b"GET" if planned.kind == "view" else b"POST"
+        header_lines = [
             method + b" /api HTTP/1.1",
             b"Host: backend.local",
-            b"X-Call-Id: " + rid.encode(),
-            b"X-Call-Class: " + ask.kind.encode(),
+            b"X-Call-Id: " + request_id.encode(),
+            b"X-Call-Class: " + planned.kind.encode(),
             b"X-Caller: univ",
-            b"X-Budget: %dm" % int(ask.budget * 1000.0),
-            b"X-Want: %d" % ask.want,
+            b"X-Budget: %dm" % int(planned.budget * 1000.0),
+            b"X-Want: %d" % planned.want,
         ]
-        if ask.kind == "submit":
-            rows.append(b"Idempotency-Key: k%d" % ask.number)
-        body = b"" if method == b"GET" else b"x" * ask.body
+        if planned.kind == "submit":
+            header_lines.append(b"Idempotency-Key: k%d" % planned.number)
+        body = b"" if method == b"GET" else b"x" * planned.body
         if method == b"POST":
-            rows.append(b"Content-Length: %d" % len(body))
-        message = b"\r\n".join([*rows, b"", b""]) + body
+            header_lines.append(b"Content-Length: %d" % len(body))
+        message = b"\r\n".join([*header_lines, b"", b""]) + body
         pieces = [message]
-        if ask.slow:
+        if planned.slow:
             cuts = [0, *(len(message) - (3 - i) * (len(message) // 5) for i in range(3)), len(message)]
             pieces = [message[a:b] for a, b in itertools.pairwise(cuts)]
-        parcel = Parcel(door.address, pieces, ask.slow / 4.0, ask.dawdle)
+        pending = Parcel(slot.address, pieces, planned.slow / 4.0, planned.dawdle)
 
         def done(end: End, answer: Seen | None) -> None:
-            if answer is not None and answer.status in (503, 429) and attempt < ask.again:
+            if answer is not None and answer.status in (503, 429) and attempt < planned.again:
                 after = float(answer.headers.get(b"retry-after", b"0.2"))
-                self.loop.call_later(after, self.send_planned, ask, attempt + 1)
-
-        parcel.done = done
-        courier = self.client_pools[ask.zone]
-        self._track(parcel, rid, ask.kind, door, f"client/{ask.zone}", ask.budget, ask.want)
-        if ask.kind == "view":
-            self._duplicable_requests[rid] = (door, parcel, message)
-        courier.send(parcel)
-        if ask.leaves:
-            self.loop.call_later(ask.leaves, courier.leave, parcel)
-        return parcel
+                self.loop.call_later(after, self.send_planned, planned, attempt + 1)
+
+        pending.done = done
+        client_pool = self.client_pools[planned.zone]
+        self._track(pending, request_id, planned.kind, slot, f"client/{planned.zone}", planned.budget, planned.want)
+        if planned.kind == "view":
+            self._duplicable_requests[request_id] = (slot, pending, message)
+        client_pool.send(pending)
+        if planned.leaves:
+            self.loop.call_later(planned.leaves, client_pool.leave, pending)
+        return pending
 
     # ---- faults --------------------------------------------------------------------------
 
@@ -757,448 +770,463 @@
         self.checker.record_event(
             self.loop.time(), "fault", fault.what, fault.whom, f"{fault.seconds:g}", f"{fault.by:g}"
         )
-        kind, _, number = fault.whom.partition("/")
-        if kind == "backend":
-            self.checker.faulted_backends.add(self.backends[int(number)].host)
-        if kind == "proxy":
-            heal = self._inject_proxy_fault(fault, self.proxies[int(number)])
-        elif kind == "backend":
-            heal = self._inject_backend_fault(fault, self.backends[int(number)])
+        target_kind, _, number = fault.whom.partition("/")
+        if target_kind == "backend":
+            self.checker.faulted_backends.add(self.backend_slots[int(number)].host)
+        if target_kind == "proxy":
+            undo = self._inject_proxy_fault(fault, self.proxy_slots[int(number)])
+        elif target_kind == "backend":
+            undo = self._inject_backend_fault(fault, self.backend_slots[int(number)])
         else:
-            heal = self._inject_discovery_fault(fault, self.discoveries[int(number)])
-        if heal is not None:
+            undo = self._inject_discovery_fault(fault, self.discoveries[int(number)])
+        if undo is not None:
             key = self._fault_count = self._fault_count + 1
-            self._active_faults[key] = heal
+            self._active_faults[key] = undo
             self.loop.call_later(fault.seconds, self._end_fault, key)
 
     def _end_fault(self, key: int) -> None:
-        heal = self._active_faults.pop(key, None)
-        if heal is not None:
-            heal()
+        undo = self._active_faults.pop(key, None)
+        if undo is not None:
+            undo()
 
-    def _inject_proxy_fault(self, fault: Fault, door: ProxySlot) -> Undo | None:
-        process = door.process
+    def _inject_proxy_fault(self, fault: Fault, slot: ProxySlot) -> Undo | None:
+        process = slot.process
         if process is None or process.machine.dead or process.proxy is None:
             return None
-        machine, proxy, surroundings = process.machine, process.proxy, process.surroundings
-        what = fault.what
-        if what == "blow":
+        machine, proxy, runtime = process.machine, process.proxy, process.surroundings
+        fault_kind = fault.what
+        if fault_kind == "blow":
             return self._kill_many(fault)
-        if what in ("forget", "rollback"):
-            self.end_proxy(door, True)
-            self.checker.on_state_lost(door.name)
-            if what == "forget":
-                door.disk.records.clear()
+        if fault_kind in ("forget", "rollback"):
+            self.end_proxy(slot, True)
+            self.checker.on_state_lost(slot.name)
+            if fault_kind == "forget":
+                slot.disk.records.clear()
             else:
-                door.disk.restore_snapshot()
-            return lambda: self._restart_proxy(door)
-        if what == "kill" or (what == "drain" and door.for_backend is not None):
-            self.end_proxy(door, True)
-            return lambda: self._restart_proxy(door)
-        if what == "drain":
-            self._drain_proxy(door, machine, proxy, fault.seconds)
+                slot.disk.restore_snapshot()
+            return lambda: self._restart_proxy(slot)
+        if fault_kind == "kill" or (fault_kind == "drain" and slot.for_backend is not None):
+            self.end_proxy(slot, True)
+            return lambda: self._restart_proxy(slot)
+        if fault_kind == "drain":
+            self._drain_proxy(slot, machine, proxy, fault.seconds)
             return None
-        if what == "pause":
+        if fault_kind == "pause":
             # What has come meanwhile is worked off first.
-            return self._block_proxy(door, machine.pause, machine.resume, self.round_trip + 0.1 * fault.seconds)
-        if what == "silent":
+            return self._block_proxy(slot, machine.pause, machine.resume, self.round_trip + 0.1 * fault.seconds)
+        if fault_kind == "silent":
             address = machine.address
             return self._block_proxy(
-                door,
+                slot,
                 lambda: self.network.set_silent(address, True),
                 lambda: self.network.set_silent(address, False),
                 0.5,
             )
-        if what == "cut":
-            nodes = [stand for stand in self.backends if stand.tier == door.tier]
-            node = nodes[int(fault.by) % len(nodes)]
-            self.checker.faulted_backends.add(node.host)
-            return self._partition(machine.address, node.address)
-        if what in ("lag", "narrow"):
-            heal = self._degrade_link(machine.address, fault)
-            if what == "lag":
-                way = fault.by * (1.0 + self.plan.jitter)
-                self.checker.slack[door.name] = max(
-                    self.checker.slack.get(door.name, 0.0), (6.0 + 4.0 * self.longest_message / WINDOW_BYTES) * way
+        if fault_kind == "cut":
+            tier_backends = [backend for backend in self.backend_slots if backend.tier == slot.tier]
+            target = tier_backends[int(fault.by) % len(tier_backends)]
+            self.checker.faulted_backends.add(target.host)
+            return self._partition(machine.address, target.address)
+        if fault_kind in ("lag", "narrow"):
+            undo = self._degrade_link(machine.address, fault)
+            if fault_kind == "lag":
+                one_way = fault.by * (1.0 + self.plan.jitter)
+                self.checker.slack[slot.name] = max(
+                    self.checker.slack.get(slot.name, 0.0),
+                    (6.0 + 4.0 * self.longest_message / WINDOW_BYTES) * one_way,
                 )
-                return heal
-            return self._block_proxy(door, lambda: None, heal, 2.0 + (3e5 + 3.0 * self.longest_message) / fault.by)
-        if what == "reload":
-            door.discovery_index = 1 - door.discovery_index
+                return undo
+            return self._block_proxy(slot, lambda: None, undo, 2.0 + (3e5 + 3.0 * self.longest_message) / fault.by)
+        if fault_kind == "reload":
+            slot.discovery_index = 1 - slot.discovery_index
             machine_context = machine.context()
-            fresh = replace(proxy.config, discovery=(f"10.4.{door.tier}.{door.discovery_index + 1}", PORT))
-            self.loop.call_soon(proxy.reconfigure, fresh, context=machine_context)
+            new_config = replace(proxy.config, discovery=(f"10.4.{slot.tier}.{slot.discovery_index + 1}", PORT))
+            self.loop.call_soon(proxy.reconfigure, new_config, context=machine_context)
             return None
-        if what == "ban":
-            nodes = [stand for stand in self.backends if stand.tier == door.tier]
-            return self._ban(door, nodes[int(fault.by) % len(nodes)].host)
-        if what == "evacuate":
-            return self._evacuate(door)
-        if what == "upgrade":
-            self._upgrade(door, int(fault.by))
+        if fault_kind == "ban":
+            tier_backends = [backend for backend in self.backend_slots if backend.tier == slot.tier]
+            return self._ban(slot, tier_backends[int(fault.by) % len(tier_backends)].host)
+        if fault_kind == "evacuate":
+            return self._evacuate(slot)
+        if fault_kind == "upgrade":
+            self._upgrade(slot, int(fault.by))
             return None
-        if what == "famine":
-            door.starved = True
+        if fault_kind == "famine":
+            slot.starved = True
             machine.descriptor_limit = machine.descriptors_used + int(fault.by)
             return self._block_proxy(
-                door, lambda: None, lambda: setattr(machine, "descriptor_limit", door.config.sockets), 1.0
+                slot, lambda: None, lambda: setattr(machine, "descriptor_limit", slot.config.sockets), 1.0
             )
-        if what == "coarse":
+        if fault_kind == "coarse":
             machine.timer_granularity = fault.by
-            self.checker.slack[door.name] = max(self.checker.slack.get(door.name, 0.0), 4.0 * fault.by)
+            self.checker.slack[slot.name] = max(self.checker.slack.get(slot.name, 0.0), 4.0 * fault.by)
             return lambda: setattr(machine, "timer_granularity", 0.0)
-        if what == "step":
-            surroundings.epoch += fault.by
+        if fault_kind == "step":
+            runtime.epoch += fault.by
             return None
-        if what in ("crowd", "halves"):
-            return self._open_silent_connections(door, int(fault.by), b"GET /api HT" if what == "halves" else b"")
-        if what == "twins":
-            self._duplicate_open_ids(door, int(fault.by))
+        if fault_kind in ("crowd", "halves"):
+            return self._open_silent_connections(
+                slot, int(fault.by), b"GET /api HT" if fault_kind == "halves" else b""
+            )
+        if fault_kind == "twins":
+            self._duplicate_open_ids(slot, int(fault.by))
         return None  # a burst is told by its requests
 
     def _kill_many(self, fault: Fault) -> Undo:
         """A part of the first tier is killed at once, and comes back at once."""
-        first = [door for door in self.proxies if door.tier == 0]
-        fallen = first[: max(1, round(fault.by * len(first)))]
-        for door in fallen:
-            self.end_proxy(door, True)
+        first_tier = [slot for slot in self.proxy_slots if slot.tier == 0]
+        killed = first_tier[: max(1, round(fault.by * len(first_tier)))]
+        for slot in killed:
+            self.end_proxy(slot, True)
 
-        def heal() -> None:
-            for door in fallen:
-                self._restart_proxy(door)
+        def undo() -> None:
+            for slot in killed:
+                self._restart_proxy(slot)
 
-        return heal
+        return undo
 
-    def _duplicate_open_ids(self, door: ProxySlot, count: int) -> None:
+    def _duplicate_open_ids(self, slot: ProxySlot, count: int) -> None:
         """Strangers send requests with the ids of open ones: while those are open, they are turned away."""
-        for rid, (owner, parcel, message) in list(self._duplicable_requests.items()):
-            if parcel.over:
-                del self._duplicable_requests[rid]
-            elif owner is door and count > 0 and not parcel.heard and self.checker.is_waiting(self.loop.time(), rid):
+        for request_id, (target, pending, message) in list(self._duplicable_requests.items()):
+            if pending.over:
+                del self._duplicable_requests[request_id]
+            elif (
+                target is slot
+                and count > 0
+                and not pending.heard
+                and self.checker.is_waiting(self.loop.time(), request_id)
+            ):
                 count -= 1
-                self._send_duplicate(door, rid, parcel, message)
+                self._send_duplicate(slot, request_id, pending, message)
 
-    def _send_duplicate(self, door: ProxySlot, rid: str, original: Parcel, message: bytes) -> None:
-        self.checker.duplicated_ids.add(rid)
-        self.checker.record_event(self.loop.time(), "twin", rid, door.name)
+    def _send_duplicate(self, slot: ProxySlot, request_id: str, original: Parcel, message: bytes) -> None:
+        self.checker.duplicated_ids.add(request_id)
+        self.checker.record_event(self.loop.time(), "twin", request_id, slot.name)
 
         def check() -> None:
             if not original.over and not original.heard:
-                text = f"a stranger's {rid} was served while the request of that id was open"
+                text = f"a stranger's {request_id} was served while the request of that id was open"
                 self.checker.report_violation(self.loop.time(), "right answer", text)
 
         def done(end: End, answer: Seen | None) -> None:
             if answer is not None and answer.status == 200:
                 self.loop.call_later(self.round_trip, check)  # what was answered before is here by then
 
-        twin = Parcel(door.address, [message], done=done)
+        duplicate = Parcel(slot.address, [message], done=done)
         self.loop.call_soon(
-            self.client_pools[door.zone].connect, twin, context=self.client_machines[door.zone].context()
+            self.client_pools[slot.zone].connect, duplicate, context=self.client_machines[slot.zone].context()
         )
 
-    def _block_proxy(self, door: ProxySlot, begin: Undo, end: Undo, after: float) -> Undo:
+    def _block_proxy(self, slot: ProxySlot, begin: Undo, end: Undo, after: float) -> Undo:
         """A proxy can't do its work for a while, and is excused."""
-        self.checker.on_blocked(self.loop.time(), door.name)
+        self.checker.on_blocked(self.loop.time(), slot.name)
         begin()
 
-        def heal() -> None:
+        def undo() -> None:
             end()
-            self.checker.on_unblocked(self.loop.time(), door.name, after)
+            self.checker.on_unblocked(self.loop.time(), slot.name, after)
 
-        return heal
+        return undo
 
-    def _restart_proxy(self, door: ProxySlot) -> None:
-        if not door.up and (door.for_backend is None or door.for_backend.up):
-            door.config = replace(door.config, discovery=(f"10.4.{door.tier}.{door.discovery_index + 1}", PORT))
-            self.start_proxy(door)
+    def _restart_proxy(self, slot: ProxySlot) -> None:
+        if not slot.up and (slot.for_backend is None or slot.for_backend.up):
+            slot.config = replace(slot.config, discovery=(f"10.4.{slot.tier}.{slot.discovery_index + 1}", PORT))
+            self.start_proxy(slot)
 
-    def _drain_proxy(self, door: ProxySlot, machine: Machine, proxy: Proxy, seconds: float) -> None:
+    def _drain_proxy(self, slot: ProxySlot, machine: Machine, proxy: Proxy, seconds: float) -> None:
         """SIGTERM; the front sends for a moment longer; SIGKILL for one that does not end."""
-        if door.draining or door.upgrades_in_progress or door.other_processes:
+        if slot.draining or slot.upgrades_in_progress or slot.other_processes:
             return
-        door.draining = True
+        slot.draining = True
         began = self.loop.time()
-        door.accepts_until = began + FRONT_STOP_DELAY
-        life = door.generation
+        slot.accepts_until = began + FRONT_STOP_DELAY
+        generation = slot.generation
 
-        def stop() -> None:
-            if door.generation == life:
-                door.routed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        def again() -> None:
-            if door.generation == life:
-                self._restart_proxy(door)
+        def restart() -> None:
+            if slot.generation == generation:
+                self._restart_proxy(slot)
 
-        def exited() -> None:
-            if door.generation == life and door.up:
+        def on_exit() -> None:
+            if slot.generation == generation and slot.up:
                 # One that was held up meanwhile could not end in its time.
-                self.end_proxy(door, self.checker.blocked_seconds(door.name, began, self.loop.time()) > 0.0)
+                self.end_proxy(slot, self.checker.blocked_seconds(slot.name, began, self.loop.time()) > 0.0)
                 key = self._fault_count = self._fault_count + 1
-                self._active_faults[key] = again
+                self._active_faults[key] = restart
                 self.loop.call_later(seconds, self._end_fault, key)
 
         async def drain() -> None:
             await proxy.drain()
             # The process is at its end: what follows is the world's.
-            self.loop.call_soon(exited, context=contextvars.Context())
+            self.loop.call_soon(on_exit, context=contextvars.Context())
 
-        def leave_it() -> None:
+        def stop_accepting() -> None:
             # The platform's listener would keep them waiting for the next process, which is not what is asked here.
-            listener = self.network.listeners.get(door.address)
-            if self.plan.shared and listener is not None and door.generation == life:
+            listener = self.network.listeners.get(slot.address)
+            if self.plan.shared and listener is not None and slot.generation == generation:
                 listener.stop_accepting()
 
-        self.loop.call_later(FRONT_STOP_DELAY, stop, context=contextvars.Context())
-        self.loop.call_later(FRONT_STOP_DELAY + 0.1, leave_it, context=contextvars.Context())
+        self.loop.call_later(FRONT_STOP_DELAY, stop_routing, context=contextvars.Context())
+        self.loop.call_later(FRONT_STOP_DELAY + 0.1, stop_accepting, context=contextvars.Context())
         self._spawn(machine, drain)
-        self.loop.call_later(self.patience, exited, context=contextvars.Context())
+        self.loop.call_later(self.patience, on_exit, context=contextvars.Context())
 
     # ---- operators -----------------------------------------------------------------------
 
     def _call_management(
         self,
-        door: ProxySlot,
+        slot: ProxySlot,
         process: Process,
-        call: str,
+        command: str,
         done: Callable[[int], None],
         body: bytes = b"",
         method: str = "POST",
     ) -> Parcel:
         """A call to one process of a proxy; `done` is told its status, or 0 where no answer came."""
-        lines = f"{method} /api/{call} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+        lines = f"{method} /api/{command} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: End, answer: Seen | None) -> None:
             status = answer.status if answer is not None else 0
-            self.checker.record_event(self.loop.time(), "call", door.name, call, body.decode(), status)
+            self.checker.record_event(self.loop.time(), "call", slot.name, command, body.decode(), status)
             done(status)
 
-        parcel = Parcel(process.management, [lines + body], done=ended)
+        pending = Parcel(process.management, [lines + body], done=on_end)
         self.loop.call_soon(
-            self.client_pools[door.zone].send, parcel, context=self.client_machines[door.zone].context()
+            self.client_pools[slot.zone].send, pending, context=self.client_machines[slot.zone].context()
         )
-        return parcel
+        return pending
 
     def _operator_order(
-        self, door: ProxySlot, call: str, opposite: str, body: bytes, yes: Undo, no: Undo, host: str = ""
+        self,
+        slot: ProxySlot,
+        command: str,
+        opposite: str,
+        body: bytes,
+        on_accepted: Undo,
+        on_revoked: Undo,
+        host: str = "",
     ) -> Undo:
         """An order, and at its end the opposite one: after the answer to the first, and until there is a yes."""
-        life = door.generation
+        generation = slot.generation
         state = {"answered": False, "over": False}
 
-        def ordered(status: int) -> None:
+        def on_answer(status: int) -> None:
             state["answered"] = True
-            if status == 200 and door.generation == life and door.up:
-                yes()
+            if status == 200 and slot.generation == generation and slot.up:
+                on_accepted()
             if state["over"]:
                 revoke()
 
-        def revoked(status: int) -> None:
-            if status in (0, 409) and (self.plan.keeps or (door.generation == life and door.up)):
+        def on_revoke_answer(status: int) -> None:
+            if status in (0, 409) and (self.plan.keeps or (slot.generation == generation and slot.up)):
                 self.loop.call_later(0.1, revoke)  # the process that was asked is ending, or has gone
 
         def revoke() -> None:
-            door.revoked_orders += 1
-            no()
-            ask()
+            slot.revoked_orders += 1
+            on_revoked()
+            send_opposite()
 
-        def ask() -> None:
+        def send_opposite() -> None:
             # Where orders are kept, they outlive the process that was told; so does the wish to take them back.
-            if door.up and door.process is not None and (door.generation == life or self.plan.keeps):
-                self._call_management(door, door.process, opposite, revoked, body)
+            if slot.up and slot.process is not None and (slot.generation == generation or self.plan.keeps):
+                self._call_management(slot, slot.process, opposite, on_revoke_answer, body)
             elif self.plan.keeps:
-                self.loop.call_later(0.1, ask)
+                self.loop.call_later(0.1, send_opposite)
 
         def end() -> None:
             state["over"] = True
             if state["answered"]:
                 revoke()
 
-        assert door.process is not None
-        parcel = self._call_management(door, door.process, call, ordered, body)
+        assert slot.process is not None
+        pending = self._call_management(slot, slot.process, command, on_answer, body)
         if host:
-            self._pending_bans[parcel] = host
+            self._pending_bans[pending] = host
         return end
 
-    def _ban(self, door: ProxySlot, host: str) -> Undo | None:
+    def _ban(self, slot: ProxySlot, host: str) -> Undo | None:
         """A backend is out at one proxy, from the yes on until its return is asked for."""
-        if host in door.banned_hosts:
+        if host in slot.banned_hosts:
             return None
-        door.banned_hosts.add(host)
+        slot.banned_hosts.add(host)
 
-        def no() -> None:
-            door.banned_hosts.discard(host)
-            self.checker.on_unbanned(door.name, host)
+        def on_revoked() -> None:
+            slot.banned_hosts.discard(host)
+            self.checker.on_unbanned(slot.name, host)
 
         return self._operator_order(
-            door,
+            slot,
             "exclude",
             "include",
             b'{"who":"%s"}' % host.encode(),
             lambda: None,
-            no,
+            on_revoked,
             host,
         )
 
-    def _evacuate(self, door: ProxySlot) -> Undo:
+    def _evacuate(self, slot: ProxySlot) -> Undo:
         """A proxy is emptied; the front goes on for a moment, and comes back when it is told yes again."""
-        life = door.generation
+        generation = slot.generation
 
-        def stop() -> None:
-            if door.generation == life:
-                door.routed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        def yes() -> None:
-            door.accepts_until = max(door.accepts_until, self.loop.time() + FRONT_STOP_DELAY)
-            door.evacuated = True
-            self.loop.call_later(FRONT_STOP_DELAY, stop, context=contextvars.Context())
-            self._poll_evacuated(door, life)
+        def on_accepted() -> None:
+            slot.accepts_until = max(slot.accepts_until, self.loop.time() + FRONT_STOP_DELAY)
+            slot.evacuated = True
+            self.loop.call_later(FRONT_STOP_DELAY, stop_routing, context=contextvars.Context())
+            self._poll_evacuated(slot, generation)
 
-        def no() -> None:
-            door.evacuated = False
-            if door.for_backend is None and door.generation == life:
-                self.loop.call_later(2.0 * FRONT_STOP_DELAY, self._poll_ready, door, life)
+        def on_revoked() -> None:
+            slot.evacuated = False
+            if slot.for_backend is None and slot.generation == generation:
+                self.loop.call_later(2.0 * FRONT_STOP_DELAY, self._poll_ready, slot, generation)
 
-        return self._operator_order(door, "evacuate", "rejoin", b"", yes, no)
+        return self._operator_order(slot, "evacuate", "rejoin", b"", on_accepted, on_revoked)
 
-    def _poll_evacuated(self, door: ProxySlot, life: int) -> None:
+    def _poll_evacuated(self, slot: ProxySlot, generation: int) -> None:
         """While it is evacuated, whichever process answers says no to the front."""
-        if door.generation != life or not door.up or not door.evacuated or door.draining:
+        if slot.generation != generation or not slot.up or not slot.evacuated or slot.draining:
             return
-        orders = door.revoked_orders
+        orders = slot.revoked_orders
 
         def done(end: End, answer: Seen | None) -> None:
             if (
                 answer is not None
                 and answer.status == 200
-                and door.generation == life
-                and door.revoked_orders == orders
+                and slot.generation == generation
+                and slot.revoked_orders == orders
             ):
-                self.checker.on_ready_while_evacuated(self.loop.time(), door.name)
+                self.checker.on_ready_while_evacuated(self.loop.time(), slot.name)
 
-        parcel = Parcel(door.address, [READY_REQUEST], done=done)
+        pending = Parcel(slot.address, [READY_REQUEST], done=done)
         self.loop.call_soon(
-            self.client_pools[door.zone].connect, parcel, context=self.client_machines[door.zone].context()
+            self.client_pools[slot.zone].connect, pending, context=self.client_machines[slot.zone].context()
         )
-        self.loop.call_later(READY_POLL_INTERVAL, self._poll_evacuated, door, life)
+        self.loop.call_later(READY_POLL_INTERVAL, self._poll_evacuated, slot, generation)
 
     # ---- upgrades ------------------------------------------------------------------------
 
-    def _upgrade(self, door: ProxySlot, how: int) -> None:
+    def _upgrade(self, slot: ProxySlot, trouble_index: int) -> None:
         """A new process beside the old one, on one listener; the old one ends when the new one is ready."""
-        old = door.process
-        if not self.plan.shared or door.draining or door.upgrades_in_progress > 1 or old is None or old.machine.dead:
+        old = slot.process
+        if not self.plan.shared or slot.draining or slot.upgrades_in_progress > 1 or old is None or old.machine.dead:
             return
-        trouble = UPGRADE_TROUBLES[how % len(UPGRADE_TROUBLES)]
-        if trouble == "what was learned is torn" and door.shared_memory is not None:
-            door.shared_memory.truncate("learned")
-        life, began = door.generation, self.loop.time()
-        door.upgrades_in_progress += 1
-        new = self._start_process(door)
-        door.other_processes.append(new)
-        self.checker.record_event(began, "new", door.name, trouble)
-
-        def gone() -> None:
-            if door.generation == life:
-                door.upgrades_in_progress -= 1
-                self._end_process(door, new)
-
-        def ready(status: int) -> None:
-            if door.generation != life or not door.up:
+        trouble = UPGRADE_TROUBLES[trouble_index % len(UPGRADE_TROUBLES)]
+        if trouble == "what was learned is torn" and slot.shared_memory is not None:
+            slot.shared_memory.truncate("learned")
+        generation, began = slot.generation, self.loop.time()
+        slot.upgrades_in_progress += 1
+        new = self._start_process(slot)
+        slot.other_processes.append(new)
+        self.checker.record_event(began, "new", slot.name, trouble)
+
+        def abandon() -> None:
+            if slot.generation == generation:
+                slot.upgrades_in_progress -= 1
+                self._end_process(slot, new)
+
+        def on_ready_answer(status: int) -> None:
+            if slot.generation != generation or not slot.up:
                 return
             if status == 200 and not new.machine.dead:
-                self._promote(door, new)
+                self._promote(slot, new)
             elif new.machine.dead:
-                gone()
+                abandon()
             elif self.loop.time() > began + START_TIMEOUT and not self.checker.recently_blocked(
-                self.loop.time(), door.name
+                self.loop.time(), slot.name
             ):
                 self.checker.report_violation(
-                    self.loop.time(), "liveness", f"{door.name}: a new process is not ready"
+                    self.loop.time(), "liveness", f"{slot.name}: a new process is not ready"
                 )
-                gone()
+                abandon()
             else:
-                self.loop.call_later(START_POLL_INTERVAL, ask)
+                self.loop.call_later(START_POLL_INTERVAL, poll_ready)
 
-        def ask() -> None:
-            if door.generation == life and door.up:
-                self._call_management(door, new, "ready", ready, method="GET")
+        def poll_ready() -> None:
+            if slot.generation == generation and slot.up:
+                self._call_management(slot, new, "ready", on_ready_answer, method="GET")
 
-        self.loop.call_later(START_POLL_INTERVAL, ask)
+        self.loop.call_later(START_POLL_INTERVAL, poll_ready)
         if trouble == "the new process dies":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_new, door, new)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_new, slot, new)
         elif trouble == "the old process dies":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_old, door, old, new)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_old, slot, old, new)
         elif trouble == "a second one follows":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._upgrade, door, 0)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._upgrade, slot, 0)
 
-    def _promote(self, door: ProxySlot, new: Process) -> None:
+    def _promote(self, slot: ProxySlot, new: Process) -> None:
         """A new process serves; one before it, or one that came late, is told to end."""
-        old, now = door.process, self.loop.time()
-        door.upgrades_in_progress -= 1
-        self.checker.record_event(now, "serves", door.name)
+        old, now = slot.process, self.loop.time()
+        slot.upgrades_in_progress -= 1
+        self.checker.record_event(now, "serves", slot.name)
         if new is old:  # the other was killed meanwhile, and nobody was there to answer
-            self.checker.on_unblocked(now, door.name, 0.5)
+            self.checker.on_unblocked(now, slot.name, 0.5)
             return
         if old is not None and old.number > new.number:
-            self._retire(door, new)
+            self._retire(slot, new)
             return
-        door.process = new
-        door.other_processes.remove(new)
+        slot.process = new
+        slot.other_processes.remove(new)
         if old is not None and not old.machine.dead:
-            door.other_processes.append(old)
-            self._retire(door, old)
+            slot.other_processes.append(old)
+            self._retire(slot, old)
 
-    def _retire(self, door: ProxySlot, old: Process) -> None:
+    def _retire(self, slot: ProxySlot, old: Process) -> None:
         """SIGTERM to one of several; SIGKILL for one that does not end."""
         proxy = old.proxy
         if proxy is None:
             return
-        now, life = self.loop.time(), door.generation
+        now, generation = self.loop.time(), slot.generation
 
-        def exited() -> None:
-            if door.generation == life and not old.machine.dead:
-                if self.checker.blocked_seconds(door.name, now, self.loop.time()) > 0.0:
-                    self.checker.on_killed(self.loop.time(), door.name, False)
-                self._end_process(door, old)
+        def on_exit() -> None:
+            if slot.generation == generation and not old.machine.dead:
+                if self.checker.blocked_seconds(slot.name, now, self.loop.time()) > 0.0:
+                    self.checker.on_killed(self.loop.time(), slot.name, False)
+                self._end_process(slot, old)
 
         async def drain() -> None:
             await proxy.drain()
-            self.loop.call_soon(exited, context=contextvars.Context())
+            self.loop.call_soon(on_exit, context=contextvars.Context())
 
         self._spawn(old.machine, drain)
-        self.loop.call_later(self.patience, exited, context=contextvars.Context())
+        self.loop.call_later(self.patience, on_exit, context=contextvars.Context())
 
-    def _end_process(self, door: ProxySlot, process: Process) -> None:
+    def _end_process(self, slot: ProxySlot, process: Process) -> None:
         """One of several ends."""
         process.machine.kill()
         process.proxy = None
-        if process in door.other_processes:
-            door.other_processes.remove(process)
+        if process in slot.other_processes:
+            slot.other_processes.remove(process)
 
-    def _kill_new(self, door: ProxySlot, new: Process) -> None:
+    def _kill_new(self, slot: ProxySlot, new: Process) -> None:
         """The new process dies before the platform has its yes."""
-        if new in door.other_processes and new is not door.process:
+        if new in slot.other_processes and new is not slot.process:
             now = self.loop.time()
-            self.checker.record_event(now, "new killed", door.name)
-            self.checker.on_killed(now, door.name, False)  # it may have listened already
-            self._end_process(door, new)
+            self.checker.record_event(now, "new killed", slot.name)
+            self.checker.on_killed(now, slot.name, False)  # it may have listened already
+            self._end_process(slot, new)
 
-    def _kill_old(self, door: ProxySlot, old: Process, new: Process) -> None:
+    def _kill_old(self, slot: ProxySlot, old: Process, new: Process) -> None:
         """The old process is killed while the new one starts: what it had is lost, what waits is the new one's."""
-        if old is not door.process or new not in door.other_processes or new.machine.dead or old.machine.dead:
+        if old is not slot.process or new not in slot.other_processes or new.machine.dead or old.machine.dead:
             return
         now = self.loop.time()
-        self.checker.record_event(now, "old killed", door.name)
-        self.checker.on_killed(now, door.name, False)
-        self.checker.on_blocked(now, door.name)  # until the new one serves
-        door.process = new
-        door.other_processes.remove(new)
-        door.other_processes.append(old)
-        self._end_process(door, old)
-
-    def _partition(self, one: str, other: str) -> Undo:
-        self.network.set_partitioned(one, other, True)
-        return lambda: self.network.set_partitioned(one, other, False)
+        self.checker.record_event(now, "old killed", slot.name)
+        self.checker.on_killed(now, slot.name, False)
+        self.checker.on_blocked(now, slot.name)  # until the new one serves
+        slot.process = new
+        slot.other_processes.remove(new)
+        slot.other_processes.append(old)
+        self._end_process(slot, old)
+
+    def _partition(self, first: str, second: str) -> Undo:
+        self.network.set_partitioned(first, second, True)
+        return lambda: self.network.set_partitioned(first, second, False)
 
     def _degrade_link(self, address: str, fault: Fault) -> Undo:
         usual = self.network.default_link
@@ -1206,7 +1234,7 @@
         self.network.link_overrides[address] = replace(usual, **more)
         return lambda: self.network.link_overrides.pop(address, None)
 
-    def _open_silent_connections(self, door: ProxySlot, count: int, say: bytes) -> Undo:
+    def _open_silent_connections(self, slot: ProxySlot, count: int, say: bytes) -> Undo:
         """Strangers that take up connections; while they are many, a proxy is excused."""
         lines: list[asyncio.Transport] = []
         ended: list[bool] = []
@@ -1214,7 +1242,7 @@
         async def come() -> None:
             for _ in range(count):
                 with contextlib.suppress(OSError):
-                    transport, _ = await self.loop.create_connection(asyncio.Protocol, *door.address)
+                    transport, _ = await self.loop.create_connection(asyncio.Protocol, *slot.address)
                     transport.write(say)
                     lines.append(transport)
                 if ended:
@@ -1225,94 +1253,94 @@
             for line in lines:
                 line.abort()
 
-        self._spawn(self.client_machines[door.zone], come)
-        return self._block_proxy(door, lambda: None, leave, 3.0)
+        self._spawn(self.client_machines[slot.zone], come)
+        return self._block_proxy(slot, lambda: None, leave, 3.0)
 
-    def _inject_backend_fault(self, fault: Fault, stand: BackendSlot) -> Undo | None:
-        machine, node = stand.machine, stand.backend
-        if machine is None or machine.dead or node is None:
+    def _inject_backend_fault(self, fault: Fault, backend: BackendSlot) -> Undo | None:
+        machine, service = backend.machine, backend.service
+        if machine is None or machine.dead or service is None:
             return None
-        what = fault.what
-        if what == "kill":
-            self.end_backend(stand)
-            return lambda: self._restart_backend(stand)
-        if what == "leave":
-            return self._drain_backend(stand, node)
-        if what == "pause":
-            return self._with_own_proxy(stand, machine.pause, machine.resume)
-        if what == "silent":
+        fault_kind = fault.what
+        if fault_kind == "kill":
+            self.end_backend(backend)
+            return lambda: self._restart_backend(backend)
+        if fault_kind == "leave":
+            return self._drain_backend(backend, service)
+        if fault_kind == "pause":
+            return self._with_own_proxy(backend, machine.pause, machine.resume)
+        if fault_kind == "silent":
             return self._with_own_proxy(
-                stand,
-                lambda: self.network.set_silent(stand.address, True),
-                lambda: self.network.set_silent(stand.address, False),
+                backend,
+                lambda: self.network.set_silent(backend.address, True),
+                lambda: self.network.set_silent(backend.address, False),
             )
-        if what == "cut":
-            doors = [door for door in self.proxies if door.tier == stand.tier]
-            return self._partition(machine.address, doors[int(fault.by) % len(doors)].address[0])
-        if what in ("lag", "narrow"):
-            return self._with_own_proxy(stand, lambda: None, self._degrade_link(machine.address, fault))
-        if what == "slow":
-            node.slow = fault.by
-            return lambda: setattr(node, "slow", 1.0)
-        if what == "hasty":
-            node.idle_for = fault.by
-            return lambda: setattr(node, "idle_for", 5.0)
-        node.mood = what
-        self.checker.cutting_backends.add(node.host)
-        return node.calm
-
-    def _with_own_proxy(self, stand: BackendSlot, begin: Undo, end: Undo) -> Undo:
+        if fault_kind == "cut":
+            tier_proxies = [slot for slot in self.proxy_slots if slot.tier == backend.tier]
+            return self._partition(machine.address, tier_proxies[int(fault.by) % len(tier_proxies)].address[0])
+        if fault_kind in ("lag", "narrow"):
+            return self._with_own_proxy(backend, lambda: None, self._degrade_link(machine.address, fault))
+        if fault_kind == "slow":
+            service.slow = fault.by
+            return lambda: setattr(service, "slow", 1.0)
+        if fault_kind == "hasty":
+            service.idle_for = fault.by
+            return lambda: setattr(service, "idle_for", 5.0)
+        service.mood = fault_kind
+        self.checker.cutting_backends.add(service.host)
+        return service.calm
+
+    def _with_own_proxy(self, backend: BackendSlot, begin: Undo, end: Undo) -> Undo:
         """What befalls a node on the side of its own proxy, too: that one's answers can't reach it."""
-        if stand.own_proxy is not None:
-            return self._block_proxy(stand.own_proxy, begin, end, 2.0)
+        if backend.own_proxy is not None:
+            return self._block_proxy(backend.own_proxy, begin, end, 2.0)
         begin()
         return end
 
-    def _drain_backend(self, stand: BackendSlot, node: Node) -> Undo | None:
+    def _drain_backend(self, backend: BackendSlot, service: Node) -> Undo | None:
         """A node drains: discovery says so, it finishes what it has, and is gone."""
-        if stand.leaving:
+        if backend.leaving:
             return None
-        stand.leaving = True
-        entry = self.discoveries[stand.tier].entries[stand.host]
-        self._publish(stand, entry | {"health": "terminating"})
+        backend.leaving = True
+        entry = self.discoveries[backend.tier].entries[backend.host]
+        self._publish(backend, entry | {"health": "terminating"})
 
         def refuse() -> None:
-            node.draining = True
+            service.draining = True
 
         def end() -> None:
-            if stand.backend is node:
-                self.end_backend(stand)
+            if backend.service is service:
+                self.end_backend(backend)
 
         self.loop.call_later(1.0, refuse)
         self.loop.call_later(2.5, end)
 
-        def back() -> None:
-            if stand.backend is node and stand.up:
-                self.loop.call_later(3.0, self._restart_backend, stand)
+        def restart() -> None:
+            if backend.service is service and backend.up:
+                self.loop.call_later(3.0, self._restart_backend, backend)
             else:
-                self._restart_backend(stand)
+                self._restart_backend(backend)
 
-        return back
+        return restart
 
-    def _restart_backend(self, stand: BackendSlot) -> None:
-        if not stand.up:
-            self.loop.create_task(self.start_backend(stand, True))
+    def _restart_backend(self, backend: BackendSlot) -> None:
+        if not backend.up:
+            self.loop.create_task(self.start_backend(backend, True))
 
     def _inject_discovery_fault(self, fault: Fault, registry: DiscoveryTier) -> Undo | None:
-        what = fault.what
+        fault_kind = fault.what
         machines, lists = list(registry.machines), list(registry.lists)
-        if what == "kill":
+        if fault_kind == "kill":
             for machine in machines:
                 machine.kill()
 
-            def again() -> None:
-                for which in range(len(machines)):
-                    if registry.machines[which].dead and which not in registry.starting:
-                        registry.starting.add(which)
-                        self.loop.create_task(self.start_discovery(registry, which))
+            def restart() -> None:
+                for index in range(len(machines)):
+                    if registry.machines[index].dead and index not in registry.starting:
+                        registry.starting.add(index)
+                        self.loop.create_task(self.start_discovery(registry, index))
 
-            return again
-        if what == "pause":
+            return restart
+        if fault_kind == "pause":
             for machine in machines:
                 machine.pause()
 
@@ -1321,12 +1349,12 @@
                     machine.resume()
 
             return resume
-        for hosts in lists:
-            hosts.mood = what
+        for host_list in lists:
+            host_list.mood = fault_kind
 
         def calm() -> None:
-            for machine, hosts in zip(machines, lists, strict=True):
-                self.loop.call_soon(hosts.calm, context=machine.context())
+            for machine, host_list in zip(machines, lists, strict=True):
+                self.loop.call_soon(host_list.calm, context=machine.context())
 
         return calm
 
@@ -1338,82 +1366,92 @@
         self.checker.check_deadlines(now)
         if now >= self._next_bounds_check:
             self._next_bounds_check = now + self.bounds_check_interval
-            for door in self.proxies:
-                self._check_bounds(now, door)
+            for slot in self.proxy_slots:
+                self._check_bounds(now, slot)
             self._check_abandoned(now)
 
-    def _on_descriptors_exhausted(self, door: ProxySlot, machine: Machine) -> None:
+    def _on_descriptors_exhausted(self, slot: ProxySlot, machine: Machine) -> None:
         """A proxy's own limit is there so that this never happens."""
-        if not door.starved:
-            door.starved = True
+        if not slot.starved:
+            slot.starved = True
             self.checker.report_violation(
-                self.loop.time(), "descriptors", f"{door.name} ran out of its {machine.descriptor_limit}"
+                self.loop.time(), "descriptors", f"{slot.name} ran out of its {machine.descriptor_limit}"
             )
 
-    def _check_bounds(self, now: float, door: ProxySlot) -> None:
+    def _check_bounds(self, now: float, slot: ProxySlot) -> None:
         """What a proxy holds is bounded by what it is at work on."""
-        if door.machine is None or not door.up:
+        if slot.machine is None or not slot.up:
             return
-        timers = len(self.loop.timers_of(door.machine))
-        near = [each for each in self.proxies if each.tier == door.tier] if self.orphans is not None else [door]
-        work = sum(self.checker.open_requests(each.name) for each in near)  # heirs have that of others
+        timers = len(self.loop.timers_of(slot.machine))
+        tier_slots = (
+            [other for other in self.proxy_slots if other.tier == slot.tier] if self.orphans is not None else [slot]
+        )
+        open_requests = sum(
+            self.checker.open_request_count(other.name) for other in tier_slots
+        )  # heirs have that of others
         offers = self.orphans.planner.max_pending if self.orphans is not None else 0  # that are on their way here
-        if timers > IDLE_TIMERS + SPARE_TIMERS + offers + 3 * work and not self.checker.recently_blocked(
-            now, door.name
+        if timers > IDLE_TIMERS + SPARE_TIMERS + offers + 3 * open_requests and not self.checker.recently_blocked(
+            now, slot.name
         ):
-            self.checker.report_violation(now, "bounded", f"{door.name} has {timers} timers for {work} requests")
+            self.checker.report_violation(
+                now, "bounded", f"{slot.name} has {timers} timers for {open_requests} requests"
+            )
         machines = [
-            one.machine for one in (door.process, *door.other_processes) if one is not None and not one.machine.dead
+            process.machine
+            for process in (slot.process, *slot.other_processes)
+            if process is not None and not process.machine.dead
         ]
-        if len(machines) > 1 and not door.starved:
-            most = door.config.sockets - RESERVED_DESCRIPTORS * len(machines)
+        if len(machines) > 1 and not slot.starved:
+            most = slot.config.sockets - RESERVED_DESCRIPTORS * len(machines)
             self.checker.check_descriptors(
-                now, door.name, sum(machine.descriptors_used for machine in machines), most
+                now, slot.name, sum(machine.descriptors_used for machine in machines), most
             )
-        held = sum(map(VirtualTransport.get_write_buffer_size, door.machine.transports))
+        held = sum(map(VirtualTransport.get_write_buffer_size, slot.machine.transports))
         if held > MAX_BUFFERED:
-            self.checker.report_violation(now, "bounded", f"{door.name} holds {held} bytes that nobody takes")
+            self.checker.report_violation(now, "bounded", f"{slot.name} holds {held} bytes that nobody takes")
 
     def _check_abandoned(self, now: float) -> None:
         """An attempt is given up by ending its connection; the node must not go on with it for nobody."""
-        for transport, (proxy, rid, told) in list(self._attempt_by_transport.items()):
-            if transport.ended or transport.bytes_read != told:
+        for transport, (proxy, request_id, bytes_read_before) in list(self._attempt_by_transport.items()):
+            if transport.ended or transport.bytes_read != bytes_read_before:
                 del self._attempt_by_transport[transport]
             elif transport.machine is None:
                 continue  # its process is dead, and no heir there yet
-            elif self.checker.must_be_abandoned(now, rid) and not self.checker.recently_blocked(now, proxy):
+            elif self.checker.must_be_abandoned(now, request_id) and not self.checker.recently_blocked(now, proxy):
                 del self._attempt_by_transport[transport]
-                self.checker.report_violation(now, "nothing left", f"{proxy} still waits for {rid}, which is over")
+                self.checker.report_violation(
+                    now, "nothing left", f"{proxy} still waits for {request_id}, which is over"
+                )
 
     async def _build(self) -> None:
         for client in self.client_machines:
-            courier = Courier(self.loop, client.context())
-            courier.was_read = _peer_has_read
-            courier.surplus = self._on_surplus_data
-            self.client_pools.append(courier)
-        for stand in self.backends:
-            await self.start_backend(stand, False)
+            client_pool = Courier(self.loop, client.context())
+            client_pool.was_read = _peer_has_read
+            client_pool.surplus = self._on_surplus_data
+            self.client_pools.append(client_pool)
+        for backend in self.backend_slots:
+            await self.start_backend(backend, False)
         for registry in self.discoveries:
-            for which in (0, 1):
-                await self.start_discovery(registry, which)
-        for door in self.proxies:
-            if door.for_backend is None:
-                self.start_proxy(door)
+            for index in (0, 1):
+                await self.start_discovery(registry, index)
+        for slot in self.proxy_slots:
+            if slot.for_backend is None:
+                self.start_proxy(slot)
         await asyncio.sleep(1.0)
 
     async def main(self) -> None:
         """The whole run: the plan, then its end, then silence."""
         await self._build()
         begin = self.loop.time()
-        for ask in self.plan.requests:
-            self.loop.call_at(begin + ask.at, self.send_planned, ask)
+        for planned in self.plan.requests:
+            self.loop.call_at(begin + planned.at, self.send_planned, planned)
         batches: dict[float, list[Fault]] = {}
         for fault in self.plan.faults:
             batches.setdefault(fault.at, []).append(fault)
-        for at, batch in batches.items():
-            self.loop.call_at(begin + at, self._inject_all, batch)
+        for offset, batch in batches.items():
+            self.loop.call_at(begin + offset, self._inject_all, batch)
             if self.plan.keeps:
-                self.loop.call_at(begin + 0.5 * at, self._snapshot_disks)
+                self.loop.call_at(begin + 0.5 * offset, self._snapshot_disks)
         await asyncio.sleep(begin + self.plan.seconds - self.loop.time())
         for key in sorted(self._active_faults):
             self._end_fault(key)
@@ -1423,15 +1461,15 @@
         await asyncio.sleep(1.0)
         self._check_timers()
         await self._check_liveness()
-        for courier in self.client_pools:
-            courier.close()
+        for client_pool in self.client_pools:
+            client_pool.close()
         await asyncio.sleep(QUIET_PERIOD)
         self._check_leaks()
         self._check_unhandled_errors()
 
     def _snapshot_disks(self) -> None:
-        for door in self.proxies:
-            door.disk.take_snapshot()
+        for slot in self.proxy_slots:
+            slot.disk.take_snapshot()
 
     def _inject_all(self, batch: list[Fault]) -> None:
         for fault in batch:
@@ -1440,65 +1478,65 @@
     def _check_timers(self) -> None:
         """With nothing under way there is nothing to wait for."""
         now = self.loop.time()
-        for door in self.proxies:
-            if door.machine is None or not door.up or self.checker.open_requests(door.name):
+        for slot in self.proxy_slots:
+            if slot.machine is None or not slot.up or self.checker.open_request_count(slot.name):
                 continue
-            timers = self.loop.timers_of(door.machine)
+            timers = self.loop.timers_of(slot.machine)
             if len(timers) > IDLE_TIMERS:
                 names = [getattr(timer._callback, "__qualname__", "?") for timer in timers]  # type: ignore[attr-defined]
-                self.checker.report_violation(now, "nothing left", f"{door.name} has timers: {', '.join(names)}")
+                self.checker.report_violation(now, "nothing left", f"{slot.name} has timers: {', '.join(names)}")
 
     async def _check_liveness(self) -> None:
         """Liveness: every proxy serves again before long."""
-        waiting = {door: True for door in self.proxies if door.for_backend is None}
+        waiting = {slot: True for slot in self.proxy_slots if slot.for_backend is None}
         for i in range(MAX_PROBES):
-            for number, door in enumerate(list(waiting)):
-                if door.up:
-                    ask = PlannedRequest(0x10000 + i * 100 + number, 0.0, "view", door.zone)
-                    self._track_liveness(door, self._send_request(ask, 0, door), waiting)
+            for number, slot in enumerate(list(waiting)):
+                if slot.up:
+                    planned = PlannedRequest(0x10000 + i * 100 + number, 0.0, "view", slot.zone)
+                    self._track_liveness(slot, self._send_request(planned, 0, slot), waiting)
             await asyncio.sleep(PROBE_INTERVAL if i < 3 else 2.0)
             if not waiting:
                 return
-        for door in waiting:
-            self.checker.report_violation(self.loop.time(), "liveness", f"{door.name} serves nothing")
+        for slot in waiting:
+            self.checker.report_violation(self.loop.time(), "liveness", f"{slot.name} serves nothing")
 
     @staticmethod
-    def _track_liveness(door: ProxySlot, parcel: Parcel, waiting: dict[ProxySlot, bool]) -> None:
+    def _track_liveness(slot: ProxySlot, pending: Parcel, waiting: dict[ProxySlot, bool]) -> None:
         """Cross a proxy off once it serves."""
-        done = parcel.done
+        done = pending.done
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: End, answer: Seen | None) -> None:
             if answer is not None and answer.status == 200:
-                waiting.pop(door, None)
+                waiting.pop(slot, None)
             done(end, answer)
 
-        parcel.done = ended
+        pending.done = on_end
 
     def _check_leaks(self) -> None:
         """In silence: no descriptor, task, exchange or byte of a body is left."""
         now = self.loop.time()
-        for door in self.proxies:
-            if door.machine is None or not door.up or door.proxy is None:
+        for slot in self.proxy_slots:
+            if slot.machine is None or not slot.up or slot.proxy is None:
                 continue
-            if door.machine.descriptors_used > 1:
+            if slot.machine.descriptors_used > 1:
                 self.checker.report_violation(
-                    now, "nothing left", f"{door.name} holds {door.machine.descriptors_used} descriptors"
+                    now, "nothing left", f"{slot.name} holds {slot.machine.descriptors_used} descriptors"
                 )
-            if len(door.machine.tasks) > 1:
-                names = sorted(getattr(t.get_coro(), "__qualname__", "?") for t in door.machine.tasks)
-                self.checker.report_violation(now, "nothing left", f"{door.name} has tasks: {', '.join(names)}")
-            nodes = sum(stand.tier == door.tier for stand in self.backends)
-            for name, (count, bound) in containers_over_bound(door.proxy, nodes).items():
+            if len(slot.machine.tasks) > 1:
+                names = sorted(getattr(task.get_coro(), "__qualname__", "?") for task in slot.machine.tasks)
+                self.checker.report_violation(now, "nothing left", f"{slot.name} has tasks: {', '.join(names)}")
+            tier_size = sum(backend.tier == slot.tier for backend in self.backend_slots)
+            for name, (count, bound) in containers_over_bound(slot.proxy, tier_size).items():
                 self.checker.report_violation(
-                    now, "nothing left", f"{door.name} has {count} in {name}, where {bound} may be"
+                    now, "nothing left", f"{slot.name} has {count} in {name}, where {bound} may be"
                 )
-            if door.proxy.memory.used:
+            if slot.proxy.memory.used:
                 self.checker.report_violation(
-                    now, "nothing left", f"{door.name} counts {door.proxy.memory.used} bytes"
+                    now, "nothing left", f"{slot.name} counts {slot.proxy.memory.used} bytes"
                 )
-            if door.proxy.descriptors.used != door.machine.descriptors_used - 1:
-                books = f"{door.proxy.descriptors.used} descriptors, and has {door.machine.descriptors_used - 1}"
-                self.checker.report_violation(now, "nothing left", f"{door.name} counts {books}")
+            if slot.proxy.descriptors.used != slot.machine.descriptors_used - 1:
+                books = f"{slot.proxy.descriptors.used} descriptors, and has {slot.machine.descriptors_used - 1}"
+                self.checker.report_violation(now, "nothing left", f"{slot.name} counts {books}")
         self._check_objects()
 
     def _check_unhandled_errors(self) -> None:
@@ -1510,22 +1548,22 @@
     def _check_objects(self) -> None:
         """Nothing of a request lives on: what the collector can't free, something still holds."""
         gc.collect()
-        living = {id(door.proxy): door for door in self.proxies if door.up and door.proxy is not None}
-        found: dict[str, dict[str, int]] = {}
-        for thing in gc.get_objects():
+        living = {id(slot.proxy): slot for slot in self.proxy_slots if slot.up and slot.proxy is not None}
+        counts_by_proxy: dict[str, dict[str, int]] = {}
+        for candidate in gc.get_objects():
             owner: object = None
-            if type(thing) is Exchange:
-                owner = thing.proxy
-            elif type(thing) is CallerConnection:
-                owner = thing._callers.handler
-            elif type(thing) is BackendConnection:
-                owner = thing._pool.sink
+            if type(candidate) is Exchange:
+                owner = candidate.proxy
+            elif type(candidate) is CallerConnection:
+                owner = candidate._callers.handler
+            elif type(candidate) is BackendConnection:
+                owner = candidate._pool.sink
             if owner is not None and id(owner) in living:
-                of_door = found.setdefault(living[id(owner)].name, {})
-                of_door[type(thing).__name__] = of_door.get(type(thing).__name__, 0) + 1
-        for name, kinds in sorted(found.items()):
+                counts = counts_by_proxy.setdefault(living[id(owner)].name, {})
+                counts[type(candidate).__name__] = counts.get(type(candidate).__name__, 0) + 1
+        for name, counts_of_proxy in sorted(counts_by_proxy.items()):
             self.checker.report_violation(
-                self.loop.time(), "nothing left", f"{name} keeps {dict(sorted(kinds.items()))}"
+                self.loop.time(), "nothing left", f"{name} keeps {dict(sorted(counts_of_proxy.items()))}"
             )
 
 
@@ -1559,21 +1597,21 @@
     `every_step` has both done after every step, which is slow.
     """
     world = World(plan)
-    ledger, loop = world.checker, world.loop
+    checker, loop = world.checker, world.loop
     if every_step:
         world.bounds_check_interval = 0.0
     loop.after_step = world._after_step
     with _capture_errors(world):
         try:
             run(loop, world.main())
-        except (Deadlock, Stuck) as fault:
-            ledger.report_violation(loop.time(), "liveness", f"{type(fault).__name__}: {fault}")
+        except (Deadlock, Stuck) as error:
+            checker.report_violation(loop.time(), "liveness", f"{type(error).__name__}: {error}")
     return Result(
         plan,
-        ledger.violations,
-        ledger.digest(),
-        ledger.trace_lines(),
-        ledger.outcome_counts(),
+        checker.violations,
+        checker.digest(),
+        checker.trace_lines(),
+        checker.outcome_counts(),
         loop.time(),
         loop.steps,
     )
--- a/tests/virtual/test_correlated_failure_worlds.py
+++ b/tests/virtual/test_correlated_failure_worlds.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("text", [BANNED, FORGOTTEN, AWAY])
 def test_a_blow_leaves_no_stale_decision(text: str) -> None:
-    result = run_plan(script.read(text))
+    result = run_plan(script.parse_plan(text))
     assert not result.violations, result.violations
 
 
@@ -32,19 +32,19 @@
         """Planted: orders are left aside."""
 
     monkeypatch.setattr(recovery.RecoveryController, "_restore_orders", forget)
-    assert [v for v in run_plan(script.read(text)).violations if "ban" in f"{v}"]
+    assert [v for v in run_plan(script.parse_plan(text)).violations if "ban" in f"{v}"]
 
 
 def test_requests_are_served_without_discovery_only_by_those_who_keep_a_list() -> None:
     def served(text: str) -> int:
-        return run_plan(script.read(text)).outcomes.get("served", 0)
+        return run_plan(script.parse_plan(text)).outcomes.get("served", 0)
 
     assert served(AWAY) > served(AWAY.replace("keeps 1", "keeps 0"))
 
 
 def test_a_part_of_the_drawn_worlds_keeps_state_and_has_blows() -> None:
-    plans = [script.draw(seed) for seed in range(200)]
+    plans = [script.draw_plan(seed) for seed in range(200)]
     kept = [plan for plan in plans if plan.keeps]
     assert 20 < len(kept) < 100
     assert {fault.what for plan in kept for fault in plan.faults} >= set(script.RESTART_FAULTS)
-    assert all(script.read(script.write(plan)) == plan for plan in kept)
+    assert all(script.parse_plan(script.format_plan(plan)) == plan for plan in kept)
--- a/tests/virtual/test_script.py
+++ b/tests/virtual/test_script.py
@@ -13,30 +13,30 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**9), st.sampled_from(["any", *script.WORLDS]))
 def test_what_is_drawn_is_read_again_as_it_was(seed: int, world: str) -> None:
-    plan = script.draw(seed, world)
-    assert script.read(script.write(plan)) == plan
-    assert script.draw(seed, world) == plan
+    plan = script.draw_plan(seed, world)
+    assert script.parse_plan(script.format_plan(plan)) == plan
+    assert script.draw_plan(seed, world) == plan
     assert world in ("any", plan.world)
 
 
 def test_every_fault_is_drawn_some_time() -> None:
-    seen = {fault.what for seed in range(300) for fault in script.draw(seed).faults}
+    seen = {fault.what for seed in range(300) for fault in script.draw_plan(seed).faults}
     assert seen == set(script.FAULT_KINDS)
 
 
 def test_two_faults_of_one_tick_are_drawn_and_keep_their_order() -> None:
     pairs = 0
     for seed in range(100):
-        plan = script.draw(seed)
+        plan = script.draw_plan(seed)
         times = [fault.at for fault in plan.faults]
         pairs += len(times) - len(set(times))
-        swapped = script.write(plan).splitlines()
+        swapped = script.format_plan(plan).splitlines()
         assert times == sorted(times) and len(swapped) == 4 + len(plan.requests) + len(plan.faults)
     assert pairs > 20
 
 
 def test_comments_and_empty_lines_say_nothing() -> None:
-    plan = script.read("# a world\n\nworld one seed 3 seconds 2  # short\nrequest 1 at 0.5 view\n")
+    plan = script.parse_plan("# a world\n\nworld one seed 3 seconds 2  # short\nrequest 1 at 0.5 view\n")
     assert plan.seed == 3 and plan.seconds == 2.0 and plan.requests == (script.PlannedRequest(1, 0.5, "view"),)
 
 
@@ -64,10 +64,10 @@
 )
 def test_what_cant_be_read_is_named_with_its_line(line: str, what: str) -> None:
     with pytest.raises(ConfigError) as fault:
-        script.read(f"# first\n{line}\n", "x.world")
+        script.parse_plan(f"# first\n{line}\n", "x.world")
     assert str(fault.value).startswith("x.world:2: ") and what in str(fault.value)
 
 
 def test_one_number_for_two_requests_is_refused() -> None:
     with pytest.raises(ConfigError, match="two requests have one number"):
-        script.read("request 1 at 0.5 view\nrequest 2 at 0.6 view\nrequest 1 at 0.7 view\n")
+        script.parse_plan("request 1 at 0.5 view\nrequest 2 at 0.6 view\nrequest 1 at 0.7 view\n")
--- a/tests/virtual/test_seed_search.py
+++ b/tests/virtual/test_seed_search.py
@@ -37,7 +37,7 @@
     found = simulate(tmp_path, "--seeds", WINDOW, "--tries", "40")
     assert found.returncode == 1 and "seed 1380 (fleet): " in found.stdout, found.stdout + found.stderr
     small = tmp_path / "found" / "fleet-1380.world"
-    plan, whole = script.read(small.read_text()), script.draw(1380)
+    plan, whole = script.parse_plan(small.read_text()), script.draw_plan(1380)
     # With so few tries the faults come first; fewer requests draw other delays, and rarely fail alike.
     assert len(plan.faults) < len(whole.faults) and len(plan.requests) <= len(whole.requests)
     again = {simulate(tmp_path, "--replay", str(small)).stdout for _ in range(2)}
@@ -49,7 +49,7 @@
 def test_shrinking_keeps_what_a_failure_needs_and_nothing_else() -> None:
     """A stand-in for the run: it fails with one fault and two requests, whatever else there is."""
     plan = replace(
-        script.draw(0, "fleet"), faults=tuple(script.Fault(0.5 + i, "kill", f"proxy/{i % 4}") for i in range(5))
+        script.draw_plan(0, "fleet"), faults=tuple(script.Fault(0.5 + i, "kill", f"proxy/{i % 4}") for i in range(5))
     )
 
     def run(tried: script.Plan) -> Result:
@@ -65,12 +65,14 @@
 
 def test_a_plan_that_breaks_nothing_is_not_shrunk() -> None:
     with pytest.raises(ValueError, match="breaks no rule"):
-        seed_search.shrink(replace(script.draw(1, "one"), faults=(), requests=script.draw(1, "one").requests[:5]))
+        seed_search.shrink(
+            replace(script.draw_plan(1, "one"), faults=(), requests=script.draw_plan(1, "one").requests[:5])
+        )
 
 
 def test_one_seed_is_shown_and_its_script_replays_to_the_same_digest(tmp_path: Path) -> None:
     shown = simulate(ROOT, "--seed", "3", "--trace")
-    digest = run_plan(script.draw(3)).digest
+    digest = run_plan(script.draw_plan(3)).digest
     assert shown.returncode == 0 and " wrote " in shown.stdout and shown.stdout.rstrip().endswith(digest)
     printed = simulate(ROOT, "--seed", "3", "--script")
     path = tmp_path / "three.world"
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -41,7 +41,7 @@
 
 
 def played(seed: int, covers: int = 1) -> Result:
-    return run_plan(script.read(world(seed, covers)))
+    return run_plan(script.parse_plan(world(seed, covers)))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("first", range(0, 120, 10))
 def test_drawn_worlds_in_which_proxies_are_killed_break_no_rule(first: int) -> None:
-    plans = [script.draw(seed, "fleet") for seed in range(first, first + 10)]
+    plans = [script.draw_plan(seed, "fleet") for seed in range(first, first + 10)]
     broken = [(plan.seed, f"{one}") for plan in plans if plan.covers for one in run_plan(plan).violations]
     assert not broken
 
@@ -97,7 +97,7 @@
 def idle_world(*lines: str) -> Result:
     """Two proxies on one address each; what goes to the first that is killed goes on at the other."""
     return run_plan(
-        script.read(
+        script.parse_plan(
             "\n".join(
                 [
                     "world one seed 3 seconds 6",
--- a/tests/virtual/test_worlds.py
+++ b/tests/virtual/test_worlds.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("path", SCRIPTS, ids=lambda path: path.stem)
 def test_past_failures_stay_mended(path: Path) -> None:
-    result = run_plan(script.read(path.read_text(), path.name))
+    result = run_plan(script.parse_plan(path.read_text(), path.name))
     assert result.violations == [] and sum(result.outcomes.values()) > 0
 
 
@@ -32,7 +32,7 @@
 def test_each_fault_is_caused_and_survived(what: str) -> None:
     """In every kind of world, for all that it can befall; requests come throughout."""
     for seed, world in enumerate(script.WORLDS):
-        plan = script.draw(seed + 1, world)
+        plan = script.draw_plan(seed + 1, world)
         many = script.target_counts(plan)
         whose, amount = script.FAULT_KINDS[what]
         faults = tuple(
@@ -58,7 +58,7 @@
 
 def test_a_world_without_faults_serves_all() -> None:
     for seed, world in enumerate(script.WORLDS):
-        plan = script.draw(seed, world)
+        plan = script.draw_plan(seed, world)
         asks = tuple(replace(ask, leaves=0.0, slow=0.0, budget=1.5) for ask in plan.requests[:60])
         result = run_plan(replace(plan, faults=(), requests=asks))
         assert result.violations == [] and set(result.outcomes) == {"served"} and result.outcomes["served"] >= 60
@@ -92,7 +92,7 @@
     )
     digests = []
     for first, second in ((one, other), (other, one)):
-        result = run_plan(script.read(BOTH.format(requests=requests, first=first, second=second)))
+        result = run_plan(script.parse_plan(BOTH.format(requests=requests, first=first, second=second)))
         assert [str(violation) for violation in result.violations] == []
         faults = [line.split()[2:4] for line in result.lines if " fault " in line]
         assert faults == [first.split()[:2], second.split()[:2]]
@@ -114,7 +114,7 @@
 
 
 def test_real_time_and_real_sockets_do_not_leak_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    plan = script.draw(7, "fleet")
+    plan = script.draw_plan(7, "fleet")
     want = run_plan(plan).digest
 
     def poison(*_: object, **__: object) -> float:
@@ -130,5 +130,5 @@
 
 
 def test_looking_after_every_step_changes_nothing() -> None:
-    plan = script.draw(2, "one")
+    plan = script.draw_plan(2, "one")
     assert run_plan(plan, every_step=True).digest == run_plan(plan).digest
