--- a/benchmarks/apart.py
+++ b/benchmarks/apart.py
@@ -1,4 +1,4 @@
-"""What benchmarks do in processes of their own."""
+"""Functions that benchmarks run in separate processes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 T = TypeVar("T")
 
 
-def alone(work: Callable[..., Coroutine[Any, Any, T]], *arguments: Any) -> T:
-    """Run a coroutine to its end; for pools of processes, which want a plain function."""
+def run_coroutine(work: Callable[..., Coroutine[Any, Any, T]], *arguments: Any) -> T:
+    """Run a coroutine to its end; process pools need a plain function."""
     return asyncio.run(work(*arguments))
 
 
-def burn(seconds: float) -> None:
-    """Use a core for so long."""
+def busy_loop(seconds: float) -> None:
+    """Keep one core busy for so many seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         sum(range(1000))
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,12 +1,13 @@
-"""A fleet comes back after a blow, with the table [comeback] against without it, in one run.
+"""Recovery of a fleet after a correlated failure, with the table [comeback] and without it, in one run.
 
     python benchmarks/comeback.py [--quick] [--instances N] [--cases a,b,c,d,e]
 
-Cases: (a) seven in ten instances killed at once; (b) the machine lost (supervisor and all) with discovery away for
-some seconds; (c) the same with the store lost; (d) every store put back to an older copy, and a ban given in between;
-(e) three tiers under three supervisors lost at once. Each prints its figures on and off; the last line has the worst
-of each, and the exit code is 1 if one is short of its aim. Times are seconds from the last process's start (for c:
-from discovery's return). Effects count as twice where the client asked for them once.
+Cases: (a) seven in ten instances are killed at once; (b) the machine is lost (supervisor and instances) while
+discovery is unreachable for some seconds; (c) the same, and the store is lost; (d) every store is restored from an
+older copy, and a ban was set after the copy; (e) three tiers under three supervisors are lost at once. Each case
+prints its figures with and without the table; the last line has the worst of each, and the exit code is 1 if one
+exceeds its limit. Times are seconds from the start of the last process (case c: from the time when discovery is
+reachable again). An effect counts as twice if it occurs more than once although the client sent the request once.
 """
 
 from __future__ import annotations
@@ -26,129 +27,132 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-from apart import alone  # noqa: E402
+from apart import run_coroutine  # noqa: E402
 
 from cometusher.fault_injection.environment import World, signal_processes, wait_until  # noqa: E402
 from cometusher.fault_injection.runner import time_to_full_service  # noqa: E402
 
-WORK = 0.03  # seconds of a backend's work
-RATE = 20.0  # requests a second of each instance
-AIM_FULL = {"a": 1.5, "b": 1.5, "c": 2.0, "d": 1.5, "e": 1.5}
-AIM_PEAK = 3.0
-AIM_CALLS = 1.2
-AIM_COLD = 3.0  # the rule
+WORK = 0.03  # seconds of work of a request at a backend
+RATE = 20.0  # requests a second to each instance
+MAX_FULL_SECONDS = {"a": 1.5, "b": 1.5, "c": 2.0, "d": 1.5, "e": 1.5}
+MAX_PEAK = 3.0
+MAX_CALLS = 1.2
+MAX_COLD = 3.0  # limit of the specification
 
 
 @dataclass
 class Result:
     """The figures of one case."""
 
-    full: float  # seconds to full service
+    full_seconds: float  # until all requests are served promptly
     unserved: int
-    sent_in_vain: int  # of them those that somebody took: the others came while no process listened
-    peak: float  # over that of calm times
-    calls: float  # of discovery, over instances
-    stale: int
-    twice: int
-    cold: float  # work sent to a cold backend over what it could do
-
-    def line(self) -> str:
-        """For people."""
+    accepted_unserved: int  # of the unserved, those that a process accepted; the others came while none listened
+    peak: float  # new connections to backends, as a multiple of the mean before the failure
+    calls: float  # to discovery, per killed instance
+    stale_requests: int
+    duplicate_effects: int
+    cold_overload: float  # work sent to a cold backend, as a multiple of its capacity
+
+    def summary(self) -> str:
+        """One line for people."""
         return (
-            f"full {self.full:5.2f} s  unserved {self.unserved:5d} ({self.sent_in_vain} taken)  "
-            f"peak {self.peak:5.1f}x  calls {self.calls:.2f}  stale {self.stale}  twice {self.twice}  "
-            f"cold {self.cold:.1f}"
+            f"full {self.full_seconds:5.2f} s  unserved {self.unserved:5d} ({self.accepted_unserved} taken)  "
+            f"peak {self.peak:5.1f}x  calls {self.calls:.2f}  stale {self.stale_requests}  twice "
+            f"{self.duplicate_effects}  "
+            f"cold {self.cold_overload:.1f}"
         )
 
 
-async def play(case: str, on: bool, instances: int, calm: float, away: float) -> Result:
-    """One case, on or off."""
+async def run_case(case: str, with_recovery: bool, instances: int, calm: float, discovery_outage: float) -> Result:
+    """Run one case, with or without the table."""
     tiers = 3 if case == "e" else 1
     with tempfile.TemporaryDirectory(prefix="back-") as folder:
         world = World(Path(folder), 2 * instances, WORK)
         for tier in range(tiers):
-            world.add_fleet(f"tier{tier}", instances // tiers, tier, on)
+            world.add_fleet(f"tier{tier}", instances // tiers, tier, with_recovery)
         try:
             await world.start(RATE * sum(fleet.count for fleet in world.fleets))
-            return await blow(world, case, calm, away)
+            return await measure_recovery(world, case, calm, discovery_outage)
         finally:
             await world.stop()
 
 
-async def strike(world: World, case: str, older: bool) -> set[int]:
-    """The blow; returns the pids that it ended."""
+async def inject_failure(world: World, case: str, restore_older: bool) -> set[int]:
+    """Inject the failure of a case and start what it needs; returns the pids of the killed processes."""
     before = sorted(await world.pids())
     if case == "a":
         return set(signal_processes(before[: len(before) * 7 // 10], signal.SIGKILL))
     if case == "c":
-        await world.replace_backends(0.1, 1)  # some are cold when all come back with nothing known
+        await world.replace_backends(0.1, 1)  # some backends are cold while no instance has any state
     if case in "bc":
         await world.discovery.disconnect()
     await asyncio.gather(*(fleet.kill_machine() for fleet in world.fleets))
     for fleet in world.fleets:
         if case == "c":
             fleet.delete_store([f"p{i}" for i in range(fleet.count)])
-        elif older:
+        elif restore_older:
             fleet.restore_store()
     await asyncio.gather(*(fleet.start() for fleet in world.fleets))
     return set(before)
 
 
-async def blow(world: World, case: str, calm: float, away: float) -> Result:
-    """Calm, the blow, and the time after it."""
-    account, lists, on = world.backend_stats, world.discovery, world.fleets[0].recovery
+async def measure_recovery(world: World, case: str, calm: float, discovery_outage: float) -> Result:
+    """Measure a calm period, inject the failure, and measure the recovery."""
+    backend_stats, discovery, with_recovery = world.backend_stats, world.discovery, world.fleets[0].recovery
     assert world.load is not None
-    await asyncio.sleep(3.0)  # first connections are made: what follows is calm
+    await asyncio.sleep(3.0)  # the first connections are made before the calm period
     begin = time.monotonic()
     if case == "d":
         await asyncio.sleep(calm / 2.0)
         for fleet in world.fleets:
             fleet.copy_store()
             await fleet.operate("exclude", world.backends[3].host)
-        await asyncio.sleep(0.5)  # what was on its way at the yes
+        await asyncio.sleep(0.5)  # requests that were in flight when the ban was acknowledged
         world.backends[3].removed = True
     await asyncio.sleep(calm)
-    usual = account.mean_connects(begin, time.monotonic())
-    lists.calls = 0
-    at = time.monotonic()
-    gone = await strike(world, case, on and case == "d")
-    await wait_until(partial(world.all_running, gone))
+    mean_connects = backend_stats.mean_connects(begin, time.monotonic())
+    discovery.calls = 0
+    failed_at = time.monotonic()
+    lost_pids = await inject_failure(world, case, with_recovery and case == "d")
+    await wait_until(partial(world.all_running, lost_pids))
     served_from = time.monotonic()
     if case in "bc":
-        await asyncio.sleep(max(0.0, at + away - time.monotonic()))
+        await asyncio.sleep(max(0.0, failed_at + discovery_outage - time.monotonic()))
         served_from = time.monotonic() if case == "c" else served_from
-        await lists.reconnect()
-    await asyncio.sleep(4.0 if on or case in "ade" else 8.0)
-    told = [row for row in world.load.results if row.sent_at >= at]
+        await discovery.reconnect()
+    await asyncio.sleep(4.0 if with_recovery or case in "ade" else 8.0)
+    requests = [request for request in world.load.results if request.sent_at >= failed_at]
     return Result(
-        full=time_to_full_service(told, served_from),
-        unserved=sum(row.outcome != "served" for row in told),
-        sent_in_vain=sum(row.outcome not in ("served", "unreachable") for row in told),
-        peak=account.peak_connects(at, time.monotonic()) / usual,
-        calls=lists.calls / max(1, len(gone)),
-        stale=account.stale_requests,
-        twice=world.duplicate_effects(),
-        cold=world.cold_overload(),
+        full_seconds=time_to_full_service(requests, served_from),
+        unserved=sum(request.outcome != "served" for request in requests),
+        accepted_unserved=sum(request.outcome not in ("served", "unreachable") for request in requests),
+        peak=backend_stats.peak_connects(failed_at, time.monotonic()) / mean_connects,
+        calls=discovery.calls / max(1, len(lost_pids)),
+        stale_requests=backend_stats.stale_requests,
+        duplicate_effects=world.duplicate_effects(),
+        cold_overload=world.cold_overload(),
     )
 
 
-def faults(case: str, on: Result, off: Result) -> list[str]:
-    """What a case is short of."""
-    found = []
-    for name, value, aim in (
-        ("full", on.full, AIM_FULL[case]),
-        ("peak", on.peak, AIM_PEAK),
-        ("calls", on.calls, AIM_CALLS),
-        ("stale", on.stale, 0),
-        ("twice", on.twice, 0),
-        ("cold", on.cold, AIM_COLD),
+def missed_aims(case: str, on: Result, off: Result) -> list[str]:
+    """The figures of a case that exceed their limits."""
+    missed = []
+    for name, value, maximum in (
+        ("full", on.full_seconds, MAX_FULL_SECONDS[case]),
+        ("peak", on.peak, MAX_PEAK),
+        ("calls", on.calls, MAX_CALLS),
+        ("stale", on.stale_requests, 0),
+        ("twice", on.duplicate_effects, 0),
+        ("cold", on.cold_overload, MAX_COLD),
     ):
-        if value > aim:
-            found.append(f"{case}: {name} {value:.2f}, aim {aim}")
-    # How long nothing listens is the start of an interpreter, which varies more than anything here.
-    if on.sent_in_vain > off.sent_in_vain * 1.25 + 10:
-        found.append(f"{case}: {on.sent_in_vain} taken and not served, {off.sent_in_vain} without")
-    return found
+        if value > maximum:
+            missed.append(f"{case}: {name} {value:.2f}, limit {maximum}")
+    # Requests sent while no process listens are not compared: the interpreter's start-up time varies too much.
+    if on.accepted_unserved > off.accepted_unserved * 1.25 + 10:
+        missed.append(
+            f"{case}: {on.accepted_unserved} accepted and not served, {off.accepted_unserved} without the table"
+        )
+    return missed
 
 
 def main() -> int:
@@ -158,33 +162,38 @@
     parser.add_argument("--instances", type=int, default=0)
     parser.add_argument("--cases", default="a,b,c,d,e")
     options = parser.parse_args()
-    calm, away, instances, at_once = (2.0, 4.0, 10, 4) if options.quick else (6.0, 10.0, 20, 1)
+    calm, discovery_outage, instances, processes = (2.0, 4.0, 10, 4) if options.quick else (6.0, 10.0, 20, 1)
     instances = options.instances or instances
     cases = options.cases.split(",")
-    with ProcessPoolExecutor(at_once) as pool:
+    with ProcessPoolExecutor(processes) as pool:
         runs = {
-            (case, on): pool.submit(alone, play, case, on, instances, calm, away)
+            (case, on): pool.submit(run_coroutine, run_case, case, on, instances, calm, discovery_outage)
             for case in cases
             for on in (True, False)
         }
-        results = {which: future.result() for which, future in runs.items()}
-    short: list[str] = []
+        results = {case_and_table: future.result() for case_and_table, future in runs.items()}
+    missed: list[str] = []
     worst: dict[str, Any] = dict.fromkeys(("full_s", "peak", "calls", "cold"), 0.0)
     worst |= dict.fromkeys(("stale", "twice", "unserved", "unserved_off"), 0)
     for case in cases:
         on, off = results[case, True], results[case, False]
-        print(f"{case} on   {on.line()}\n{case} off  {off.line()}", flush=True)
-        short += faults(case, on, off)
-        for key, value in (("full_s", on.full), ("peak", on.peak), ("calls", on.calls), ("cold", on.cold)):
+        print(f"{case} on   {on.summary()}\n{case} off  {off.summary()}", flush=True)
+        missed += missed_aims(case, on, off)
+        for key, value in (
+            ("full_s", on.full_seconds),
+            ("peak", on.peak),
+            ("calls", on.calls),
+            ("cold", on.cold_overload),
+        ):
             worst[key] = max(worst[key], round(value, 2))
-        for key, count in (("stale", on.stale), ("twice", on.twice), ("unserved", on.unserved)):
+        for key, count in (("stale", on.stale_requests), ("twice", on.duplicate_effects), ("unserved", on.unserved)):
             worst[key] += count
         worst["unserved_off"] += off.unserved
-    for fault in short:
-        print(fault, file=sys.stderr)
+    for text in missed:
+        print(text, file=sys.stderr)
     line = " ".join(f"{key}={value}" for key, value in worst.items())
-    print(f"comeback: instances={instances} cases={options.cases} {line} {'short' if short else 'ok'}")
-    return 1 if short else 0
+    print(f"comeback: instances={instances} cases={options.cases} {line} {'short' if missed else 'ok'}")
+    return 1 if missed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -1,9 +1,9 @@
-"""Processor time of one request, as a multiple of a bare relay's, in turn and in one run.
+"""Processor time of one request, as a multiple of that of a plain relay, measured alternately in one run.
 
     python benchmarks/cpu.py [--quick] [--against CHECKOUT] [--limit RATIO]
 
-With --against, the proxy of another checkout runs in turn with this one's, and the line says how they compare; it
-exits 1 when this one's costs over RATIO (1.03) times as much.
+With --against, the proxy of another checkout is measured alternately with this one, and the figure line compares
+them; the exit code is 1 if this one costs more than RATIO (1.03) times as much.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from cometusher.demo import settings  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
-CALLERS = 8  # connections, one request at a time on each
-AGAIN = 10  # times that one that is refused is asked again
-WARM = 300  # requests before the count
+CONNECTIONS = 8  # one request at a time on each
+MAX_REPEATS = 10  # how often a refused request is sent again
+WARM_UP_REQUESTS = 300  # requests before the measurement
 
 
-def on_cpu(pid: int) -> float:
-    """Seconds of processor time of a process's one thread; finer than the ticks of proc(5)'s stat."""
+def cpu_seconds(pid: int) -> float:
+    """Processor seconds of a process's one thread, from schedstat; finer than the ticks of proc(5)'s stat."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 class Echo(asyncio.Protocol):
-    """A backend that answers each request at once; it need not read what it can count."""
+    """A backend that answers at once; it expects each request in one piece and does not parse it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -47,42 +47,44 @@
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")  # type: ignore[attr-defined]
 
 
-Message = Callable[[int, int], bytes]  # of a connection, the how manieth
+RequestBuilder = Callable[[int, int], bytes]  # from the number of the connection and the index of the request
 
 
-def view(number: int, i: int) -> bytes:
-    """A request that is harmless to repeat."""
+def report_view_request(number: int, index: int) -> bytes:
+    """A request of a class that is safe to repeat."""
     return (
         b"GET /api HTTP/1.1\r\nHost: b\r\nX-Call-Id: %d-%d\r\nX-Call-Class: report-view\r\n"
-        b"X-Caller: univ-central\r\nX-Budget: 4000m\r\n\r\n" % (number, i)
+        b"X-Caller: univ-central\r\nX-Budget: 4000m\r\n\r\n" % (number, index)
     )
 
 
-async def drive(port: int, count: int, message: Message = view) -> None:
-    """So many requests, in a closed loop."""
-    left = iter(range(count))
+async def send_requests(port: int, count: int, build_request: RequestBuilder = report_view_request) -> None:
+    """Send so many requests in a closed loop."""
+    indexes = iter(range(count))
 
     async def caller(number: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        for i in left:
-            writer.write(message(number, i))
+        for index in indexes:
+            writer.write(build_request(number, index))
             head = await reader.readuntil(b"\r\n\r\n")
-            for _ in range(AGAIN):  # a proxy that has just begun, on a machine at work, may refuse the first
+            for _ in range(
+                MAX_REPEATS
+            ):  # a proxy that has just started may refuse its first requests on a busy machine
                 if head.startswith(b"HTTP/1.1 200"):
                     break
                 await asyncio.sleep(0.2)
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(message(number, i))
+                writer.write(build_request(number, index))
                 head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200"), head
             await reader.readexactly(2)
         writer.close()
 
-    await asyncio.gather(*(caller(i) for i in range(CALLERS)))
+    await asyncio.gather(*(caller(index) for index in range(CONNECTIONS)))
 
 
-class Server:
-    """A process between callers and the backend."""
+class ServerProcess:
+    """A server process between callers and the backend."""
 
     def __init__(self, command: list[str], folder: Path, environ: dict[str, str], port: int) -> None:
         self.port = port
@@ -90,8 +92,8 @@
             command, cwd=folder, env=os.environ | {"PYTHONPATH": str(folder)} | environ, stderr=subprocess.DEVNULL
         )
 
-    async def up(self) -> None:
-        """Wait until it listens."""
+    async def wait_until_listening(self) -> None:
+        """Wait until the process listens."""
         while True:
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -102,15 +104,15 @@
                 writer.close()
                 return
 
-    async def cost(self, count: int) -> float:
-        """Processor seconds of one request."""
-        before = on_cpu(self.process.pid)
-        await drive(self.port, count)
-        return (on_cpu(self.process.pid) - before) / count
+    async def cpu_per_request(self, count: int) -> float:
+        """Processor seconds for each of `count` requests."""
+        before = cpu_seconds(self.process.pid)
+        await send_requests(self.port, count)
+        return (cpu_seconds(self.process.pid) - before) / count
 
 
-async def measure(folder: Path, rounds: int, count: int, against: Path | None) -> dict[str, list[float]]:
-    """Cost of one request in each round, by server."""
+async def measure(folder: Path, rounds: int, count: int, other_checkout: Path | None) -> dict[str, list[float]]:
+    """Processor seconds of a request in each round, by server."""
     backend = await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", 0)
     backend_port = int(backend.sockets[0].getsockname()[1])
     host = {
@@ -123,10 +125,12 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    trees = {"proxy": ROOT} | ({"other": against} if against is not None else {})
-    servers: dict[str, Server] = {}
+    trees = {"proxy": ROOT} | ({"other": other_checkout} if other_checkout is not None else {})
+    servers: dict[str, ServerProcess] = {}
     port = free_ports(1)[0]
-    servers["relay"] = Server([sys.executable, "-m", "standins.relay", str(port), str(backend_port)], ROOT, {}, port)
+    servers["relay"] = ServerProcess(
+        [sys.executable, "-m", "standins.relay", str(port), str(backend_port)], ROOT, {}, port
+    )
     for name, tree in trees.items():
         port = free_ports(1)[0]
         path = folder / f"{name}.json"
@@ -140,15 +144,15 @@
                 }
             )
         )
-        servers[name] = Server([sys.executable, "-m", "cometusher"], tree, {"LB_CONFIG": str(path)}, port)
+        servers[name] = ServerProcess([sys.executable, "-m", "cometusher"], tree, {"LB_CONFIG": str(path)}, port)
     costs: dict[str, list[float]] = {name: [] for name in servers}
     try:
         for server in servers.values():
-            await server.up()
-            await drive(server.port, WARM)
+            await server.wait_until_listening()
+            await send_requests(server.port, WARM_UP_REQUESTS)
         for _ in range(rounds):
             for name, server in servers.items():
-                costs[name].append(await server.cost(count))
+                costs[name].append(await server.cpu_per_request(count))
     finally:
         for server in servers.values():
             server.process.terminate()
@@ -168,8 +172,8 @@
     with tempfile.TemporaryDirectory(prefix="cpu-bench-") as folder:
         costs = asyncio.run(measure(Path(folder), rounds, count, options.against))
 
-    def ratio(one: str, other: str) -> float:
-        return statistics.median(a / b for a, b in zip(costs[one], costs[other], strict=True))
+    def ratio(numerator: str, denominator: str) -> float:
+        return statistics.median(a / b for a, b in zip(costs[numerator], costs[denominator], strict=True))
 
     figures = f"rounds={rounds} requests={count} us_per_request={statistics.median(costs['proxy']) * 1e6:.0f}"
     figures += f" of_relay={ratio('proxy', 'relay'):.2f}"
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -1,10 +1,10 @@
-"""Operators' calls under full load, beside callers that hold connections.
+"""Latency of operators' calls under full load, while other callers hold connections.
 
     python benchmarks/management.py [--quick]
 
-A proxy is kept busy by a process that asks as fast as it is answered, and 100 callers hold a connection to its
-second address with half a call, or with nothing, and come again when they are cut off. The slowest of all calls
-counts: exit 1 when one takes 0.5 s or longer, or gets another answer than the one it is owed.
+A process sends requests to a proxy in closed loops, and 100 callers hold connections to its management address with
+an incomplete call, and reconnect when they are closed. The exit code is 1 if the slowest call takes 0.5 s or longer,
+or if an answer is wrong.
 """
 
 from __future__ import annotations
@@ -24,54 +24,54 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cpu import Echo, Server, drive  # noqa: E402
+from cpu import Echo, ServerProcess, send_requests  # noqa: E402
 
 from cometusher.demo import settings  # noqa: E402
 from standins.messages import read_message  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
-LIMIT = 0.5  # seconds, of the slowest answer
-HOLDERS = 100
-HOLD = 4.0  # seconds
-LOADS = 1  # processes that ask
+MAX_LATENCY = 0.5  # seconds, of the slowest call
+IDLE_CALLERS = 100
+HOLD_SECONDS = 4.0
+LOAD_PROCESSES = 1
 
 
-async def hold(port: int) -> None:
-    """One caller that never sends a whole call."""
+async def hold_connection(port: int) -> None:
+    """Hold connections with an incomplete call, one after the other, without end."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /api/exc")
         with contextlib.suppress(TimeoutError, OSError):
-            await asyncio.wait_for(reader.read(), HOLD)
+            await asyncio.wait_for(reader.read(), HOLD_SECONDS)
         writer.close()
         await asyncio.sleep(0.5)
 
 
-async def call(port: int, number: int) -> tuple[float, bool]:
-    """One call: seconds until its answer, and whether that is right."""
-    target, body, wanted = (
+async def send_call(port: int, number: int) -> tuple[float, bool]:
+    """Send one call; returns the seconds until its answer, and whether that is correct."""
+    target, body, expected_status = (
         ("GET /api/ready", b"", b"200"),
         ("POST /api/exclude", b'{"who":"s-2"}', b"200"),
         ("POST /api/include", b'{"who":"s-2"}', b"200"),
         ("POST /api/exclude", b'{"who":"s-9"}', b"404"),
     )[number % 4]
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{target} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-        seen = await asyncio.wait_for(read_message(reader), 10.0)
+        answer = await asyncio.wait_for(read_message(reader), 10.0)
         writer.close()
     except (OSError, TimeoutError, AssertionError):
-        return time.monotonic() - began, False
-    return time.monotonic() - began, seen is not None and seen.line.split()[1] == wanted
+        return time.monotonic() - started_at, False
+    return time.monotonic() - started_at, answer is not None and answer.line.split()[1] == expected_status
 
 
 async def measure(folder: Path, calls: int) -> tuple[list[float], int, int]:
-    """Seconds of each call, wrong answers, and requests served meanwhile."""
+    """Seconds of each call, the number of wrong answers, and the load processes still running at the end."""
     backends = [await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", 0) for _ in range(2)]
     hosts = [
         {
-            "host": f"s-{i + 1}",
+            "host": f"s-{index + 1}",
             "dial": f"127.0.0.1:{backend.sockets[0].getsockname()[1]}",
             "site": "kigali",
             "class": "m",
@@ -80,9 +80,9 @@
             "share": 1.0,
             "born_ms": 0,
         }
-        for i, backend in enumerate(backends)
+        for index, backend in enumerate(backends)
     ]
-    port, door = free_ports(2)
+    port, management_port = free_ports(2)
     path = folder / "config.json"
     path.write_bytes(
         orjson.dumps(
@@ -90,28 +90,28 @@
                 "settings": settings(1, 0),
                 "listen": f"127.0.0.1:{port}",
                 "discovery": "127.0.0.1:9",
-                "management": f"127.0.0.1:{door}",
+                "management": f"127.0.0.1:{management_port}",
                 "known": {"seq": 1, "whole": True, "hosts": hosts},
             }
         )
     )
-    server = Server([sys.executable, "-m", "cometusher"], ROOT, {"LB_CONFIG": str(path)}, port)
-    await server.up()
+    server = ServerProcess([sys.executable, "-m", "cometusher"], ROOT, {"LB_CONFIG": str(path)}, port)
+    await server.wait_until_listening()
     loads = [
         subprocess.Popen([sys.executable, __file__, "--drive", str(port)], env=os.environ, stdout=subprocess.DEVNULL)
-        for _ in range(LOADS)
+        for _ in range(LOAD_PROCESSES)
     ]
-    holders = [asyncio.create_task(hold(door)) for _ in range(HOLDERS)]
+    holders = [asyncio.create_task(hold_connection(management_port)) for _ in range(IDLE_CALLERS)]
     try:
         await asyncio.sleep(1.0)
-        took: list[float] = []
+        latencies: list[float] = []
         wrong = 0
         for number in range(calls):
-            seconds, right = await call(door, number)
-            took.append(seconds)
+            seconds, right = await send_call(management_port, number)
+            latencies.append(seconds)
             wrong += not right
             await asyncio.sleep(0.004)
-        return took, wrong, sum(load.poll() is None for load in loads)
+        return latencies, wrong, sum(load.poll() is None for load in loads)
     finally:
         for holder in holders:
             holder.cancel()
@@ -124,11 +124,11 @@
             backend.close()
 
 
-async def keep_driving(port: int) -> None:
-    """Ask without end."""
+async def send_without_end(port: int) -> None:
+    """Send requests without end."""
     while True:
-        with contextlib.suppress(AssertionError):  # refused, while a backend is out
-            await drive(port, 10_000)
+        with contextlib.suppress(AssertionError):  # requests are refused while a backend is excluded
+            await send_requests(port, 10_000)
 
 
 def main() -> int:
@@ -138,15 +138,15 @@
     parser.add_argument("--drive", type=int, metavar="PORT", help=argparse.SUPPRESS)
     options = parser.parse_args()
     if options.drive:
-        asyncio.run(keep_driving(options.drive))
+        asyncio.run(send_without_end(options.drive))
     calls = 2000 if options.quick else 10_000
     with tempfile.TemporaryDirectory(prefix="calls-bench-") as folder:
-        took, wrong, loads = asyncio.run(measure(Path(folder), calls))
-    took.sort()
-    short = wrong > 0 or took[-1] >= LIMIT or loads < LOADS
+        latencies, wrong, loads = asyncio.run(measure(Path(folder), calls))
+    latencies.sort()
+    short = wrong > 0 or latencies[-1] >= MAX_LATENCY or loads < LOAD_PROCESSES
     print(
-        f"management: calls={calls} holders={HOLDERS} slowest_ms={took[-1] * 1e3:.1f} "
-        f"p99_ms={took[int(0.99 * calls)] * 1e3:.1f} wrong={wrong} loads={loads} {'short' if short else 'ok'}"
+        f"management: calls={calls} holders={IDLE_CALLERS} slowest_ms={latencies[-1] * 1e3:.1f} "
+        f"p99_ms={latencies[int(0.99 * calls)] * 1e3:.1f} wrong={wrong} loads={loads} {'short' if short else 'ok'}"
     )
     return 1 if short else 0
 
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -1,12 +1,13 @@
-"""Members of many machines on their links: what they cost, and how soon a kill and a stop are known to all.
+"""Cluster membership: the cost of a member, and how soon all members detect a kill and a stop.
 
     python benchmarks/mesh.py [--quick] [--counts 6,12,24]
 
-Each member is a process with its links to the others over loopback, and nothing else. For each count: messages and
-processor time of a member in calm, suspicions and deaths that nothing caused; then one is killed, and one is stopped
-and goes on. To notice is, for each of the others, from the deed until it holds that one for dead. Back is until all
-hold the one that goes on for alive. Short: a death that nothing caused, one that was not noticed by all, or a cost
-that grows with the members.
+Each member is a process that has only its connections to the others, over loopback. For each number of members, the
+benchmark measures messages and processor time of a member without faults, and counts false suspicions and deaths.
+Then one member is killed, and another is stopped and continued. The detection time is measured at each other member,
+from the signal until it considers the member dead; `back` is the time until all consider the continued member alive
+again. The result is `short` if there is a false death, a death that not all detect, or a cost that grows with the
+members.
 """
 
 from __future__ import annotations
@@ -35,71 +36,75 @@
 from standins.ports import free_ports  # noqa: E402
 from weldroute.members import MemberState, StateChange  # noqa: E402
 
-AIM_GROWTH = 1.3  # of messages a member, from the fewest members to the most
-PATIENCE = 30.0  # seconds for whatever has to be seen
+MAX_GROWTH = 1.3  # messages of a member: the largest cluster over the smallest
+STEP_TIMEOUT = 30.0  # seconds until an expected change is reported by all
 
 
-def member(pipe: Connection, number: int, ports: list[int], secret: Path) -> None:
-    """One process: tells of each change that it sees, and of its messages when it is asked."""
+def run_member(pipe: Connection, number: int, ports: list[int], secret: Path) -> None:
+    """Run one member: reports each state change that it sees and, on request, the number of messages sent."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        own = f"127.0.0.1:{ports[number]}"
-        spec = ClusterSpec(("127.0.0.1", ports[number]), own, f"m{number}", (f"127.0.0.1:{ports[0]}",), secret)
-        mesh = ClusterHost(spec, "bench", loop)
+        own_address = f"127.0.0.1:{ports[number]}"
+        spec = ClusterSpec(
+            ("127.0.0.1", ports[number]), own_address, f"m{number}", (f"127.0.0.1:{ports[0]}",), secret
+        )
+        host = ClusterHost(spec, "bench", loop)
         sent = 0
-        send = mesh.transport.send
+        send = host.transport.send
 
-        def counted(address: str, message: object) -> None:
+        def counting_send(address: str, message: object) -> None:
             nonlocal sent
             sent += 1
             send(address, message)  # type: ignore[arg-type]
 
-        def changed(change: StateChange) -> None:
+        def on_change(change: StateChange) -> None:
             pipe.send((time.monotonic(), number, change.record.name, change.record.state))
 
-        mesh.transport.send = counted  # type: ignore[method-assign]
-        mesh.runner.on_change = changed
-        asked = asyncio.Event()
+        host.transport.send = counting_send  # type: ignore[method-assign]
+        host.runner.on_change = on_change
+        stop_requested = asyncio.Event()
 
-        def ask() -> None:
+        def on_command() -> None:
             if pipe.recv():
                 pipe.send((time.monotonic(), number, "", sent))
             else:
-                asked.set()
+                stop_requested.set()
 
-        loop.add_reader(pipe.fileno(), ask)
-        await mesh.start()
-        await asked.wait()
+        loop.add_reader(pipe.fileno(), on_command)
+        await host.start()
+        await stop_requested.wait()
 
     asyncio.run(run())
 
 
 @dataclass
-class Found:
-    """Of one count of members."""
+class Result:
+    """The results for one number of members."""
 
     count: int
-    messages: float = 0.0  # a second, of each
-    cpu: float = 0.0  # seconds a second, of each
-    suspected: int = 0
-    dead: int = 0
-    kill: list[float] = field(default_factory=list)
-    stop: list[float] = field(default_factory=list)
-    back: float = 0.0
-
-    def line(self) -> str:
-        """For people."""
+    message_rate: float = 0.0  # messages a second, of each member
+    cpu_share: float = 0.0  # processor seconds a second, of each member
+    calm_suspicions: int = 0
+    calm_deaths: int = 0
+    kill_times: list[float] = field(default_factory=list)  # seconds until each other member detects the kill
+    stop_times: list[float] = field(default_factory=list)  # seconds until each other member detects the stop
+    back_seconds: float = 0.0  # until all consider the continued member alive
+
+    def summary(self) -> str:
+        """One line for people."""
         return (
-            f"{self.count} members: {self.messages:.1f} messages/s and {100 * self.cpu:.2f}% of a core each, "
-            f"{self.suspected} suspected and {self.dead} dead in calm; kill {quantile(self.kill, 0.5):.2f} s (p50) "
-            f"{quantile(self.kill, 0.99):.2f} s (p99), stop {quantile(self.stop, 0.5):.2f} s "
-            f"{quantile(self.stop, 0.99):.2f} s, back {self.back:.2f} s"
+            f"{self.count} members: {self.message_rate:.1f} messages/s and {100 * self.cpu_share:.2f}% of a core "
+            "each, "
+            f"{self.calm_suspicions} suspected and {self.calm_deaths} dead in calm; kill "
+            f"{quantile(self.kill_times, 0.5):.2f} s (p50) "
+            f"{quantile(self.kill_times, 0.99):.2f} s (p99), stop {quantile(self.stop_times, 0.5):.2f} s "
+            f"{quantile(self.stop_times, 0.99):.2f} s, back {self.back_seconds:.2f} s"
         )
 
 
-class Crowd:
-    """So many member processes, and what they tell."""
+class MemberProcesses:
+    """Member processes and the reports that they have sent."""
 
     def __init__(self, count: int, folder: Path) -> None:
         self.secret = folder / "key"
@@ -109,129 +114,159 @@
         context = get_context("fork")
         self.pipes: list[Connection] = []
         self.processes: list[Process] = []
-        self.told: list[tuple[float, int, str, int]] = []
+        self.reports: list[tuple[float, int, str, int]] = []
         for number in range(count):
-            mine, theirs = context.Pipe()
-            process = context.Process(target=member, args=(theirs, number, ports, self.secret), daemon=True)
+            own_end, member_end = context.Pipe()
+            process = context.Process(target=run_member, args=(member_end, number, ports, self.secret), daemon=True)
             process.start()
-            theirs.close()
-            self.pipes.append(mine)
+            member_end.close()
+            self.pipes.append(own_end)
             self.processes.append(process)  # type: ignore[arg-type]
 
-    def hear(self, seconds: float) -> None:
-        """Take in what comes within such a time."""
+    def receive(self, seconds: float) -> None:
+        """Receive reports for so many seconds."""
         end = time.monotonic() + seconds
-        while (left := end - time.monotonic()) > 0.0:
-            for pipe in wait(self.pipes, left):
+        while (time_left := end - time.monotonic()) > 0.0:
+            for pipe in wait(self.pipes, time_left):
                 assert isinstance(pipe, Connection)
                 try:
-                    self.told.append(pipe.recv())
+                    self.reports.append(pipe.recv())
                 except EOFError:
                     self.pipes.remove(pipe)
 
-    def until(self, condition: Callable[[], bool]) -> bool:
-        """Take in until it is so; whether it came to be."""
-        end = time.monotonic() + PATIENCE
+    def receive_until(self, condition: Callable[[], bool]) -> bool:
+        """Receive reports until a condition holds; returns whether it did within STEP_TIMEOUT."""
+        end = time.monotonic() + STEP_TIMEOUT
         while time.monotonic() < end:
             if condition():
                 return True
-            self.hear(0.02)
+            self.receive(0.02)
         return False
 
-    def last(self, observer: int, name: str) -> int | None:
-        """What a member holds of another."""
-        return next((state for _, who, of, state in reversed(self.told) if (who, of) == (observer, name)), None)
+    def last_state(self, observer: int, name: str) -> int | None:
+        """The last state of another member that an observer has reported."""
+        return next(
+            (
+                state
+                for _, reporter, subject, state in reversed(self.reports)
+                if (reporter, subject) == (observer, name)
+            ),
+            None,
+        )
 
-    def all_see(self, name: str, state: MemberState, but: set[int]) -> bool:
-        """Whether all others do."""
+    def all_observe(self, name: str, state: MemberState, excluded: set[int]) -> bool:
+        """Whether all other members, except those excluded, report a member in this state."""
         return all(
-            self.last(i, name) == state for i in range(len(self.processes)) if f"m{i}" != name and i not in but
+            self.last_state(index, name) == state
+            for index in range(len(self.processes))
+            if f"m{index}" != name and index not in excluded
         )
 
-    def sent(self) -> dict[int, int]:
-        """Messages of each since its start."""
-        mark = len(self.told)
+    def sent_counts(self) -> dict[int, int]:
+        """Messages that each member has sent since its start."""
+        first_report = len(self.reports)
         for pipe in self.pipes:
             pipe.send(True)
-        self.until(lambda: sum(of == "" for _, _, of, _ in self.told[mark:]) >= len(self.pipes))
-        return {who: count for _, who, of, count in self.told[mark:] if of == ""}
+        self.receive_until(
+            lambda: sum(subject == "" for _, _, subject, _ in self.reports[first_report:]) >= len(self.pipes)
+        )
+        return {reporter: count for _, reporter, subject, count in self.reports[first_report:] if subject == ""}
 
     def close(self) -> None:
-        """End all."""
+        """Kill all members."""
         for process in self.processes:
             process.kill()
             process.join()
 
 
-def noticed(crowd: Crowd, mark: int, at: float, name: str) -> list[float]:
-    """Seconds from a moment until each held that one for dead."""
-    first: dict[int, float] = {}
-    for when, who, of, state in crowd.told[mark:]:
-        if of == name and state == MemberState.DEAD:
-            first.setdefault(who, when - at)
-    return sorted(first.values())
+def detection_times(members: MemberProcesses, first_report: int, since: float, name: str) -> list[float]:
+    """Seconds from `since` until each reporter considered the member dead, in ascending order."""
+    detected: dict[int, float] = {}
+    for reported_at, reporter, subject, state in members.reports[first_report:]:
+        if subject == name and state == MemberState.DEAD:
+            detected.setdefault(reporter, reported_at - since)
+    return sorted(detected.values())
 
 
-def measure(count: int, seconds: float) -> Found:
-    """So many members."""
-    found = Found(count)
+def measure(count: int, seconds: float) -> Result:
+    """Measure a cluster of so many members; raises SystemExit if they do not find each other."""
+    result = Result(count)
     with tempfile.TemporaryDirectory(prefix="mesh-") as folder:
-        crowd = Crowd(count, Path(folder))
+        members = MemberProcesses(count, Path(folder))
         try:
-            if not crowd.until(lambda: all(crowd.all_see(f"m{i}", MemberState.ALIVE, set()) for i in range(count))):
+            if not members.receive_until(
+                lambda: all(members.all_observe(f"m{index}", MemberState.ALIVE, set()) for index in range(count))
+            ):
                 raise SystemExit(f"{count} members do not find each other")
-            crowd.hear(3.0)
-            mark, before, begin = len(crowd.told), crowd.sent(), time.monotonic()
-            used = [cpu.on_cpu(process.pid or 0) for process in crowd.processes]
-            crowd.hear(seconds)
-            after, passed = crowd.sent(), time.monotonic() - begin
-            spent = [cpu.on_cpu(process.pid or 0) - was for process, was in zip(crowd.processes, used, strict=True)]
-            found.messages = sum(after[i] - before[i] for i in after) / count / passed
-            found.cpu = sum(spent) / count / passed
-            calm = [state for _, _, of, state in crowd.told[mark:] if of]
-            found.suspected, found.dead = calm.count(MemberState.SUSPECT), calm.count(MemberState.DEAD)
-            for victim, number, times in ((1, signal.SIGKILL, found.kill), (2, signal.SIGSTOP, found.stop)):
-                mark, at, gone = len(crowd.told), time.monotonic(), {1, victim}
-                os.kill(crowd.processes[victim].pid or 0, number)
+            members.receive(3.0)
+            first_report, sent_before, begin = len(members.reports), members.sent_counts(), time.monotonic()
+            cpu_times_before = [cpu.cpu_seconds(process.pid or 0) for process in members.processes]
+            members.receive(seconds)
+            sent_after, elapsed = members.sent_counts(), time.monotonic() - begin
+            cpu_used = [
+                cpu.cpu_seconds(process.pid or 0) - cpu_before
+                for process, cpu_before in zip(members.processes, cpu_times_before, strict=True)
+            ]
+            result.message_rate = (
+                sum(sent_after[index] - sent_before[index] for index in sent_after) / count / elapsed
+            )
+            result.cpu_share = sum(cpu_used) / count / elapsed
+            calm = [state for _, _, subject, state in members.reports[first_report:] if subject]
+            result.calm_suspicions, result.calm_deaths = calm.count(MemberState.SUSPECT), calm.count(MemberState.DEAD)
+            for victim, number, detected in (
+                (1, signal.SIGKILL, result.kill_times),
+                (2, signal.SIGSTOP, result.stop_times),
+            ):
+                first_report, fault_time, excluded = len(members.reports), time.monotonic(), {1, victim}
+                os.kill(members.processes[victim].pid or 0, number)
                 name = f"m{victim}"
-                crowd.until(lambda name=name, gone=gone: crowd.all_see(name, MemberState.DEAD, gone))  # type: ignore[misc]
-                times += noticed(crowd, mark, at, name)
-            at = time.monotonic()
-            os.kill(crowd.processes[2].pid or 0, signal.SIGCONT)
-            crowd.until(lambda: crowd.all_see("m2", MemberState.ALIVE, {1}))
-            found.back = time.monotonic() - at
+                members.receive_until(
+                    lambda name=name, excluded=excluded: members.all_observe(name, MemberState.DEAD, excluded)  # type: ignore[misc]
+                )
+                detected += detection_times(members, first_report, fault_time, name)
+            fault_time = time.monotonic()
+            os.kill(members.processes[2].pid or 0, signal.SIGCONT)
+            members.receive_until(lambda: members.all_observe("m2", MemberState.ALIVE, {1}))
+            result.back_seconds = time.monotonic() - fault_time
         finally:
-            crowd.close()
-    return found
+            members.close()
+    return result
 
 
 def main() -> int:
     """Returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--quick", action="store_true", help="five seconds of calm for each count; under 50 s")
-    parser.add_argument("--counts", default="6,12,24", help="of members (6,12,24)")
+    parser.add_argument("--counts", default="6,12,24", help="numbers of members (6,12,24)")
     options = parser.parse_args()
-    found = [measure(int(count), 5.0 if options.quick else 60.0) for count in options.counts.split(",")]
-    for one in found:
-        print(one.line())
-    few, many = found[0], found[-1]
-    growth = many.messages / few.messages
-    short = [f"{one.count} members: {one.dead} dead in calm" for one in found if one.dead]
-    for one in found:
-        if len(one.kill) < one.count - 1 or len(one.stop) < one.count - 2:
-            short.append(f"{one.count} members: a kill was noticed by {len(one.kill)}, a stop by {len(one.stop)}")
-    if growth > AIM_GROWTH:
-        short.append(f"messages of a member: {growth:.2f} times as many, aim {AIM_GROWTH}")
-    for fault in short:
-        print(fault, file=sys.stderr)
+    results = [measure(int(count), 5.0 if options.quick else 60.0) for count in options.counts.split(",")]
+    for result in results:
+        print(result.summary())
+    smallest, largest = results[0], results[-1]
+    growth = largest.message_rate / smallest.message_rate
+    missed = [
+        f"{result.count} members: {result.calm_deaths} dead in calm" for result in results if result.calm_deaths
+    ]
+    for result in results:
+        if len(result.kill_times) < result.count - 1 or len(result.stop_times) < result.count - 2:
+            missed.append(
+                f"{result.count} members: a kill was detected by {len(result.kill_times)}, a stop by "
+                f"{len(result.stop_times)}"
+            )
+    if growth > MAX_GROWTH:
+        missed.append(f"messages of a member: {growth:.2f} times as many, limit {MAX_GROWTH}")
+    for text in missed:
+        print(text, file=sys.stderr)
     print(
-        f"mesh: members={many.count} messages_s={many.messages:.1f} growth={growth:.2f} cpu={many.cpu:.4f} "
-        f"suspected={sum(one.suspected for one in found)} dead={sum(one.dead for one in found)} "
-        f"kill_p50_s={quantile(many.kill, 0.5):.2f} kill_p99_s={quantile(many.kill, 0.99):.2f} "
-        f"stop_p50_s={quantile(many.stop, 0.5):.2f} stop_p99_s={quantile(many.stop, 0.99):.2f} "
-        f"back_s={many.back:.2f} {'short' if short else 'ok'}"
+        f"mesh: members={largest.count} messages_s={largest.message_rate:.1f} growth={growth:.2f} "
+        f"cpu={largest.cpu_share:.4f} "
+        f"suspected={sum(result.calm_suspicions for result in results)} "
+        f"dead={sum(result.calm_deaths for result in results)} "
+        f"kill_p50_s={quantile(largest.kill_times, 0.5):.2f} kill_p99_s={quantile(largest.kill_times, 0.99):.2f} "
+        f"stop_p50_s={quantile(largest.stop_times, 0.5):.2f} stop_p99_s={quantile(largest.stop_times, 0.99):.2f} "
+        f"back_s={largest.back_seconds:.2f} {'short' if missed else 'ok'}"
     )
-    return 1 if short else 0
+    return 1 if missed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,9 +1,9 @@
-"""Planted defects: each is put into a copy of the network code, and hunted until a seed finds it.
+"""Planted defects: each is put into a copy of the code, and seeds are searched until one finds it.
 
     python benchmarks/mutants.py [--quick] [--limit SEEDS] [--only WORD]
 
-Prints a table (defect, first seed that finds it, the rule that it breaks), then one figure line; exits 1 when a
-defect is not found within the limit (500 seeds). --quick hunts five of them.
+Prints a table (defect, first seed that finds it, the rule that it violates), then one figure line; the exit code is 1
+if a defect is not found within the limit (500 seeds). --quick plants five of them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGES = ("cometusher", "standins", "weldroute")
-PATIENCE = 180.0  # seconds for the seeds of one defect
+SEARCH_TIMEOUT = 180.0  # seconds for all seeds of one defect
 FOUND = re.compile(r"^seed (\d+) \((\w+)\): [\d.]+ ([^:]+): ", re.MULTILINE)
 
 
@@ -57,19 +57,19 @@
         'self.on_attempt_ended(attempt, Outcome.UNREACHABLE, None, f"no answer by',
     ),
     Mutant(
-        "a 500 is reported as never ran",
+        "a status 500 is reported as never ran",
         "backends",
         'return Outcome.ERROR, f"status',
         'return Outcome.FULL, f"status',
     ),
     Mutant(
-        "a caller's descriptor is not given back",
+        "a caller's descriptor is not released",
         "callers",
         "del self._connections[connection]\n            self._descriptors.release_caller()",
         "del self._connections[connection]",
     ),
     Mutant(
-        "a backend's descriptor is not given back",
+        "a backend's descriptor is not released",
         "backends",
         "self.remove_from_pool(connection)\n        self._descriptors.release_backend()",
         "self.remove_from_pool(connection)",
@@ -87,52 +87,52 @@
         'log.warning("accept failed: %s", fault)',
     ),
     Mutant(
-        "a body's memory is not given back",
+        "the memory of a body is not released",
         "callers",
         "self._callers.memory.release(request.reserved_bytes)\n        request.reserved_bytes = 0",
         "request.reserved_bytes = 0",
     ),
     Mutant(
-        "an idle connection is not looked at before use",
+        "an idle connection is not checked before use",
         "backends",
         "return not self._has_unread_data()",
         "return True",
     ),
     Mutant(
-        "an attempt that is given up keeps its connection",
+        "an abandoned attempt keeps its connection",
         "backends",
         "attempt.connection.close()\n        return progress",
         "pass\n        return progress",
     ),
     Mutant(
-        "a connection in use is taken again",
+        "a connection in use is reused",
         "backends",
         "self.remove_from_pool(connection)\n            self._busy[connection] = None\n            connection.send",
         "self._busy[connection] = None\n            connection.send",
     ),
     Mutant(
-        "the module is not told that a caller left",
+        "the balancer is not notified that a caller left",
         "callers",
         "if accepted is not None:\n            accepted.on_caller_left()",
         "if accepted is not None:\n            pass",
     ),
     Mutant(
-        "a backend's start is not read",
+        "a backend's start time is not read",
         "discovery",
         'started=_number(item.get("born_ms"), 0.0) / 1000.0',
         "started=0.0",
     ),
     Mutant(
-        "an older change is believed", "discovery", "if not listing.whole and listing.seq < self._seq:", "if False:"
+        "an older change is applied", "discovery", "if not listing.whole and listing.seq < self._seq:", "if False:"
     ),
     Mutant(
-        "a caller's time is not respected",
+        "a caller's time budget is ignored",
         "proxy",
         "budget = max_budget if budget is None else min(budget, max_budget)",
         "budget = max_budget",
     ),
     Mutant(
-        "an answer that was cut counts as whole",
+        "a truncated response counts as complete",
         "http1",
         "if self.response is not None and self.head_done and self.response.until_eof:",
         "if self.response is not None and self.head_done:",
@@ -144,52 +144,52 @@
         "if all_closed is None:",
     ),
     Mutant(
-        "a drain does not wait for its answers",
+        "a drain does not wait for open requests",
         "proxy",
         "while all_closed is None or not all_closed.done():",
         "while all_closed is None:",
     ),
     Mutant(
-        "a drain never ends its connections",
+        "a drain never closes its connections",
         "callers",
         "or self._callers.listener_state.closes_after_answer\n            or self._callers.out_of_descriptors",
         "or self._callers.out_of_descriptors",
     ),
     Mutant(
-        "the wall clock decides deadlines",
+        "deadlines follow the wall clock",
         "proxy",
         "self._monotonic = network.monotonic\n        self._offset = network.unix_time() - network.monotonic()",
         "self._monotonic = network.unix_time\n        self._offset = 0.0",
     ),
     Mutant(
-        "a repeat has lost its body",
+        "a repeat is sent without its body",
         "proxy",
         "attempt.body = body\n",
         "attempt.body = body\n        if request.body:\n            request.body = bytearray()",
     ),
     Mutant(
-        "the listener is not watched again after a shortage",
+        "accepting is not resumed after a shortage of descriptors",
         "callers",
         "# Otherwise a paused listener would wait for a descriptor that no connection releases by itself.\n"
         "        self._resume_accepting()",
         "pass",
     ),
     Mutant(
-        "a head that ends with a body behind it is too large",
+        "a head followed by a body is rejected as too large",
         "http1",
         "if self._head_bytes > MAX_HEAD:",
         "if self._head_bytes + self._overhead_bytes > MAX_HEAD:",
     ),
     Mutant(
-        "a request is taken while another is open",
+        "a request is accepted while another is open",
         "callers",
         "if self._request is not None or self._complete_request is not None:",
         "if False:",
     ),
-    Mutant("the end of a watch ends discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
-    # Of calls, upgrades and long messages; planted before the oracles that look for them were written.
+    Mutant("the end of a watch stops discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
+    # Defects of operators' calls, hot restarts and long messages.
     Mutant(
-        "a ban does not reach an attempt that connects",
+        "a ban does not stop an attempt that is connecting",
         "proxy",
         "return not exchange.answered and attempt.server not in self.balancer.bans",
         "return not exchange.answered",
@@ -203,46 +203,50 @@
     Mutant(
         "an evacuation is not handed over", "serialization", "proxy.operations.evacuate(proxy.loop.time())", "pass"
     ),
-    Mutant("an id stays taken for good", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
+    Mutant("a request id is never released", "proxy", "self._open_ids.discard(exchange.call_id)", "pass"),
     Mutant(
-        "the module keeps requests whose attempts end late",
+        "the balancer keeps requests whose attempts end late",
         "weldroute/decide",
         "if request.done:\n            if not request.open:\n                self.requests.pop(request_id, None)",
         "if request.done:\n            pass",
     ),
     Mutant(
-        "the module is not told that a body is spent",
+        "the balancer is not notified that a body was released",
         "proxy",
         "self.balancer.on_body_released(exchange.request_id)",
         "pass",
     ),
     Mutant(
-        "a caller that was held is not read again",
+        "reading from a paused caller is not resumed",
         "stream",
         "if self._waiting_bytes <= MAX_WAITING_BYTES // 2:",
         "if False:",
     ),
     Mutant(
-        "the other process's descriptors don't count",
+        "the other process's descriptors are not counted",
         "budget",
         "return self.used + self.used_by_others() >= self.limit",
         "return self.used >= self.limit",
     ),
+    Mutant("an attempt gets the whole budget", "proxy", "format_budget(left))]", "format_budget(exchange.budget))]"),
     Mutant(
-        "an attempt is told of the whole time", "proxy", "format_budget(left))]", "format_budget(exchange.budget))]"
-    ),
-    Mutant(
-        "a repeat has lost its key",
+        "a repeat is sent without its key",
         "proxy",
         'headers = [*exchange.headers, (b"x-budget"',
         'headers = [*(h for h in exchange.headers if not attempt.number or h[0] != b"idempotency-key"), (b"x-budget"',
     ),
 )
-QUICK = ("reset is reported", "second answer", "counts as up", "descriptor is not given", "was cut counts")
+QUICK = (
+    "reset is reported",
+    "second answer",
+    "counts as up",
+    "descriptor is not released",
+    "truncated response counts",
+)
 
 
 def plant(folder: Path, mutant: Mutant) -> None:
-    """A copy of the code with one defect; raises ValueError where the code has moved on."""
+    """Copy the code with one defect; raises ValueError unless the quoted source occurs exactly once."""
     for package in PACKAGES:
         shutil.copytree(ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__"))
     package, _, module = mutant.module.rpartition("/")
@@ -253,10 +257,10 @@
     path.write_text(text.replace(mutant.old, mutant.new))
 
 
-def seek(mutant: Mutant, limit: int, jobs: int) -> tuple[int, str, str] | None:
-    """The first seed that finds a defect, its world and the rule that is broken."""
-    with tempfile.TemporaryDirectory() as name:
-        plant(Path(name), mutant)
+def find_seed(mutant: Mutant, limit: int, jobs: int) -> tuple[int, str, str] | None:
+    """The first seed that finds a defect, its world and the rule that is violated; None if there is none."""
+    with tempfile.TemporaryDirectory() as folder:
+        plant(Path(folder), mutant)
         command = [
             sys.executable,
             "-m",
@@ -269,11 +273,13 @@
             "--first",
             "--keep",
         ]
-        done = subprocess.run(command, cwd=name, capture_output=True, text=True, check=False, timeout=PATIENCE)
-        found = FOUND.search(done.stdout)
-        if found is None and done.returncode != 0:
-            raise RuntimeError(f"{mutant.name}: {done.stderr[-2000:]}")
-        return None if found is None else (int(found[1]), found[2], found[3])
+        process = subprocess.run(
+            command, cwd=folder, capture_output=True, text=True, check=False, timeout=SEARCH_TIMEOUT
+        )
+        match = FOUND.search(process.stdout)
+        if match is None and process.returncode != 0:
+            raise RuntimeError(f"{mutant.name}: {process.stderr[-2000:]}")
+        return None if match is None else (int(match[1]), match[2], match[3])
 
 
 def main() -> int:
@@ -288,22 +294,22 @@
     if options.quick:
         chosen = [m for m in MUTANTS if any(word in m.name for word in QUICK)]
     found = 0
-    worst = 0
-    print("| defect | seed | world | rule that it breaks |\n| --- | --- | --- | --- |")
+    last_seed = 0
+    print("| defect | seed | world | rule that it violates |\n| --- | --- | --- | --- |")
     for mutant in chosen:
-        result = seek(mutant, options.limit, options.jobs)
+        result = find_seed(mutant, options.limit, options.jobs)
         if result is not None:
             found += 1
-            worst = max(worst, result[0])
+            last_seed = max(last_seed, result[0])
             print(f"| {mutant.name} | {result[0]} | {result[1]} | {result[2]} |", flush=True)
         else:
             print(f"| {mutant.name} | not within {options.limit} | | |", flush=True)
-    good = found == len(chosen)
+    passed = found == len(chosen)
     print(
-        f"mutants: planted={len(chosen)} found={found} last_seed={worst} limit={options.limit} "
-        f"{'ok' if good else 'short'}"
+        f"mutants: planted={len(chosen)} found={found} last_seed={last_seed} limit={options.limit} "
+        f"{'ok' if passed else 'short'}"
     )
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,14 +1,15 @@
-"""Work in hand under kills, with the table [takeover] against without it, in one run; and what it costs in calm.
+"""Takeover of in-flight requests under kills, with the table [takeover] and without it, in one run; and its cost.
 
     python benchmarks/takeover.py [--quick] [--instances N] [--kills N]
     python benchmarks/takeover.py --schedules 300 [--from SEED]
 
-Kills at random among the instances, requests of all classes with 30 to 500 ms of work; callers repeat nothing. Not
-answered is what ended, or hung for a second beyond its time, with no whole answer. Cost: two fleets in calm at the
-same time, one with the table and one without, before the same backends, at the same rate; and one instance of each
-in turn as fast as it can, which costs a request least and so shows notes most (cpu_full_rate, without an aim). With
---schedules: as many drills, each with kills, stops, slow and cut links drawn from its seed; the rules are checked in
-every one.
+Instances are killed at random while requests of all classes with 30 to 500 ms of work run; callers repeat nothing.
+Unanswered are the requests that ended, or hung for a second beyond their time budget, without a whole answer. Cost is
+measured on two fleets without faults at the same time, with the table and without, before the same backends and at
+the same rate; and on one instance of each, alternately at full rate, where a request costs least and the request
+journal therefore the largest share (cpu_full_rate, which has no limit). With --schedules, the benchmark runs so many
+fault injection scenarios instead, each with kills, stops, and slow and cut links drawn from its seed; the invariants
+are checked in every one.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
 import cpu  # noqa: E402
-from apart import alone  # noqa: E402
+from apart import run_coroutine  # noqa: E402
 
 from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, World, signal_processes, wait_until  # noqa: E402
 from cometusher.fault_injection.runner import run_scenario  # noqa: E402
@@ -43,50 +44,52 @@
 from standins.discovery import HostList  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
-WORK, LONGEST = 0.03, 0.5  # seconds of a backend's work, least and most
-RATE = 20.0  # requests a second of each instance
-AIM_SEND = 0.15  # seconds from a death to the heir's act, for 99 of 100
-AIM_CPU, AIM_P50 = 1.08, 1.05
+MIN_WORK, MAX_WORK = 0.03, 0.5  # seconds of work of a request at a backend
+RATE = 20.0  # requests a second to each instance
+MAX_ACT_SECONDS = 0.15  # from a death to the successor's act, 99th percentile
+MAX_CPU_RATIO, MAX_P50_RATIO = 1.08, 1.05
 POLICY = {"budget": 100_000, "backoff_from": 0.05, "backoff_to": 0.3}
 
 
 @dataclass
-class Killed:
-    """What came of the kills."""
+class KillResult:
+    """The results of the kills."""
 
     kills: int = 0
     sent: int = 0
-    how: dict[str, int] = field(default_factory=dict)
-    twice: int = 0
-    wrong: int = 0
-    second: int = 0
-    left: int = 0
-    orphaned: int = 0
+    outcomes: dict[str, int] = field(default_factory=dict)
+    duplicate_effects: int = 0
+    wrong_answers: int = 0
+    extra_answers: int = 0
+    orphaned_journals: int = 0
+    unserved_orphans: int = 0
     verdicts: dict[str, int] = field(default_factory=dict)
-    times: list[float] = field(default_factory=list)  # seconds from a death to the heir's act
+    act_times: list[float] = field(default_factory=list)  # seconds from a death to the successor's act
 
     @property
     def unanswered(self) -> int:
-        """Requests without an answer."""
-        return self.how.get("lost", 0)
+        """Number of requests without an answer."""
+        return self.outcomes.get("lost", 0)
 
     def quantile(self, q: float) -> float:
-        """Seconds."""
-        return quantile(self.times, q)
+        """Seconds from a death to the successor's act, for this part of the acts."""
+        return quantile(self.act_times, q)
 
-    def line(self) -> str:
-        """For people."""
-        how = ", ".join(f"{name} {count}" for name, count in sorted(self.how.items()))
+    def summary(self) -> str:
+        """One line for people."""
+        outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
         verdicts = ", ".join(f"{name} {count}" for name, count in sorted(self.verdicts.items()))
         return (
-            f"{self.kills} kills, {self.sent} sent: {how}; twice {self.twice}, wrong {self.wrong}, "
-            f"second {self.second}; left {self.left}, orphaned {self.orphaned}; {verdicts}; "
+            f"{self.kills} kills, {self.sent} sent: {outcomes}; twice {self.duplicate_effects}, wrong "
+            f"{self.wrong_answers}, "
+            f"second {self.extra_answers}; left {self.orphaned_journals}, orphaned {self.unserved_orphans}; "
+            f"{verdicts}; "
             f"act after {1000 * self.quantile(0.5):.0f} ms (p50), {1000 * self.quantile(0.99):.0f} ms (p99)"
         )
 
 
-def acts(fleet: Fleet, deaths: dict[str, list[float]]) -> tuple[dict[str, int], list[float]]:
-    """Verdicts of heirs, and the seconds from each death to the acts that it led to, out of the fleet's log."""
+def read_takeovers(fleet: Fleet, deaths: dict[str, list[float]]) -> tuple[dict[str, int], list[float]]:
+    """From the fleet's log: the successors' verdicts, and the seconds from each death to the acts after it."""
     verdicts: Counter[str] = Counter()
     names: dict[str, str] = {}
     times = []
@@ -99,19 +102,19 @@
             continue
         process, verdict = text.split(" of process ")[1].split(": ")[:2]
         verdicts[verdict] += 1
-        at = [death for death in deaths.get(names.get(process, ""), []) if death <= record["ts"] + 0.002]
-        if at:
-            times.append(max(0.0, record["ts"] - max(at)))
+        earlier_deaths = [death for death in deaths.get(names.get(process, ""), []) if death <= record["ts"] + 0.002]
+        if earlier_deaths:
+            times.append(max(0.0, record["ts"] - max(earlier_deaths)))
     return dict(verdicts), times
 
 
-async def kill(on: bool, instances: int, kills: int, pace: float) -> Killed:
-    """Kills at random among a fleet, so many a second."""
-    found, rng = Killed(), Random(7)
+async def run_kills(with_takeover: bool, instances: int, kills: int, kill_rate: float) -> KillResult:
+    """Kill random instances of a fleet, `kill_rate` a second on average."""
+    result, rng = KillResult(), Random(7)
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
-        world = World(Path(folder), 2 * instances, WORK)
-        world.backend_stats.max_work, world.request_classes = LONGEST, ALL_CLASSES
-        fleet = world.add_fleet("a", instances, 0, False, on)
+        world = World(Path(folder), 2 * instances, MIN_WORK)
+        world.backend_stats.max_work, world.request_classes = MAX_WORK, ALL_CLASSES
+        fleet = world.add_fleet("a", instances, 0, False, with_takeover)
         fleet.policy = dict(POLICY)
         fleet.log_format = "json"
         try:
@@ -119,78 +122,81 @@
             await asyncio.sleep(2.5)
             begin = time.monotonic()
             deaths: dict[str, list[float]] = {}
-            while found.kills < kills:
-                await asyncio.sleep(rng.expovariate(pace))
-                rows = await fleet.instance_status()
+            while result.kills < kills:
+                await asyncio.sleep(rng.expovariate(kill_rate))
+                instances_by_name = await fleet.instance_status()
                 name = f"p{rng.randrange(instances)}"
-                if rows.get(name, {}).get("state") == "ready":
+                if instances_by_name.get(name, {}).get("state") == "ready":
                     deaths.setdefault(name, []).append(time.time())
-                    found.kills += len(signal_processes([rows[name]["pid"]], 9))
+                    result.kills += len(signal_processes([instances_by_name[name]["pid"]], 9))
             end = time.monotonic()
             await asyncio.sleep(4.5)
-            estate = (await fleet.status()).get("takeover", {})
+            takeover_counters = (await fleet.status()).get("takeover", {})
         finally:
             await world.stop()
         assert world.load is not None
-        told = [row for row in world.load.results if begin <= row.sent_at <= end + 0.5]
-        found.sent, found.how = len(told), dict(Counter(row.outcome for row in told))
-        found.twice, found.wrong, found.second = (
+        requests = [request for request in world.load.results if begin <= request.sent_at <= end + 0.5]
+        result.sent, result.outcomes = len(requests), dict(Counter(request.outcome for request in requests))
+        result.duplicate_effects, result.wrong_answers, result.extra_answers = (
             world.duplicate_effects(),
             world.load.wrong_answers,
             world.load.extra_answers,
         )
-        found.left, found.orphaned = estate.get("left", 0), estate.get("lost", 0)
-        found.verdicts, found.times = acts(fleet, deaths)
-    return found
+        result.orphaned_journals, result.unserved_orphans = (
+            takeover_counters.get("left", 0),
+            takeover_counters.get("lost", 0),
+        )
+        result.verdicts, result.act_times = read_takeovers(fleet, deaths)
+    return result
 
 
 @dataclass
 class Cost:
-    """Of one fleet in calm."""
+    """The cost of one fleet without faults."""
 
-    cpu: float = 0.0  # seconds of its instances' processor time, for each request
-    p50: float = 0.0  # seconds
-    descriptors: float = 0.0  # of an instance
-    shelf: int = 0  # bytes of shared memory
-    keeper: float = 0.0  # bytes of a keeper that nobody else has
+    cpu_per_request: float = 0.0  # processor seconds of its instances
+    p50: float = 0.0  # median latency in seconds
+    descriptors: float = 0.0  # of an instance, on average
+    journal_pool_bytes: int = 0  # of shared memory
+    holder_bytes: float = 0.0  # private memory of a descriptor holder, on average
 
 
-def _private(pid: int) -> int:
-    """Bytes of memory that only this process has (smaps_rollup of proc(5))."""
-    rows = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
-    return sum(int(row.split()[1]) * 1024 for row in rows if row.startswith("Private_"))
+def _private_bytes(pid: int) -> int:
+    """Bytes of private memory of a process (smaps_rollup of proc(5))."""
+    lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()
+    return sum(int(line.split()[1]) * 1024 for line in lines if line.startswith("Private_"))
 
 
-def _keepers(supervisor: int) -> list[int]:
+def _descriptor_holders(supervisor: int) -> list[int]:
     children = Path(f"/proc/{supervisor}/task/{supervisor}/children").read_text().split()
     return [int(pid) for pid in children if Path(f"/proc/{pid}/comm").read_text().strip() == "keeper"]
 
 
-def _shelf(supervisor: int) -> int:
-    """Bytes that the shelf takes."""
+def _journal_pool_bytes(supervisor: int) -> int:
+    """Bytes that the journal pool occupies; 0 without one."""
     for entry in os.scandir(f"/proc/{supervisor}/fd"):
         if "memfd:shelf" in os.readlink(entry.path):
             return os.stat(entry.path).st_blocks * 512
     return 0
 
 
-def message(number: int, i: int, part: int = 0) -> bytes:
-    """Of eight requests five are views and three keyed, with keys of this part of the measurement alone."""
-    if i % 8 < 5:
-        return cpu.view(number, i)
-    key = part << 96 | number << 64 | i
+def mixed_request(number: int, index: int, part: int = 0) -> bytes:
+    """Of eight requests, five are views and three have a key, which `part` makes unique to a part of the run."""
+    if index % 8 < 5:
+        return cpu.report_view_request(number, index)
+    key = part << 96 | number << 64 | index
     return (
         b"POST /api HTTP/1.1\r\nHost: b\r\nX-Call-Id: %d-%d\r\nX-Call-Class: submit\r\nX-Caller: univ-central\r\n"
-        b"X-Budget: 2000m\r\nIdempotency-Key: %032x\r\nContent-Length: 5\r\n\r\ndraft" % (number, i, key)
+        b"X-Budget: 2000m\r\nIdempotency-Key: %032x\r\nContent-Length: 5\r\n\r\ndraft" % (number, index, key)
     )
 
 
-async def processor(rounds: int, count: int) -> float:
-    """Processor time of a request with the table over that without, in turn; the median of the rounds."""
+async def cpu_ratio(rounds: int, count: int) -> float:
+    """Processor time of a request with the table over that without, alternately; the median of the rounds."""
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
         backend = await asyncio.get_running_loop().create_server(cpu.Echo, "127.0.0.1", 0)
         port = int(backend.sockets[0].getsockname()[1])
-        lists = HostList(
+        discovery = HostList(
             [
                 {
                     "host": "s-1",
@@ -204,56 +210,62 @@
                 }
             ]
         )
-        await lists.start()
+        await discovery.start()
         fleets = [Fleet(Path(folder), name, 1, 1, False, name == "on") for name in ("on", "off")]
         try:
             for fleet in fleets:
-                fleet.write(lists.port)
+                fleet.write(discovery.port)
                 await fleet.start()
             for fleet in fleets:
                 await wait_until(fleet.is_ready)
             pids = [(await fleet.instance_status())["p0"]["pid"] for fleet in fleets]
             ratios = []
-            for number in range(rounds + 1):  # the first warms up
+            for number in range(rounds + 1):  # the first is a warm-up
                 costs = []
                 for fleet, pid in zip(fleets, pids, strict=True):
-                    before = cpu.on_cpu(pid)
-                    await cpu.drive(fleet.ports[0], count, partial(message, part=number))
-                    costs.append(cpu.on_cpu(pid) - before)
+                    before = cpu.cpu_seconds(pid)
+                    await cpu.send_requests(fleet.ports[0], count, partial(mixed_request, part=number))
+                    costs.append(cpu.cpu_seconds(pid) - before)
                 if number:
                     ratios.append(costs[0] / costs[1])
             return statistics.median(ratios)
         finally:
             for fleet in fleets:
                 await fleet.stop()
-            await lists.stop()
+            await discovery.stop()
             backend.close()
 
 
-async def calm(instances: int, seconds: float) -> tuple[Cost, Cost]:
-    """Two fleets at the same time, with the table and without."""
+async def measure_calm(instances: int, seconds: float) -> tuple[Cost, Cost]:
+    """Run two fleets at the same time; returns the cost with the table and without."""
     with tempfile.TemporaryDirectory(prefix="hand-") as folder:
-        world = World(Path(folder), 2 * instances, WORK)
+        world = World(Path(folder), 2 * instances, MIN_WORK)
         fleets = [world.add_fleet(name, instances, 0, False, name == "on") for name in ("on", "off")]
         try:
             await world.start(2.0 * RATE * instances)
             await asyncio.sleep(2.5)
             assert world.load is not None
             pids = [[row["pid"] for row in (await fleet.instance_status()).values()] for fleet in fleets]
-            begin, before = time.monotonic(), [sum(map(cpu.on_cpu, each)) for each in pids]
+            begin, before = time.monotonic(), [sum(map(cpu.cpu_seconds, fleet_pids)) for fleet_pids in pids]
             await asyncio.sleep(seconds)
-            used = [sum(map(cpu.on_cpu, each)) - start for each, start in zip(pids, before, strict=True)]
+            cpu_times = [
+                sum(map(cpu.cpu_seconds, fleet_pids)) - start for fleet_pids, start in zip(pids, before, strict=True)
+            ]
             costs = []
-            for fleet, each, spent in zip(fleets, pids, used, strict=True):
+            for fleet, fleet_pids, cpu_used in zip(fleets, pids, cpu_times, strict=True):
                 ports = {("127.0.0.1", port) for port in fleet.ports}
-                told = [row for row in world.load.results if row.sent_at >= begin and row.address in ports]
-                times = sorted(row.ended_at - row.sent_at for row in told)
+                requests = [row for row in world.load.results if row.sent_at >= begin and row.address in ports]
+                latencies = sorted(row.ended_at - row.sent_at for row in requests)
                 assert fleet.process is not None
-                held = [len(os.listdir(f"/proc/{pid}/fd")) for pid in each]
-                cost = Cost(spent / len(told), times[len(times) // 2], sum(held) / len(held))
-                cost.shelf = _shelf(fleet.process.pid)
-                keepers = _keepers(fleet.process.pid)
-                cost.keeper = sum(map(_private, keepers)) / len(keepers) if keepers else 0.0
+                descriptor_counts = [len(os.listdir(f"/proc/{pid}/fd")) for pid in fleet_pids]
+                cost = Cost(
+                    cpu_used / len(requests),
+                    latencies[len(latencies) // 2],
+                    sum(descriptor_counts) / len(descriptor_counts),
+                )
+                cost.journal_pool_bytes = _journal_pool_bytes(fleet.process.pid)
+                holders = _descriptor_holders(fleet.process.pid)
+                cost.holder_bytes = sum(map(_private_bytes, holders)) / len(holders) if holders else 0.0
                 costs.append(cost)
             return costs[0], costs[1]
         finally:
@@ -263,8 +275,8 @@
 # ---- schedules -----------------------------------------------------------------------------
 
 
-def drawn(seed: int) -> Scenario:
-    """A drill with faults drawn from a seed."""
+def random_scenario(seed: int) -> Scenario:
+    """A scenario with faults drawn from a seed."""
     rng = Random(seed)
     faults = []
     for _ in range(rng.randint(2, 5)):
@@ -294,36 +306,36 @@
             }
             values["share"] = rng.choice((0.2, 0.4))
         faults.append(Fault(**values))
-    part = ScenarioFleet("a", 0, 6, False, True)
+    fleet = ScenarioFleet("a", 0, 6, False, True)
     return Scenario(
-        f"seed {seed}", seed, 0.5, 4.0, (part,), 12, WORK, LONGEST, 90.0, True, ("backend",), tuple(faults), ()
+        f"seed {seed}", seed, 0.5, 4.0, (fleet,), 12, MIN_WORK, MAX_WORK, 90.0, True, ("backend",), tuple(faults), ()
     )
 
 
-def schedule(seed: int, keep: Path | None = None) -> tuple[int, dict[str, float]]:
-    """One of them; its figures. Of one that lost a request, what happened is kept in a folder."""
+def run_schedule(seed: int, keep: Path | None = None) -> tuple[int, dict[str, float]]:
+    """Run one scenario; returns its seed and figures. With `keep`, saves the log of a run that lost a request."""
     while True:
         with tempfile.TemporaryDirectory(prefix="drill-") as folder:
             try:
-                outcome = asyncio.run(run_scenario(drawn(seed), Path(folder)))
-                if keep is not None and outcome.figures["lost"]:
-                    kept = keep / f"{seed}"
-                    kept.mkdir(parents=True, exist_ok=True)
-                    shutil.copy(Path(folder) / "a" / "fleet.log", kept)
-                    told = [f"{one}" for one in outcome.requests if one.outcome == "lost"]
-                    done = [f"{at:.3f} {what}" for at, what in outcome.timeline]
-                    (kept / "lost.txt").write_text("\n".join([*told, *done]) + "\n")
-                return seed, outcome.figures
-            except RuntimeError as fault:  # a port was taken by a drill beside it
-                print(f"seed {seed} again: {fault}", file=sys.stderr)
-
-
-def schedules(first: int, count: int, jobs: int, keep: Path | None) -> int:
-    """So many; returns the exit code."""
+                result = asyncio.run(run_scenario(random_scenario(seed), Path(folder)))
+                if keep is not None and result.figures["lost"]:
+                    seed_folder = keep / f"{seed}"
+                    seed_folder.mkdir(parents=True, exist_ok=True)
+                    shutil.copy(Path(folder) / "a" / "fleet.log", seed_folder)
+                    lost = [f"{request}" for request in result.requests if request.outcome == "lost"]
+                    timeline = [f"{applied_at:.3f} {description}" for applied_at, description in result.timeline]
+                    (seed_folder / "lost.txt").write_text("\n".join([*lost, *timeline]) + "\n")
+                return seed, result.figures
+            except RuntimeError as error:  # another run has taken a port
+                print(f"seed {seed} again: {error}", file=sys.stderr)
+
+
+def run_schedules(first: int, count: int, jobs: int, keep: Path | None) -> int:
+    """Run so many scenarios; returns the exit code."""
     sums: Counter[str] = Counter()
-    broken = []
+    violating_seeds = []
     with ProcessPoolExecutor(jobs) as pool:
-        for seed, figures in pool.map(partial(schedule, keep=keep), range(first, first + count)):
+        for seed, figures in pool.map(partial(run_schedule, keep=keep), range(first, first + count)):
             for key in (
                 "sent",
                 "served",
@@ -338,60 +350,66 @@
             ):
                 sums[key] += int(figures[key])
             if any(figures[key] for key in ("twice", "second", "wrong")):
-                broken.append(seed)
-            if figures["lost"] or seed in broken:
+                violating_seeds.append(seed)
+            if figures["lost"] or seed in violating_seeds:
                 print(f"seed {seed}: {figures}", flush=True)
     line = " ".join(f"{key}={sums[key]}" for key in sums)
-    print(f"takeover: schedules={count} {line} broken={broken} {'short' if broken else 'ok'}")
-    return 1 if broken else 0
+    print(f"takeover: schedules={count} {line} broken={violating_seeds} {'short' if violating_seeds else 'ok'}")
+    return 1 if violating_seeds else 0
 
 
 def main() -> int:
     """Returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
-    parser.add_argument("--quick", action="store_true", help="ten instances, both at the same time; under 50 s")
+    parser.add_argument(
+        "--quick", action="store_true", help="ten instances, both fleets at the same time; under 50 s"
+    )
     parser.add_argument("--instances", type=int, default=0)
     parser.add_argument("--kills", type=int, default=100)
-    parser.add_argument("--schedules", type=int, default=0, help="so many drills, in place of all else")
+    parser.add_argument("--schedules", type=int, default=0, help="run so many random scenarios instead")
     parser.add_argument("--from", type=int, default=0, dest="first")
     parser.add_argument("--jobs", type=int, default=5)
-    parser.add_argument("--keep", type=Path, help="where to keep what happened in drills that lost a request")
+    parser.add_argument("--keep", type=Path, help="folder for the logs of scenarios that lost a request")
     options = parser.parse_args()
     if options.schedules:
-        return schedules(options.first, options.schedules, options.jobs, options.keep)
+        return run_schedules(options.first, options.schedules, options.jobs, options.keep)
     instances = options.instances or (10 if options.quick else 20)
-    seconds, pace, at_once, rounds = (6.0, 12.0, 2, 7) if options.quick else (20.0, 4.0, 1, 25)
+    seconds, kill_rate, processes, rounds = (6.0, 12.0, 2, 7) if options.quick else (20.0, 4.0, 1, 25)
     with ProcessPoolExecutor(1) as pool:
-        ratio = pool.submit(alone, processor, rounds, 1500).result()
-        cost, plain = pool.submit(alone, calm, instances // 2, seconds).result()
-    with ProcessPoolExecutor(at_once) as pool:
-        running = [pool.submit(alone, kill, on, instances, options.kills, pace) for on in (True, False)]
-        on, off = (each.result() for each in running)
-    print(f"on   {on.line()}\noff  {off.line()}")
-    load, p50 = cost.cpu / plain.cpu, cost.p50 / plain.p50
-    short = []
-    for name, value, aim in (
+        ratio = pool.submit(run_coroutine, cpu_ratio, rounds, 1500).result()
+        cost, cost_off = pool.submit(run_coroutine, measure_calm, instances // 2, seconds).result()
+    with ProcessPoolExecutor(processes) as pool:
+        running = [
+            pool.submit(run_coroutine, run_kills, on, instances, options.kills, kill_rate) for on in (True, False)
+        ]
+        on, off = (future.result() for future in running)
+    print(f"on   {on.summary()}\noff  {off.summary()}")
+    load, p50 = cost.cpu_per_request / cost_off.cpu_per_request, cost.p50 / cost_off.p50
+    missed = []
+    for name, value, maximum in (
         ("unanswered", on.unanswered, 0),
-        ("twice", on.twice, 0),
-        ("wrong", on.wrong, 0),
-        ("second", on.second, 0),
-        ("act_p99_s", on.quantile(0.99), AIM_SEND),
-        ("cpu", load, AIM_CPU),
-        ("p50", p50, AIM_P50),
+        ("twice", on.duplicate_effects, 0),
+        ("wrong", on.wrong_answers, 0),
+        ("second", on.extra_answers, 0),
+        ("act_p99_s", on.quantile(0.99), MAX_ACT_SECONDS),
+        ("cpu", load, MAX_CPU_RATIO),
+        ("p50", p50, MAX_P50_RATIO),
     ):
-        if value > aim:
-            short.append(f"{name} {value:.3f}, aim {aim}")
-    for fault in short:
-        print(fault, file=sys.stderr)
+        if value > maximum:
+            missed.append(f"{name} {value:.3f}, limit {maximum}")
+    for text in missed:
+        print(text, file=sys.stderr)
     joined = on.verdicts.get("join", 0) / max(1, sum(on.verdicts.values()))
     print(
         f"takeover: instances={instances} kills={on.kills} unanswered={on.unanswered} "
-        f"unanswered_off={off.unanswered} twice={on.twice} inherited={sum(on.verdicts.values())} joined={joined:.2f} "
+        f"unanswered_off={off.unanswered} twice={on.duplicate_effects} inherited={sum(on.verdicts.values())} "
+        f"joined={joined:.2f} "
         f"act_p50_ms={1000 * on.quantile(0.5):.0f} act_p99_ms={1000 * on.quantile(0.99):.0f} cpu={load:.3f} "
-        f"cpu_full_rate={ratio:.3f} p50={p50:.3f} descriptors={cost.descriptors - plain.descriptors:+.1f} "
-        f"shelf_kb={cost.shelf // 1024} keeper_kb={cost.keeper / 1024:.0f} {'short' if short else 'ok'}"
+        f"cpu_full_rate={ratio:.3f} p50={p50:.3f} descriptors={cost.descriptors - cost_off.descriptors:+.1f} "
+        f"shelf_kb={cost.journal_pool_bytes // 1024} keeper_kb={cost.holder_bytes / 1024:.0f} "
+        f"{'short' if missed else 'ok'}"
     )
-    return 1 if short else 0
+    return 1 if missed else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,11 @@
-"""Upgrades under load: what callers see, and what the two versions take together.
+"""Hot restarts under load: what callers see, and the descriptors of both processes together.
 
     python benchmarks/upgrade.py [--quick] [--upgrades N]
 
-Callers ask on kept and on new connections while one version takes over from another, a backend is banned over half of
-the upgrades, and the descriptors of both are sampled. Exit 1 when a request is lost, a connection refused, more than
-one request an upgrade turned back unheard, a ban broken, nothing of what was learned kept, or the limit passed.
+Callers use kept and new connections while one process takes over from another, a backend is banned during every
+second upgrade, and the descriptors of both processes are sampled. The exit code is 1 if a request is lost or fails, a
+connection is refused, more than one request per upgrade finds its kept connection closed, a ban is violated, the
+learned state is not handed over, or the descriptor limit is exceeded.
 """
 
 from __future__ import annotations
@@ -28,33 +29,33 @@
 from standins.platform import Platform  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
-SOCKETS = 256
-KEPT, FRESH = 24, 4  # callers with kept connections, and with new ones
+SOCKETS = 256  # descriptor limit
+KEPT_CONNECTION_CALLERS, NEW_CONNECTION_CALLERS = 24, 4  # numbers of callers
 
 
 @dataclass
-class Count(Figures):
-    """What came of the requests; one that is `unreachable` was refused its connection."""
+class UpgradeCounts(Figures):
+    """Outcomes of the requests; `unreachable` are those whose connection was refused."""
 
-    turned_back: int = 0  # closed with nothing sent for it; asked once more on a new connection
-    banned: int = 0  # served by a banned backend
-    descriptors: int = 0  # of both, at most
+    closed_unanswered: int = 0  # a kept connection closed without a byte of an answer; the request is sent once more
+    ban_violations: int = 0  # requests served by a banned backend
+    descriptors: int = 0  # largest number of both processes together
 
 
-async def name(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_with_name(backend: Backend, seen: Seen, writer: Writer) -> None:
     """Answer after 10 ms with the backend's name."""
     await asyncio.sleep(0.01)
     writer.write(reply(body=backend.host.encode()))
 
 
 class Callers:
-    """Clients that ask without end."""
+    """Clients that send requests until they are stopped."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
-        self.count = Count()
-        self.banned = b""
-        self.over = False
+        self.counts = UpgradeCounts()
+        self.banned_host = b""
+        self.stopped = False
         self._number = 0
 
     def _request(self) -> bytes:
@@ -68,59 +69,61 @@
         try:
             return await self.platform.connect()
         except OSError:
-            self.count.unreachable += 1
+            self.counts.unreachable += 1
             return None
 
-    async def _ask(self, caller: Caller, used: bool) -> Caller | None:
-        """One request; returns the connection where it is kept."""
+    async def _send_request(self, caller: Caller, reused: bool) -> Caller | None:
+        """Send one request; returns the connection if it is kept."""
         caller.writer.write(self._request())
-        banned = self.banned
+        banned_host = self.banned_host
         try:
-            status, seen = await caller.answer()
+            status, answer = await caller.answer()
         except (AssertionError, OSError):
-            if not used:
-                self.count.lost += 1
+            if not reused:
+                self.counts.lost += 1
                 return None
-            self.count.turned_back += 1
-            again = await self._connect()
-            return await self._ask(again, False) if again is not None else None
-        self.count.served += status == 200
-        self.count.refused += status == 503
-        self.count.failed += status not in (200, 503)
-        self.count.banned += bool(banned) and banned == self.banned and seen.body == banned
-        if seen.headers.get(b"connection", b"").lower() == b"close":
+            self.counts.closed_unanswered += 1
+            connection = await self._connect()
+            return await self._send_request(connection, False) if connection is not None else None
+        self.counts.served += status == 200
+        self.counts.refused += status == 503
+        self.counts.failed += status not in (200, 503)
+        self.counts.ban_violations += (
+            bool(banned_host) and banned_host == self.banned_host and answer.body == banned_host
+        )
+        if answer.headers.get(b"connection", b"").lower() == b"close":
             caller.leave()
             return None
         return caller
 
-    async def keep(self) -> None:
-        """On one connection for as long as it is kept."""
+    async def use_kept_connection(self) -> None:
+        """Send requests on one connection for as long as it is kept."""
         caller: Caller | None = None
-        while not self.over:
-            used = caller is not None
+        while not self.stopped:
+            reused = caller is not None
             caller = caller or await self._connect()
             if caller is not None:
-                caller = await self._ask(caller, used)
+                caller = await self._send_request(caller, reused)
             await asyncio.sleep(0.02)
 
-    async def renew(self) -> None:
-        """Each on a new one."""
-        while not self.over:
+    async def use_new_connections(self) -> None:
+        """Send each request on a new connection."""
+        while not self.stopped:
             caller = await self._connect()
-            if caller is not None and (caller := await self._ask(caller, False)) is not None:
+            if caller is not None and (caller := await self._send_request(caller, False)) is not None:
                 caller.leave()
 
-    async def sample(self) -> None:
-        """The descriptors of all processes."""
-        while not self.over:
+    async def sample_descriptors(self) -> None:
+        """Sample the descriptors of all processes."""
+        while not self.stopped:
             with contextlib.suppress(OSError):
-                self.count.descriptors = max(self.count.descriptors, self.platform.held())
+                self.counts.descriptors = max(self.counts.descriptors, self.platform.held())
             await asyncio.sleep(0.02)
 
 
-async def measure(folder: Path, upgrades: int) -> tuple[Count, int]:
-    """The count, and how many new versions began with what was learned."""
-    backends = [Backend(i + 1, name) for i in range(3)]
+async def measure(folder: Path, upgrades: int) -> tuple[UpgradeCounts, int]:
+    """Run the upgrades; returns the outcomes, and how many new processes took over the learned state."""
+    backends = [Backend(i + 1, answer_with_name) for i in range(3)]
     for backend in backends:
         await backend.start()
     hosts = [backend.entry(site="kigali") for backend in backends]
@@ -128,25 +131,25 @@
     callers = Callers(platform)
     try:
         old = await platform.launch()
-        tasks = [asyncio.create_task(callers.keep()) for _ in range(KEPT)]
-        tasks += [asyncio.create_task(callers.renew()) for _ in range(FRESH)]
-        tasks.append(asyncio.create_task(callers.sample()))
+        tasks = [asyncio.create_task(callers.use_kept_connection()) for _ in range(KEPT_CONNECTION_CALLERS)]
+        tasks += [asyncio.create_task(callers.use_new_connections()) for _ in range(NEW_CONNECTION_CALLERS)]
+        tasks.append(asyncio.create_task(callers.sample_descriptors()))
         await asyncio.sleep(1.2)
         for number in range(upgrades):
             ban = number % 2 == 0
             if ban:
                 assert await platform.operate(old, "exclude", b'{"who":"s-1"}') == 200
-                callers.banned = b"s-1"
+                callers.banned_host = b"s-1"
             new = await platform.launch()
             await platform.end(old)
             old = new
             if ban:
-                callers.banned = b""
+                callers.banned_host = b""
                 assert await platform.operate(old, "include", b'{"who":"s-1"}') == 200
-        callers.over = True
+        callers.stopped = True
         await asyncio.gather(*tasks)
-        learned = sum("took over the learned state of 3" in platform.log(i + 1) for i in range(upgrades))
-        return callers.count, learned
+        kept_learned_state = sum("took over the learned state of 3" in platform.log(i + 1) for i in range(upgrades))
+        return callers.counts, kept_learned_state
     finally:
         await platform.close()
         for backend in backends:
@@ -161,20 +164,21 @@
     options = parser.parse_args()
     upgrades = options.upgrades or (20 if options.quick else 100)
     with tempfile.TemporaryDirectory(prefix="upgrade-bench-") as folder:
-        count, learned = asyncio.run(measure(Path(folder), upgrades))
-    good = (
-        count.lost == count.unreachable == count.failed == count.banned == 0
-        and count.turned_back <= upgrades
+        counts, learned = asyncio.run(measure(Path(folder), upgrades))
+    passed = (
+        counts.lost == counts.unreachable == counts.failed == counts.ban_violations == 0
+        and counts.closed_unanswered <= upgrades
         and learned == upgrades
-        and count.descriptors <= SOCKETS
+        and counts.descriptors <= SOCKETS
     )
     print(
-        f"upgrade: upgrades={upgrades} served={count.served} refused={count.refused} failed={count.failed} "
-        f"lost={count.lost} connects_refused={count.unreachable} turned_back={count.turned_back} "
-        f"ban_broken={count.banned} learned_kept={learned}/{upgrades} descriptors={count.descriptors}/{SOCKETS} "
-        f"{'ok' if good else 'short'}"
+        f"upgrade: upgrades={upgrades} served={counts.served} refused={counts.refused} failed={counts.failed} "
+        f"lost={counts.lost} connects_refused={counts.unreachable} turned_back={counts.closed_unanswered} "
+        f"ban_broken={counts.ban_violations} learned_kept={learned}/{upgrades} "
+        f"descriptors={counts.descriptors}/{SOCKETS} "
+        f"{'ok' if passed else 'short'}"
     )
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -1,10 +1,11 @@
-"""How fast worlds run, and whether a seed does the same in every process.
+"""Speed of the simulation, and whether a seed gives the same result in every process.
 
     python benchmarks/virtual.py [--quick] [--floor RATIO]
 
-One world of 4 proxies and 12 backends at 300 requests a second, alone on one core: virtual over real seconds. Then a
-hunt on all cores: seeds a minute. Then one seed in 20 fresh processes, each with another PYTHONHASHSEED. Exits 1 when
-the digests differ, a rule is broken, or the world is slower than RATIO times real time.
+Measures the virtual over the real seconds of one world of 4 proxies and 12 backends at 300 requests a second, alone
+on one core; then the seeds a minute of a seed search on all cores; then runs one seed in 20 new processes, each with
+another PYTHONHASHSEED. The exit code is 1 if the digests differ, a test oracle reports a violation, or the world runs
+slower than RATIO times real time.
 """
 
 from __future__ import annotations
@@ -23,18 +24,18 @@
 from cometusher.simulation.world import play  # noqa: E402
 
 RATE = 300.0  # requests a second
-ONE = "from cometusher.simulation.seed_search import look; print(look('any', 7).digest)"
+DIGEST_COMMAND = "from cometusher.simulation.seed_search import look; print(look('any', 7).digest)"
 
 
-def large(seconds: float) -> script.Plan:
-    """The world of the measure; calm, for a fault would only make it quicker."""
+def large_plan(seconds: float) -> script.Plan:
+    """The world that is measured; it has no faults, which would only make it faster."""
     rng = Random(1)
-    at = 0.2
-    asks: list[script.Ask] = []
-    while (at := at + rng.expovariate(RATE)) < seconds:
-        kind = rng.choices(script.KINDS, (6, 3, 2))[0]
-        asks.append(script.Ask(len(asks) + 1, round(at, 5), kind, rng.randrange(2), 1.5, want=200))
-    return script.Plan("fleet", 1, seconds, zones=2, proxies=2, backends=6, sockets=256, requests=tuple(asks))
+    arrival = 0.2
+    requests: list[script.Ask] = []
+    while (arrival := arrival + rng.expovariate(RATE)) < seconds:
+        class_name = rng.choices(script.KINDS, (6, 3, 2))[0]
+        requests.append(script.Ask(len(requests) + 1, round(arrival, 5), class_name, rng.randrange(2), 1.5, want=200))
+    return script.Plan("fleet", 1, seconds, zones=2, proxies=2, backends=6, sockets=256, requests=tuple(requests))
 
 
 def main() -> int:
@@ -44,25 +45,26 @@
     parser.add_argument("--floor", type=float, default=3.0)
     options = parser.parse_args()
     seconds = 20.0 if options.quick else 60.0
-    plan = large(seconds)
-    began = time.process_time()
+    plan = large_plan(seconds)
+    started_at = time.process_time()
     result = play(plan)
-    spent = time.process_time() - began
-    ratio = seconds / spent  # the silence at the end is not counted
-    watch = seed_search.Stopwatch()
+    cpu_used = time.process_time() - started_at
+    ratio = seconds / cpu_used  # the idle time at the end of the world is not counted
+    stopwatch = seed_search.Stopwatch()
     seeds = range(200 if options.quick else 2000)
-    found = list(seed_search.hunt(seeds))
-    minute = 60.0 * len(found) / watch.seconds()
-    failed = sum(bool(finding.oracles) for finding in found)
-    same = seed_search.in_fresh_processes(ONE, ROOT, range(0, 20 * 7919, 7919))
-    good = len(same) == 1 and not failed and not result.violations and ratio >= options.floor
+    findings = list(seed_search.hunt(seeds))
+    seeds_per_minute = 60.0 * len(findings) / stopwatch.seconds()
+    failed = sum(bool(finding.oracles) for finding in findings)
+    digests = seed_search.in_fresh_processes(DIGEST_COMMAND, ROOT, range(0, 20 * 7919, 7919))
+    passed = len(digests) == 1 and not failed and not result.violations and ratio >= options.floor
     print(
         f"virtual: proxies=4 backends=12 rate={RATE:.0f} requests={sum(result.ended.values())} "
         f"virtual_over_real={ratio:.1f} on_all_cores={ratio * multiprocessing.cpu_count():.0f} "
-        f"cores={multiprocessing.cpu_count()} seeds={len(found)} seeds_per_minute={minute:.0f} failed={failed} "
-        f"processes=20 digests={len(same)} {'ok' if good else 'short'}"
+        f"cores={multiprocessing.cpu_count()} seeds={len(findings)} seeds_per_minute={seeds_per_minute:.0f} "
+        f"failed={failed} "
+        f"processes=20 digests={len(digests)} {'ok' if passed else 'short'}"
     )
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/cometusher/fault_injection/report.py
+++ b/cometusher/fault_injection/report.py
@@ -145,7 +145,7 @@
         f'<span style="color:{colour}">&#9632; {name}</span>' for name, colour in SERIES_COLOURS.items()
     )
     legend += "<br>" + " ".join(
-        f'<span style="color:{colour}">&#9632;</span> {name}' for name, colour in PHASE_COLOURS.items()
+        f'<span style="color:{phase_colour}">&#9632;</span> {name}' for name, phase_colour in PHASE_COLOURS.items()
     )
     rows = "".join(f"<tr><td>{name}</td><td>{value:.6g}</td></tr>" for name, value in result.figures.items())
     expectations = (
--- a/tests/unit/test_drill.py
+++ b/tests/unit/test_drill.py
@@ -39,7 +39,7 @@
     for event in first:
         assert pick_targets(event, names) == pick_targets(event, names) and len(pick_targets(event, names)) == 5
     assert all(
-        pick_targets(event, names) == pick_targets(again, names) for event, again in zip(first, second, strict=True)
+        pick_targets(drawn, names) == pick_targets(same, names) for drawn, same in zip(first, second, strict=True)
     )
     other = read_scenario(write_scenario(tmp_path, (HEADER + 3 * fault).replace("seed = 7", "seed = 8")))
     assert schedule(other) != first
