--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -586,7 +586,7 @@
             sock.close()
         self._retained_journals.append((self._loop.time() + self.spec.answer_retention, resources.journal_index))
 
-    def discard(self, resources: ProcessResources) -> None:
+    def discard_resources(self, resources: ProcessResources) -> None:
         """Release the resources of a process that could not be started."""
         self._processes.pop(resources.process, None)
         self._close_resources(resources)
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -446,7 +446,7 @@
                 descriptors | resources.child_descriptors(),
             )
         except OSError:
-            self.orphans.discard(resources)
+            self.orphans.discard_resources(resources)
             raise
         child.resources = resources
         self.orphans.on_started(resources)
@@ -793,7 +793,7 @@
         ):
             if before != after:
                 raise ConfigError(
-                    f"{new.location.file}: {key}: changing {before} to {after} needs a restart of the fleet"
+                    f"{new.location.file}: {key}: {after} instead of {before} needs a restart of the fleet"
                 )
         for key, previous, current in (
             ("comeback", old.recovery, new.recovery),
