--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -1,4 +1,4 @@
-"""A fleet on loopback under a supervisor process, for tests that make it go wrong."""
+"""A fleet on loopback under a supervisor process, for tests that inject faults."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """A test that is a coroutine."""
+    """Run a test that is a coroutine."""
     asyncio.run(test())
 
 
 async def wait_for(condition: Callable[[], Any], what: str) -> None:
-    """Wait for what must become true of a drill's world."""
+    """Wait until a condition of a fault injection world is true; fails after a time limit."""
     assert await wait_until(condition, 2 * PATIENCE), f"never: {what}"
 
 
 @contextlib.asynccontextmanager
 async def running(world: World, rate: float, extra: str = "") -> AsyncIterator[World]:
-    """A drill's world, and nothing left of it."""
+    """Run a fault injection world, and stop all of it at the end."""
     try:
         await world.start(rate, extra)
         yield world
@@ -55,7 +55,7 @@
 
 
 async def next_requests(world: World, count: int) -> list[RequestResult]:
-    """So many more requests, whatever became of them."""
+    """Wait for the results of so many more requests, whatever their outcome."""
     assert world.load is not None
     rows = world.load.results
     before = len(rows)
@@ -64,13 +64,13 @@
 
 
 def assert_consistent(world: World) -> None:
-    """No effect twice, no answer to another's request, and no second one."""
+    """No request took effect twice, got another's answer, or got a second one."""
     assert world.load is not None
     assert (world.duplicate_effects(), world.load.wrong_answers, world.load.extra_answers) == (0, 0, 0)
 
 
 def eventually(condition: Callable[[], Any], what: str = "") -> Any:
-    """Wait for what must become true; returns it."""
+    """Wait until a condition is true and return its value; fails after a time limit."""
     until = time.monotonic() + TIMEOUT
     while time.monotonic() < until:
         if value := condition():
@@ -80,12 +80,12 @@
 
 
 def to_toml(values: dict[str, Any]) -> str:
-    """`key = value` lines; JSON's forms of texts, numbers and lists of them are TOML's as well."""
+    """Return `key = value` lines; the JSON forms of strings, numbers and lists are valid TOML."""
     return "".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in values.items())
 
 
 class FleetRig:
-    """A fleet's files, and the supervisor's process."""
+    """A fleet's files and its supervisor process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -100,12 +100,12 @@
         self.mesh: dict[str, Any] = {}
         self.instances: dict[str, dict[str, Any]] = {}
         self.started: list[subprocess.Popen[bytes]] = []
-        self.seen_pids: set[int] = set()  # pids of all processes that were seen in the fleet
+        self.seen_pids: set[int] = set()  # of all processes that the status has shown
         config = {"discovery": "127.0.0.1:9", "settings": SETTINGS}
         (folder / "proxy.json").write_bytes(orjson.dumps(config))
 
     def add(self, *names: str, mode: str = "", value: str = "", **settings: Any) -> None:
-        """Instances: proxies, or faulty ones of a mode."""
+        """Add instances: proxies, or with `mode` the faulty stand-in."""
         for name, port in zip(names, free_ports(len(names)), strict=True):
             what: dict[str, Any] = {"command": [*FAULTY_COMMAND, mode, value]} if mode else {"config": "proxy.json"}
             self.instances[name] = {"name": name, "listen": f"127.0.0.1:{port}"} | what | settings
@@ -132,7 +132,7 @@
         stderr: int = subprocess.PIPE,
         pass_fds: Sequence[int] = (),
     ) -> subprocess.Popen[bytes]:
-        """A supervisor in the foreground; returns at once."""
+        """Start a supervisor in the foreground; returns at once."""
         command = [*prefix, *self.command("fleet", "start", "-c", str(self.file), *more)]
         process = subprocess.Popen(
             command,
@@ -146,7 +146,7 @@
         return process
 
     def run(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
-        """A command, to its end."""
+        """Run a command to its end."""
         environ = os.environ | {"PYTHONPATH": str(ROOT)}
         return subprocess.run(
             self.command(*arguments),
@@ -169,7 +169,7 @@
         return process
 
     def status(self) -> dict[str, dict[str, Any]]:
-        """Rows by name; empty where no supervisor answers."""
+        """The status of each instance by name; empty if no supervisor answers."""
         try:
             rows = send_request(self.control, "status", PATIENCE)["instances"]
         except (NoSupervisor, ControlError):
@@ -189,7 +189,7 @@
         return self.log.read_text() if self.log.exists() else ""
 
     def leftover_pids(self) -> list[int]:
-        """Processes of the fleet that are still there, by what they were told at their start."""
+        """Processes of the fleet that still exist, by their environment or command line."""
         found = []
         mark = str(self.folder).encode()
         for entry in os.listdir("/proc"):
@@ -215,7 +215,7 @@
 
 @contextlib.contextmanager
 def fleet_rig(folder: Path) -> Iterator[FleetRig]:
-    """Nothing that a test started is left behind."""
+    """Provide a rig, and kill all processes that the test started."""
     rig = FleetRig(folder)
     try:
         yield rig
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -1,4 +1,4 @@
-"""Reload, control socket, logs and the service manager, with what goes wrong at each."""
+"""Reload, control socket, logs and service manager of a fleet, and their failures."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         (lambda text: "", "fleet.state: missing"),
     ],
 )
-def test_a_broken_file_changes_nothing_and_is_named(fleet: FleetRig, break_it, named: str) -> None:  # type: ignore[no-untyped-def]
+def test_invalid_file_changes_nothing_and_the_error_names_it(fleet: FleetRig, break_it, named: str) -> None:  # type: ignore[no-untyped-def]
     fleet.add("a", "b")
     (fleet.folder / "broken.json").write_bytes(b'{"settings": ')
     fleet.start()
@@ -60,12 +60,12 @@
     assert fleet.fleet("reload").returncode == 0
 
 
-def test_a_reload_adds_removes_tells_and_replaces(fleet: FleetRig) -> None:
-    """Each instance by the least that its change needs."""
-    fleet.add("same", "told", "replaced", "removed")
+def test_reload_adds_removes_reconfigures_and_replaces(fleet: FleetRig) -> None:
+    """Each instance gets the least disruptive step that its change needs."""
+    fleet.add("same", "reloaded", "replaced", "removed")
     process = fleet.start()
     before = fleet.status()
-    fleet.instances["told"]["discovery"] = "127.0.0.1:10"
+    fleet.instances["reloaded"]["discovery"] = "127.0.0.1:10"
     fleet.instances["replaced"]["tier"] = 0
     del fleet.instances["removed"]
     fleet.add("added")
@@ -73,10 +73,13 @@
     done = fleet.fleet("reload")
     assert done.returncode == 0, done.stderr
     after = fleet.status()
-    assert set(after) == {"same", "told", "replaced", "added"}
+    assert set(after) == {"same", "reloaded", "replaced", "added"}
     assert {row["state"] for row in after.values()} == {"ready"}
     assert after["same"]["pid"] == before["same"]["pid"] and after["same"]["version"] == before["same"]["version"]
-    assert after["told"]["pid"] == before["told"]["pid"] and after["told"]["version"] != before["told"]["version"]
+    assert (
+        after["reloaded"]["pid"] == before["reloaded"]["pid"]
+        and after["reloaded"]["version"] != before["reloaded"]["version"]
+    )
     assert after["replaced"]["pid"] != before["replaced"]["pid"]
     assert "discovery is at 127.0.0.1:10" in fleet.log_text()
     files = {path.name for path in fleet.state.glob("instance-*.json")}
@@ -87,8 +90,8 @@
     eventually(lambda: "0 instances change" in fleet.log_text())
 
 
-def test_each_instance_has_a_place_of_its_own_and_keeps_it_while_it_runs(fleet: FleetRig) -> None:
-    """Who else is there changes no process: places are told at a start, and again with every reload."""
+def test_each_instance_keeps_its_ring_position_while_it_runs(fleet: FleetRig) -> None:
+    """Adding or removing other instances changes no process: positions are set at a start, and kept by reloads."""
     fleet.add("a", "b", "c", "d")
     fleet.add("behind", tier=0)
     fleet.start()
@@ -111,8 +114,8 @@
     assert "waits for the next start" not in fleet.log_text()
 
 
-def test_one_that_is_removed_and_added_again_behind_a_restart_is_there(fleet: FleetRig) -> None:
-    """Two reloads wait for a restart; the first takes an instance out, the second brings it back."""
+def test_instance_removed_and_added_again_during_a_restart_runs(fleet: FleetRig) -> None:
+    """Two reloads wait for a restart; the first removes an instance, the second adds it again."""
     fleet.policy["at_once"] = 1
     fleet.add("x", *(f"p{i}" for i in range(3)), mode="ok")
     process = fleet.start()
@@ -137,7 +140,7 @@
     assert set(fleet.status()) == set(before) and fleet.pids()["x"] != before["x"]
 
 
-def test_a_reload_whose_new_port_is_taken_changes_nothing(fleet: FleetRig) -> None:
+def test_reload_with_a_new_port_in_use_changes_nothing(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     fleet.start()
     before = fleet.pids()
@@ -148,15 +151,15 @@
     assert done.returncode == 1 and b"c: 127.0.0.1" in done.stderr and b"taken by pid" in done.stderr
     assert fleet.pids() == before
     with socket.create_server(("127.0.0.1", fleet.port("b"))):
-        pass  # and b's was given back
+        pass  # b's listener was closed again
 
 
-def test_a_reload_during_a_rolling_restart_comes_after_it(fleet: FleetRig) -> None:
+def test_reload_during_a_rolling_restart_is_applied_after_it(fleet: FleetRig) -> None:
     fleet.policy["at_once"] = 1
     fleet.add(*(f"p{i}" for i in range(4)))
     process = fleet.start()
     before = fleet.pids()
-    restart = asyncio.run(both(fleet))
+    restart = asyncio.run(restart_and_reload(fleet))
     assert restart == [0, 0]
     rows = fleet.status()
     assert not {row["pid"] for row in rows.values()} & set(before.values())
@@ -166,7 +169,7 @@
     assert process.poll() is None
 
 
-async def both(fleet: FleetRig) -> list[int | None]:
+async def restart_and_reload(fleet: FleetRig) -> list[int | None]:
     async def command(action: str) -> int | None:
         process = await asyncio.create_subprocess_exec(
             *fleet.command("fleet", action, "-c", str(fleet.file)),
@@ -183,12 +186,12 @@
     return list(await asyncio.gather(restart, command("reload")))
 
 
-def test_a_rolling_restart_under_load_loses_and_refuses_nothing(fleet: FleetRig) -> None:
-    """Also no connection: the fresh process has the listener before the old one leaves it, and a list of backends
-    before it takes the first request.
+def test_rolling_restart_under_load_loses_and_refuses_nothing(fleet: FleetRig) -> None:
+    """No connection is refused either: the new process has the listener before the old one closes it, and a list of
+    backends before it accepts the first request.
 
-    Answers take 20 ms, of four backends: a busy machine's few milliseconds are no slowness beside that. After answers
-    of 0.4 ms they are (the latency ratio), and where there is one backend its breaker's refusal is the request's.
+    Four backends answer in 20 ms, so that a few milliseconds of delay on a busy machine do not count as slowness.
+    With answers of 0.4 ms they would (latency ratio); with a single backend its breaker would refuse the request.
     """
 
     async def steady(backend: Backend, seen: Seen, writer: Writer) -> None:
@@ -231,14 +234,14 @@
     ("answer", "up"),
     [
         (b"HTTP/1.1 200 OK\r\nX-Instance: a/2\r\n\r\n", True),
-        (b"HTTP/1.1 200 OK\r\nX-Instance: a/1\r\n\r\n", False),  # the old process of the same listener
-        (b"HTTP/1.1 200 OK\r\n\r\n", True),  # a command of the operators' own
+        (b"HTTP/1.1 200 OK\r\nX-Instance: a/1\r\n\r\n", False),  # the old process on the same listener
+        (b"HTTP/1.1 200 OK\r\n\r\n", True),  # a custom command
         (b"HTTP/1.1 503 Busy\r\nX-Instance: a/2\r\n\r\n", False),
         (b"\x00\xff", False),
         (b"", False),
     ],
 )
-def test_a_check_counts_only_when_the_process_that_is_meant_answers(answer: bytes, up: bool) -> None:
+def test_readiness_check_counts_only_the_intended_process(answer: bytes, up: bool) -> None:
     async def test() -> None:
         async def reply(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -257,7 +260,7 @@
 # ---- the control socket ------------------------------------------------------------------
 
 
-def test_the_socket_is_private_and_bounded(fleet: FleetRig) -> None:
+def test_control_socket_is_private_and_bounded(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     fleet.start()
     assert stat.S_IMODE(fleet.control.stat().st_mode) == 0o600
@@ -267,14 +270,14 @@
     large = socket.socket(socket.AF_UNIX)
     large.connect(str(fleet.control))
     large.settimeout(20.0)
-    with contextlib.suppress(OSError):  # it may be turned away before it has sent all
+    with contextlib.suppress(OSError):  # it may be refused before it has sent everything
         large.sendall(b"x" * 2**20)
     with large:
         answer = b""
         with contextlib.suppress(ConnectionError):
             answer = large.recv(4096)
         assert not answer or b'"ok":false' in answer
-    for sock in silent:  # each is told or closed within its time, and none holds a place for good
+    for sock in silent:  # each gets a response or is closed in time, so none occupies a connection for good
         sock.settimeout(20.0)
         assert b'"ok":false' in sock.recv(4096)
         sock.close()
@@ -292,7 +295,7 @@
         (b'{"version":1,"command":"stop","names":"a"}\n', "names: not a list"),
     ],
 )
-def test_odd_requests_are_answered_and_change_nothing(fleet: FleetRig, request_: bytes, error: str) -> None:
+def test_invalid_requests_are_answered_and_change_nothing(fleet: FleetRig, request_: bytes, error: str) -> None:
     fleet.add("a", mode="ok")
     fleet.start()
     with socket.socket(socket.AF_UNIX) as sock:
@@ -303,8 +306,8 @@
     assert fleet.states() == {"ready"}
 
 
-def test_a_refusal_that_comes_before_the_request_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The server says why and closes while the client is still writing its request."""
+def test_refusal_before_the_request_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The server sends the reason and closes while the client is still writing its request."""
     closed = threading.Event()
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as server:
         server.bind(str(tmp_path / "c.sock"))
@@ -329,8 +332,8 @@
         thread.join()
 
 
-def test_another_users_request_is_refused(tmp_path: Path) -> None:
-    """Here the server believes that its own user is another one."""
+def test_request_of_another_user_is_refused(tmp_path: Path) -> None:
+    """The server is made to accept another user than its own."""
 
     async def test() -> None:
         async def never(command: str, request: dict[str, object]) -> dict[str, object]:
@@ -345,7 +348,7 @@
     asyncio.run(test())
 
 
-def test_commands_without_a_supervisor_say_so(fleet: FleetRig) -> None:
+def test_commands_without_a_supervisor_report_it(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     fleet.write()
     for action in ("status", "reload", "restart", "stop"):
@@ -359,8 +362,8 @@
 
 
 @pytest.mark.parametrize("target", ["full", "not read", "pipe not read"])
-def test_a_log_target_that_takes_nothing_stops_nobody(fleet: FleetRig, target: str) -> None:
-    """A full disk, a FIFO that nobody opens, a pipe that is full: the fleet works on, and counts what is lost."""
+def test_log_target_that_accepts_nothing_blocks_no_process(fleet: FleetRig, target: str) -> None:
+    """A full disk, a FIFO without a reader, a full pipe: the fleet continues and counts the dropped records."""
     stderr = -1
     if target == "full":
         fleet.logging = {"target": "/dev/full"}
@@ -377,7 +380,7 @@
     eventually(lambda: fleet.states() == {"ready"})
     eventually(lambda: send_request(fleet.control, "status", 10.0)["log_dropped"] > 0)
     assert fleet.fleet("restart", "quiet", "proxy").returncode == 0
-    if target == "not read":  # now somebody reads: what was kept comes, and the loss is told
+    if target == "not read":  # with a reader the queued records arrive, and the number of dropped ones
         with (fleet.folder / "fifo").open("rb") as fifo:
             text = b""
             while b"records were dropped" not in text:
@@ -388,7 +391,7 @@
         os.close(stderr)
 
 
-def test_records_say_who_spoke_and_files_rotate_and_reopen(fleet: FleetRig) -> None:
+def test_records_name_their_instance_and_files_rotate_and_reopen(fleet: FleetRig) -> None:
     fleet.logging |= {"form": "json", "max_mb": 0.02, "keep": 2}
     fleet.add("noisy", mode="loud", value="1000")
     fleet.add("p")
@@ -409,7 +412,7 @@
 # ---- the service manager -----------------------------------------------------------------
 
 
-def test_the_service_manager_is_told(fleet: FleetRig) -> None:
+def test_service_manager_is_notified(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     manager = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
     manager.bind(str(fleet.folder / "notify"))
@@ -434,8 +437,8 @@
     manager.close()
 
 
-def test_a_socket_that_the_manager_opened_is_used(fleet: FleetRig) -> None:
-    """Its port can't be bound a second time, so an instance that answers there has just that socket."""
+def test_listener_passed_by_the_service_manager_is_used(fleet: FleetRig) -> None:
+    """Its port can't be bound a second time, so an instance that answers there has this very socket."""
     fleet.add("a")
     listener = socket.create_server(("127.0.0.1", fleet.port("a")))
     code = f"import os, sys; os.dup2({listener.fileno()}, 3); os.environ['LISTEN_PID'] = str(os.getpid()); "
@@ -446,7 +449,7 @@
     assert fleet.end(process) == 0
 
 
-def test_a_socket_for_another_process_is_left_alone(fleet: FleetRig) -> None:
+def test_listener_passed_to_another_process_is_ignored(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     with socket.create_server(("127.0.0.1", fleet.port("a"))):
         fleet.write()
@@ -457,7 +460,7 @@
 # ---- the demo ----------------------------------------------------------------------------
 
 
-def test_the_demo_serves_and_ends(fleet: FleetRig) -> None:
+def test_demo_serves_and_ends(fleet: FleetRig) -> None:
     done = fleet.run("demo", "--seconds", "3")
     last = done.stdout.decode().splitlines()[-1]
     assert done.returncode == 0, done.stderr
@@ -467,7 +470,7 @@
     assert sum("curl -sS" in line for line in done.stdout.decode().splitlines()) == 3
 
 
-def test_ctrl_c_ends_the_demo_and_all_of_it(fleet: FleetRig) -> None:
+def test_ctrl_c_ends_the_demo_and_its_processes(fleet: FleetRig) -> None:
     environ = os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
     process = subprocess.Popen(fleet.command("demo"), cwd=fleet.folder, env=environ, stdout=subprocess.PIPE)
     assert process.stdout is not None
@@ -475,7 +478,7 @@
     while not (line := process.stdout.readline()).startswith(b"the proxies' log"):
         lines.append(line.decode())
     folder = next(line for line in lines if "fleet status -c" in line).split()[-1]
-    # The printed requests work: sent as curl would.
+    # The printed requests work, sent as curl would send them.
     port = int(next(line for line in lines if "curl" in line).rpartition(":")[2].partition("/")[0])
     for head in (
         "GET /api HTTP/1.1\r\nX-Call-Class: report-view\r\n",
--- a/tests/loopback/test_fleet_identity.py
+++ b/tests/loopback/test_fleet_identity.py
@@ -1,4 +1,4 @@
-"""One supervisor for a state directory and for an address, whatever files say; stale ones are never believed."""
+"""A state directory and an address have one supervisor, whatever files say; stale identities are never trusted."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from cometusher.fleet.identity import Identity, boot_id, read_stat
 
 
-def stranger() -> subprocess.Popen[bytes]:
-    """A process of somebody else's."""
+def start_unrelated_process() -> subprocess.Popen[bytes]:
+    """Start a process that does not belong to the fleet."""
     return subprocess.Popen([sys.executable, "-c", "import time; time.sleep(1000)"])
 
 
 @pytest.mark.parametrize("wrong", ["started", "boot", "uid"])
-def test_a_stale_file_whose_pid_is_anothers_is_not_believed_and_not_signalled(fleet: FleetRig, wrong: str) -> None:
-    other = stranger()
+def test_process_with_a_reused_pid_is_not_signalled(fleet: FleetRig, wrong: str) -> None:
+    other = start_unrelated_process()
     try:
         identity = Identity.of(other.pid)
         assert identity is not None
@@ -42,9 +42,9 @@
         other.wait()
 
 
-def test_the_very_process_of_a_roster_is_ended(fleet: FleetRig) -> None:
-    """The counterpart: with everything right the successor does act, so the test above tests something."""
-    other = stranger()
+def test_process_with_the_identity_of_a_roster_entry_is_killed(fleet: FleetRig) -> None:
+    """The counterpart of the test above: if the whole identity matches, the next supervisor kills the process."""
+    other = start_unrelated_process()
     identity = Identity.of(other.pid)
     assert identity is not None
     fleet.state.mkdir(mode=0o700)
@@ -55,8 +55,8 @@
     assert other.wait(timeout=TIMEOUT) == -signal.SIGKILL
 
 
-#: Listens, and ends its first thread alone: a zombie by its state, while the other thread keeps the listener open.
-HALF_ENDED = """
+#: Listens, and exits only its first thread: a zombie by its state, while the other thread keeps the listener open.
+FIRST_THREAD_EXITS = """
 import ctypes, socket, sys, threading, time
 listener = socket.create_server(("127.0.0.1", int(sys.argv[1])))
 threading.Thread(target=time.sleep, args=(1000,)).start()
@@ -64,10 +64,10 @@
 """
 
 
-def test_a_process_whose_last_thread_has_not_ended_is_waited_for(fleet: FleetRig) -> None:
-    """As a killed one whose store's thread waits for the disk: its listeners are not free before."""
+def test_process_with_a_running_thread_is_waited_for(fleet: FleetRig) -> None:
+    """As with a killed process whose record writer waits for the disk: its listeners stay open until then."""
     fleet.add("a", mode="ok")
-    other = subprocess.Popen([sys.executable, "-c", HALF_ENDED, str(fleet.port("a")), os.uname().machine])
+    other = subprocess.Popen([sys.executable, "-c", FIRST_THREAD_EXITS, str(fleet.port("a")), os.uname().machine])
     eventually(lambda: (stat := read_stat(other.pid)) is not None and stat.state == "Z")
     identity = Identity.of(other.pid)
     assert identity is not None and identity.is_alive()
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("content", [b"", b'{"pid": 12', b"\xff\x00", b"[]", b'{"pid": 1}', b'{"pid": -1}'])
-def test_broken_files_are_no_obstacle(fleet: FleetRig, content: bytes) -> None:
+def test_invalid_state_files_do_not_prevent_a_start(fleet: FleetRig, content: bytes) -> None:
     fleet.state.mkdir(mode=0o700)
     for name in ("supervisor.pid", "instances.json"):
         (fleet.state / name).write_bytes(content)
@@ -89,18 +89,18 @@
     assert Identity.parse(orjson.loads((fleet.state / "supervisor.pid").read_bytes())) == Identity.of(process.pid)
 
 
-def test_the_holder_is_named_though_its_pid_file_was_truncated(fleet: FleetRig) -> None:
+def test_lock_holder_is_named_although_its_pid_file_is_empty(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     process = fleet.start()
     (fleet.state / "supervisor.pid").write_bytes(b"")
     second = fleet.fleet("start")
     assert second.returncode == 1 and second.stderr.count(b"\n") == 1
     assert f"held by another supervisor, pid {process.pid}".encode() in second.stderr
-    assert fleet.states() == {"ready"}  # the first is not disturbed
+    assert fleet.states() == {"ready"}  # the first supervisor is not disturbed
 
 
-def test_two_at_once_twenty_times_over(fleet: FleetRig) -> None:
-    """Exactly one wins; the other names it and ends with 1."""
+def test_one_of_two_simultaneous_supervisors_starts(fleet: FleetRig) -> None:
+    """Twenty times: exactly one starts; the other names it and exits with 1."""
     fleet.add("a", mode="ok")
     fleet.write()
     for _ in range(20):
@@ -115,8 +115,8 @@
     assert fleet.leftover_pids() == []
 
 
-def test_two_with_the_same_port_at_once(fleet: FleetRig, tmp_path: Path) -> None:
-    """Other state directories, one address: the kernel gives it to one."""
+def test_one_of_two_fleets_with_the_same_port_starts(fleet: FleetRig, tmp_path: Path) -> None:
+    """Two state directories, one address: only one supervisor gets it."""
     fleet.add("a", mode="ok")
     text = fleet.write().read_text()
     for i in range(5):
@@ -136,7 +136,7 @@
         assert fleet.end(winner) == 0
 
 
-def test_a_port_taken_by_a_stranger_is_told_with_its_holder(fleet: FleetRig) -> None:
+def test_port_in_use_is_reported_with_its_process(fleet: FleetRig) -> None:
     fleet.add("a", "b", mode="ok")
     with socket.create_server(("127.0.0.1", fleet.port("b"))):
         fleet.write()
@@ -146,10 +146,10 @@
     assert fleet.leftover_pids() == []
 
 
-@pytest.mark.parametrize("how", ["no folder", "others may write"])
-def test_a_state_directory_that_can_not_be_used_is_told(fleet: FleetRig, how: str) -> None:
+@pytest.mark.parametrize("problem", ["no folder", "others may write"])
+def test_unusable_state_directory_is_reported(fleet: FleetRig, problem: str) -> None:
     fleet.add("a", mode="ok")
-    if how == "no folder":
+    if problem == "no folder":
         (fleet.folder / "s").write_bytes(b"a file")
     else:
         fleet.state.mkdir()
@@ -160,7 +160,7 @@
     assert f"state directory {fleet.state}".encode() in done.stderr
 
 
-def test_a_daemon_returns_when_it_is_ready_and_is_one(fleet: FleetRig) -> None:
+def test_daemon_command_returns_when_the_fleet_is_ready(fleet: FleetRig) -> None:
     fleet.add("a", "b")
     fleet.write()
     done = fleet.fleet("start", "--daemon")
@@ -170,7 +170,9 @@
     pid = int(orjson.loads((fleet.state / "supervisor.pid").read_bytes())["pid"])
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     session, terminal = int(fields[3]), int(fields[4])
-    assert session not in (pid, os.getsid(0)) and terminal == 0  # not its leader: it can't get a terminal again
+    assert (
+        session not in (pid, os.getsid(0)) and terminal == 0
+    )  # not the session's leader: it can't acquire a terminal
     assert os.readlink(f"/proc/{pid}/cwd") == "/"
     assert {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in (0, 1, 2)} == {"/dev/null"}
     assert "Umask:\t0027" in Path(f"/proc/{pid}/status").read_text()
@@ -178,7 +180,7 @@
     assert has_exited(pid) and fleet.leftover_pids() == []
 
 
-def test_a_daemon_that_can_not_start_says_so_where_it_was_called(fleet: FleetRig) -> None:
+def test_daemon_that_cannot_start_reports_it_to_the_caller(fleet: FleetRig) -> None:
     fleet.add("a", mode="ok")
     with socket.create_server(("127.0.0.1", fleet.port("a"))):
         fleet.write()
@@ -190,15 +192,15 @@
     assert done.returncode == 2 and b"log.target" in done.stderr
 
 
-def test_identity_tells_a_process_from_the_next_with_its_pid() -> None:
+def test_identity_distinguishes_processes_with_the_same_pid() -> None:
     mine = Identity.of(os.getpid())
     assert mine is not None and mine.is_alive() and mine.boot == boot_id()
     later = Identity(mine.pid, mine.started + 1, mine.boot, mine.uid)
     assert not later.is_alive() and not later.signal(0)
-    child = stranger()
+    child = start_unrelated_process()
     identity = Identity.of(child.pid)
     child.kill()
     assert identity is not None
-    eventually(lambda: not identity.is_alive())  # a zombie is no life
+    eventually(lambda: not identity.is_alive())  # a zombie is not alive
     child.wait()
     assert Identity.of(child.pid) is None
--- a/tests/loopback/test_fleet_lives.py
+++ b/tests/loopback/test_fleet_lives.py
@@ -1,4 +1,4 @@
-"""Instances that go wrong under a real supervisor: each fault is caused, and each end is looked at."""
+"""Instances that fail under a real supervisor: each fault is injected, and its outcome checked."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("spawn", ["fork", "exec"])
-def test_start_restart_stop_and_no_stray(fleet: FleetRig, spawn: str) -> None:
+def test_start_restart_and_stop_leave_no_process(fleet: FleetRig, spawn: str) -> None:
     fleet.fleet_table["spawn"] = spawn
     fleet.add("a", "b", "c")
     process = fleet.start()
@@ -33,7 +33,7 @@
     assert fleet.leftover_pids() == []
 
 
-def test_one_that_exits_at_once_is_given_up_without_spinning(fleet: FleetRig) -> None:
+def test_instance_that_exits_at_once_fails_after_its_restart_budget(fleet: FleetRig) -> None:
     fleet.policy["budget"] = 3
     fleet.add("good", mode="ok")
     fleet.add("bad", mode="exits")
@@ -42,11 +42,11 @@
     eventually(lambda: {n: r["state"] for n, r in fleet.status().items()} == {"good": "ready", "bad": "failed"})
     row = fleet.status()["bad"]
     assert row["last_exit"] == "code 3" and row["reason"].startswith("ended 4 times") and row["generation"] == 4
-    assert fleet.log_text().count(" bad fleet.supervisor/exited") == 3  # and a fourth that was the last
+    assert fleet.log_text().count(" bad fleet.supervisor/exited") == 3  # the fourth exit is logged as the failure
     assert fleet.end(process) == 0
 
 
-def test_one_that_exits_after_it_was_ready_is_started_again(fleet: FleetRig) -> None:
+def test_instance_that_exits_after_it_was_ready_is_restarted(fleet: FleetRig) -> None:
     fleet.policy["budget"] = 4
     fleet.add("x", mode="exits-later")
     fleet.write()
@@ -56,7 +56,7 @@
     assert row["restarts"] == 4 and row["last_exit"] == "code 4"
 
 
-def test_one_that_never_gets_ready_is_killed_and_says_so(fleet: FleetRig) -> None:
+def test_instance_that_never_gets_ready_is_killed(fleet: FleetRig) -> None:
     fleet.policy |= {"budget": 1, "ready_within": 0.3}
     fleet.add("x", mode="mute")
     fleet.write()
@@ -66,7 +66,7 @@
     assert "not ready within 0.3 s" in row["reason"] and row["last_exit"] == "signal 9"
 
 
-def test_one_that_ignores_sigterm_is_killed_after_the_deadline(fleet: FleetRig) -> None:
+def test_instance_that_ignores_sigterm_is_killed_after_the_deadline(fleet: FleetRig) -> None:
     fleet.policy["stop_within"] = 0.3
     fleet.add("x", mode="stubborn")
     fleet.add("y", mode="ok")
@@ -78,8 +78,8 @@
     assert "y fleet.supervisor/killed" not in fleet.log_text()
 
 
-def test_one_that_is_stopped_is_hung_and_replaced(fleet: FleetRig) -> None:
-    """SIGSTOP: alive, its listener accepts, nothing is answered and no processor time is used."""
+def test_stopped_instance_is_hung_and_replaced(fleet: FleetRig) -> None:
+    """SIGSTOP: the process is alive and its listener accepts, but it answers nothing and uses no processor time."""
     fleet.policy["hang_after"] = 2.5
     fleet.add("a", "b")
     fleet.start()
@@ -92,21 +92,21 @@
     assert fleet.status()["a"]["last_exit"] == "signal 9"
 
 
-def test_a_pause_of_the_supervisor_is_held_against_nobody(fleet: FleetRig) -> None:
+def test_pause_of_the_supervisor_replaces_no_instance(fleet: FleetRig) -> None:
     fleet.policy["hang_after"] = 1.0
     fleet.add("a", "b")
     process = fleet.start()
     before = fleet.pids()
     process.send_signal(signal.SIGSTOP)
-    time.sleep(3.5)  # longer than hang_after and than what passes for a slow tick
+    time.sleep(3.5)  # longer than hang_after and than a slow tick
     process.send_signal(signal.SIGCONT)
     eventually(lambda: "the supervisor itself was paused" in fleet.log_text())
     eventually(lambda: fleet.states() == {"ready"})
     assert fleet.pids() == before
 
 
-def test_one_that_is_busy_is_left_to_its_work(fleet: FleetRig) -> None:
-    """It answers nothing for longer than `hang_after`, like one that is stopped, but uses the processor."""
+def test_busy_instance_is_not_replaced(fleet: FleetRig) -> None:
+    """It answers nothing for longer than `hang_after`, like a stopped one, but uses the processor."""
     fleet.policy |= {"hang_after": 0.6, "busy_limit": 60.0}
     fleet.add("x", mode="busy")
     fleet.write()
@@ -117,7 +117,7 @@
     assert row["restarts"] == 0 and row["generation"] == 1
 
 
-def test_one_that_beats_but_answers_nothing_is_replaced(fleet: FleetRig) -> None:
+def test_instance_with_heartbeats_that_answers_nothing_is_replaced(fleet: FleetRig) -> None:
     fleet.policy |= {"hang_after": 0.5, "busy_limit": 1.5, "budget": 1}
     fleet.add("x", mode="deaf")
     fleet.write()
@@ -126,12 +126,14 @@
     assert "alive, but no request answered" in fleet.status()["x"]["reason"]
 
 
-def test_a_killed_instance_comes_back_and_its_listener_never_refuses(fleet: FleetRig) -> None:
+def test_killed_instance_is_restarted_and_its_listener_never_refuses(fleet: FleetRig) -> None:
     fleet.add("a")
     fleet.start()
     for round_ in range(1, 4):
         os.kill(fleet.pids()["a"], signal.SIGKILL)
-        with socket.create_connection(("127.0.0.1", fleet.port("a"))) as sock:  # refused without the held listener
+        with socket.create_connection(
+            ("127.0.0.1", fleet.port("a"))
+        ) as sock:  # refused unless the supervisor keeps the listener open
             sock.sendall(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
             sock.settimeout(20.0)
             assert sock.recv(100).startswith(b"HTTP/1.1 200")
@@ -140,8 +142,8 @@
     assert fleet.status()["a"]["last_exit"] == "signal 9"
 
 
-def test_what_an_instance_left_in_its_group_ends_with_it(fleet: FleetRig) -> None:
-    """A command that starts a helper and is killed: the helper would otherwise live on."""
+def test_process_group_of_an_instance_ends_with_it(fleet: FleetRig) -> None:
+    """A command starts a helper and is killed; the helper must not survive it."""
     note = fleet.folder / "helper"
     script = f'sleep 1000 & echo $! > {note}.new; mv {note}.new {note}; exec "$0" "$@"'
     fleet.add("x", mode="ok")
@@ -154,7 +156,7 @@
     eventually(lambda: has_exited(helper))
 
 
-def test_an_instance_over_its_memory_is_replaced_and_says_why(fleet: FleetRig) -> None:
+def test_instance_over_its_memory_limit_is_replaced(fleet: FleetRig) -> None:
     fleet.policy["budget"] = 1
     fleet.add("x", mode="ok", memory_mb=32)
     python, path, *_ = fleet.instances["x"]["command"]
@@ -168,7 +170,7 @@
     assert "out of memory" in row["last_exit"] and "over 32 MB" in row["reason"]
 
 
-def test_sigterm_during_the_start_ends_all(fleet: FleetRig) -> None:
+def test_sigterm_during_the_start_ends_all_processes(fleet: FleetRig) -> None:
     fleet.policy["ready_within"] = 1000.0
     fleet.add(*(f"m{i}" for i in range(4)), mode="mute")
     fleet.write()
@@ -180,9 +182,9 @@
     assert all(has_exited(pid) for pid in pids.values()) and fleet.leftover_pids() == []
 
 
-def test_nothing_outlives_a_killed_supervisor(fleet: FleetRig) -> None:
-    """Ten instances end by themselves, one of them after the kernel has woken it; one is deaf to everything, and
-    the next supervisor ends just that."""
+def test_no_process_outlives_a_killed_supervisor(fleet: FleetRig) -> None:
+    """Ten instances end by themselves, one of them after the kernel has continued it; one ignores everything, and the
+    next supervisor kills only that one."""
     fleet.policy["stop_within"] = 4.0
     fleet.add(*(f"p{i}" for i in range(10)))
     fleet.add("deaf", mode="stuck")
@@ -199,14 +201,14 @@
     assert not set(fleet.pids().values()) & set(before.values())
 
 
-def test_a_successor_that_comes_at_once_waits_for_the_ports(fleet: FleetRig) -> None:
-    """One instance is held, so that it is still there when the successor looks."""
+def test_next_supervisor_waits_for_the_ports(fleet: FleetRig) -> None:
+    """One instance is stopped, so that it still exists when the next supervisor starts."""
     fleet.add("a", "b")
     process = fleet.start()
     held = fleet.pids()["a"]
     process.kill()
     process.wait()
-    # Not before: the kernel lets go on what is stopped in a group that becomes an orphan (setpgid(2), SIGCONT).
+    # Not earlier: the kernel continues stopped processes of a group that becomes orphaned (setpgid(2), SIGCONT).
     os.kill(held, signal.SIGSTOP)
 
     def let_go() -> None:
@@ -222,7 +224,7 @@
     assert "of an earlier supervisor are ending" in fleet.log_text()
 
 
-def test_a_rolling_restart_halts_on_a_bad_fresh_process_and_the_old_ones_stay(fleet: FleetRig) -> None:
+def test_rolling_restart_halts_when_a_replacement_fails(fleet: FleetRig) -> None:
     flag = fleet.folder / "bad"
     fleet.add(*(f"x{i}" for i in range(5)), mode="flag", value=str(flag))
     fleet.start()
@@ -238,7 +240,7 @@
     assert not set(fleet.pids().values()) & set(before.values())
 
 
-def test_a_reload_that_halted_goes_on_where_it_stopped_when_repeated(fleet: FleetRig) -> None:
+def test_repeated_reload_continues_where_it_halted(fleet: FleetRig) -> None:
     flag = fleet.folder / "bad"
     fleet.policy["at_once"] = 1
     fleet.add(*(f"x{i}" for i in range(3)), mode="flag", value=str(flag))
@@ -258,8 +260,8 @@
     assert b"0 of 0 done" in fleet.fleet("reload").stdout
 
 
-def test_instances_leave_nothing_of_the_supervisor_open(fleet: FleetRig) -> None:
-    """An instance that held another's lifeline, or the lock, would keep it alive beyond its supervisor."""
+def test_instances_hold_no_descriptors_of_the_supervisor(fleet: FleetRig) -> None:
+    """An instance with another's lifeline, or with the lock, would keep it open after the supervisor has exited."""
     fleet.add("a", "b", "c")
     process = fleet.start()
     fleet.fleet("restart")
