--- a/cometusher/fleet/process.py
+++ b/cometusher/fleet/process.py
@@ -168,9 +168,9 @@
     try:
         for _ in range(3):
             opened += os.pipe()
-        status, status_w, log, log_w, lifeline_r, lifeline = opened
-        null = os.open(os.devnull, os.O_RDWR)
-        opened.append(null)
+        status_fd, status_write_fd, log_fd, log_write_fd, lifeline_read_fd, lifeline_fd = opened
+        null_fd = os.open(os.devnull, os.O_RDWR)
+        opened.append(null_fd)
         # Signals are blocked until the child has dropped the supervisor's handlers.
         mask = signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         try:
@@ -181,12 +181,12 @@
                     instance_spec,
                     generation,
                     {
-                        0: null,
-                        1: log_w,
-                        2: log_w,
+                        0: null_fd,
+                        1: log_write_fd,
+                        2: log_write_fd,
                         instance.LISTENER_FD: listener.fileno(),
-                        instance.STATUS_FD: status_w,
-                        instance.LIFELINE_FD: lifeline_r,
+                        instance.STATUS_FD: status_write_fd,
+                        instance.LIFELINE_FD: lifeline_read_fd,
                     }
                     | (extra_descriptors or {}),
                     {int(number) for number in mask},
@@ -198,9 +198,9 @@
         for descriptor in opened:
             os.close(descriptor)
         raise
-    for descriptor in (status_w, log_w, lifeline_r, null):
+    for descriptor in (status_write_fd, log_write_fd, lifeline_read_fd, null_fd):
         os.close(descriptor)
-    for descriptor in (status, log):
+    for descriptor in (status_fd, log_fd):
         os.set_blocking(descriptor, False)
     with contextlib.suppress(OSError):
         os.setpgid(pid, pid)  # parent and child both set it, whichever runs first
@@ -212,9 +212,9 @@
         pid,
         identity,
         pidfd,
-        status,
-        log,
-        lifeline,
+        status_fd,
+        log_fd,
+        lifeline_fd,
         instance_spec,
         instance_spec,
         ring_position,
--- a/cometusher/fleet/supervisor.py
+++ b/cometusher/fleet/supervisor.py
@@ -410,19 +410,19 @@
             return process.spawn(self.spec, instance_spec, generation, listener, extra_values)
         if self.watchdog is None:
             return self._start_with_takeover(instance_spec, generation, listener, extra_values, {})
-        row = self.watchdog.board.allocate_row()
+        board_row = self.watchdog.board.allocate_row()
         try:
             child = self._start_with_takeover(
                 instance_spec,
                 generation,
                 listener,
-                extra_values | self.watchdog.heartbeat_values(row),
+                extra_values | self.watchdog.heartbeat_values(board_row),
                 self.watchdog.child_descriptors(),
             )
         except OSError:
-            self.watchdog.board.release_row(row)
+            self.watchdog.board.release_row(board_row)
             raise
-        child.board_row = row
+        child.board_row = board_row
         return child
 
     def _start_with_takeover(
@@ -783,22 +783,22 @@
 
     def _check_change(self, new: FleetSpec) -> None:
         """Raise ConfigError for changes that need a restart of the fleet; open the listeners of new instances."""
-        old = self.spec
+        running_spec = self.spec
         for key, before, after in (
-            ("fleet.name", old.location.name, new.location.name),
-            ("fleet.state", old.location.state_directory, new.location.state_directory),
-            ("fleet.spawn", old.spawn, new.spawn),
-            ("log", old.log, new.log),
-            ("mesh", old.cluster, new.cluster),
+            ("fleet.name", running_spec.location.name, new.location.name),
+            ("fleet.state", running_spec.location.state_directory, new.location.state_directory),
+            ("fleet.spawn", running_spec.spawn, new.spawn),
+            ("log", running_spec.log, new.log),
+            ("mesh", running_spec.cluster, new.cluster),
         ):
             if before != after:
                 raise ConfigError(
                     f"{new.location.file}: {key}: {after} instead of {before} needs a restart of the fleet"
                 )
         for key, previous, current in (
-            ("comeback", old.recovery, new.recovery),
-            ("takeover", old.takeover, new.takeover),
-            ("vigil", old.failure_detection, new.failure_detection),
+            ("comeback", running_spec.recovery, new.recovery),
+            ("takeover", running_spec.takeover, new.takeover),
+            ("vigil", running_spec.failure_detection, new.failure_detection),
         ):
             if (previous is None) is not (current is None):
                 raise ConfigError(
@@ -806,7 +806,7 @@
                 )
         added = []
         for name, instance_spec in new.instances.items():
-            running = old.instances.get(name)
+            running = running_spec.instances.get(name)
             if running is not None and running.listen != instance_spec.listen:
                 raise ConfigError(
                     f"{new.location.file}: {name}: listen: can't change; give the instance another name"
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -121,7 +121,7 @@
         self.file.write_text(text)
         return self.file
 
-    def command(self, *arguments: str) -> list[str]:
+    def command_line(self, *arguments: str) -> list[str]:
         return [sys.executable, "-m", "cometusher", *arguments]
 
     def launch(
@@ -133,7 +133,7 @@
         pass_fds: Sequence[int] = (),
     ) -> subprocess.Popen[bytes]:
         """Start a supervisor in the foreground; returns at once."""
-        command = [*prefix, *self.command("fleet", "start", "-c", str(self.file), *more)]
+        command = [*prefix, *self.command_line("fleet", "start", "-c", str(self.file), *more)]
         process = subprocess.Popen(
             command,
             cwd=self.folder,
@@ -145,11 +145,11 @@
         self.started.append(process)
         return process
 
-    def run(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess[bytes]:
         """Run a command to its end."""
         environ = os.environ | {"PYTHONPATH": str(ROOT)}
         return subprocess.run(
-            self.command(*arguments),
+            self.command_line(*arguments),
             cwd=self.folder,
             env=environ,
             capture_output=True,
@@ -157,8 +157,8 @@
             check=False,
         )
 
-    def fleet(self, action: str, *more: str) -> subprocess.CompletedProcess[bytes]:
-        return self.run("fleet", action, "-c", str(self.file), *more)
+    def fleet_command(self, action: str, *more: str) -> subprocess.CompletedProcess[bytes]:
+        return self.run_command("fleet", action, "-c", str(self.file), *more)
 
     def start(self, *more: str, **options: Any) -> subprocess.Popen[bytes]:
         """Write the file, launch, and wait until every instance is ready."""
@@ -201,9 +201,9 @@
                         found.append(int(entry))
         return found + [pid for pid in self.seen_pids if has_exited(pid) is False]
 
-    def end(self, process: subprocess.Popen[bytes], number: int = signal.SIGTERM) -> int:
+    def stop_supervisor(self, process: subprocess.Popen[bytes], signal_number: int = signal.SIGTERM) -> int:
         """Signal a supervisor and wait for its end; returns its exit code."""
-        process.send_signal(number)
+        process.send_signal(signal_number)
         process.communicate(timeout=TIMEOUT)
         return process.returncode
 
@@ -226,10 +226,10 @@
             if process.poll() is None:
                 process.kill()
             process.communicate()
-        eventually(lambda: _clean(rig), "no process is left")
+        eventually(lambda: kill_leftovers(rig), "no process is left")
 
 
-def _clean(rig: FleetRig) -> bool:
+def kill_leftovers(rig: FleetRig) -> bool:
     left = rig.leftover_pids()
     for pid in left:
         with contextlib.suppress(OSError):
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -122,7 +122,7 @@
             os.kill(m.pid(2), signal.SIGKILL)
             await m.wait_for(lambda: m.rigs[2].started[-1].poll() is not None, "its exit")
             await m.agree(m2="dead")
-            shown = await asyncio.to_thread(m.rigs[0].fleet, "members")
+            shown = await asyncio.to_thread(m.rigs[0].fleet_command, "members")
             assert b"m2" in shown.stdout and b"dead" in shown.stdout, shown
             m.launch(2)
             await m.agree()
@@ -135,7 +135,7 @@
 def test_supervisor_that_is_stopped_in_order_has_left() -> None:
     async def test() -> None:
         async with machines() as m:
-            done = await asyncio.to_thread(m.rigs[1].fleet, "stop")
+            done = await asyncio.to_thread(m.rigs[1].fleet_command, "stop")
             assert done.returncode == 0, done
             await m.agree(m1="left")
 
@@ -251,11 +251,11 @@
     async def test() -> None:
         async with machines(1, start=False) as m:
             m.prepare(0, **change)
-            done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
+            done = await asyncio.to_thread(m.rigs[0].run_command, "check", str(m.rigs[0].file))
             assert done.returncode == 2 and reason in done.stderr, done.stderr
             m.prepare(0)
             (m.rigs[0].folder / "mesh.key").chmod(0o644)
-            done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
+            done = await asyncio.to_thread(m.rigs[0].run_command, "check", str(m.rigs[0].file))
             assert done.returncode == 2 and b"others may read it" in done.stderr
 
     run(test)
@@ -286,7 +286,7 @@
 
 
 def restart_orders(m: Machines, machines: list[int]) -> list[asyncio.Task[Any]]:
-    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet, "restart")) for i in machines]
+    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet_command, "restart")) for i in machines]
 
 
 async def launch_grantors(m: Machines, instances: int) -> None:
@@ -311,7 +311,7 @@
             assert {i for i, _ in history} == {0, 1, 2} and [epoch for _, epoch in history] == sorted(
                 epoch for _, epoch in history
             )
-            shown = await asyncio.to_thread(m.rigs[0].fleet, "leases")
+            shown = await asyncio.to_thread(m.rigs[0].fleet_command, "leases")
             assert b"rollout: not held here" in shown.stdout, shown
 
     run(test)
@@ -403,7 +403,7 @@
         return found
 
     async def order(self, i: int, command: str, host: str) -> None:
-        done = await asyncio.to_thread(self.m.rigs[i].fleet, command, host)
+        done = await asyncio.to_thread(self.m.rigs[i].fleet_command, command, host)
         assert done.returncode == 0, done.stderr
 
     async def carried_out(self, *machines: int) -> None:
@@ -440,7 +440,7 @@
             for i in range(3):  # slow start after the ban sends it fewer requests
                 while b"s-2" not in await s.served_by(i):
                     await asyncio.sleep(0.1)
-            shown = await asyncio.to_thread(s.m.rigs[2].fleet, "bans")
+            shown = await asyncio.to_thread(s.m.rigs[2].fleet_command, "bans")
             assert b"s-2" in shown.stdout and b"no more" in shown.stdout and b"by m1" in shown.stdout, shown
 
     run(test)
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -57,7 +57,7 @@
             row.pop(moving)
     assert after == before
     fleet.file.write_text(text)
-    assert fleet.fleet("reload").returncode == 0
+    assert fleet.fleet_command("reload").returncode == 0
 
 
 def test_reload_adds_removes_reconfigures_and_replaces(fleet: FleetRig) -> None:
@@ -70,7 +70,7 @@
     del fleet.instances["removed"]
     fleet.add("added")
     fleet.write()
-    done = fleet.fleet("reload")
+    done = fleet.fleet_command("reload")
     assert done.returncode == 0, done.stderr
     after = fleet.status()
     assert set(after) == {"same", "reloaded", "replaced", "added"}
@@ -108,7 +108,7 @@
     del fleet.instances["a"]
     fleet.instances["c"]["discovery"] = "127.0.0.1:10"
     fleet.write()
-    assert fleet.fleet("reload").returncode == 0
+    assert fleet.fleet_command("reload").returncode == 0
     assert places() == {name: place for name, place in before.items() if name != "a"}
     assert fleet.pids() == {name: pid for name, pid in pids.items() if name != "a"}
     assert "waits for the next start" not in fleet.log_text()
@@ -122,7 +122,7 @@
     before = fleet.pids()
     text = fleet.file.read_text()
     restart = subprocess.Popen(
-        fleet.command("fleet", "restart", "-c", str(fleet.file)),
+        fleet.command_line("fleet", "restart", "-c", str(fleet.file)),
         cwd=fleet.folder,
         stdout=subprocess.DEVNULL,
         env=os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)},
@@ -134,7 +134,7 @@
     eventually(lambda: "1 instances change" in fleet.log_text())
     fleet.instances["x"] = x
     fleet.file.write_text(text)
-    assert fleet.fleet("reload").returncode == 0
+    assert fleet.fleet_command("reload").returncode == 0
     assert restart.wait(timeout=60) == 0
     eventually(lambda: fleet.states() == {"ready"})
     assert set(fleet.status()) == set(before) and fleet.pids()["x"] != before["x"]
@@ -147,7 +147,7 @@
     fleet.add("b", "c", mode="ok")
     fleet.write()
     with socket.create_server(("127.0.0.1", fleet.port("c"))):
-        done = fleet.fleet("reload")
+        done = fleet.fleet_command("reload")
     assert done.returncode == 1 and b"c: 127.0.0.1" in done.stderr and b"taken by pid" in done.stderr
     assert fleet.pids() == before
     with socket.create_server(("127.0.0.1", fleet.port("b"))):
@@ -172,7 +172,7 @@
 async def restart_and_reload(fleet: FleetRig) -> list[int | None]:
     async def command(action: str) -> int | None:
         process = await asyncio.create_subprocess_exec(
-            *fleet.command("fleet", action, "-c", str(fleet.file)),
+            *fleet.command_line("fleet", action, "-c", str(fleet.file)),
             cwd=fleet.folder,
             env=os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)},
         )
@@ -215,7 +215,7 @@
         while load.figures.served < 50:
             await asyncio.sleep(0.01)
         for _ in range(2):
-            done = await asyncio.to_thread(fleet.fleet, "restart")
+            done = await asyncio.to_thread(fleet.fleet_command, "restart")
             assert done.returncode == 0, done.stderr
         while not all(row["requests"]["served"] for row in fleet.status().values()):
             await asyncio.sleep(0.05)
@@ -352,9 +352,9 @@
     fleet.add("a", mode="ok")
     fleet.write()
     for action in ("status", "reload", "restart", "stop"):
-        done = fleet.fleet(action)
+        done = fleet.fleet_command(action)
         assert done.returncode == 1 and b"no supervisor runs" in done.stderr
-    done = fleet.fleet("status", "--json")
+    done = fleet.fleet_command("status", "--json")
     assert orjson.loads(done.stdout)["ok"] is False
 
 
@@ -379,13 +379,13 @@
     fleet.launch(**({"stderr": stderr} if stderr >= 0 else {}))  # type: ignore[arg-type]
     eventually(lambda: fleet.states() == {"ready"})
     eventually(lambda: send_request(fleet.control, "status", 10.0)["log_dropped"] > 0)
-    assert fleet.fleet("restart", "quiet", "proxy").returncode == 0
+    assert fleet.fleet_command("restart", "quiet", "proxy").returncode == 0
     if target == "not read":  # with a reader the queued records arrive, and the number of dropped ones
         with (fleet.folder / "fifo").open("rb") as fifo:
             text = b""
             while b"records were dropped" not in text:
                 text = text[-4096:] + os.read(fifo.fileno(), 2**16)
-    assert fleet.fleet("stop").returncode == 0
+    assert fleet.fleet_command("stop").returncode == 0
     if stderr >= 0:
         os.close(reader)
         os.close(stderr)
@@ -445,8 +445,8 @@
     prefix = [sys.executable, "-c", code + "os.execv(sys.argv[1], sys.argv[1:])"]
     process = fleet.start(prefix=prefix, env={"LISTEN_FDS": "1"}, pass_fds=[listener.fileno()])
     listener.close()
-    assert fleet.fleet("restart").returncode == 0
-    assert fleet.end(process) == 0
+    assert fleet.fleet_command("restart").returncode == 0
+    assert fleet.stop_supervisor(process) == 0
 
 
 def test_listener_passed_to_another_process_is_ignored(fleet: FleetRig) -> None:
@@ -461,7 +461,7 @@
 
 
 def test_demo_serves_and_ends(fleet: FleetRig) -> None:
-    done = fleet.run("demo", "--seconds", "3")
+    done = fleet.run_command("demo", "--seconds", "3")
     last = done.stdout.decode().splitlines()[-1]
     assert done.returncode == 0, done.stderr
     figures = dict(pair.split("=") for pair in last.split()[1:-1])
@@ -472,7 +472,7 @@
 
 def test_ctrl_c_ends_the_demo_and_its_processes(fleet: FleetRig) -> None:
     environ = os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent.parent)}
-    process = subprocess.Popen(fleet.command("demo"), cwd=fleet.folder, env=environ, stdout=subprocess.PIPE)
+    process = subprocess.Popen(fleet.command_line("demo"), cwd=fleet.folder, env=environ, stdout=subprocess.PIPE)
     assert process.stdout is not None
     lines = []
     while not (line := process.stdout.readline()).startswith(b"the proxies' log"):
--- a/tests/loopback/test_fleet_identity.py
+++ b/tests/loopback/test_fleet_identity.py
@@ -35,7 +35,7 @@
         fleet.add("a", mode="ok")
         process = fleet.start()
         assert "earlier supervisor" not in fleet.log_text()
-        assert fleet.end(process) == 0
+        assert fleet.stop_supervisor(process) == 0
         assert not has_exited(other.pid)
     finally:
         other.kill()
@@ -93,7 +93,7 @@
     fleet.add("a", mode="ok")
     process = fleet.start()
     (fleet.state / "supervisor.pid").write_bytes(b"")
-    second = fleet.fleet("start")
+    second = fleet.fleet_command("start")
     assert second.returncode == 1 and second.stderr.count(b"\n") == 1
     assert f"held by another supervisor, pid {process.pid}".encode() in second.stderr
     assert fleet.states() == {"ready"}  # the first supervisor is not disturbed
@@ -111,7 +111,7 @@
         text = loser.communicate()[1]
         assert f"held by another supervisor, pid {winner.pid}".encode() in text, text
         eventually(lambda: fleet.states() == {"ready"})
-        assert fleet.end(winner) == 0
+        assert fleet.stop_supervisor(winner) == 0
     assert fleet.leftover_pids() == []
 
 
@@ -133,14 +133,14 @@
         loser, winner = sorted(two, key=lambda p: p.poll() is None)
         text_ = loser.communicate()[1]
         assert loser.returncode == 1 and f"127.0.0.1:{fleet.port('a')} is taken by pid".encode() in text_, text_
-        assert fleet.end(winner) == 0
+        assert fleet.stop_supervisor(winner) == 0
 
 
 def test_port_in_use_is_reported_with_its_process(fleet: FleetRig) -> None:
     fleet.add("a", "b", mode="ok")
     with socket.create_server(("127.0.0.1", fleet.port("b"))):
         fleet.write()
-        done = fleet.fleet("start")
+        done = fleet.fleet_command("start")
     assert done.returncode == 1 and done.stderr.count(b"\n") == 1
     assert f"b: 127.0.0.1:{fleet.port('b')} is taken by pid {os.getpid()} (".encode() in done.stderr
     assert fleet.leftover_pids() == []
@@ -155,7 +155,7 @@
         fleet.state.mkdir()
         fleet.state.chmod(0o777)
     fleet.write()
-    done = fleet.fleet("start")
+    done = fleet.fleet_command("start")
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1
     assert f"state directory {fleet.state}".encode() in done.stderr
 
@@ -163,7 +163,7 @@
 def test_daemon_command_returns_when_the_fleet_is_ready(fleet: FleetRig) -> None:
     fleet.add("a", "b")
     fleet.write()
-    done = fleet.fleet("start", "--daemon")
+    done = fleet.fleet_command("start", "--daemon")
     assert done.returncode == 0 and b"2 of 2 done" in done.stdout
     rows = fleet.status()
     assert {row["state"] for row in rows.values()} == {"ready"}
@@ -176,7 +176,7 @@
     assert os.readlink(f"/proc/{pid}/cwd") == "/"
     assert {os.readlink(f"/proc/{pid}/fd/{fd}") for fd in (0, 1, 2)} == {"/dev/null"}
     assert "Umask:\t0027" in Path(f"/proc/{pid}/status").read_text()
-    assert fleet.fleet("stop").returncode == 0
+    assert fleet.fleet_command("stop").returncode == 0
     assert has_exited(pid) and fleet.leftover_pids() == []
 
 
@@ -184,11 +184,11 @@
     fleet.add("a", mode="ok")
     with socket.create_server(("127.0.0.1", fleet.port("a"))):
         fleet.write()
-        done = fleet.fleet("start", "--daemon")
+        done = fleet.fleet_command("start", "--daemon")
     assert done.returncode == 1 and b"is taken by pid" in done.stderr
     fleet.logging = {"target": "stderr"}
     fleet.write()
-    done = fleet.fleet("start", "--daemon")
+    done = fleet.fleet_command("start", "--daemon")
     assert done.returncode == 2 and b"log.target" in done.stderr
 
 
--- a/tests/loopback/test_fleet_lives.py
+++ b/tests/loopback/test_fleet_lives.py
@@ -19,16 +19,16 @@
     fleet.add("a", "b", "c")
     process = fleet.start()
     before = fleet.pids()
-    done = fleet.fleet("restart")
+    done = fleet.fleet_command("restart")
     assert done.returncode == 0, done.stderr
     after = fleet.pids()
     assert not set(before.values()) & set(after.values())
     assert all(row["restarts"] == 0 and row["generation"] == 2 for row in fleet.status().values())
-    done = fleet.fleet("stop", "b")
+    done = fleet.fleet_command("stop", "b")
     assert done.returncode == 0 and fleet.status()["b"]["state"] == "stopped"
-    done = fleet.fleet("start", "b")
+    done = fleet.fleet_command("start", "b")
     assert done.returncode == 0 and fleet.states() == {"ready"}
-    done = fleet.fleet("stop")
+    done = fleet.fleet_command("stop")
     assert (done.returncode, process.wait()) == (0, 0)
     assert fleet.leftover_pids() == []
 
@@ -43,7 +43,7 @@
     row = fleet.status()["bad"]
     assert row["last_exit"] == "code 3" and row["reason"].startswith("ended 4 times") and row["generation"] == 4
     assert fleet.log_text().count(" bad fleet.supervisor/exited") == 3  # the fourth exit is logged as the failure
-    assert fleet.end(process) == 0
+    assert fleet.stop_supervisor(process) == 0
 
 
 def test_instance_that_exits_after_it_was_ready_is_restarted(fleet: FleetRig) -> None:
@@ -72,7 +72,7 @@
     fleet.add("y", mode="ok")
     process = fleet.start()
     pids = fleet.pids()
-    assert fleet.end(process) == 0
+    assert fleet.stop_supervisor(process) == 0
     assert all(has_exited(pid) for pid in pids.values())
     assert "x fleet.supervisor/killed: did not end within 0.3 s" in fleet.log_text()
     assert "y fleet.supervisor/killed" not in fleet.log_text()
@@ -178,7 +178,7 @@
     eventually(lambda: fleet.states() == {"starting"})
     pids = fleet.pids()
     assert len(pids) == 4
-    assert fleet.end(process) == 0
+    assert fleet.stop_supervisor(process) == 0
     assert all(has_exited(pid) for pid in pids.values()) and fleet.leftover_pids() == []
 
 
@@ -230,13 +230,13 @@
     fleet.start()
     before = fleet.pids()
     flag.touch()
-    done = fleet.fleet("restart")
+    done = fleet.fleet_command("restart")
     assert done.returncode == 1
     assert b"the replacement exited with code 5" in done.stderr and b"halted" in done.stderr
     assert done.stderr.count(b"\n") == 1
     assert fleet.pids() == before and fleet.states() == {"ready"}
     flag.unlink()
-    assert fleet.fleet("restart").returncode == 0
+    assert fleet.fleet_command("restart").returncode == 0
     assert not set(fleet.pids().values()) & set(before.values())
 
 
@@ -250,21 +250,21 @@
         values["sockets"] = 512
     fleet.write()
     flag.touch()
-    done = fleet.fleet("reload")
+    done = fleet.fleet_command("reload")
     assert done.returncode == 1 and b"halted: 2 left unchanged" in done.stderr
     assert fleet.pids() == before
     flag.unlink()
-    done = fleet.fleet("reload")
+    done = fleet.fleet_command("reload")
     assert done.returncode == 0 and b"3 of 3 done" in done.stdout
     assert not set(fleet.pids().values()) & set(before.values())
-    assert b"0 of 0 done" in fleet.fleet("reload").stdout
+    assert b"0 of 0 done" in fleet.fleet_command("reload").stdout
 
 
 def test_instances_hold_no_descriptors_of_the_supervisor(fleet: FleetRig) -> None:
     """An instance with another's lifeline, or with the lock, would keep it open after the supervisor has exited."""
     fleet.add("a", "b", "c")
     process = fleet.start()
-    fleet.fleet("restart")
+    fleet.fleet_command("restart")
     pipes = {pid: pipes_of(pid) for pid in fleet.pids().values()}
     supervisor = pipes_of(process.pid)
     for pid, held in pipes.items():
