--- a/benchmarks/thresholds.py
+++ b/benchmarks/thresholds.py
@@ -115,7 +115,7 @@
     for observation_round in rounds:
         for key, observation in observation_round.observations.items():
             if observation.stopped:
-                current[key] = (observation.last_heartbeat, observation_round.time)
+                current[key] = (observation.last_heartbeat, observation_round.observed_at)
             elif key in current:
                 stops.append((key, *current.pop(key)))
     return stops
--- a/benchmarks/virtual.py
+++ b/benchmarks/virtual.py
@@ -21,20 +21,22 @@
 sys.path.insert(0, str(ROOT))
 
 from cometusher.simulation import script, seed_search  # noqa: E402
-from cometusher.simulation.world import play  # noqa: E402
+from cometusher.simulation.world import run_plan  # noqa: E402
 
 RATE = 300.0  # requests a second
-DIGEST_COMMAND = "from cometusher.simulation.seed_search import look; print(look('any', 7).digest)"
+DIGEST_COMMAND = "from cometusher.simulation.seed_search import run_seed; print(run_seed('any', 7).digest)"
 
 
 def large_plan(seconds: float) -> script.Plan:
     """The world that is measured; it has no faults, which would only make it faster."""
     rng = Random(1)
     arrival = 0.2
-    requests: list[script.Ask] = []
+    requests: list[script.PlannedRequest] = []
     while (arrival := arrival + rng.expovariate(RATE)) < seconds:
-        class_name = rng.choices(script.KINDS, (6, 3, 2))[0]
-        requests.append(script.Ask(len(requests) + 1, round(arrival, 5), class_name, rng.randrange(2), 1.5, want=200))
+        class_name = rng.choices(script.REQUEST_CLASSES, (6, 3, 2))[0]
+        requests.append(
+            script.PlannedRequest(len(requests) + 1, round(arrival, 5), class_name, rng.randrange(2), 1.5, want=200)
+        )
     return script.Plan("fleet", 1, seconds, zones=2, proxies=2, backends=6, sockets=256, requests=tuple(requests))
 
 
@@ -47,22 +49,21 @@
     seconds = 20.0 if options.quick else 60.0
     plan = large_plan(seconds)
     started_at = time.process_time()
-    result = play(plan)
+    result = run_plan(plan)
     cpu_used = time.process_time() - started_at
     ratio = seconds / cpu_used  # the idle time at the end of the world is not counted
     stopwatch = seed_search.Stopwatch()
     seeds = range(200 if options.quick else 2000)
-    findings = list(seed_search.hunt(seeds))
+    findings = list(seed_search.search(seeds))
     seeds_per_minute = 60.0 * len(findings) / stopwatch.seconds()
     failed = sum(bool(finding.oracles) for finding in findings)
     digests = seed_search.in_fresh_processes(DIGEST_COMMAND, ROOT, range(0, 20 * 7919, 7919))
     passed = len(digests) == 1 and not failed and not result.violations and ratio >= options.floor
     print(
-        f"virtual: proxies=4 backends=12 rate={RATE:.0f} requests={sum(result.ended.values())} "
+        f"virtual: proxies=4 backends=12 rate={RATE:.0f} requests={sum(result.outcomes.values())} "
         f"virtual_over_real={ratio:.1f} on_all_cores={ratio * multiprocessing.cpu_count():.0f} "
         f"cores={multiprocessing.cpu_count()} seeds={len(findings)} seeds_per_minute={seeds_per_minute:.0f} "
-        f"failed={failed} "
-        f"processes=20 digests={len(digests)} {'ok' if passed else 'short'}"
+        f"failed={failed} processes=20 digests={len(digests)} {'ok' if passed else 'short'}"
     )
     return 0 if passed else 1
 
--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The commands `cometusher fleet ...`: start, status, reload, restart, stop."""
+"""The commands `cometusher fleet ...`: start, status, reload, restart, stop and the queries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from weldroute.correlated_failures import RECOVERY_PHASES
 from weldroute.fleet import OperationDone
 
-QUERY_TIMEOUT = 10.0  # seconds for an answer that needs no work
+QUERY_TIMEOUT = 10.0  # seconds for the response to a query
 OPERATION_TIMEOUT = 3600.0  # seconds for an operation on the whole fleet
 
 
@@ -33,9 +33,9 @@
 
 
 def fleet(options: argparse.Namespace) -> int:
-    """One command; returns the exit code. Raises ConfigError.
+    """Run one command; return the exit code. Raises ConfigError.
 
-    Only a start reads the whole file: a fleet can be looked at and stopped whatever has become of the rest.
+    Only a start reads the whole file: a fleet can be queried and stopped even if the rest of its file is invalid.
     """
     path = Path(options.config)
     if options.action == "start":
@@ -52,26 +52,26 @@
 
 
 def _query(
-    place: FleetLocation, command: str, timeout: float, options: argparse.Namespace, named: bool = True
+    location: FleetLocation, command: str, timeout: float, options: argparse.Namespace, with_names: bool = True
 ) -> dict[str, Any] | None:
-    """The supervisor's answer; None if there is none to be had, which is told then."""
+    """Return the supervisor's response; None after printing an error if there is none."""
     try:
-        return send_request(place.control_socket, command, timeout, names=options.names if named else [])
-    except (NoSupervisor, ControlError) as fault:
+        return send_request(location.control_socket, command, timeout, names=options.names if with_names else [])
+    except (NoSupervisor, ControlError) as error:
         if options.json:
-            _print_json({"ok": False, "error": str(fault)})
-        _report(1, str(fault))
+            _print_json({"ok": False, "error": str(error)})
+        _report(1, str(error))
         return None
 
 
-def _operate(place: FleetLocation, options: argparse.Namespace) -> int:
-    # A supervisor that hangs is told at once.
-    if _query(place, "status", QUERY_TIMEOUT, options, named=False) is None:
+def _operate(location: FleetLocation, options: argparse.Namespace) -> int:
+    # A query first: a supervisor that hangs is reported after seconds instead of an hour.
+    if _query(location, "status", QUERY_TIMEOUT, options, with_names=False) is None:
         return 1
-    answer = _query(place, options.action, OPERATION_TIMEOUT, options)
-    if answer is None:
+    reply = _query(location, options.action, OPERATION_TIMEOUT, options)
+    if reply is None:
         return 1
-    _print_json(answer) if options.json else _report(0, str(answer.get("text", "done")))
+    _print_json(reply) if options.json else _report(0, str(reply.get("text", "done")))
     return 0
 
 
@@ -84,9 +84,9 @@
         try:
             send_request(spec.location.control_socket, "status", QUERY_TIMEOUT)
         except NoSupervisor:
-            pass  # then this becomes the supervisor
-        except ControlError as fault:
-            _report(1, str(fault))
+            pass  # then this process becomes the supervisor
+        except ControlError as error:
+            _report(1, str(error))
             return 1
         else:
             return _operate(spec.location, options)
@@ -110,40 +110,48 @@
 
     try:
         supervisor.run(spec, options.names, dict(os.environ), started)
-    except (supervisor.CannotStart, ValueError) as fault:
-        report(1, str(fault))
+    except (supervisor.CannotStart, ValueError) as error:
+        report(1, str(error))
         return 1
     return 0
 
 
-def _query_and_show(place: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]) -> int:
-    """What the supervisor answers to the action's own name, as JSON or for people."""
-    answer = _query(place, options.action, QUERY_TIMEOUT, options)
-    if answer is None:
+def _query_and_show(
+    location: FleetLocation, options: argparse.Namespace, show: Callable[[dict[str, Any]], None]
+) -> int:
+    """Query the supervisor with the action's name, and print the response as JSON or for people."""
+    reply = _query(location, options.action, QUERY_TIMEOUT, options)
+    if reply is None:
         return 1
-    _print_json(answer) if options.json else show(answer)
+    _print_json(reply) if options.json else show(reply)
     return 0
 
 
-def _show_status(answer: dict[str, Any]) -> None:
-    print(f"{answer['fleet']}: supervisor {answer['pid']}", *answer["operations"], sep="\n  ")
-    for event in answer.get("comeback", [])[-1:]:
+def _show_status(reply: dict[str, Any]) -> None:
+    print(f"{reply['fleet']}: supervisor {reply['pid']}", *reply["operations"], sep="\n  ")
+    for event in reply.get("comeback", [])[-1:]:
         reached = ", ".join(f"{name} {event[name]:.2f} s" for name in RECOVERY_PHASES if event[name] is not None)
         print(
             f"  event {event['event']}, {event['ago']:.0f} s ago: {event['ended']} of {event['of']}, "
-            f"{event['cause']}: {reached or 'nothing yet'}"
+            f"{event['cause']}: {reached or 'no recovery yet'}"
+        )
+    takeover = reply.get("takeover")
+    if takeover:
+        print(
+            "  takeover of in-flight requests: "
+            + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in takeover.items())
+        )
+    detector = reply.get("vigil")
+    if detector:
+        print(
+            "  failure detection: "
+            + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in detector.items())
         )
-    estate = answer.get("takeover")
-    if estate:
-        print("  work in hand: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in estate.items()))
-    watch = answer.get("vigil")
-    if watch:
-        print("  watch: " + ", ".join(f"{name.replace('_', ' ')} {count}" for name, count in watch.items()))
     columns = "{:<20} {:<9} {:>7} {:>8} {:>8}  {:<24} {:<12} {:>7} {:>5} {:>9}"
     print(
         columns.format("name", "state", "pid", "since", "restarts", "last exit", "version", "MB", "fds", "requests")
     )
-    for row in answer["instances"]:
+    for row in reply["instances"]:
         requests = sum(n for name, n in row["requests"].items() if name != "open")
         print(
             columns.format(
@@ -159,30 +167,30 @@
                 requests,
             )
         )
-        seen = row.get("vigil", {})
-        if seen and seen["judgement"] != "well":
-            print(f"  {seen['judgement']}: {seen['cause'] or 'late'}, phi {seen['phi']}")
-        if seen.get("unlike"):
-            print(f"  {seen['unlike']}: {seen['because']}; {100.0 * seen['portion']:.0f}% of its new connections")
+        view = row.get("vigil", {})
+        if view and view["judgement"] != "well":
+            print(f"  {view['judgement']}: {view['cause'] or 'late'}, phi {view['phi']}")
+        if view.get("unlike"):
+            print(f"  {view['unlike']}: {view['because']}; {100.0 * view['portion']:.0f}% of its new connections")
         if row["state"] in ("failed", "waiting") and row["reason"]:
             print(f"  {row['reason']}")
 
 
-def _show_notes(answer: dict[str, Any]) -> None:
-    for name, notes in answer["notes"].items():
-        print(f"{name}: " + ("nothing to tell" if not notes else ""))
+def _show_notes(reply: dict[str, Any]) -> None:
+    for name, notes in reply["notes"].items():
+        print(f"{name}: " + ("nothing recorded" if not notes else ""))
         for ago, text in notes:
             print(f"  {ago:8.2f} s ago  {text}")
 
 
-def _show_members(answer: dict[str, Any]) -> None:
-    links = {link["address"]: link for link in answer["links"]}
+def _show_members(reply: dict[str, Any]) -> None:
+    links = {link["address"]: link for link in reply["links"]}
     columns = "{:<24} {:<22} {:<8} {:<8} {:>8} {:>6}  {}"
     print(columns.format("name", "address", "zone", "state", "since", "inc.", "link"))
-    for row in answer["members"]:
+    for row in reply["members"]:
         link = links.get(row["address"])
-        how = "-" if link is None else "up" if link["up"] else f"down, {link['failed']} dials"
-        by = f", suspected by {', '.join(row['suspected_by'])}" if row["suspected_by"] else ""
+        link_state = "-" if link is None else "up" if link["up"] else f"down, {link['failed']} dials"
+        suspicion = f", suspected by {', '.join(row['suspected_by'])}" if row["suspected_by"] else ""
         print(
             columns.format(
                 row["name"],
@@ -191,40 +199,43 @@
                 row["state"],
                 f"{row['since']:.0f}s",
                 row["incarnation"],
-                how + by,
+                link_state + suspicion,
             )
         )
-    odd = ("doubt", "conflicts", "foreign", "bad", "refused")
-    print("  " + ", ".join(f"{name} {answer[name]}" for name in odd))
+    counter_names = ("doubt", "conflicts", "foreign", "bad", "refused")
+    print("  " + ", ".join(f"{name} {reply[name]}" for name in counter_names))
 
 
-def _show_leases(answer: dict[str, Any]) -> None:
-    print("decided by a majority of: " + (", ".join(answer["grantors"]) or "nobody, so nothing is"))
-    for row in answer["duties"]:
-        held = f"held, epoch {row['epoch']}, for {row['for']:.1f} s yet" if row["holds"] else "not held here"
-        print(f"  {row['duty']}: {held}" + (", asked for" if row["wishes"] else ""))
+def _show_leases(reply: dict[str, Any]) -> None:
+    print(
+        "leases are granted by a majority of: "
+        + (", ".join(reply["grantors"]) or "no members, so no leases are granted")
+    )
+    for row in reply["duties"]:
+        holding = f"held, epoch {row['epoch']}, for another {row['for']:.1f} s" if row["holds"] else "not held here"
+        print(f"  {row['duty']}: {holding}" + (", requested" if row["wishes"] else ""))
 
 
-def _show_bans(answer: dict[str, Any]) -> None:
-    for row in answer["bans"]:
+def _show_bans(reply: dict[str, Any]) -> None:
+    for row in reply["bans"]:
         print(
-            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
+            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'not banned':<8} by {row['by']}, "
             f"known here for {row['since']:.0f} s"
         )
-    print(f"  {answer['pending']} orders that instances here have not carried out yet")
+    print(f"  {reply['pending']} orders not yet carried out by instances on this machine")
 
 
-def _stop(place: FleetLocation, options: argparse.Namespace) -> int:
+def _stop(location: FleetLocation, options: argparse.Namespace) -> int:
     if options.names:
-        return _operate(place, options)
-    answer = _query(place, "stop", QUERY_TIMEOUT, options)
-    if answer is None:
+        return _operate(location, options)
+    reply = _query(location, "stop", QUERY_TIMEOUT, options)
+    if reply is None:
         return 1
-    who = Identity.of(int(answer["pid"]))
-    deadline = time.monotonic() + QUERY_TIMEOUT + 2.0 * float(answer["within"])
-    while who is not None and who.is_alive():
+    supervisor = Identity.of(int(reply["pid"]))
+    deadline = time.monotonic() + QUERY_TIMEOUT + 2.0 * float(reply["within"])
+    while supervisor is not None and supervisor.is_alive():
         if time.monotonic() > deadline:
-            _report(1, f"the supervisor, pid {who.pid}, has not ended")
+            _report(1, f"the supervisor, pid {supervisor.pid}, has not ended")
             return 1
         time.sleep(0.02)
     _print_json({"ok": True, "text": "stopped"}) if options.json else _report(0, "stopped")
