--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -83,8 +83,8 @@
     Mutant(
         "a failed accept keeps its descriptor",
         "callers",
-        'log.warning("accept failed: %s", fault)\n                self._descriptors.release_caller()',
-        'log.warning("accept failed: %s", fault)',
+        'log.warning("accept failed: %s", error)\n            self._descriptors.release_caller()',
+        'log.warning("accept failed: %s", error)',
     ),
     Mutant(
         "the memory of a body is not released",
@@ -164,8 +164,8 @@
     Mutant(
         "a repeat is sent without its body",
         "proxy",
-        "attempt.body = body\n",
-        "attempt.body = body\n        if request.body:\n            request.body = bytearray()",
+        "attempt.body = request.body\n",
+        "attempt.body = request.body\n        if request.body:\n            request.body = bytearray()\n",
     ),
     Mutant(
         "accepting is not resumed after a shortage of descriptors",
@@ -186,13 +186,15 @@
         "if self._request is not None or self._complete_request is not None:",
         "if False:",
     ),
-    Mutant("the end of a watch stops discovery", "discovery", "backoff = min(2.0 * backoff, BACKOFF_TO)", "return"),
+    Mutant(
+        "the end of a watch stops discovery", "discovery", "backoff = min(2.0 * backoff, self.patience)", "return"
+    ),
     # Defects of operators' calls, hot restarts and long messages.
     Mutant(
         "a ban does not stop an attempt that is connecting",
         "proxy",
-        "return not exchange.answered and attempt.server not in self.balancer.bans",
-        "return not exchange.answered",
+        "return self.balancer.may_start(self.clock.now(), exchange.request_id, attempt.number)",
+        "return True",
     ),
     Mutant(
         "a ban is not handed over",
@@ -228,7 +230,12 @@
         "return self.used + self.used_by_others() >= self.limit",
         "return self.used >= self.limit",
     ),
-    Mutant("an attempt gets the whole budget", "proxy", "format_budget(left))]", "format_budget(exchange.budget))]"),
+    Mutant(
+        "an attempt gets the whole budget",
+        "proxy",
+        "format_budget(max(0.0, time_left)))]",
+        "format_budget(exchange.budget))]",
+    ),
     Mutant(
         "a repeat is sent without its key",
         "proxy",
