--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cometusher.demo import settings  # noqa: E402
+from cometusher.demo import proxy_settings  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
 CONNECTIONS = 8  # one request at a time on each
@@ -137,7 +137,7 @@
         path.write_bytes(
             orjson.dumps(
                 {
-                    "settings": settings(1, 0),
+                    "settings": proxy_settings(1, 0),
                     "listen": f"127.0.0.1:{port}",
                     "discovery": "127.0.0.1:9",
                     "known": {"seq": 1, "whole": True, "hosts": [host]},
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,15 +28,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cometusher.demo import settings  # noqa: E402
+from cometusher.demo import proxy_settings  # noqa: E402
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request  # noqa: E402
 from cometusher.fleet.identity import Identity, read_stat  # noqa: E402
 from standins.backend import Backend, serve_ok  # noqa: E402
 from standins.discovery import HostList  # noqa: E402
-from standins.load import Figures, Kind, Load  # noqa: E402
+from standins.load import Load, LoadClass, LoadCounters  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
-REQUEST_CLASSES = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
+REQUEST_CLASSES = [LoadClass("report-view", 0.63, 3.0, False), LoadClass("submit", 0.37, 2.5, True)]
 STEP_TIMEOUT = 120.0  # seconds for each step
 RATE = 200.0  # requests a second over all instances
 
@@ -179,10 +179,10 @@
     backends = [Backend(index + 1, serve_ok) for index in range(4)]
     for backend in backends:
         await backend.start()
-    discoveries = [HostList([b.entry(site="kigali") for b in backends]) for _ in range(2)]
+    discoveries = [HostList([b.discovery_entry(site="kigali") for b in backends]) for _ in range(2)]
     for discovery in discoveries:
         await discovery.start()
-    config = {"settings": settings(0, 0)}
+    config = {"settings": proxy_settings(0, 0)}
     (folder / "proxy.json").write_bytes(orjson.dumps(config))
     fleet = BenchmarkFleet(folder, count)
     fleet.write(discoveries[0].port)
@@ -209,11 +209,11 @@
     fleet.write(discoveries[1].port)
     await timed("reload_s", "reload")
     await timed("restart_s", "restart")
-    calm = Figures(**(vars(load.figures) | {"times": []}))
+    calm = LoadCounters(**(vars(load.counters) | {"times": []}))
     restarts_right = await kill_at_random(fleet, kills, Random(1)) if kills else 0
     stop.set()
     await running
-    requests = load.figures
+    requests = load.counters
     begin = time.monotonic()
     await asyncio.to_thread(fleet.command, "stop")
     await asyncio.wait_for(process.wait(), STEP_TIMEOUT)
--- a/benchmarks/management.py
+++ b/benchmarks/management.py
@@ -26,7 +26,7 @@
 
 from cpu import Echo, ServerProcess, send_requests  # noqa: E402
 
-from cometusher.demo import settings  # noqa: E402
+from cometusher.demo import proxy_settings  # noqa: E402
 from standins.messages import read_message  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
@@ -87,7 +87,7 @@
     path.write_bytes(
         orjson.dumps(
             {
-                "settings": settings(1, 0),
+                "settings": proxy_settings(1, 0),
                 "listen": f"127.0.0.1:{port}",
                 "discovery": "127.0.0.1:9",
                 "management": f"127.0.0.1:{management_port}",
--- a/benchmarks/stall.py
+++ b/benchmarks/stall.py
@@ -37,7 +37,7 @@
 
 from cometusher.fault_injection.environment import ALL_CLASSES, World, signal_processes  # noqa: E402
 from cometusher.fault_injection.runner import time_to_full_service  # noqa: E402
-from standins.faulty_link import Mood  # noqa: E402
+from standins.faulty_link import LinkFault  # noqa: E402
 from standins.load import quantile  # noqa: E402
 
 WORK = 0.03  # seconds of work of a request at a backend
@@ -45,8 +45,8 @@
 LATE_AFTER = 0.15  # seconds from which an answer is late
 MAX_LATE_RATIO = 0.5  # late requests with the failure detector, over those without it
 PARTIAL_FAILURES = {
-    "crawl": (Mood("slow", seconds=0.2, spread=0.2), None),
-    "zone": (Mood("reset"), 1),
+    "crawl": (LinkFault("slow", median_delay=0.2, spread=0.2), None),
+    "zone": (LinkFault("reset"), 1),
 }
 CALM_SECONDS, AFTER_SECONDS = 4.0, 18.0  # seconds before the stop, and after it
 POLICY = {"budget": 100_000}
@@ -129,7 +129,9 @@
     replaced: int = 0
 
 
-async def run_partial_failure(with_detector: bool, fault: Mood, zone: int | None, seconds: float) -> PartialResult:
+async def run_partial_failure(
+    with_detector: bool, fault: LinkFault, zone: int | None, seconds: float
+) -> PartialResult:
     """Apply a fault to the links of one of eight instances for so many seconds."""
     result = PartialResult()
     with tempfile.TemporaryDirectory(prefix="stall-") as folder:
@@ -144,7 +146,7 @@
             await fleet.instance_links["p0"].set_fault(fault, None if zone is None else world.hosts_in_zone(zone))
             await asyncio.sleep(seconds)
             result.replaced = (await fleet.status()).get("vigil", {}).get("replaced", 0)
-            await fleet.instance_links["p0"].set_fault(Mood())
+            await fleet.instance_links["p0"].set_fault(LinkFault())
             await asyncio.sleep(3.2)
         finally:
             await world.stop()
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -21,11 +21,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cometusher.demo import settings  # noqa: E402
+from cometusher.demo import proxy_settings  # noqa: E402
 from standins.backend import Backend  # noqa: E402
 from standins.caller import Caller  # noqa: E402
-from standins.load import Figures  # noqa: E402
-from standins.messages import Seen, Writer, reply  # noqa: E402
+from standins.load import LoadCounters  # noqa: E402
+from standins.messages import Message, Writer, reply  # noqa: E402
 from standins.platform import Platform  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class UpgradeCounts(Figures):
+class UpgradeCounts(LoadCounters):
     """Outcomes of the requests; `unreachable` are those whose connection was refused."""
 
     closed_unanswered: int = 0  # a kept connection closed without a byte of an answer; the request is sent once more
@@ -42,7 +42,7 @@
     descriptors: int = 0  # largest number of both processes together
 
 
-async def answer_with_name(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_with_name(backend: Backend, seen: Message, writer: Writer) -> None:
     """Answer after 10 ms with the backend's name."""
     await asyncio.sleep(0.01)
     writer.write(reply(body=backend.host.encode()))
@@ -92,7 +92,7 @@
             bool(banned_host) and banned_host == self.banned_host and answer.body == banned_host
         )
         if answer.headers.get(b"connection", b"").lower() == b"close":
-            caller.leave()
+            caller.abort()
             return None
         return caller
 
@@ -111,13 +111,13 @@
         while not self.stopped:
             caller = await self._connect()
             if caller is not None and (caller := await self._send_request(caller, False)) is not None:
-                caller.leave()
+                caller.abort()
 
     async def sample_descriptors(self) -> None:
         """Sample the descriptors of all processes."""
         while not self.stopped:
             with contextlib.suppress(OSError):
-                self.counts.descriptors = max(self.counts.descriptors, self.platform.held())
+                self.counts.descriptors = max(self.counts.descriptors, self.platform.open_descriptors())
             await asyncio.sleep(0.02)
 
 
@@ -126,8 +126,8 @@
     backends = [Backend(i + 1, answer_with_name) for i in range(3)]
     for backend in backends:
         await backend.start()
-    hosts = [backend.entry(site="kigali") for backend in backends]
-    platform = Platform(ROOT, folder, settings(1, 0), hosts, free_ports(1)[0], SOCKETS)
+    hosts = [backend.discovery_entry(site="kigali") for backend in backends]
+    platform = Platform(ROOT, folder, proxy_settings(1, 0), hosts, free_ports(1)[0], SOCKETS)
     callers = Callers(platform)
     try:
         old = await platform.launch()
@@ -138,14 +138,14 @@
         for number in range(upgrades):
             ban = number % 2 == 0
             if ban:
-                assert await platform.operate(old, "exclude", b'{"who":"s-1"}') == 200
+                assert await platform.management_call(old, "exclude", b'{"who":"s-1"}') == 200
                 callers.banned_host = b"s-1"
             new = await platform.launch()
-            await platform.end(old)
+            await platform.terminate(old)
             old = new
             if ban:
                 callers.banned_host = b""
-                assert await platform.operate(old, "include", b'{"who":"s-1"}') == 200
+                assert await platform.management_call(old, "include", b'{"who":"s-1"}') == 200
         callers.stopped = True
         await asyncio.gather(*tasks)
         kept_learned_state = sum("took over the learned state of 3" in platform.log(i + 1) for i in range(upgrades))
--- a/cometusher/backends.py
+++ b/cometusher/backends.py
@@ -135,7 +135,7 @@
         transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses of it
         self.transport = transport
         self.connected = True
-        self._has_unread_data = self._pool.network.pending(transport)
+        self._has_unread_data = self._pool.network.unread_check(transport)
 
     def _write(self, data: bytes | bytearray) -> None:
         self.bytes_written += len(data)
--- a/cometusher/callers.py
+++ b/cometusher/callers.py
@@ -445,7 +445,7 @@
         if transport is None or transport.is_closing():
             return False  # reported already, or closed by this side
         if self._has_peer_ended is None:
-            self._has_peer_ended = self._callers.network.peer_ended(transport)
+            self._has_peer_ended = self._callers.network.peer_ended_check(transport)
         return self._has_peer_ended()
 
     def disconnect(self) -> None:
@@ -474,7 +474,7 @@
         transport = self._transport
         if transport is not None:
             if self._has_unread_data is None:
-                self._has_unread_data = self._callers.network.pending(transport)
+                self._has_unread_data = self._callers.network.unread_check(transport)
             if self._has_unread_data():
                 return False
         self.close()
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -39,9 +39,9 @@
     zones: tuple[str, ...]
     management: Address | None = None  # where operators call
     accept_fd: int | None = None  # the listener that this process was started with
-    shared: str | None = None  # a folder that processes of this proxy share, where one takes over from another
-    returning: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
-    covered: JournalAssignment | None = None  # where work in hand is noted, likewise
+    shared_folder: str | None = None  # a folder that processes of this proxy share, where one takes over from another
+    recovery: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
+    journal: JournalAssignment | None = None  # where work in hand is noted, likewise
 
 
 def read_address(text: Any, name: str) -> Address:
@@ -99,7 +99,7 @@
     return settings
 
 
-def build(values: dict[str, Any], environ: Mapping[str, str], again: bool = False) -> Config:
+def build(values: dict[str, Any], environ: Mapping[str, str], reload: bool = False) -> Config:
     """The configuration out of its file's values and the environment; raises ConfigError.
 
     Read again, the file says where discovery is now: the environment is that of the start and can't change.
@@ -115,7 +115,7 @@
     return Config(
         name=str(environ.get("LB_NAME") or values.get("name") or "proxy"),
         listen=read_address(environ.get("LB_LISTEN") or values.get("listen"), "listen"),
-        discovery=read_address(next(filter(None, where[::-1] if again else where), None), "discovery"),
+        discovery=read_address(next(filter(None, where[::-1] if reload else where), None), "discovery"),
         seed=_seed(values.get("seed", "")),
         memory_mb=_positive(limits, "memory_mb", 192),
         sockets=_positive(limits, "sockets", 1024),
@@ -124,7 +124,7 @@
         zones=tuple(str(zone) for zone in raw.get("Zones") or ()),
         management=read_address(management, "management") if management else None,
         accept_fd=_descriptor(environ.get("LB_ACCEPT_FD")),
-        shared=(environ.get("TMPDIR") or None) if environ.get("LB_ACCEPT_FD") else None,
+        shared_folder=(environ.get("TMPDIR") or None) if environ.get("LB_ACCEPT_FD") else None,
     )
 
 
@@ -133,7 +133,7 @@
     build(values, {})
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
+def load(environ: Mapping[str, str], reload: bool = False) -> Config:
     """Read the configuration at LB_CONFIG; raises ConfigError."""
     path = environ.get("LB_CONFIG")
     if not path:
@@ -146,4 +146,4 @@
         raise ConfigError(f"LB_CONFIG: {path}: not JSON: {fault}") from fault
     if not isinstance(values, dict):
         raise ConfigError(f"LB_CONFIG: {path}: not an object")
-    return build(values, environ, again)
+    return build(values, environ, reload)
--- a/cometusher/demo.py
+++ b/cometusher/demo.py
@@ -22,18 +22,18 @@
 
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.discovery import HostList
-from standins.load import Figures, Kind, Load
+from standins.load import Load, LoadClass, LoadCounters
 from standins.ports import free_ports
-from standins.service_backend import Keys, Node
+from standins.service_backend import KeyWindow, ServiceBackend
 
 ZONES = ("kigali", "huye")
 TIERS = ("intake", "matching", "archive")
 SPEEDS = (1.9, 1.2, 0.8)  # of the backends of a tier in a zone
 TENANTS = ("univ-central", "poly-east", "school-net")
-KINDS = (Kind("report-view", 0.63, 2.0, False), Kind("submit", 0.37, 1.25, True))
+KINDS = (LoadClass("report-view", 0.63, 2.0, False), LoadClass("submit", 0.37, 1.25, True))
 WORK = {"report-view": 0.08, "submit": 0.05}  # seconds of a yardstick core in each tier
 COLD_FROM, COLD_FOR = 0.14, 20.0  # part of what it can do that a fresh backend begins with; seconds until it is warm
-WINDOW = 4.0  # seconds in which the backends of a zone recognise a key
+DEDUP_WINDOW = 4.0  # seconds in which the backends of a zone recognise a key
 RATE = 25.0  # requests a second
 EVERY = 2.0  # seconds between lines of figures
 READY = 30.0  # seconds for the proxies to be ready
@@ -41,7 +41,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def settings(tier: int, zone: int) -> dict[str, Any]:
+def proxy_settings(tier: int, zone: int) -> dict[str, Any]:
     """The platform's settings for one proxy of the installation."""
     return {
         "Services": [
@@ -52,7 +52,7 @@
                 "HardLimit": 2.5,
                 "Repeat": "dedup",
                 "Group": "zone",
-                "Window": WINDOW,
+                "Window": DEDUP_WINDOW,
                 "Credit": 8.0,
             },
         ],
@@ -82,7 +82,7 @@
 
     ports: dict[tuple[int, int], int]  # of the proxies, by tier and zone
     lists: list[HostList]
-    backends: list[Node]
+    backends: list[ServiceBackend]
 
     @staticmethod
     async def start(seed: int) -> Installation:
@@ -91,26 +91,26 @@
         keys = [(tier, zone) for tier in range(len(TIERS)) for zone in range(len(ZONES))]
         ports = dict(zip(keys, free_ports(len(keys)), strict=True))
         lists: list[HostList] = []
-        backends: list[Node] = []
-        keys_of_zones = {key: Keys(WINDOW) for key in keys}
+        backends: list[ServiceBackend] = []
+        keys_of_zones = {key: KeyWindow(DEDUP_WINDOW) for key in keys}
         for tier in range(len(TIERS)):
             hosts = []
             for zone, site in enumerate(ZONES):
                 for speed in SPEEDS:
                     behind = ("127.0.0.1", ports[tier + 1, zone]) if tier + 1 < len(TIERS) else None
-                    backend = Node(
+                    backend = ServiceBackend(
                         f"s-{len(backends) + 1:x}",
                         site,
                         speed,
                         WORK,
                         keys_of_zones[tier, zone],
                         Random(rng.random()),
-                        behind=behind,
-                        impatient=True,
+                        next_tier=behind,
+                        abandons_late_calls=True,
                     )
                     await backend.start("127.0.0.1")
                     backends.append(backend)
-                    hosts.append(backend.entry())
+                    hosts.append(backend.discovery_entry())
             hosts_of_tier = HostList(hosts)
             await hosts_of_tier.start()
             lists.append(hosts_of_tier)
@@ -128,7 +128,7 @@
         lines = ["[fleet]", 'name = "demo"', 'state = "state"', "[log]", 'target = "demo.log"']
         for (tier, zone), port in self.ports.items():
             name = f"{TIERS[tier]}-{ZONES[zone]}"
-            values = {"settings": settings(tier, zone), "discovery": f"127.0.0.1:{self.lists[tier].port}"}
+            values = {"settings": proxy_settings(tier, zone), "discovery": f"127.0.0.1:{self.lists[tier].port}"}
             (folder / f"{name}.json").write_bytes(orjson.dumps(values, option=orjson.OPT_INDENT_2))
             lines += [
                 "[[instance]]",
@@ -153,7 +153,7 @@
     ]
 
 
-def _line(at: float, figures: Figures) -> str:
+def _line(at: float, figures: LoadCounters) -> str:
     return (
         f"{at:6.1f} s  sent {figures.sent}, served {figures.served}, refused {figures.refused}, "
         f"failed {figures.failed}, lost {figures.lost}, "
@@ -177,7 +177,7 @@
     loop = asyncio.get_running_loop()
     while True:
         await asyncio.sleep(EVERY)
-        print(_line(loop.time() - began, load.look()), flush=True)
+        print(_line(loop.time() - began, load.take_recent()), flush=True)
 
 
 def _introduce(place: Installation, path: Path) -> None:
@@ -224,7 +224,7 @@
         printing = loop.create_task(_figures(load, began))
         await load.run(stop)
         printing.cancel()
-        whole = load.figures
+        whole = load.counters
         served = whole.served
         print(
             f"demo: sent={whole.sent} served={whole.served} refused={whole.refused} failed={whole.failed} "
--- a/cometusher/discovery.py
+++ b/cometusher/discovery.py
@@ -26,10 +26,10 @@
 # A change has to be known 6 s after discovery had it and could be reached, whatever failed before. The longest way to
 # it is a call that stays without an answer, opened just before discovery could be reached again, and one retry:
 # 3.0 + 1.5 s where lists are pushed. Where discovery is asked the retry is the module's: 3.0 + 2.4 s.
-HEARTBEAT = 3.0  # seconds of silence after which a watch is dead; an empty line is due every 2 s
-FIRST_ANSWER = 3.0  # seconds that a call may wait for the first byte of its answer
-CONNECT = 1.0  # seconds until a connection is up
-BACKOFF_FROM, BACKOFF_TO = 0.1, 1.0  # seconds between tries where lists are pushed, before jitter of half as much
+HEARTBEAT_TIMEOUT = 3.0  # seconds of silence after which a watch is dead; an empty line is due every 2 s
+FIRST_BYTE_TIMEOUT = 3.0  # seconds that a call may wait for the first byte of its answer
+CONNECT_TIMEOUT = 1.0  # seconds until a connection is up
+BACKOFF_MIN, BACKOFF_MAX = 0.1, 1.0  # seconds between tries where lists are pushed, before jitter of half as much
 MAX_MESSAGE = 16 * 1024 * 1024  # bytes of one message, in any number of lines
 
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*+"')
@@ -37,26 +37,26 @@
 _HEX = re.compile(r"(?:^|.*[-_.])([0-9a-f]{1,8})")
 
 
-class Unreadable(Exception):
+class MalformedAnswer(Exception):
     """An answer of discovery that can't be read."""
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class BackendEntry:
     """One backend as discovery describes it."""
 
     row: ServerRow
-    dial: Address
+    address: Address
     host: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class BackendList:
     """One message: the whole list or a change to it."""
 
     seq: int
     whole: bool
-    entries: Sequence[Entry]
+    entries: Sequence[BackendEntry]
 
 
 def server_id(host: str) -> int:
@@ -73,7 +73,7 @@
     return float(value)
 
 
-def read_entry(item: Any, zones: Sequence[str]) -> Entry:
+def parse_entry(item: Any, zones: Sequence[str]) -> BackendEntry:
     """One entry; raises what a malformed one raises."""
     host, site = item["host"], item.get("site")
     if not isinstance(host, str) or not host:
@@ -87,23 +87,23 @@
         size=_number(item.get("share"), 1.0),
         started=_number(item.get("born_ms"), 0.0) / 1000.0,
     )
-    return Entry(row, read_address(item.get("dial"), "dial"), host)
+    return BackendEntry(row, read_address(item.get("dial"), "dial"), host)
 
 
-def read_listing(value: Any, zones: Sequence[str]) -> Listing:
+def parse_list(value: Any, zones: Sequence[str]) -> BackendList:
     """A message; an odd entry is skipped, for the rest may tell of drains."""
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
-        raise Unreadable("not a list of hosts")
+        raise MalformedAnswer("not a list of hosts")
     seq = value.get("seq", 0)
     if isinstance(seq, bool) or not isinstance(seq, int):
-        raise Unreadable("seq is not a number")
+        raise MalformedAnswer("seq is not a number")
     entries = []
     for item in value["hosts"]:
         try:
-            entries.append(read_entry(item, zones))
+            entries.append(parse_entry(item, zones))
         except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as fault:
             log.warning("discovery: an entry is skipped: %s", fault)
-    return Listing(seq, value.get("whole") is True, entries)
+    return BackendList(seq, value.get("whole") is True, entries)
 
 
 class _Body:
@@ -123,11 +123,11 @@
         self.ended = False
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes; raises Unreadable."""
+        """Take the next bytes; raises MalformedAnswer."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            raise Unreadable(f"malformed HTTP: {fault}") from None
+            raise MalformedAnswer(f"malformed HTTP: {fault}") from None
 
     def finish(self) -> None:
         """No more bytes come: a last line needs no line end."""
@@ -142,7 +142,7 @@
         for line in lines:
             self._take_line(line)
         if self._size + len(self._line) > MAX_MESSAGE:
-            raise Unreadable("a message without end")
+            raise MalformedAnswer("a message without end")
 
     def on_message_complete(self) -> None:
         self.finish()
@@ -151,7 +151,7 @@
     def _take_line(self, line: bytes) -> None:
         if not line.strip():
             if self._lines:
-                raise Unreadable("a message that is not whole")
+                raise MalformedAnswer("a message that is not whole")
             return
         self._lines.append(line)
         self._size += len(line)
@@ -163,7 +163,7 @@
             self._size = self._depth = 0
 
 
-class Discovery:
+class DiscoveryClient:
     """The watch of one proxy."""
 
     def __init__(
@@ -173,7 +173,7 @@
         seq: int,
         pushed: bool,
         rng: Random,
-        changed: Callable[[ListKind, Sequence[Entry]], None],
+        changed: Callable[[ListKind, Sequence[BackendEntry]], None],
     ) -> None:
         self._address = address
         self._zones = zones
@@ -181,9 +181,9 @@
         self._pushed = pushed
         self._rng = rng
         self._changed = changed
-        self.patience = BACKOFF_TO  # seconds between tries, at most
+        self.max_backoff = BACKOFF_MAX  # seconds between tries, at most
         self._told = False  # the present watch has brought a list
-        self.heard = asyncio.Event()  # a first list has come, or the first try at one has failed
+        self.first_attempt_done = asyncio.Event()  # a first list has come, or the first try at one has failed
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -192,7 +192,7 @@
         return self._seq
 
     @property
-    def live(self) -> bool:
+    def has_current_list(self) -> bool:
         """A watch is up and has brought a list: what is known is discovery's own view."""
         return self._told and self._task is not None and not self._task.done()
 
@@ -210,7 +210,7 @@
         if not self._pushed and (self._task is None or self._task.done()):
             self._task = asyncio.get_running_loop().create_task(self._once())
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery is somewhere else now: watch there.
 
         Guards against following one that has been taken out of service, and against patches to a list that
@@ -240,45 +240,45 @@
         self._changed(ListKind.BROKEN, ())
 
     async def _keep(self) -> None:
-        backoff = BACKOFF_FROM
+        backoff = BACKOFF_MIN
         while True:
             await self._attempt()
             if self._told:
-                backoff = BACKOFF_FROM
+                backoff = BACKOFF_MIN
             # Jittered: all proxies lost the same service at the same time.
             await asyncio.sleep(backoff * (0.5 + self._rng.random()))
-            backoff = min(2.0 * backoff, self.patience)
+            backoff = min(2.0 * backoff, self.max_backoff)
 
     async def _attempt(self) -> None:
         """One watch until it ends, whatever ends it."""
         self._told = False
         try:
             await self._watch()
-        except (OSError, EOFError, TimeoutError, Unreadable) as fault:
+        except (OSError, EOFError, TimeoutError, MalformedAnswer) as fault:
             log.info("discovery: the watch ended: %s", str(fault) or "silence")
         except Exception:
             log.exception("discovery: the watch failed")
-        self.heard.set()
+        self.first_attempt_done.set()
 
     async def _watch(self) -> None:
-        async with asyncio.timeout(CONNECT):
+        async with asyncio.timeout(CONNECT_TIMEOUT):
             reader, writer = await asyncio.open_connection(*self._address)
         try:
             host = "{}:{}".format(*self._address)
             writer.write(f"GET /discovery/hosts?watch=1&from={self._seq} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
             body = _Body()
-            wait = FIRST_ANSWER
+            wait = FIRST_BYTE_TIMEOUT
             while not body.ended:
                 # A machine that vanishes says nothing: only missing heartbeats tell.
                 async with asyncio.timeout(wait):
                     data = await reader.read(65536)
-                wait = HEARTBEAT
+                wait = HEARTBEAT_TIMEOUT
                 if data:
                     body.feed(data)
                 else:
                     body.finish()
                 if body.status and body.status != 200:
-                    raise Unreadable(f"status {body.status}")
+                    raise MalformedAnswer(f"status {body.status}")
                 messages, body.messages = body.messages, []
                 for message in messages:
                     self._hear(message)
@@ -289,15 +289,15 @@
 
     def _hear(self, message: bytes) -> None:
         try:
-            listing = read_listing(orjson.loads(message), self._zones)
+            listing = parse_list(orjson.loads(message), self._zones)
         except orjson.JSONDecodeError as fault:
             # What it told is lost: a new watch from the last good version brings it again.
-            raise Unreadable(f"a message is not JSON: {fault}") from None
+            raise MalformedAnswer(f"a message is not JSON: {fault}") from None
         if not listing.whole and listing.seq < self._seq:
             # A change to a list that is older than ours would undo what we know.
             self._seq = 0
-            raise Unreadable(f"seq went back to {listing.seq}")
+            raise MalformedAnswer(f"seq went back to {listing.seq}")
         self._seq = listing.seq
         self._told = True
         self._changed(ListKind.WHOLE if listing.whole else ListKind.PATCH, listing.entries)
-        self.heard.set()
+        self.first_attempt_done.set()
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from cometusher.demo import COLD_FOR, COLD_FROM, TENANTS, WINDOW, ZONES, settings
+from cometusher.demo import COLD_FOR, COLD_FROM, DEDUP_WINDOW, TENANTS, ZONES, proxy_settings
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import Identity
 from cometusher.fleet.supervisor_state import RECORD_KIND as FLEET_KIND
@@ -26,21 +26,21 @@
 from cometusher.store.records import RecordFile
 from standins.backend import Backend
 from standins.discovery import HostList
-from standins.faulty_link import Link, Mood
-from standins.load import Kind, Load
-from standins.messages import Seen, Writer, read_message, reply
+from standins.faulty_link import FaultyLink, LinkFault
+from standins.load import Load, LoadClass
+from standins.messages import Message, Writer, read_message, reply
 from standins.ports import free_ports
-from standins.service_backend import Keys
+from standins.service_backend import KeyWindow
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 STEP_TIMEOUT = 60.0  # seconds for each step of starting and stopping
 BACKEND_CORES = 2.0  # seconds of work that a warm backend can do in a second
 BIN_WIDTH = 0.2  # seconds; window in which new connections are counted
-REPEATABLE_CLASSES = [Kind("report-view", 0.63, 3.0, False), Kind("submit", 0.37, 2.5, True)]
+REPEATABLE_CLASSES = [LoadClass("report-view", 0.63, 3.0, False), LoadClass("submit", 0.37, 2.5, True)]
 NON_REPEATABLE_SERVICE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
 ALL_CLASSES = [
-    *(Kind(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in REPEATABLE_CLASSES),
-    Kind("sign-off", 0.3, 3.0, False, True),
+    *(LoadClass(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in REPEATABLE_CLASSES),
+    LoadClass("sign-off", 0.3, 3.0, False, True),
 ]
 
 
@@ -65,8 +65,8 @@
     connect_times: list[float] = field(default_factory=list)
     effect_counts: dict[bytes, int] = field(default_factory=dict)  # by idempotency key, or call id without one
     stale_requests: int = 0  # requests at backends that had been removed or banned
-    known_keys: Keys = field(
-        default_factory=lambda: Keys(WINDOW)
+    known_keys: KeyWindow = field(
+        default_factory=lambda: KeyWindow(DEDUP_WINDOW)
     )  # the deduplication group: all backends are in one zone
     # Seconds; above 0, the work of each request is drawn between its backend's and this.
     max_work: float = 0.0
@@ -97,9 +97,9 @@
         self.cold_arrivals: list[float] = []  # times of the requests since a cold start
         self.removed = False  # removed, or banned by operators: each request that arrives now was a stale decision
 
-    async def serve(self, backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def serve(self, backend: Backend, seen: Message, writer: Writer) -> None:
         """Serve one request."""
-        self.seen.clear()
+        self.requests.clear()
         if self.cold_since:
             self.cold_arrivals.append(time.monotonic())
         if self.removed:
@@ -108,7 +108,7 @@
         if key is None and seen.line.startswith(b"POST"):
             key = seen.headers.get(b"x-call-id", b"?")  # nothing deduplicates it: each arrival is an effect
             self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
-        elif key is not None and self.backend_stats.known_keys.first(time.monotonic(), key):
+        elif key is not None and self.backend_stats.known_keys.register(time.monotonic(), key):
             self.backend_stats.effect_counts[key] = self.backend_stats.effect_counts.get(key, 0) + 1
         await asyncio.sleep(self.backend_stats.draw_work(self.work))
         body = b"%s by %s" % (seen.headers.get(b"x-call-id", b"?"), self.host.encode())
@@ -188,7 +188,7 @@
         self.extra_answers += bool(reader._buffer)  # type: ignore[attr-defined]
         return await super()._exchange(address, reader, writer, message, budget, kept)
 
-    def check(self, message: bytes, answer: Seen) -> None:
+    def check(self, message: bytes, answer: Message) -> None:
         """Count an answer that does not name its request."""
         if answer.status == 200 and message.split(b"X-Call-Id: ")[1].split(b"\r\n")[0] not in answer.body:
             self.wrong_answers += 1
@@ -205,14 +205,14 @@
     """One instance's own links to discovery and to each backend, so that faults can affect it alone."""
 
     discovery_server: FaultyDiscovery
-    discovery_link: Link
-    backend_links: dict[str, Link]  # by host
+    discovery_link: FaultyLink
+    backend_links: dict[str, FaultyLink]  # by host
 
-    async def set_fault(self, fault: Mood, hosts: Collection[str] | None = None) -> None:
+    async def set_fault(self, fault: LinkFault, hosts: Collection[str] | None = None) -> None:
         """Apply a fault to the links to these backends, or to all."""
         for host, link in self.backend_links.items():
             if hosts is None or host in hosts:
-                await link.set(fault)
+                await link.set_fault(fault)
 
     def relayed_entry(self, entry: dict[str, Any]) -> dict[str, Any]:
         """A backend's discovery entry with the address of this instance's link to it."""
@@ -261,7 +261,7 @@
 
     def write(self, discovery: int, recovery_lines: str = "") -> None:
         """Write the fleet's files; `discovery` is a port, `recovery_lines` are of the table [comeback]."""
-        raw_settings = settings(self.tier, 0)
+        raw_settings = proxy_settings(self.tier, 0)
         raw_settings["Services"].append(NON_REPEATABLE_SERVICE)
         (self.folder / "proxy.json").write_bytes(orjson.dumps({"settings": raw_settings}))
         lines = [
@@ -455,7 +455,7 @@
         self.backends = [RecordingBackend(i + 1, self.backend_stats, work) for i in range(backends)]
         self.last_backend_number = backends
         self.fleets: list[Fleet] = []
-        self.links: dict[str, list[Link]] = {name: [] for name in links}
+        self.links: dict[str, list[FaultyLink]] = {name: [] for name in links}
         self.discovery = FaultyDiscovery([])
         self.load: RecordingLoad | None = None
         self.request_classes = REPEATABLE_CLASSES
@@ -475,7 +475,7 @@
         """Start a relay to an address, if this run has links of that name; returns its port, or 0."""
         if name not in self.links:
             return 0
-        link = Link(target, self.seed + len(self.links[name]))
+        link = FaultyLink(target, self.seed + len(self.links[name]))
         await link.start(listen or ("127.0.0.1", 0))
         self.links[name].append(link)
         return link.port
@@ -484,7 +484,7 @@
         """A backend's discovery entry, with the address of its relay if it has one."""
         port = await self.add_relay("backend", ("127.0.0.1", backend.port)) or backend.port
         site = ZONES[self.backends.index(backend) % self.zone_count]
-        return backend.entry(site=site, dial=f"127.0.0.1:{port}", **changes)
+        return backend.discovery_entry(site=site, dial=f"127.0.0.1:{port}", **changes)
 
     def hosts_in_zone(self, zone: int) -> list[str]:
         """Hosts of the backends in one zone."""
@@ -493,10 +493,12 @@
     async def _start_instance_links(self) -> InstanceLinks:
         discovery_server = FaultyDiscovery([])
         await discovery_server.start()
-        instance_links = InstanceLinks(discovery_server, Link(("127.0.0.1", discovery_server.port), self.seed), {})
+        instance_links = InstanceLinks(
+            discovery_server, FaultyLink(("127.0.0.1", discovery_server.port), self.seed), {}
+        )
         await instance_links.discovery_link.start()
         for backend in self.backends:
-            link = instance_links.backend_links[backend.host] = Link(
+            link = instance_links.backend_links[backend.host] = FaultyLink(
                 ("127.0.0.1", backend.port), self.seed + backend.number
             )
             await link.start()
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -25,7 +25,7 @@
     read_scenario,
     schedule,
 )
-from standins.faulty_link import Mood
+from standins.faulty_link import LinkFault
 
 SAMPLE_INTERVAL = 0.1  # seconds between samples of the instances' states
 PROMPT_LIMIT = 0.3  # seconds within which a request counts as served promptly
@@ -257,10 +257,10 @@
     async def _change_links(self, event: ScheduledFault, fleets: list[Fleet]) -> None:
         fault = event.fault
         link_fault = (
-            Mood()
+            LinkFault()
             if event.undo
-            else Mood(
-                fault.link_fault, fault.direction, seconds=fault.value, rate=fault.value, after=int(fault.value)
+            else LinkFault(
+                fault.link_fault, fault.direction, median_delay=fault.value, rate=fault.value, after=int(fault.value)
             )
         )
         if fault.link in OWN_LINKS:
@@ -270,13 +270,13 @@
                 await (
                     instance_links.set_fault(link_fault)
                     if fault.link == "own"
-                    else instance_links.discovery_link.set(link_fault)
+                    else instance_links.discovery_link.set_fault(link_fault)
                 )
             return
         links = self.world.links[fault.link]
         names = [str(index) for index in range(len(links))]
         for name in pick_targets(event, names):
-            await links[int(name)].set(link_fault)
+            await links[int(name)].set_fault(link_fault)
 
     # ---- results -------------------------------------------------------------------------
 
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -152,14 +152,14 @@
 def _read_fleet(table: Table) -> ScenarioFleet:
     fleet = ScenarioFleet(
         table.text("name"),
-        table.whole("tier", 0, 0, 2),
-        table.whole("instances", 8, 1, 200),
+        table.integer("tier", 0, 0, 2),
+        table.integer("instances", 8, 1, 200),
         table.choice("comeback", "on", ("on", "off")) == "on",
         table.choice("takeover", "off", ("on", "off")) == "on",
         table.choice("vigil", "off", ("on", "off")) == "on",
-        table.whole("own", 0, 0, 20),
+        table.integer("own", 0, 0, 20),
     )
-    table.done()
+    table.reject_unknown_keys()
     return fleet
 
 
@@ -167,12 +167,12 @@
     action = table.choice("do", None, tuple(ACTION_TARGETS))
     fleet = table.text("fleet", "") if table.has("fleet") else ""
     if fleet and fleet not in [candidate.name for candidate in fleets]:
-        raise table.fault("fleet", f"{fleet!r} is not one of the fleets")
+        raise table.error("fleet", f"{fleet!r} is not one of the fleets")
     link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
     if link in OWN_LINKS and not any(candidate.isolated for candidate in fleets):
-        raise table.fault("link", f"{link!r} needs a fleet with `own` above 0")
+        raise table.error("link", f"{link!r} needs a fleet with `own` above 0")
     if (action == "link") is not bool(link):
-        raise table.fault("link", 'required with `do = "link"`, and allowed only there')
+        raise table.error("link", 'required with `do = "link"`, and allowed only there')
     fault = Fault(
         time=table.number("at", 0.0, 0.0, 3600.0),
         time_spread=table.number("about", 0.0, 0.0, 3600.0),
@@ -185,14 +185,14 @@
         direction=table.choice("way", "down", ("up", "down")),
         value=table.number("value", 0.0),
     )
-    table.done()
+    table.reject_unknown_keys()
     return fault
 
 
 def _read_expect(table: Table) -> Expectation:
     figure = table.choice("figure", None, FIGURES)
     expect = Expectation(figure, table.number("least", -1.0, -1.0), table.number("most", 1e9))
-    table.done()
+    table.reject_unknown_keys()
     return expect
 
 
@@ -204,25 +204,25 @@
 def build_scenario(path: Path, root: Table) -> Scenario:
     """Build a scenario from the values of its file; raises ConfigError naming file, line and key."""
     drill = root.table("drill")
-    name, seed = drill.text("name", path.stem), drill.whole("seed", 1)
+    name, seed = drill.text("name", path.stem), drill.integer("seed", 1)
     calm, seconds = drill.number("calm", 4.0, 0.5, 600.0), drill.number("seconds", 8.0, 0.5, 3600.0)
-    drill.done()
+    drill.reject_unknown_keys()
     fleets = tuple(_read_fleet(table) for table in root.tables("fleet"))
     if not fleets:
-        raise root.fault("fleet", "at least one is required")
+        raise root.error("fleet", "at least one is required")
     if len({fleet.name for fleet in fleets}) < len(fleets):
-        raise root.fault("fleet", "a name is used twice")
+        raise root.error("fleet", "a name is used twice")
     table = root.table("backends")
-    backends, work = table.whole("count", 16, 1, 500), table.number("work", 0.03, 0.0, 60.0)
+    backends, work = table.integer("count", 16, 1, 500), table.number("work", 0.03, 0.0, 60.0)
     max_work = table.number("longest", 0.0, 0.0, 60.0)
-    table.done()
+    table.reject_unknown_keys()
     table = root.table("load")
     rate = table.number("rate", 100.0, 0.1, 5000.0)
     strict = table.choice("callers", "mend", ("mend", "strict")) == "strict"
-    table.done()
+    table.reject_unknown_keys()
     faults = tuple(_read_fault(table, fleets) for table in root.tables("fault"))
     expectations = tuple(_read_expect(table) for table in root.tables("expect"))
-    root.done()
+    root.reject_unknown_keys()
     links = tuple(link for link in LINKS if any(fault.link == link for fault in faults))
     return Scenario(
         name, seed, calm, seconds, fleets, backends, work, max_work, rate, strict, links, faults, expectations
--- a/cometusher/fleet/instance.py
+++ b/cometusher/fleet/instance.py
@@ -55,7 +55,7 @@
         except OSError:
             pass  # no room, or the supervisor has exited, which the lifeline shows
 
-    def started(self, proxy: Proxy, stop: asyncio.Event) -> None:
+    def on_started(self, proxy: Proxy, stop: asyncio.Event) -> None:
         """Report that the proxy is ready, start the periodic reports, and watch the lifeline."""
         self._proxy = proxy
         proxy.identity_headers = [(b"x-instance", self._instance_id)]
@@ -99,11 +99,11 @@
         reported = {name: counters.get(name, 0) for name in REPORTED_COUNTERS}
         self._send(event="beat", open=self._proxy.open_requests, **reported, **inflight)
 
-    def reloaded(self, why: str | None) -> None:
+    def on_reloaded(self, why: str | None) -> None:
         """Report the outcome of a reload."""
         self._send(event="reloaded", why=why)
 
-    def stopping(self) -> None:
+    def on_stopping(self) -> None:
         """Report that no new connections are accepted."""
         self._send(event="stopping")
 
@@ -114,11 +114,11 @@
     if os.environ.get("FLEET_COMEBACK") == "1":
         from cometusher.recovery import read_recovery_config
 
-        settings = replace(settings, returning=read_recovery_config(path))
+        settings = replace(settings, recovery=read_recovery_config(path))
     if os.environ.get("FLEET_TAKEOVER") == "1":
         from cometusher.inflight.endpoint import read_assignment
 
-        settings = replace(settings, covered=read_assignment(path))
+        settings = replace(settings, journal=read_assignment(path))
     return settings
 
 
@@ -138,13 +138,13 @@
     # A reload signal that arrives before there is anything to reload must not kill the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     name = os.environ.get("FLEET_INSTANCE", "?")
-    logs.to_pipe(sys.stderr.fileno(), name)
+    logs.log_to_pipe(sys.stderr.fileno(), name)
     try:
         settings = _with_supervisor_values(config.load(os.environ))
     except config.ConfigError as error:
         logging.error("%s", error)
         return 2
-    if settings.covered is not None:
+    if settings.journal is not None:
         _start_descriptor_holder()
     listener = socket.socket(fileno=LISTENER_FD)
     uvloop.run(service.serve(settings, listener, SupervisorChannel(name, os.environ.get("FLEET_GENERATION", "0"))))
--- a/cometusher/fleet/log_collector.py
+++ b/cometusher/fleet/log_collector.py
@@ -127,7 +127,7 @@
 
     def write(self, values: dict[str, Any]) -> None:
         """Queue one record, or drop it if the queue is full."""
-        line = logs.RENDER[self.target.spec.form](values) + b"\n"
+        line = logs.FORMATTERS[self.target.spec.form](values) + b"\n"
         if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
             self.drop(1)
             return
@@ -192,7 +192,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record."""
         try:
-            values = logs.as_fields(record, getattr(record, "instance", None) or self._instance_name)
+            values = logs.record_fields(record, getattr(record, "instance", None) or self._instance_name)
             self._sink.write(values)
         except Exception:
             self.handleError(record)
--- a/cometusher/fleet/spec.py
+++ b/cometusher/fleet/spec.py
@@ -215,11 +215,11 @@
     for item in fields(SupervisionPolicy):
         default = item.default
         if isinstance(default, int):
-            values[item.name] = table.whole(item.name, default)
+            values[item.name] = table.integer(item.name, default)
         else:
             assert isinstance(default, float)
             values[item.name] = table.number(item.name, default)
-    table.done()
+    table.reject_unknown_keys()
     return _validated(table, SupervisionPolicy(**values))
 
 
@@ -237,7 +237,7 @@
         policy.check()
     except ValueError as error:
         key, _, reason = str(error).partition(": ")
-        raise table.fault(key, reason) from None
+        raise table.error(key, reason) from None
     return policy
 
 
@@ -261,17 +261,17 @@
         limits = AgeLimits(plan.list_for, min(table.number("learned_for", limits.learned_for), plan.list_for))
         correlation = CorrelationPolicy(
             share=table.number("herd_share", correlation.share, 0.001, 1.0),
-            least=table.whole("herd_least", correlation.least, 2),
+            least=table.integer("herd_least", correlation.least, 2),
             within=table.number("herd_within", correlation.within, 0.01, 600.0),
             pace=table.number("starts", correlation.pace, 0.1, 1e4),
-            forgiven=table.whole("forgiven", correlation.forgiven),
+            forgiven=table.integer("forgiven", correlation.forgiven),
         )
         plan.check()
         limits.check()
         correlation.check()
     except ValueError as error:
-        raise table.fault("", str(error)) from None
-    table.done()
+        raise table.error("", str(error)) from None
+    table.reject_unknown_keys()
     return RecoverySpec(plan, limits, correlation)
 
 
@@ -280,22 +280,22 @@
     if not root.has("takeover"):
         return None
     table, spec, size = root.table("takeover"), TakeoverSpec(), JournalSize()
-    entries = table.whole("entries", size.entries, 1, 2**16)
-    kilobytes = table.whole("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
+    entries = table.integer("entries", size.entries, 1, 2**16)
+    kilobytes = table.integer("kilobytes", size.blocks * BLOCK_SIZE // 1024, 64, 2**20)
     journal_size = JournalSize(
         entries, kilobytes * 1024 // BLOCK_SIZE, max((instance.sockets for instance in instances), default=1)
     )
     # Two for each instance: its replacement runs beside it, and journals of dead processes are kept for a while.
     journal_pool = JournalPool(
-        journal_size, 2 * len(instances) + SPARE_JOURNALS, table.whole("keys", JournalPool().keys, 64, 2**22)
+        journal_size, 2 * len(instances) + SPARE_JOURNALS, table.integer("keys", JournalPool().keys, 64, 2**22)
     )
     takeover = TakeoverSpec(
         journal_pool,
         table.number("rests", spec.answer_retention, 0.0, 600.0),
-        table.whole("pace", spec.pace, 1, 10_000),
+        table.integer("pace", spec.pace, 1, 10_000),
         table.number("patience", spec.patience, 0.02, 60.0),
     )
-    table.done()
+    table.reject_unknown_keys()
     return takeover
 
 
@@ -311,7 +311,7 @@
         {item.name: table.number(item.name, getattr(defaults, item.name), 0.001, 1e6) for item in fields(defaults)}
         for defaults in (FailureDetectorPolicy(), OutlierPolicy())
     )
-    table.done()
+    table.reject_unknown_keys()
     observation_file = ObservationFileSpec(base / record, size_limit) if record else None
     return (
         _validated(table, FailureDetectorPolicy(**detector_values)),
@@ -327,22 +327,22 @@
     table, defaults = root.table("mesh"), MemberPolicy()
     listen = table.address("listen")
     if not _is_numeric(listen):
-        raise table.fault("listen", "not an IP address and a port from 1 to 65535")
+        raise table.error("listen", "not an IP address and a port from 1 to 65535")
     address = "{}:{}".format(*table.address("address", "{}:{}".format(*listen)))
     seeds, grantors = _read_members(table, "seeds"), _read_members(table, "grantors")
     if len(set(grantors)) != len(grantors):
-        raise table.fault("grantors", "an address is listed twice")
+        raise table.error("grantors", "an address is listed twice")
     name, zone = table.text("name", address), table.text("zone", "")
     if len(name) > MAX_MEMBER_NAME:
-        raise table.fault("name", f"longer than {MAX_MEMBER_NAME} characters")
+        raise table.error("name", f"longer than {MAX_MEMBER_NAME} characters")
     values: dict[str, Any] = {}
     for item in fields(MemberPolicy):
         default = getattr(defaults, item.name)
-        read = table.whole if isinstance(default, int) else table.number
+        read = table.integer if isinstance(default, int) else table.number
         values[item.name] = read(item.name, default)
     lease = LeasePolicy(length=table.number("lease", LeasePolicy().length, 0.5, 600.0))
     secret = base / table.text("secret")
-    table.done()
+    table.reject_unknown_keys()
     policy = _validated(table, MemberPolicy(**values))
     return ClusterSpec(listen, address, name, seeds, secret, zone, policy, grantors, lease)
 
@@ -356,7 +356,7 @@
         except ConfigError:
             is_valid = False
         if not is_valid:
-            raise table.fault(key, f"{address!r} is not an IP address and a port")
+            raise table.error(key, f"{address!r} is not an IP address and a port")
     return members
 
 
@@ -380,9 +380,9 @@
         target=target if target == "stderr" else str(base / target),
         form=table.choice("form", "text", ("text", "json")),
         max_bytes=int(table.number("max_mb", 10.0, 0.001, 1e5) * 1024 * 1024),
-        keep=table.whole("keep", 3, 0, 100),
+        keep=table.integer("keep", 3, 0, 100),
     )
-    table.done()
+    table.reject_unknown_keys()
     return spec
 
 
@@ -404,9 +404,9 @@
         config=table.text("config", base.config),
         discovery=table.text("discovery", base.discovery),
         zone=table.text("zone", base.zone),
-        tier=table.whole("tier", base.tier, 0),
-        memory_mb=table.whole("memory_mb", base.memory_mb, 32, 2**20),
-        sockets=table.whole("sockets", base.sockets, 64, 2**20),
+        tier=table.integer("tier", base.tier, 0),
+        memory_mb=table.integer("memory_mb", base.memory_mb, 32, 2**20),
+        sockets=table.integer("sockets", base.sockets, 64, 2**20),
         command=table.texts("command") or base.command,
     )
 
@@ -438,11 +438,11 @@
             try:
                 values = orjson.loads(path.read_bytes())
             except OSError as error:
-                raise table.fault("config", f"{path}: {error.strerror}") from None
+                raise table.error("config", f"{path}: {error.strerror}") from None
             except orjson.JSONDecodeError as error:
-                raise table.fault("config", f"{path}: not JSON: {error}") from None
+                raise table.error("config", f"{path}: not JSON: {error}") from None
             if not isinstance(values, dict):
-                raise table.fault("config", f"{path}: not an object")
+                raise table.error("config", f"{path}: not an object")
             self._files[name] = values
         return self._files[name]
 
@@ -451,17 +451,17 @@
     ) -> None:
         """Validate and add one instance; raises ConfigError."""
         if not NAME_PATTERN.fullmatch(name):
-            raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
+            raise table.error("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
         if name in self.instances:
-            raise table.fault("name", f"{name!r} is there twice")
+            raise table.error("name", f"{name!r} is there twice")
         if listen in self._addresses:
-            raise table.fault("listen", f"{listen[0]}:{listen[1]} is also {self._addresses[listen]!r}'s")
+            raise table.error("listen", f"{listen[0]}:{listen[1]} is also {self._addresses[listen]!r}'s")
         if not _is_numeric(listen):
-            raise table.fault("listen", "not an IP address and a port from 1 to 65535")
+            raise table.error("listen", "not an IP address and a port from 1 to 65535")
         if len(self.instances) >= MAX_INSTANCES:
-            raise table.fault("", f"more than {MAX_INSTANCES} instances")
+            raise table.error("", f"more than {MAX_INSTANCES} instances")
         if not common.config and not common.command:
-            raise table.fault("config", "missing")
+            raise table.error("config", "missing")
         values = dict(self._load_config(table, common.config)) if common.config else {}
         values |= {"name": name, "listen": f"{listen[0]}:{listen[1]}"}
         values["limits"] = {**values.get("limits", {}), "memory_mb": common.memory_mb, "sockets": common.sockets}
@@ -474,7 +474,7 @@
             try:
                 config.check(values)
             except ConfigError as error:
-                raise table.fault("config", f"{self.base / common.config}: {error}") from None
+                raise table.error("config", f"{self.base / common.config}: {error}") from None
         self._addresses[listen] = name
         self.instances[name] = InstanceSpec(name, listen, values, common.command, common.memory_mb, common.sockets)
 
@@ -493,14 +493,14 @@
 def _read_range(table: Table, reader: _InstanceReader, common: _CommonSettings) -> None:
     pattern = table.text("name")
     if pattern.count("{}") != 1:
-        raise table.fault("name", f"{pattern!r} needs one {{}} for the number")
+        raise table.error("name", f"{pattern!r} needs one {{}} for the number")
     host = table.text("host", "127.0.0.1")
     ports = table.text("ports")
     match = re.fullmatch(r"(\d{1,5})-(\d{1,5})", ports)
     if not match or not 1 <= int(match[1]) <= int(match[2]) <= 65535:
-        raise table.fault("ports", f"{ports!r} is not a range such as 9000-9039")
+        raise table.error("ports", f"{ports!r} is not a range such as 9000-9039")
     range_settings = _read_common(table, common)
-    table.done()
+    table.reject_unknown_keys()
     for number, port in enumerate(range(int(match[1]), int(match[2]) + 1)):
         reader.add(table, pattern.replace("{}", str(number)), (host, port), range_settings)
 
@@ -508,10 +508,10 @@
 def _read_location(path: Path, table: Table) -> FleetLocation:
     name = table.text("name", "fleet")
     if not NAME_PATTERN.fullmatch(name):
-        raise table.fault("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
+        raise table.error("name", f"{name!r} is not a name (letters, digits, '.', '_', '-')")
     location = FleetLocation(name, path, path.parent / table.text("state"))
     if len(os.fsencode(location.control_socket)) > MAX_SOCKET_PATH:
-        raise table.fault("state", "the path is too long for a socket in it (sun_path, unix(7))")
+        raise table.error("state", "the path is too long for a socket in it (sun_path, unix(7))")
     return location
 
 
@@ -536,17 +536,17 @@
     fleet_table = root.table("fleet")
     location = _read_location(path, fleet_table)
     spawn = fleet_table.choice("spawn", "fork", ("fork", "exec"))
-    fleet_table.done()
+    fleet_table.reject_unknown_keys()
     policy = _read_policy(root.table("policy"))
     log_spec = _read_log(root.table("log"), base)
     table = root.table("common")
     common = _read_common(table, _CommonSettings())
-    table.done()
+    table.reject_unknown_keys()
     reader = _InstanceReader(base)
     for table in root.tables("instance"):
         listen, instance_settings, name_ = table.address("listen"), _read_common(table, common), table.text("name")
         management = table.address("management") if table.has("management") else None
-        table.done()
+        table.reject_unknown_keys()
         reader.add(table, name_, listen, instance_settings, management)
     for table in root.tables("range"):
         _read_range(table, reader, common)
@@ -554,7 +554,7 @@
     takeover = _read_takeover(root, reader.instances.values())
     failure_detection, outliers, observation_file = _read_failure_detection(root, base)
     cluster = _read_cluster(root, base)
-    root.done()
+    root.reject_unknown_keys()
     if not reader.instances:
         raise ConfigError(f"{path}: instance: there is none")
     return FleetSpec(
--- a/cometusher/fleet/supervisor_state.py
+++ b/cometusher/fleet/supervisor_state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from cometusher.fleet.spec import FleetSpec
-from cometusher.runtime import moment
+from cometusher.runtime import clock_reading
 from cometusher.store.records import RecordFile
 from weldroute.fleet import Fleet
 from weldroute.handover import UnusableState, parse_operator_orders
@@ -63,7 +63,7 @@
             return
         # At any age: which instances should run and which backends are banned does not expire.
         owner = Owner(self._name, "", record.owner.epoch)
-        verdict, reason = assess(record, owner, moment(), AgeLimits(), KnownVersions())
+        verdict, reason = assess(record, owner, clock_reading(), AgeLimits(), KnownVersions())
         if verdict in (Trust.NEWER, Trust.FOREIGN) or not isinstance(record.body, dict):
             log.warning("the fleet's stored state is ignored: %s", reason)
             return
@@ -102,7 +102,9 @@
             "generations": {i.name: i.generation for i in instances},
         }
         owner = Owner(self._name, "", self.epoch)
-        self._records.write([Record(RECORD_KIND, self._records.next_serial(RECORD_KIND), owner, moment(), body)])
+        self._records.write(
+            [Record(RECORD_KIND, self._records.next_serial(RECORD_KIND), owner, clock_reading(), body)]
+        )
         self._log_problem()
 
     def _log_problem(self) -> None:
--- a/cometusher/hot_restart.py
+++ b/cometusher/hot_restart.py
@@ -9,7 +9,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from cometusher.discovery import Unreadable
+from cometusher.discovery import MalformedAnswer
 from cometusher.serialization import collect_operator_orders, restore_list, restore_operator_orders, serialize_list
 from weldroute.handover import (
     ProcessStage,
@@ -59,7 +59,7 @@
                 self._restore_list(learned)
                 restored = adopt_learned_state(proxy.balancer, proxy.clock.now(), learned)
                 log.info("took over the learned state of %d backends", restored)
-            except (UnusableState, Unreadable) as error:
+            except (UnusableState, MalformedAnswer) as error:
                 log.warning("learned state ignored: %s", error)
         self._apply_orders(self._handover.read("standing"))
 
--- a/cometusher/inflight/tracker.py
+++ b/cometusher/inflight/tracker.py
@@ -239,7 +239,7 @@
     def on_connection_opened(self, caller: CallerConnection) -> None:
         """A caller's connection is established."""
         assert caller.transport is not None
-        caller.descriptor, caller.connection_id = self._network.named(caller.transport)
+        caller.descriptor, caller.connection_id = self._network.connection_id(caller.transport)
         self._owners[caller.descriptor] = caller
         state = IDLE if caller.journal_slot == NONE else BUSY
         self.journal.record_connection(
@@ -428,7 +428,7 @@
         assert connection is not None
         if not connection.connection_id:
             assert connection.transport is not None
-            connection.descriptor, connection.connection_id = self._network.named(connection.transport)
+            connection.descriptor, connection.connection_id = self._network.connection_id(connection.transport)
             server = self._proxy.balancer.servers.get(attempt.server)
             connection.failure_domain = (server.row.zone, server.row.cell) if server is not None else (0, 0)
         zone, cell = connection.failure_domain
@@ -560,10 +560,12 @@
             log.warning("declined to take a request over: %s", error)
             return False
         caller_counters = (
-            self._network.look(offer.caller, record.caller_connection_id, False) if offer.caller is not None else None
+            self._network.read_counters(offer.caller, record.caller_connection_id, False)
+            if offer.caller is not None
+            else None
         )
         attempt_counters = [
-            self._network.look(connection, attempt.connection_id, True) if connection is not None else None
+            self._network.read_counters(connection, attempt.connection_id, True) if connection is not None else None
             for attempt, connection in zip(record.attempts, offer.attempts, strict=True)
         ]
         assessment = assess(record, proxy.config.settings.classes[class_index], caller_counters, attempt_counters)
@@ -624,7 +626,7 @@
 
     async def _resume_idle(self, record: ConnectionRecord, connection: Any) -> None:
         """Continue a caller's connection that had no in-flight request."""
-        counters = self._network.look(connection, record.connection_id, False)
+        counters = self._network.read_counters(connection, record.connection_id, False)
         action, reason = decide_idle_connection(record.bytes_read, record.bytes_written, counters)
         if action is IdleConnectionAction.DROP or counters is None:
             connection.close()
--- a/cometusher/logs.py
+++ b/cometusher/logs.py
@@ -46,7 +46,7 @@
         return True
 
 
-def as_fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
+def record_fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
     """A record of the logging module as the structured one."""
     subsystem = record.name.removeprefix("cometusher.")
     text = record.getMessage()
@@ -85,7 +85,7 @@
     return f"{stamp} {str(values['level']).upper()} {who}: {text}".encode()
 
 
-RENDER = {"json": to_json, "text": to_text}
+FORMATTERS = {"json": to_json, "text": to_text}
 
 
 class PipeHandler(logging.Handler):
@@ -101,7 +101,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record, or count it as dropped; never waits and never raises."""
         try:
-            values = as_fields(record, self._instance)
+            values = record_fields(record, self._instance)
             if self.dropped:
                 values["dropped"] = self.dropped
             os.write(self._descriptor, to_json(values) + b"\n")
@@ -113,7 +113,7 @@
             self.dropped = 0
 
 
-def to_stderr() -> None:
+def log_to_stderr() -> None:
     """The platform's form: plain lines on standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s: %(message)s"))
@@ -121,7 +121,7 @@
     logging.basicConfig(level=logging.INFO, handlers=[handler])
 
 
-def to_pipe(descriptor: int, instance: str) -> None:
+def log_to_pipe(descriptor: int, instance: str) -> None:
     """Structured lines into a supervisor's pipe, in place of whatever was set up before."""
     handler = PipeHandler(descriptor, instance)
     handler.addFilter(RateLimit())
--- a/cometusher/proxy.py
+++ b/cometusher/proxy.py
@@ -27,7 +27,7 @@
 )
 from cometusher.callers import CallerConnection, Callers
 from cometusher.config import Config
-from cometusher.discovery import Discovery, Entry, read_listing
+from cometusher.discovery import BackendEntry, DiscoveryClient, parse_list
 from cometusher.http1 import (
     Headers,
     Malformed,
@@ -202,9 +202,11 @@
         self.management: Management | None = None
         self.servers_by_host: dict[str, ServerId] = {}  # backends by their name in discovery
         reserved = RESERVED_DESCRIPTORS + (MANAGEMENT_DESCRIPTORS if config.management else 0)
-        processes = 2 if config.shared else 1  # a hot restart runs two processes for a while
+        processes = 2 if config.shared_folder else 1  # a hot restart runs two processes for a while
         self.descriptors = DescriptorBudget(config.sockets, processes * reserved)
-        self.memory = BodyMemoryBudget(config.memory_mb, IDLE_TWO_PROCESSES_MB if config.shared else IDLE_PROCESS_MB)
+        self.memory = BodyMemoryBudget(
+            config.memory_mb, IDLE_TWO_PROCESSES_MB if config.shared_folder else IDLE_PROCESS_MB
+        )
         self.callers = Callers(loop, self.network, self, self.descriptors, self.memory)
         self.backends = Backends(
             loop,
@@ -227,8 +229,8 @@
         self._reported_counters: dict[str, int] = {}
         self.identity_headers: Headers = []  # on answers to readiness checks: identify this process
         self._next_report_at = loop.time() + REPORT_INTERVAL
-        listing = read_listing({"hosts": []} | config.known, config.zones)
-        self.discovery = Discovery(
+        listing = parse_list({"hosts": []} | config.known, config.zones)
+        self.discovery = DiscoveryClient(
             config.discovery,
             config.zones,
             listing.seq,
@@ -237,22 +239,22 @@
             self.on_list,
         )
         self.on_list(ListKind.STALE, listing.entries)
-        if config.shared:
-            self._start_hot_restart(config.shared)
-        if config.returning is not None:
+        if config.shared_folder:
+            self._start_hot_restart(config.shared_folder)
+        if config.recovery is not None:
             from cometusher.recovery import RecoveryController
 
-            self.recovery = RecoveryController(self, config.returning)
-        if config.covered is not None:
+            self.recovery = RecoveryController(self, config.recovery)
+        if config.journal is not None:
             from cometusher.inflight.tracker import InflightTracker
 
-            self.inflight = InflightTracker(self, self.network.cover(config.covered))
+            self.inflight = InflightTracker(self, self.network.open_takeover_channel(config.journal))
 
     def _start_hot_restart(self, directory: str) -> None:
         from cometusher.hot_restart import HotRestart
 
         try:
-            self._hot_restart = HotRestart(self, self.network.share(directory))
+            self._hot_restart = HotRestart(self, self.network.open_handover(directory))
         except OSError as error:
             log.warning("nothing is shared with other processes of this proxy: %s", error)
         else:
@@ -281,7 +283,7 @@
         self._follow_discovery()
         if not self.backends.server_ids() and self.recovery is None:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.discovery.heard.wait(), FIRST_LIST_TIMEOUT)
+                await asyncio.wait_for(self.discovery.first_attempt_done.wait(), FIRST_LIST_TIMEOUT)
         self.callers.listen(self.network.adopt(listener))
         self._begin_serving()
 
@@ -319,7 +321,7 @@
         self.config = replace(old, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
         self.descriptors.resize(new.sockets)
         self.memory.resize(new.memory_mb)
-        self.discovery.move(new.discovery)
+        self.discovery.change_address(new.discovery)
         log.info("configuration reloaded; discovery is at %s:%d", *new.discovery)
         if (new.listen, new.settings, new.zones) != (old.listen, old.settings, old.zones):
             log.warning("a change of listen, settings or zones waits for the next start")
@@ -938,7 +940,7 @@
 
     # ---- discovery -----------------------------------------------------------------------
 
-    def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
+    def on_list(self, kind: ListKind, entries: Sequence[BackendEntry]) -> None:
         """Handles a backend list, a change to it, or a failed call, filtered by the recovery if there is one."""
         if self.recovery is not None:
             accepted = self.recovery.on_list(kind, entries)
@@ -947,7 +949,7 @@
             entries = accepted
         self.apply_list(kind, entries)
 
-    def apply_list(self, kind: ListKind, entries: Sequence[Entry]) -> None:
+    def apply_list(self, kind: ListKind, entries: Sequence[BackendEntry]) -> None:
         """Applies a backend list, or a change to it."""
         if kind is not ListKind.BROKEN and kind is not ListKind.PATCH:
             for removed in set(self.backends.server_ids()) - {entry.row.server for entry in entries}:
@@ -963,7 +965,7 @@
                 if row.server not in self.balancer.bans:
                     self.servers_by_host.pop(entry.host, None)
                 continue
-            displaced = self.backends.update(row.server, entry.dial, row.started, row.state is State.UP)
+            displaced = self.backends.update(row.server, entry.address, row.started, row.state is State.UP)
             if displaced is not None:
                 log.info("backend %x is gone: another backend has its address", displaced)
                 rows.append(ServerRow(displaced, State.GONE))
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -16,8 +16,8 @@
 import orjson
 
 from cometusher.config import ConfigError
-from cometusher.discovery import Entry, Unreadable, read_listing, server_id
-from cometusher.runtime import moment
+from cometusher.discovery import BackendEntry, MalformedAnswer, parse_list, server_id
+from cometusher.runtime import clock_reading
 from cometusher.serialization import collect_operator_orders, restore_list, restore_operator_orders, serialize_list
 from cometusher.store.records import RecordFile
 from cometusher.store.writer import RecordWriter
@@ -96,7 +96,7 @@
     found = records.read(RECORD_KINDS)
     if records.problem:
         log.warning("the store %s: %s", config.store.name, records.problem)
-    return found, RecordWriter(records, config.owner, moment)
+    return found, RecordWriter(records, config.owner, clock_reading)
 
 
 class RecoveryController:
@@ -105,8 +105,8 @@
     def __init__(self, proxy: Proxy, config: RecoveryConfig) -> None:
         self._proxy = proxy
         self._config = config
-        self._read_clock = proxy.network.moment
-        found, self._sink = proxy.network.keep(config)
+        self._read_clock = proxy.network.clock_reading
+        found, self._sink = proxy.network.open_records(config)
         learned = found.get("learned")
         rate = learned.body.get("calm") if learned is not None and isinstance(learned.body, dict) else None
         rate = float(rate) if isinstance(rate, (int, float)) and not isinstance(rate, bool) else None
@@ -117,12 +117,14 @@
         self._list_changed = False
         self._queued: dict[str, Callable[[], None]] = {}  # what forwards each queued request
         self._timer: asyncio.TimerHandle | None = None
-        self._distrusted_list: dict[str, Entry] | None = None  # discovery's list while distrusted; may be empty
+        self._distrusted_list: dict[str, BackendEntry] | None = (
+            None  # discovery's list while distrusted; may be empty
+        )
         self._stopping = False
         # Guards a tier that is recovering itself against a burst of the retries that many instances have saved up.
         proxy.balancer.retry_tokens = INITIAL_RETRY_TOKENS
         proxy.balancer.copy_tokens = 0.0
-        proxy.discovery.patience = config.plan.discovery_interval
+        proxy.discovery.max_backoff = config.plan.discovery_interval
         self._restore(found)
 
     # ---- stored state --------------------------------------------------------------------
@@ -153,7 +155,7 @@
         proxy = self._proxy
         try:
             listing = restore_list(proxy, record.body)
-        except Unreadable as error:
+        except MalformedAnswer as error:
             log.warning("the stored list is ignored: %s", error)
             return
         seconds = age(record, self._read_clock())
@@ -182,7 +184,7 @@
 
     # ---- discovery -----------------------------------------------------------------------
 
-    def on_list(self, kind: ListKind, entries: Sequence[Entry]) -> Sequence[Entry] | None:
+    def on_list(self, kind: ListKind, entries: Sequence[BackendEntry]) -> Sequence[BackendEntry] | None:
         """Discovery reported a list or a change to it; return the entries to apply, or None to apply nothing now."""
         if kind in (ListKind.BROKEN, ListKind.STALE):
             return entries
@@ -201,13 +203,13 @@
             return entries
         return None if decision is ListDecision.WAIT else self._merge(entries)
 
-    def _merge(self, entries: Sequence[Entry]) -> list[Entry]:
+    def _merge(self, entries: Sequence[BackendEntry]) -> list[BackendEntry]:
         """The stored list with the newer entries of a list that has a lower version."""
         proxy = self._proxy
         servers = proxy.balancer.servers
         reported = {entry.row.server: entry for entry in entries}
         merged = []
-        for stored in read_listing(serialize_list(proxy), proxy.config.zones).entries:
+        for stored in parse_list(serialize_list(proxy), proxy.config.zones).entries:
             newer = reported.get(stored.row.server)
             row = servers[stored.row.server].row
             merged.append(stored if newer is None or self.state.prefers_stored(row, newer.row) else newer)
@@ -337,7 +339,7 @@
         address = self._proxy.backends.address_of(server)
         if address is not None:
             # Deferred: the balancer is still processing the event that led here.
-            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [Entry(row, address, host)])
+            self._proxy.loop.call_soon(self._proxy.apply_list, ListKind.PATCH, [BackendEntry(row, address, host)])
 
     # ---- time ----------------------------------------------------------------------------
 
@@ -372,7 +374,7 @@
             learned = serialize_learned_state(proxy.balancer, proxy.clock.now())
             self._sink.put("learned", learned | {"calm": self.state.normal_rate})
         # Guards against a list that looks younger than it is: it is written again only while discovery answers.
-        if self._list_changed or (now >= self._list_due_at and proxy.discovery.live):
+        if self._list_changed or (now >= self._list_due_at and proxy.discovery.has_current_list):
             self._list_changed = False
             serialized = serialize_list(proxy)
             self._list_due_at = now + max(LIST_INTERVAL, len(serialized["hosts"]) / LIST_ROWS_PER_SECOND)
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -31,7 +31,7 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER of socket(7): closing drops what is unsent, and resets
 
 
-def moment() -> ClockReading:
+def clock_reading() -> ClockReading:
     """Now, by the clock that may be set and by the one that counts from the machine's boot."""
     boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     return ClockReading(time.time(), boot, time.clock_gettime(time.CLOCK_BOOTTIME))
@@ -75,31 +75,31 @@
     async def attach(self, connection: Any, protocol: Callable[[], asyncio.Protocol]) -> None:
         """Give an accepted connection to the event loop; raises OSError."""
 
-    def pending(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells, whenever asked, whether a connection has something to read, or its end, that was not read yet."""
 
-    def peer_ended(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells, whenever asked, whether the far side has ended a connection, also behind bytes not read yet."""
 
     def abort(self, transport: asyncio.Transport) -> None:
         """Close at once, so that the far side sees a reset."""
 
-    def share(self, folder: str) -> Handover:
+    def open_handover(self, folder: str) -> Handover:
         """What processes of one proxy share; raises OSError."""
 
-    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
 
-    def moment(self) -> ClockReading:
+    def clock_reading(self) -> ClockReading:
         """Now, by the clocks that a record is dated with."""
 
-    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
+    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand, and is handed that of others."""
 
-    def named(self, transport: asyncio.Transport) -> tuple[int, int]:
+    def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
         """A connection's descriptor, and a number for it that no other connection has meanwhile."""
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """What became of a connection that was handed over; None if it is gone, or is not the one of this name."""
 
     def reset(self, connection: Any) -> None:
@@ -158,11 +158,11 @@
         """Give an accepted connection to the event loop; raises OSError."""
         await self._loop.connect_accepted_socket(protocol, connection)
 
-    def pending(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells by a poll object of its own: it costs a system call to ask."""
         return _poller(transport, select.POLLIN)
 
-    def peer_ended(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells by a poll object of its own; an error or a hang-up is told whatever is polled for."""
         return _poller(transport, select.POLLRDHUP)
 
@@ -171,29 +171,29 @@
         self.reset(transport.get_extra_info("socket"))
         transport.abort()
 
-    def share(self, folder: str) -> Handover:
+    def open_handover(self, folder: str) -> Handover:
         """What processes of one proxy share in a folder; raises OSError."""
         from cometusher.handover import open_in_folder
 
         return open_in_folder(folder)
 
-    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance on disk, and where to keep more."""
         from cometusher.recovery import open_store
 
         return open_store(returning)
 
-    def moment(self) -> ClockReading:
+    def clock_reading(self) -> ClockReading:
         """Now."""
-        return moment()
+        return clock_reading()
 
-    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
+    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
         """The book and the door that the supervisor has given this process."""
         from cometusher.inflight.endpoint import SocketTakeoverChannel
 
         return SocketTakeoverChannel(self._loop, covered)
 
-    def named(self, transport: asyncio.Transport) -> tuple[int, int]:
+    def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
         """By its two addresses."""
         from cometusher.inflight.tcp_info import address_pair_id
 
@@ -202,7 +202,7 @@
             transport.get_extra_info("sockname"), transport.get_extra_info("peername")
         )
 
-    def look(self, connection: socket.socket, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(self, connection: socket.socket, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a socket."""
         from cometusher.inflight.tcp_info import read_counters
 
--- a/cometusher/schemas.py
+++ b/cometusher/schemas.py
@@ -54,7 +54,7 @@
 [[expect]]
 figure = "served"
 """
-READERS: dict[str, tuple[str, Callable[[Path, Table], object]]] = {
+FILE_KINDS: dict[str, tuple[str, Callable[[Path, Table], object]]] = {
     "fleet": (FLEET, build_spec),
     "drill": (DRILL, build_scenario),
 }
@@ -62,18 +62,18 @@
 
 def schema(name: str) -> dict[str, Any]:
     """The schema of one kind of file."""
-    text, build = READERS[name]
+    text, build = FILE_KINDS[name]
     path = Path(f"/{name}.toml")
     table = Table(Source(path, text), tomllib.loads(text))
     build(path, table)
     head = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"A {name}'s file"}
-    return head | table.shape.schema()
+    return head | table.schema.schema()
 
 
 def write_schemas(folder: Path) -> None:
     """Write them all; raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    for name in READERS:
+    for name in FILE_KINDS:
         data = orjson.dumps(schema(name), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE)
         (folder / f"{name}.json").write_bytes(data)
 
--- a/cometusher/serialization.py
+++ b/cometusher/serialization.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from cometusher.discovery import Listing, read_listing
+from cometusher.discovery import BackendList, parse_list
 from weldroute import ListKind, State
 from weldroute.handover import OperatorOrders, apply_operator_orders
 
@@ -39,9 +39,9 @@
     return {"seq": proxy.discovery.seq, "whole": True, "hosts": hosts}
 
 
-def restore_list(proxy: Proxy, state: Any) -> Listing:
-    """Start with a stored list, unless a newer one is known already; raises Unreadable."""
-    listing = read_listing(state, proxy.config.zones)
+def restore_list(proxy: Proxy, state: Any) -> BackendList:
+    """Start with a stored list, unless a newer one is known already; raises MalformedAnswer."""
+    listing = parse_list(state, proxy.config.zones)
     if listing.entries and listing.seq >= proxy.discovery.seq:
         proxy.discovery.resume(listing.seq)
         proxy.on_list(ListKind.STALE, listing.entries)
--- a/cometusher/service.py
+++ b/cometusher/service.py
@@ -35,28 +35,28 @@
 class Parent(Protocol):
     """Who started this proxy and wants to hear of it; a proxy on its own has none."""
 
-    def started(self, proxy: Proxy, stop: asyncio.Event) -> None:
+    def on_started(self, proxy: Proxy, stop: asyncio.Event) -> None:
         """It listens. Setting `stop` ends it in order."""
 
-    def reloaded(self, why: str | None) -> None:
+    def on_reloaded(self, why: str | None) -> None:
         """The configuration was read again: used (None), or refused and why."""
 
-    def stopping(self) -> None:
+    def on_stopping(self) -> None:
         """It takes nothing new from here on."""
 
 
-def read_again(proxy: Proxy, parent: Parent | None = None) -> None:
+def reload_config(proxy: Proxy, parent: Parent | None = None) -> None:
     """Follow the file of the configuration; one that can't be used changes nothing."""
     why: str | None = None
     try:
-        fresh = config.load(os.environ, again=True)
+        fresh = config.load(os.environ, reload=True)
     except config.ConfigError as fault:
         why = str(fault)
         logging.error("the configuration stays as it was: %s", fault)
     else:
         proxy.reconfigure(fresh)
     if parent is not None:
-        parent.reloaded(why)
+        parent.on_reloaded(why)
 
 
 async def serve(
@@ -75,9 +75,9 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     proxy = Proxy(settings)
-    loop.add_signal_handler(signal.SIGHUP, read_again, proxy, parent)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, proxy, parent)
     if early is not None and early.seen:
-        read_again(proxy, parent)
+        reload_config(proxy, parent)
     if listener is None:
         proxy.start()
     else:
@@ -87,11 +87,11 @@
     gc.freeze()
     logging.info("%s listens on %s:%d", settings.name, settings.listen[0], proxy.callers.port)
     if parent is not None:
-        parent.started(proxy, stop)
+        parent.on_started(proxy, stop)
     await stop.wait()
     logging.info("stopping")
     if parent is not None:
-        parent.stopping()
+        parent.on_stopping()
     await proxy.drain()
     logging.info("stopped")
 
@@ -99,7 +99,7 @@
 def main() -> int:
     """The platform's proxy; returns the exit code."""
     early = EarlyReload()
-    logs.to_stderr()
+    logs.log_to_stderr()
     try:
         settings = config.load(os.environ)
     except config.ConfigError as fault:
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -855,7 +855,7 @@
 
     def put(self, kind: str, body: object) -> None:
         """Have a form written soon."""
-        data = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
+        data = Record(kind, 1, self._owner, self._surroundings.clock_reading(), body).to_dict()
         self._surroundings.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
 
     def _write(self, kind: str, data: dict[str, Any]) -> None:
@@ -911,12 +911,12 @@
             connection.assign_to(machine)
         connection.attach(protocol())
 
-    def pending(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells whether something has come that was not read."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.pending
 
-    def peer_ended(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """Tells whether the far side has ended a connection."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.peer_ended
@@ -926,26 +926,26 @@
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
-    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """What is kept of an instance, and where to keep more."""
         return self._disk.read(), DiskRecordWriter(self._disk, returning.owner, self, CURRENT_MACHINE.get())
 
-    def moment(self) -> ClockReading:
+    def clock_reading(self) -> ClockReading:
         """Now, by the clock that may step and by the one that does not."""
         return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
-    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
+    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
         """Where a process notes what it has in hand; raises OSError in a world without."""
         if self._open_channel is None:
             raise _os_error(errno.ENOSYS)
         return self._open_channel(covered)
 
-    def named(self, transport: asyncio.Transport) -> tuple[int, int]:
+    def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
         """By its number, which no other has."""
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's account of a connection."""
         assert isinstance(connection, VirtualTransport)
         return connection.counters() if connection.number == name else None
@@ -954,7 +954,7 @@
         """By RST."""
         connection.kill()
 
-    def share(self, folder: str) -> Handover:
+    def open_handover(self, folder: str) -> Handover:
         """What processes of one proxy share; raises OSError."""
         machine = CURRENT_MACHINE.get()
         if self._memory is None or machine is None:
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -41,10 +41,10 @@
 from cometusher.simulation.oracles import LONG_MESSAGE, RunChecker, Violation
 from cometusher.simulation.orphans import VirtualOrphans, VirtualTakeoverChannel
 from cometusher.simulation.script import UPGRADE_TROUBLES, Fault, Plan, PlannedRequest
-from standins.client_connections import Address, Courier, End, Parcel
+from standins.client_connections import Address, ClientPool, PendingRequest, RequestEnd
 from standins.discovery import HostList, Watch
-from standins.messages import Seen
-from standins.service_backend import Keys, Node
+from standins.messages import Message
+from standins.service_backend import KeyWindow, ServiceBackend
 from weldroute.recovery import RecoveryPlan as ReturnPlan
 from weldroute.settings import read_settings
 from weldroute.snapshots import AgeLimits, KnownVersions, Owner
@@ -193,7 +193,7 @@
     address: str
     speed: float
     machine: Machine | None = None
-    service: Node | None = None
+    service: ServiceBackend | None = None
     own_proxy: ProxySlot | None = None  # its own proxy to the tier behind
     leaving: bool = False
 
@@ -281,9 +281,9 @@
         if plan.tiers > 1:
             for backend in self.backend_slots[:backends_per_tier]:
                 backend.own_proxy = self._add_proxy(f"10.5.0.{backend.number + 1}", 1, backend.zone, backend)
-        self.keys = {(tier, zone): Keys(KEY_WINDOW) for tier in range(plan.tiers) for zone in range(plan.zones)}
+        self.keys = {(tier, zone): KeyWindow(KEY_WINDOW) for tier in range(plan.tiers) for zone in range(plan.zones)}
         self.client_machines = [self.network.add_machine(f"10.3.{zone}.1", 100000) for zone in range(plan.zones)]
-        self.client_pools: list[Courier] = []
+        self.client_pools: list[ClientPool] = []
         self.longest_message = max([request.want + request.body for request in plan.requests], default=0)
         # From SIGTERM to SIGKILL: whoever reads a long answer slowly is waited for.
         longest_pause = max([request.dawdle for request in plan.requests], default=0.0)
@@ -307,9 +307,9 @@
             VirtualTransport, tuple[str, str, int]
         ] = {}  # whose, what, and what was told before
         self._duplicable_requests: dict[
-            str, tuple[ProxySlot, Parcel, bytes]
+            str, tuple[ProxySlot, PendingRequest, bytes]
         ] = {}  # requests that are harmless to copy
-        self._pending_bans: dict[Parcel, str] = {}  # calls for bans that wait for their answer
+        self._pending_bans: dict[PendingRequest, str] = {}  # calls for bans that wait for their answer
         self._next_bounds_check = 0.0
         self.bounds_check_interval = BOUNDS_CHECK_INTERVAL
 
@@ -368,9 +368,9 @@
                 slot.config,
                 seed=slot.config.seed + 100 * slot.process_count,
                 management=management,
-                shared="shared" if self.plan.shared else None,
-                returning=self._recovery_config(slot),
-                covered=journal,
+                shared_folder="shared" if self.plan.shared else None,
+                recovery=self._recovery_config(slot),
+                journal=journal,
             )
             process.proxy = proxy = Proxy(proxy_config, process.surroundings)
             if proxy.recovery is not None:
@@ -443,14 +443,14 @@
         if slot.generation != generation or slot.routed or not slot.up:
             return
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status == 200 and slot.generation == generation and slot.up:
                 slot.routed = True
                 self.checker.record_event(self.loop.time(), "ready", slot.name)
             else:
                 self.loop.call_later(0.1, self._poll_ready, slot, generation)
 
-        self.client_pools[slot.zone].send(Parcel(slot.address, [READY_REQUEST], done=done))
+        self.client_pools[slot.zone].send(PendingRequest(slot.address, [READY_REQUEST], on_end=done))
 
     def end_proxy(self, slot: ProxySlot, excused: bool) -> None:
         """A proxy's process ends; what it owes is lost, and excused only if it was killed."""
@@ -480,7 +480,7 @@
         now = self.loop.time()
         backend.machine = self.network.add_machine(backend.address, 4096)
         backend.leaving = False
-        service = backend.service = Node(
+        service = backend.service = ServiceBackend(
             backend.host,
             f"z{backend.zone}",
             backend.speed,
@@ -490,16 +490,16 @@
             self,
             cold_from=COLD_FROM,
             cold_for=COLD_PERIOD if cold else 0.0,
-            fall=(FALL_MULTIPLE, FALL_AFTER),
-            born=now,
+            overload_limit=(FALL_MULTIPLE, FALL_AFTER),
+            started_at=now,
         )
         if backend.own_proxy is not None:
-            service.behind = backend.own_proxy.address
+            service.next_tier = backend.own_proxy.address
         await self._run_on(backend.machine, lambda: service.start(backend.address, PORT))
-        service.courier.was_read = _peer_has_read
-        service.courier.surplus = self._on_surplus_data
+        service.client_pool.was_read = _peer_has_read
+        service.client_pool.on_surplus = self._on_surplus_data
         born = int((EPOCH + now) * 1000.0) if cold else 0
-        entry = service.entry(dial=f"{backend.address}:{PORT}", born_ms=born)
+        entry = service.discovery_entry(dial=f"{backend.address}:{PORT}", born_ms=born)
         if not cold:
             self.discoveries[backend.tier].entries[backend.host] = entry
         else:
@@ -537,7 +537,9 @@
         machine = self.network.add_machine(address, 4096)
         hosts = HostList(list(registry.entries.values()))
         hosts.seq = registry.seq
-        hosts.on_tell = lambda watch, seq, entries: self._on_discovery_update(registry, index, watch, seq, entries)
+        hosts.on_list_sent = lambda watch, seq, entries: self._on_discovery_update(
+            registry, index, watch, seq, entries
+        )
         registry.machines[index : index + 1] = [machine]
         registry.lists[index : index + 1] = [hosts]
         await self._run_on(machine, lambda: hosts.start(address, PORT))
@@ -592,7 +594,7 @@
         """A yes holds from the moment that it is given, whenever it is heard."""
         peer = transport.get_extra_info("peername")
         for pending, host in list(self._pending_bans.items()):
-            client_transport = pending.line.transport if pending.line is not None else None
+            client_transport = pending.connection.transport if pending.connection is not None else None
             if client_transport is not None and client_transport.get_extra_info("sockname") == peer:
                 del self._pending_bans[pending]
                 if data.startswith(b"HTTP/1.1 200"):
@@ -600,25 +602,27 @@
             elif pending.over:
                 del self._pending_bans[pending]
 
-    def _request_id(self, seen: Seen) -> str:
+    def _request_id(self, seen: Message) -> str:
         return seen.headers.get(b"x-call-id", b"-").decode()
 
-    def came(self, service: Node, seen: Seen) -> None:
+    def on_request(self, service: ServiceBackend, seen: Message) -> None:
         self.checker.on_backend_received(self.loop.time(), self._request_id(seen), service.host, len(seen.body))
 
-    def rejected(self, service: Node, seen: Seen) -> None:
+    def on_rejected(self, service: ServiceBackend, seen: Message) -> None:
         self.checker.on_backend_rejected(self.loop.time(), self._request_id(seen), service.host)
 
-    def ran(self, service: Node, seen: Seen, effect: bool) -> None:
+    def on_run(self, service: ServiceBackend, seen: Message, effect: bool) -> None:
         key = seen.headers.get(b"idempotency-key")
         tier = self._backend_by_host[service.host].tier
         effect_key = None if key is None else f"{tier} {key.decode()}"
         self.checker.on_backend_ran(self.loop.time(), self._request_id(seen), service.host, effect_key, effect)
 
-    def fell(self, service: Node, sent: float, carries: float) -> None:
+    def on_overload(self, service: ServiceBackend, sent: float, carries: float) -> None:
         self.checker.on_cold_overload(self.loop.time(), service.host, sent, carries)
 
-    def calls(self, service: Node, pending: Parcel, seen: Seen, budget: float) -> Parcel:
+    def on_call(
+        self, service: ServiceBackend, pending: PendingRequest, seen: Message, budget: float
+    ) -> PendingRequest:
         """A node calls the tier behind through its own proxy, as any caller does."""
         match = CALL_ID.search(pending.pieces[0])
         slot = self._backend_by_host[service.host].own_proxy
@@ -633,7 +637,7 @@
 
     def _track(
         self,
-        pending: Parcel,
+        pending: PendingRequest,
         request_id: str,
         class_name: str,
         slot: ProxySlot,
@@ -642,7 +646,7 @@
         answer_size: int,
     ) -> None:
         """Have the account follow a parcel."""
-        done = pending.done
+        done = pending.on_end
         checker, loop = self.checker, self.loop
 
         message = b"".join(pending.pieces)
@@ -670,32 +674,32 @@
                     ),
                 )
 
-        def on_end(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             now = loop.time()
             if answer is not None:
                 checker.on_answer(now, request_id, answer.status, answer.body, answer_size)
-            elif end is End.LOST:
+            elif end is RequestEnd.LOST:
                 checker.on_connection_lost(now, request_id)
-            elif end is End.CUT:
+            elif end is RequestEnd.TRUNCATED:
                 checker.on_answer_cut(now, request_id)
             else:
                 checker.on_caller_left(now, request_id)
-                if end is End.UNREACHED and slot.up and now < slot.accepts_until:
+                if end is RequestEnd.UNREACHED and slot.up and now < slot.accepts_until:
                     checker.report_violation(
                         now, "drains", f"{slot.name} refused {request_id} while the front still sent to it"
                     )
             done(end, answer)
 
-        pending.written, pending.done = on_written, on_end
-        pending.begun = lambda: checker.on_answer_started(loop.time(), request_id)
+        pending.on_sent, pending.on_end = on_written, on_end
+        pending.on_head = lambda: checker.on_answer_started(loop.time(), request_id)
         if body_size > LONG_MESSAGE:
-            pending.coming = lambda: checker.on_request_started(
+            pending.on_sending = lambda: checker.on_request_started(
                 loop.time(), request_id, class_name, slot.name, caller, body_size, answer_size
             )
 
-    def _connection_holder(self, pending: Parcel) -> str:
+    def _connection_holder(self, pending: PendingRequest) -> str:
         """Which proxy has the connection that a parcel is on; empty for none that is known."""
-        near = pending.line.transport if pending.line is not None else None
+        near = pending.connection.transport if pending.connection is not None else None
         far = near.peer if isinstance(near, VirtualTransport) else None
         return next(
             (
@@ -724,7 +728,7 @@
             return
         self._send_request(planned, attempt, self.rng.choice(slots))
 
-    def _send_request(self, planned: PlannedRequest, attempt: int, slot: ProxySlot) -> Parcel:
+    def _send_request(self, planned: PlannedRequest, attempt: int, slot: ProxySlot) -> PendingRequest:
         request_id = f"{planned.number:x}-{attempt}"
         method = b"GET" if planned.kind == "view" else b"POST"
         header_lines = [
@@ -746,21 +750,21 @@
         if planned.slow:
             cuts = [0, *(len(message) - (3 - i) * (len(message) // 5) for i in range(3)), len(message)]
             pieces = [message[a:b] for a, b in itertools.pairwise(cuts)]
-        pending = Parcel(slot.address, pieces, planned.slow / 4.0, planned.dawdle)
+        pending = PendingRequest(slot.address, pieces, planned.slow / 4.0, planned.dawdle)
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status in (503, 429) and attempt < planned.again:
                 after = float(answer.headers.get(b"retry-after", b"0.2"))
                 self.loop.call_later(after, self.send_planned, planned, attempt + 1)
 
-        pending.done = done
+        pending.on_end = done
         client_pool = self.client_pools[planned.zone]
         self._track(pending, request_id, planned.kind, slot, f"client/{planned.zone}", planned.budget, planned.want)
         if planned.kind == "view":
             self._duplicable_requests[request_id] = (slot, pending, message)
         client_pool.send(pending)
         if planned.leaves:
-            self.loop.call_later(planned.leaves, client_pool.leave, pending)
+            self.loop.call_later(planned.leaves, client_pool.abandon, pending)
         return pending
 
     # ---- faults --------------------------------------------------------------------------
@@ -893,26 +897,26 @@
             elif (
                 target is slot
                 and count > 0
-                and not pending.heard
+                and not pending.head_received
                 and self.checker.is_waiting(self.loop.time(), request_id)
             ):
                 count -= 1
                 self._send_duplicate(slot, request_id, pending, message)
 
-    def _send_duplicate(self, slot: ProxySlot, request_id: str, original: Parcel, message: bytes) -> None:
+    def _send_duplicate(self, slot: ProxySlot, request_id: str, original: PendingRequest, message: bytes) -> None:
         self.checker.duplicated_ids.add(request_id)
         self.checker.record_event(self.loop.time(), "twin", request_id, slot.name)
 
         def check() -> None:
-            if not original.over and not original.heard:
+            if not original.over and not original.head_received:
                 text = f"a stranger's {request_id} was served while the request of that id was open"
                 self.checker.report_violation(self.loop.time(), "right answer", text)
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status == 200:
                 self.loop.call_later(self.round_trip, check)  # what was answered before is here by then
 
-        duplicate = Parcel(slot.address, [message], done=done)
+        duplicate = PendingRequest(slot.address, [message], on_end=done)
         self.loop.call_soon(
             self.client_pools[slot.zone].connect, duplicate, context=self.client_machines[slot.zone].context()
         )
@@ -984,16 +988,16 @@
         done: Callable[[int], None],
         body: bytes = b"",
         method: str = "POST",
-    ) -> Parcel:
+    ) -> PendingRequest:
         """A call to one process of a proxy; `done` is told its status, or 0 where no answer came."""
         lines = f"{method} /api/{command} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
 
-        def on_end(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             status = answer.status if answer is not None else 0
             self.checker.record_event(self.loop.time(), "call", slot.name, command, body.decode(), status)
             done(status)
 
-        pending = Parcel(process.management, [lines + body], done=on_end)
+        pending = PendingRequest(process.management, [lines + body], on_end=on_end)
         self.loop.call_soon(
             self.client_pools[slot.zone].send, pending, context=self.client_machines[slot.zone].context()
         )
@@ -1094,7 +1098,7 @@
             return
         orders = slot.revoked_orders
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             if (
                 answer is not None
                 and answer.status == 200
@@ -1103,7 +1107,7 @@
             ):
                 self.checker.on_ready_while_evacuated(self.loop.time(), slot.name)
 
-        pending = Parcel(slot.address, [READY_REQUEST], done=done)
+        pending = PendingRequest(slot.address, [READY_REQUEST], on_end=done)
         self.loop.call_soon(
             self.client_pools[slot.zone].connect, pending, context=self.client_machines[slot.zone].context()
         )
@@ -1285,9 +1289,9 @@
         if fault_kind == "hasty":
             service.idle_for = fault.by
             return lambda: setattr(service, "idle_for", 5.0)
-        service.mood = fault_kind
+        service.fault = fault_kind
         self.checker.cutting_backends.add(service.host)
-        return service.calm
+        return service.clear_fault
 
     def _with_own_proxy(self, backend: BackendSlot, begin: Undo, end: Undo) -> Undo:
         """What befalls a node on the side of its own proxy, too: that one's answers can't reach it."""
@@ -1296,7 +1300,7 @@
         begin()
         return end
 
-    def _drain_backend(self, backend: BackendSlot, service: Node) -> Undo | None:
+    def _drain_backend(self, backend: BackendSlot, service: ServiceBackend) -> Undo | None:
         """A node drains: discovery says so, it finishes what it has, and is gone."""
         if backend.leaving:
             return None
@@ -1350,11 +1354,11 @@
 
             return resume
         for host_list in lists:
-            host_list.mood = fault_kind
+            host_list.fault = fault_kind
 
         def calm() -> None:
             for machine, host_list in zip(machines, lists, strict=True):
-                self.loop.call_soon(host_list.calm, context=machine.context())
+                self.loop.call_soon(host_list.clear_fault, context=machine.context())
 
         return calm
 
@@ -1425,9 +1429,9 @@
 
     async def _build(self) -> None:
         for client in self.client_machines:
-            client_pool = Courier(self.loop, client.context())
+            client_pool = ClientPool(self.loop, client.context())
             client_pool.was_read = _peer_has_read
-            client_pool.surplus = self._on_surplus_data
+            client_pool.on_surplus = self._on_surplus_data
             self.client_pools.append(client_pool)
         for backend in self.backend_slots:
             await self.start_backend(backend, False)
@@ -1501,16 +1505,16 @@
             self.checker.report_violation(self.loop.time(), "liveness", f"{slot.name} serves nothing")
 
     @staticmethod
-    def _track_liveness(slot: ProxySlot, pending: Parcel, waiting: dict[ProxySlot, bool]) -> None:
+    def _track_liveness(slot: ProxySlot, pending: PendingRequest, waiting: dict[ProxySlot, bool]) -> None:
         """Cross a proxy off once it serves."""
-        done = pending.done
+        done = pending.on_end
 
-        def on_end(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status == 200:
                 waiting.pop(slot, None)
             done(end, answer)
 
-        pending.done = on_end
+        pending.on_end = on_end
 
     def _check_leaks(self) -> None:
         """In silence: no descriptor, task, exchange or byte of a body is left."""
--- a/cometusher/toml_reader.py
+++ b/cometusher/toml_reader.py
@@ -42,21 +42,21 @@
     return lines
 
 
-class Shape:
+class SchemaBuilder:
     """What a reader asks of a table, noted while it asks: so there is one place for keys and for their schema."""
 
     def __init__(self) -> None:
         self.keys: dict[str, dict[str, Any]] = {}
         self.needed: set[str] = set()
         self.optional: set[str] = set()  # asked for only where they are there
-        self.inner: dict[str, Shape] = {}
+        self.inner: dict[str, SchemaBuilder] = {}
         self.lists: set[str] = set()  # those of them that are lists of tables
 
-    def enter(self, key: str, many: bool) -> Shape:
+    def enter(self, key: str, many: bool) -> SchemaBuilder:
         """The shape of an inner table, or of each of a list of them."""
         if many:
             self.lists.add(key)
-        return self.inner.setdefault(key, Shape())
+        return self.inner.setdefault(key, SchemaBuilder())
 
     def schema(self) -> dict[str, Any]:
         """As JSON schema (draft 2020-12)."""
@@ -76,7 +76,7 @@
         self.path = path
         self.lines = _find_lines(text)
 
-    def fault(self, at: str, why: str) -> ConfigError:
+    def error(self, at: str, why: str) -> ConfigError:
         """An error at a key; the nearest enclosing table's line is named where the key has none."""
         name = at
         while name and name not in self.lines:
@@ -88,24 +88,26 @@
 class Table:
     """One table of a file."""
 
-    def __init__(self, source: Source, values: dict[str, Any], name: str = "", shape: Shape | None = None) -> None:
+    def __init__(
+        self, source: Source, values: dict[str, Any], name: str = "", shape: SchemaBuilder | None = None
+    ) -> None:
         self.source = source
         self.values = values
         self.name = name
-        self.shape = shape or Shape()
+        self.schema = shape or SchemaBuilder()
         self._asked: set[str] = set()
 
-    def at(self, key: str) -> str:
+    def full_name(self, key: str) -> str:
         """A key's full name."""
         return f"{self.name}.{key}" if self.name else key
 
-    def fault(self, key: str, why: str) -> ConfigError:
+    def error(self, key: str, why: str) -> ConfigError:
         """An error at a key of this table."""
-        return self.source.fault(self.at(key) if key else self.name, why)
+        return self.source.error(self.full_name(key) if key else self.name, why)
 
     def has(self, key: str) -> bool:
         """Whether the file has a key, which may be left out."""
-        self.shape.optional.add(key)
+        self.schema.optional.add(key)
         return key in self.values
 
     def _take(self, key: str, default: T, read: Callable[[Any], T | None], kind: str) -> T:
@@ -114,23 +116,23 @@
             return default
         value = read(self.values[key])
         if value is None:
-            raise self.fault(key, f"{self.values[key]!r} is not {kind}")
+            raise self.error(key, f"{self.values[key]!r} is not {kind}")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
         """A string that is not empty; without a default it has to be there."""
-        self.shape.keys[key] = {"type": "string", "minLength": 1} | ({"default": default} if default else {})
+        self.schema.keys[key] = {"type": "string", "minLength": 1} | ({"default": default} if default else {})
         if default is None:
-            self.shape.needed.add(key)
+            self.schema.needed.add(key)
         value = self._take(key, default or "", lambda v: v if isinstance(v, str) and v else None, "a text")
         if not value and default is None:
             near = difflib.get_close_matches(key, set(self.values) - self._asked, 1)
-            raise self.fault(key, "missing" + (f"; is {near[0]} meant to be it?" if near else ""))
+            raise self.error(key, "missing" + (f"; is {near[0]} meant to be it?" if near else ""))
         return value
 
     def number(self, key: str, default: float, low: float = 0.0, high: float = 1e9) -> float:
         """A finite number within bounds."""
-        self.shape.keys[key] = {"type": "number", "minimum": low, "maximum": high, "default": default}
+        self.schema.keys[key] = {"type": "number", "minimum": low, "maximum": high, "default": default}
 
         def read(value: Any) -> float | None:
             right = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
@@ -138,11 +140,11 @@
 
         return self._take(key, default, read, f"a number from {low:g} to {high:g}")
 
-    def whole(self, key: str, default: int, low: int = 0, high: int = 2**31 - 1) -> int:
+    def integer(self, key: str, default: int, low: int = 0, high: int = 2**31 - 1) -> int:
         """A whole number within bounds."""
-        self.shape.keys[key] = {"type": "integer", "minimum": low, "maximum": high}
+        self.schema.keys[key] = {"type": "integer", "minimum": low, "maximum": high}
         if low <= default <= high:
-            self.shape.keys[key]["default"] = default
+            self.schema.keys[key]["default"] = default
 
         def read(value: Any) -> int | None:
             return value if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high else None
@@ -151,16 +153,16 @@
 
     def choice(self, key: str, default: str | None, among: Sequence[str]) -> str:
         """One of some words; without a default it has to be there."""
-        self.shape.keys[key] = {"enum": list(among)} | ({"default": default} if default in among else {})
+        self.schema.keys[key] = {"enum": list(among)} | ({"default": default} if default in among else {})
         if default is None:
-            self.shape.needed.add(key)
+            self.schema.needed.add(key)
             if key not in self.values:
-                raise self.fault(key, "missing")
+                raise self.error(key, "missing")
         return self._take(key, default or "", lambda v: v if v in among else None, "one of " + ", ".join(among))
 
     def texts(self, key: str) -> tuple[str, ...]:
         """A list of strings; empty if absent."""
-        self.shape.keys[key] = {"type": "array", "items": {"type": "string"}, "minItems": 1}
+        self.schema.keys[key] = {"type": "array", "items": {"type": "string"}, "minItems": 1}
 
         def read(value: Any) -> tuple[str, ...] | None:
             good = isinstance(value, list) and value and all(isinstance(v, str) for v in value)
@@ -171,17 +173,17 @@
     def address(self, key: str, default: str | None = None) -> Address:
         """`host:port`."""
         text = self.text(key, default)
-        self.shape.keys[key]["pattern"] = "^.+:[0-9]+$"
+        self.schema.keys[key]["pattern"] = "^.+:[0-9]+$"
         try:
             return read_address(text, key)
         except ConfigError:
-            raise self.fault(key, f"{text!r} is not host:port") from None
+            raise self.error(key, f"{text!r} is not host:port") from None
 
     def table(self, key: str) -> Table:
         """A table; empty if absent."""
         none: dict[str, Any] = {}
         value = self._take(key, none, lambda v: v if isinstance(v, dict) else None, "a table")
-        return Table(self.source, value, self.at(key), self.shape.enter(key, many=False))
+        return Table(self.source, value, self.full_name(key), self.schema.enter(key, many=False))
 
     def tables(self, key: str) -> list[Table]:
         """A list of tables; empty if absent."""
@@ -191,15 +193,15 @@
 
         none: list[dict[str, Any]] = []
         rows = self._take(key, none, read, "a list of tables")
-        shape = self.shape.enter(key, many=True)
-        return [Table(self.source, row, f"{self.at(key)}[{i}]", shape) for i, row in enumerate(rows)]
+        shape = self.schema.enter(key, many=True)
+        return [Table(self.source, row, f"{self.full_name(key)}[{i}]", shape) for i, row in enumerate(rows)]
 
-    def done(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Raise ConfigError for a key that nobody asked for."""
         for key in self.values:
             if key not in self._asked:
                 near = difflib.get_close_matches(key, self._asked, 1)
-                raise self.fault(key, "unknown" + (f"; did you mean {near[0]}?" if near else ""))
+                raise self.error(key, "unknown" + (f"; did you mean {near[0]}?" if near else ""))
 
 
 def read_file(path: Path) -> Table:
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -6,12 +6,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from standins.messages import Reader, Seen, Writer, read_message, reply
+from standins.messages import Message, Reader, Writer, read_message, reply
 
-Script = Callable[["Backend", Seen, Writer], Awaitable[None]]
+Script = Callable[["Backend", Message, Writer], Awaitable[None]]
 
 
-async def serve_ok(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def serve_ok(backend: Backend, seen: Message, writer: Writer) -> None:
     """Answer at once with the backend's name."""
     writer.write(reply(body=backend.host.encode()))
 
@@ -23,7 +23,7 @@
         self.host = f"s-{number:x}"
         self.number = number
         self.script = script
-        self.seen: list[Seen] = []
+        self.requests: list[Message] = []
         self.connections = 0
         self.arrived = asyncio.Event()
         self.closed = asyncio.Event()  # a connection was ended by the proxy
@@ -47,7 +47,7 @@
         self._writers.add(writer)
         try:
             while (seen := await read_message(reader)) is not None:
-                self.seen.append(seen)
+                self.requests.append(seen)
                 self.arrived.set()
                 await self.script(self, seen, writer)
         except (OSError, asyncio.IncompleteReadError, AssertionError):
@@ -57,7 +57,7 @@
             self.closed.set()
             writer.close()
 
-    def entry(self, **changes: Any) -> dict[str, Any]:
+    def discovery_entry(self, **changes: Any) -> dict[str, Any]:
         """Discovery's line about it."""
         line = {
             "host": self.host,
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from standins.messages import PATIENCE, Reader, Seen, Writer, read_message
+from standins.messages import PEER_TIMEOUT, Message, Reader, Writer, read_message
 
 
 class Caller:
@@ -15,24 +15,24 @@
         self.reader = reader
         self.writer = writer
 
-    async def answer(self) -> tuple[int, Seen]:
+    async def answer(self) -> tuple[int, Message]:
         """The next answer; fails if there is none."""
-        seen = await asyncio.wait_for(read_message(self.reader), PATIENCE)
+        seen = await asyncio.wait_for(read_message(self.reader), PEER_TIMEOUT)
         assert seen is not None, "the proxy closed the connection without an answer"
         return seen.status, seen
 
-    async def call(self, **options: Any) -> tuple[int, Seen]:
+    async def call(self, **options: Any) -> tuple[int, Message]:
         self.writer.write(request(**options))
         return await self.answer()
 
-    async def ended(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """What still comes until the proxy closes."""
         try:
-            return await asyncio.wait_for(self.reader.read(), PATIENCE)
+            return await asyncio.wait_for(self.reader.read(), PEER_TIMEOUT)
         except ConnectionError:
             return b""
 
-    def leave(self) -> None:
+    def abort(self) -> None:
         self.writer.transport.abort()
 
 
@@ -40,7 +40,7 @@
     kind: str = "view",
     body: bytes = b"",
     budget: str | None = "5000m",
-    rid: str | None = "1",
+    request_id: str | None = "1",
     extra: tuple[bytes, ...] = (),
 ) -> bytes:
     """A request's bytes."""
@@ -48,8 +48,8 @@
     lines = [b"GET /api?x=1 HTTP/1.1" if safe else b"POST /api?x=1 HTTP/1.1"]
     lines.append(b"Host: backend.local")
     lines.append(b"X-Call-Class: " + kind.encode())
-    if rid is not None:
-        lines.append(b"X-Call-Id: " + rid.encode())
+    if request_id is not None:
+        lines.append(b"X-Call-Id: " + request_id.encode())
     if budget is not None:
         lines.append(b"X-Budget: " + budget.encode())
     if kind == "submit":
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from standins.messages import PATIENCE, Reader, Writer
+from standins.messages import PEER_TIMEOUT, Reader, Writer
 
 HEARTBEAT = 2.0  # seconds between the empty lines of a watch on which nothing changes
 
@@ -17,13 +17,13 @@
     """One watch that the proxy has opened."""
 
     def __init__(self, line: bytes, writer: Writer) -> None:
-        self.line = line
+        self.request_line = line
         self.writer = writer
 
     def send(self, text: bytes) -> None:
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
-    def tell(self, seq: int, *entries: dict[str, Any], whole: bool = False) -> None:
+    def send_list(self, seq: int, *entries: dict[str, Any], whole: bool = False) -> None:
         self.send(json.dumps({"seq": seq, "whole": whole, "hosts": entries}).encode() + b"\n")
 
 
@@ -58,7 +58,7 @@
         writer.close()
 
     async def watch(self) -> Watch:
-        return await asyncio.wait_for(self.watches.get(), PATIENCE)
+        return await asyncio.wait_for(self.watches.get(), PEER_TIMEOUT)
 
 
 class HostList(Discovery):
@@ -69,8 +69,8 @@
         self.hosts = hosts
         self.seq = 1
         self.delay = 0.0  # seconds before a watch is told anything
-        self.on_tell: Callable[[Watch, int, list[dict[str, Any]]], None] = lambda watch, seq, entries: None
-        self.mood = ""  # "stale": changes are kept back; "reorder": the newest goes first; "garble": nonsense
+        self.on_list_sent: Callable[[Watch, int, list[dict[str, Any]]], None] = lambda watch, seq, entries: None
+        self.fault = ""  # "stale": changes are kept back; "reorder": the newest goes first; "garble": nonsense
         self._kept: list[tuple[int, list[dict[str, Any]]]] = []
         self._open: dict[Watch, None] = {}  # in the order of their coming
         self._tasks: set[asyncio.Task[None]] = set()
@@ -109,11 +109,11 @@
             watch.send(b"\n")
 
     def _tell(self, watch: Watch, seq: int, entries: list[dict[str, Any]], whole: bool = False) -> None:
-        if self.mood == "garble":
+        if self.fault == "garble":
             watch.send(b'{"seq": 1, "whole": tr\n')
             return
-        watch.tell(seq, *entries, whole=whole)
-        self.on_tell(watch, seq, entries)
+        watch.send_list(seq, *entries, whole=whole)
+        self.on_list_sent(watch, seq, entries)
 
     def change(self, *entries: dict[str, Any]) -> None:
         """Replace entries by their host, and tell all watches."""
@@ -121,16 +121,16 @@
         self.hosts = [h for h in self.hosts if h["host"] not in fresh] + list(entries)
         self.seq += 1
         self._kept.append((self.seq, list(entries)))
-        if self.mood != "stale" and (self.mood != "reorder" or len(self._kept) > 1):
+        if self.fault != "stale" and (self.fault != "reorder" or len(self._kept) > 1):
             self._tell_kept()
 
     def _tell_kept(self) -> None:
         kept, self._kept = self._kept, []
-        for seq, entries in reversed(kept) if self.mood == "reorder" else kept:
+        for seq, entries in reversed(kept) if self.fault == "reorder" else kept:
             for watch in self._open:
                 self._tell(watch, seq, entries)
 
-    def calm(self) -> None:
+    def clear_fault(self) -> None:
         """The mood is over: what was kept back is told."""
-        self.mood = ""
+        self.fault = ""
         self._tell_kept()
--- a/standins/faulty_link.py
+++ b/standins/faulty_link.py
@@ -25,18 +25,18 @@
 from dataclasses import dataclass
 from random import Random
 
-MOODS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
-WAYS = ("up", "down")
+LINK_FAULTS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
+DIRECTIONS = ("up", "down")
 PIECE = 65536
 
 
 @dataclass(frozen=True)
-class Mood:
+class LinkFault:
     """What a link does now."""
 
     name: str = "pass"
-    way: str = "down"  # of mute and cut
-    seconds: float = 0.0  # median delay of slow
+    direction: str = "down"  # of mute and cut
+    median_delay: float = 0.0  # median delay of slow
     spread: float = 0.5  # sigma of the logarithm of that delay
     rate: float = 0.0  # bytes a second of narrow
     after: int = 0  # bytes of cut
@@ -45,57 +45,59 @@
 class Pipe:
     """One direction of one connection."""
 
-    def __init__(self, link: Link, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, link: FaultyLink, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self._link = link
         self._way = way
         self._reader = reader
         self._writer = writer
-        self._mood = link.mood
-        self._left = link.mood.after
+        self._mood = link.fault
+        self._left = link.fault.after
 
     async def run(self) -> None:
         """Until this direction ends, or is cut."""
         while data := await self._reader.read(PIECE):
             await self._pass(data)
         await self._open()
-        while self._link.mood.name == "half":
-            await self._link.changed()
+        while self._link.fault.name == "half":
+            await self._link.wait_for_change()
         with contextlib.suppress(OSError, RuntimeError):
             self._writer.write_eof()
 
     async def _open(self) -> None:
         """Wait while nothing goes this way."""
         link = self._link
-        while link.mood.name == "drop" or (link.mood.name == "mute" and link.mood.way == self._way):
-            await link.changed()
+        while link.fault.name == "drop" or (link.fault.name == "mute" and link.fault.direction == self._way):
+            await link.wait_for_change()
 
     async def _pass(self, data: bytes) -> None:
         await self._open()
-        mood = self._link.mood
+        mood = self._link.fault
         if mood is not self._mood:
             self._mood, self._left = mood, mood.after
         if mood.name == "slow":
-            delay = mood.seconds * math.exp(self._link.rng.gauss(0.0, mood.spread))
+            delay = mood.median_delay * math.exp(self._link.rng.gauss(0.0, mood.spread))
             await asyncio.sleep(min(delay, 60.0))
         elif mood.name == "narrow" and mood.rate > 0.0:
             await asyncio.sleep(len(data) / mood.rate)
-        elif mood.name == "cut" and mood.way == self._way:
+        elif mood.name == "cut" and mood.direction == self._way:
             data, self._left = data[: self._left], self._left - len(data)
         self._writer.write(data)
         await self._writer.drain()
-        if mood.name == "cut" and mood.way == self._way and self._left <= 0:
+        if mood.name == "cut" and mood.direction == self._way and self._left <= 0:
             raise ConnectionResetError
 
 
-class Link:
+class FaultyLink:
     """One listener, and the address behind it: a host and port, or the path of a Unix socket."""
 
     def __init__(self, target: tuple[str, int] | str, seed: int = 0) -> None:
         self.target = target
         self.rng = Random(seed)
-        self.mood = Mood()
+        self.fault = LinkFault()
         self.port = 0
-        self.taken = 0  # connections
+        self.accepted = 0  # connections
         self._server: asyncio.Server | None = None
         self._address: tuple[str, int] | str = ("127.0.0.1", 0)
         self._change = asyncio.Event()
@@ -113,9 +115,9 @@
         self.port = self._server.sockets[0].getsockname()[1]
         self._address = (address[0], self.port)
 
-    async def set(self, mood: Mood) -> None:
+    async def set_fault(self, mood: LinkFault) -> None:
         """Be in this mood from now on."""
-        before, self.mood = self.mood, mood
+        before, self.fault = self.fault, mood
         if mood.name == "refuse" and self._server is not None:
             self._server.close()
             self._server = None
@@ -130,7 +132,7 @@
         change, self._change = self._change, asyncio.Event()
         change.set()
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait for another mood."""
         await self._change.wait()
 
@@ -147,7 +149,7 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self.taken += 1
+        self.accepted += 1
         try:
             await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
@@ -156,10 +158,10 @@
             self._tasks.discard(task)
 
     async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.mood.name == "reset":
+        if self.fault.name == "reset":
             raise ConnectionResetError
-        while self.mood.name == "drop":
-            await self.changed()
+        while self.fault.name == "drop":
+            await self.wait_for_change()
         self._open.add(writer)
         far: asyncio.StreamWriter | None = None
         try:
@@ -181,8 +183,8 @@
         tasks = [asyncio.ensure_future(pipe.run()) for pipe in (up, down)]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_EXCEPTION)
-            if self.mood.name == "half":
-                await self.changed()
+            if self.fault.name == "half":
+                await self.wait_for_change()
             for task in tasks:
                 if task.done():
                     task.result()
--- a/standins/load.py
+++ b/standins/load.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from standins.messages import Reader, Seen, Writer, read_message
+from standins.messages import Message, Reader, Writer, read_message
 
 
 @dataclass(frozen=True)
-class Kind:
+class LoadClass:
     """A class of request; `share` of all, `budget` in seconds. Neither keyed nor `posted`: it can be repeated."""
 
     name: str
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Figures:
+class LoadCounters:
     """What became of requests. A request is lost when its connection ended with no whole answer."""
 
     sent: int = 0
@@ -50,7 +50,7 @@
     def __init__(
         self,
         addresses: Sequence[tuple[str, int]],
-        kinds: Sequence[Kind],
+        kinds: Sequence[LoadClass],
         tenants: Sequence[str],
         rate: float,
         seed: int,
@@ -63,12 +63,12 @@
         self._idle: dict[tuple[str, int], list[tuple[Reader, Writer]]] = {address: [] for address in addresses}
         self._tasks: set[asyncio.Task[None]] = set()
         self.resends = True  # on a new connection, what a kept one ended without a byte of an answer
-        self.figures = Figures()
-        self.recent = Figures()  # since the last look
+        self.counters = LoadCounters()
+        self.recent = LoadCounters()  # since the last look
 
-    def look(self) -> Figures:
+    def take_recent(self) -> LoadCounters:
         """The figures since the last look."""
-        recent, self.recent = self.recent, Figures()
+        recent, self.recent = self.recent, LoadCounters()
         return recent
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -89,7 +89,7 @@
             for _, writer in idle:
                 writer.close()
 
-    def _message(self, kind: Kind) -> bytes:
+    def _message(self, kind: LoadClass) -> bytes:
         tenant = self._rng.choice(self._tenants)
         lines = [
             b"POST /api HTTP/1.1" if kind.keyed or kind.posted else b"GET /api HTTP/1.1",
@@ -106,7 +106,7 @@
             lines.append(b"Content-Length: %d" % len(body))
         return b"\r\n".join([*lines, b"", b""]) + body
 
-    def check(self, message: bytes, answer: Seen) -> None:
+    def check(self, message: bytes, answer: Message) -> None:
         """A whole answer has come; for those who look closer."""
 
     async def _one(self) -> None:
@@ -114,7 +114,7 @@
         address = self._rng.choice(self._addresses)
         began = asyncio.get_running_loop().time()
         how = await self._send(address, self._message(kind), kind.budget)
-        for figures in (self.figures, self.recent):
+        for figures in (self.counters, self.recent):
             figures.sent += how != "unreachable"
             setattr(figures, how, getattr(figures, how) + 1)
         if how == "served":
--- a/standins/messages.py
+++ b/standins/messages.py
@@ -9,11 +9,11 @@
 Writer = asyncio.StreamWriter
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 15.2.1
 MAX_HEAD = 64 * 1024  # bytes of a head, before a peer gives up
-PATIENCE = 10.0  # how long a peer waits for what must happen; never a figure that is measured
+PEER_TIMEOUT = 10.0  # how long a peer waits for what must happen; never a figure that is measured
 
 
 @dataclass
-class Seen:
+class Message:
     """A request as a peer read it."""
 
     line: bytes
@@ -26,7 +26,7 @@
         return int(self.line.split()[1])
 
 
-async def read_message(reader: Reader) -> Seen | None:
+async def read_message(reader: Reader) -> Message | None:
     """One message with a Content-Length or chunked body; None at a clean end."""
     head = b""
     while True:
@@ -50,10 +50,10 @@
         await reader.readexactly(2)
     elif b"content-length" in headers:
         body = await reader.readexactly(int(headers[b"content-length"]))
-    return Seen(line, headers, body)
+    return Message(line, headers, body)
 
 
-def take_message(buffer: bytearray) -> Seen | None:
+def take_message(buffer: bytearray) -> Message | None:
     """One whole message with a Content-Length, or none, off the front of what has come; None while it is not whole.
 
     Raises ValueError for what is no message.
@@ -73,7 +73,7 @@
         return None
     body = bytes(buffer[end + 4 : size])
     del buffer[:size]
-    return Seen(line, headers, body)
+    return Message(line, headers, body)
 
 
 def reply(status: int = 200, body: bytes = b"ok", *extra: bytes) -> bytes:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -13,7 +13,7 @@
 import orjson
 
 from standins.caller import Caller
-from standins.messages import PATIENCE, read_message
+from standins.messages import PEER_TIMEOUT, read_message
 from standins.ports import free_ports
 
 
@@ -38,7 +38,7 @@
         self.port = int(self.listener.getsockname()[1])
         self.sockets = sockets
         self.processes: list[asyncio.subprocess.Process] = []
-        self.doors: dict[int, int] = {}  # second addresses, by pid
+        self.management_ports: dict[int, int] = {}  # second addresses, by pid
         self.count = 0
 
     async def launch(self, wait: bool = True, **environ: str) -> asyncio.subprocess.Process:
@@ -69,32 +69,32 @@
             stderr=(self.folder / f"log{len(self.processes)}").open("wb"),
         )
         self.processes.append(process)
-        self.doors[process.pid] = door
-        async with asyncio.timeout(PATIENCE):
-            while wait and await self.operate(process, "ready", method="GET") != 200:
+        self.management_ports[process.pid] = door
+        async with asyncio.timeout(PEER_TIMEOUT):
+            while wait and await self.management_call(process, "ready", method="GET") != 200:
                 await asyncio.sleep(0.02)
         return process
 
     def log(self, number: int) -> str:
         return (self.folder / f"log{number}").read_text()
 
-    async def told(self, number: int, text: str, times: int = 1) -> None:
+    async def wait_for_log(self, number: int, text: str, times: int = 1) -> None:
         """Wait for a line of a process's log."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(PEER_TIMEOUT):
             while self.log(number).count(text) < times:
                 await asyncio.sleep(0.02)
 
-    async def operate(
+    async def management_call(
         self, process: asyncio.subprocess.Process, call: str, body: bytes = b"", method: str = "POST"
     ) -> int:
         """A call at the second address of one process; 0 where nobody listens."""
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.doors[process.pid])
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.management_ports[process.pid])
         except OSError:
             return 0
         writer.write(f"{method} /api/{call} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         try:
-            seen = await asyncio.wait_for(read_message(reader), PATIENCE)
+            seen = await asyncio.wait_for(read_message(reader), PEER_TIMEOUT)
         finally:
             writer.close()
         return int(seen.line.split()[1]) if seen is not None else 0
@@ -104,10 +104,10 @@
 
     async def call(self) -> tuple[int, bytes]:
         self.count += 1
-        rid = f"r{self.count}"
+        request_id = f"r{self.count}"
         caller = await self.connect()
-        status, seen = await caller.call(rid=rid)
-        caller.leave()
+        status, seen = await caller.call(request_id=request_id)
+        caller.abort()
         return status, seen.body
 
     async def up(self) -> int:
@@ -116,11 +116,11 @@
         status, _ = await caller.answer()
         return status
 
-    async def end(self, process: asyncio.subprocess.Process) -> int:
+    async def terminate(self, process: asyncio.subprocess.Process) -> int:
         process.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(process.wait(), PATIENCE)
+        return await asyncio.wait_for(process.wait(), PEER_TIMEOUT)
 
-    def held(self) -> int:
+    def open_descriptors(self) -> int:
         """Descriptors of all its processes together, as proc(5) lists them."""
         held = 0
         for process in self.processes:
--- a/standins/service_backend.py
+++ b/standins/service_backend.py
@@ -14,57 +14,57 @@
 from random import Random
 from typing import Any, Protocol, cast
 
-from standins.client_connections import Address, Courier, End, Parcel
-from standins.messages import Seen, reply, take_message
+from standins.client_connections import Address, ClientPool, PendingRequest, RequestEnd
+from standins.messages import Message, reply, take_message
 
 QUEUE = 32  # requests that wait for a core
 REJECTED = b"X-Rejected: 1"
-MOODS = ("", "stall", "spoil", "double", "reset", "error")
+BACKEND_FAULTS = ("", "stall", "spoil", "double", "reset", "error")
 IDLE = 5.0  # seconds after which an idle connection is closed
 
 
 class Observer(Protocol):
     """Who keeps the account."""
 
-    def came(self, node: Node, seen: Seen) -> None:
+    def on_request(self, node: ServiceBackend, seen: Message) -> None:
         """A request's last byte has come."""
 
-    def rejected(self, node: Node, seen: Seen) -> None:
+    def on_rejected(self, node: ServiceBackend, seen: Message) -> None:
         """It was turned away, and never ran."""
 
-    def ran(self, node: Node, seen: Seen, effect: bool) -> None:
+    def on_run(self, node: ServiceBackend, seen: Message, effect: bool) -> None:
         """It begins to run; with no effect if its key was recognised."""
 
-    def fell(self, node: Node, sent: float, carries: float) -> None:
+    def on_overload(self, node: ServiceBackend, sent: float, carries: float) -> None:
         """Cold, it was sent more than it bears: seconds of work in the span, and what it would bear."""
 
-    def calls(self, node: Node, parcel: Parcel, seen: Seen, budget: float) -> Parcel:
+    def on_call(self, node: ServiceBackend, parcel: PendingRequest, seen: Message, budget: float) -> PendingRequest:
         """It is about to call the tier behind; the account may add to the parcel."""
 
 
-class Silence:
+class NullObserver:
     """An observer that keeps nothing."""
 
-    def came(self, node: Node, seen: Seen) -> None: ...
+    def on_request(self, node: ServiceBackend, seen: Message) -> None: ...
 
-    def rejected(self, node: Node, seen: Seen) -> None: ...
+    def on_rejected(self, node: ServiceBackend, seen: Message) -> None: ...
 
-    def ran(self, node: Node, seen: Seen, effect: bool) -> None: ...
+    def on_run(self, node: ServiceBackend, seen: Message, effect: bool) -> None: ...
 
-    def fell(self, node: Node, sent: float, carries: float) -> None: ...
+    def on_overload(self, node: ServiceBackend, sent: float, carries: float) -> None: ...
 
-    def calls(self, node: Node, parcel: Parcel, seen: Seen, budget: float) -> Parcel:
+    def on_call(self, node: ServiceBackend, parcel: PendingRequest, seen: Message, budget: float) -> PendingRequest:
         return parcel
 
 
 @dataclass
-class Keys:
+class KeyWindow:
     """What a group of nodes remembers of keyed requests."""
 
     window: float
     _known: dict[bytes, float] = field(default_factory=dict)
 
-    def first(self, now: float, key: bytes) -> bool:
+    def register(self, now: float, key: bytes) -> bool:
         """Whether a key is new; it is known from here on."""
         at = self._known.get(key)
         if at is not None and now - at <= self.window:
@@ -73,10 +73,10 @@
         return True
 
 
-class Visit(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """One connection to a node."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: ServiceBackend) -> None:
         self._node = node
         self.transport: asyncio.Transport | None = None
         self.busy = False
@@ -86,7 +86,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.since = self._node.loop.time()
-        self._node.visits[self] = None
+        self._node.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
@@ -104,11 +104,11 @@
             return
         if seen is not None:
             self.busy = True
-            self._node.take(self, seen)
+            self._node.on_request(self, seen)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._node.visits.pop(self, None)
+        self._node.connections.pop(self, None)
 
     def write(self, data: bytes) -> None:
         """Send, if anybody is there."""
@@ -122,45 +122,47 @@
 
 
 @dataclass(eq=False)
-class Node:
+class ServiceBackend:
     """One backend."""
 
     host: str
     zone: str
     speed: float  # of a core, against a yardstick machine
     work: dict[str, float]  # seconds of a yardstick core, by class
-    keys: Keys
+    keys: KeyWindow
     rng: Random
-    observer: Observer = field(default_factory=Silence)
+    observer: Observer = field(default_factory=NullObserver)
     cores: int = 2
     cold_from: float = 1.0  # the part of its speed that it starts with...
     cold_for: float = 0.0  # ...and the seconds until it has all of it
-    fall: tuple[float, float] | None = None  # it falls over at so many times what it carries, for so many seconds
-    behind: Address | None = None  # the proxy before the tier behind...
-    impatient: bool = False  # ...which it leaves when its time is over
-    born: float = 0.0
+    overload_limit: tuple[float, float] | None = (
+        None  # it falls over at so many times what it carries, for so many seconds
+    )
+    next_tier: Address | None = None  # the proxy before the tier behind...
+    abandons_late_calls: bool = False  # ...which it leaves when its time is over
+    started_at: float = 0.0
     slow: float = 1.0
-    mood: str = ""
+    fault: str = ""
     draining: bool = False
     idle_for: float = IDLE
-    fallen: bool = False
+    overloaded: bool = False
     served: int = 0
-    visits: dict[Visit, None] = field(default_factory=dict)
+    connections: dict[BackendConnection, None] = field(default_factory=dict)
     loop: asyncio.AbstractEventLoop = field(init=False)
     port: int = 0
     _busy: int = 0
-    _queue: deque[tuple[Visit, Seen]] = field(default_factory=deque)
+    _queue: deque[tuple[BackendConnection, Message]] = field(default_factory=deque)
     _arrivals: deque[tuple[float, float]] = field(default_factory=deque)
-    _stalled: list[Visit] = field(default_factory=list)
+    _stalled: list[BackendConnection] = field(default_factory=list)
     _calls: int = 0
-    _courier: Courier = field(init=False)
+    _courier: ClientPool = field(init=False)
     _server: Any = None
 
     async def start(self, host: str, port: int = 0) -> None:
         """Listen."""
         self.loop = asyncio.get_running_loop()
-        self._courier = Courier(self.loop)
-        self._server = await self.loop.create_server(lambda: Visit(self), host, port)
+        self._courier = ClientPool(self.loop)
+        self._server = await self.loop.create_server(lambda: BackendConnection(self), host, port)
         self.port = self._server.sockets[0].getsockname()[1]
         self.loop.call_later(0.05, self._sweep)
 
@@ -168,29 +170,29 @@
         """Listen no more, and break off what is open."""
         self._server.close()
         self._courier.close()
-        for visit in list(self.visits):
+        for visit in list(self.connections):
             visit.abort()
 
     @property
-    def courier(self) -> Courier:
+    def client_pool(self) -> ClientPool:
         """Its connections to the tier behind."""
         return self._courier
 
     def warmth(self) -> float:
         """The part of its speed that it has."""
-        age = self.loop.time() - self.born
+        age = self.loop.time() - self.started_at
         if self.cold_for <= 0.0 or age >= self.cold_for:
             return 1.0
         return self.cold_from + (1.0 - self.cold_from) * age / self.cold_for
 
-    def calm(self) -> None:
+    def clear_fault(self) -> None:
         """The mood is over; what was stalled breaks."""
-        self.mood = ""
+        self.fault = ""
         for visit in self._stalled:
             visit.abort()
         self._stalled.clear()
 
-    def entry(self, **changes: Any) -> dict[str, Any]:
+    def discovery_entry(self, **changes: Any) -> dict[str, Any]:
         """Discovery's line about it."""
         line = {
             "host": self.host,
@@ -206,16 +208,16 @@
 
     # ---- a request's way -----------------------------------------------------------------
 
-    def take(self, visit: Visit, seen: Seen) -> None:
+    def on_request(self, visit: BackendConnection, seen: Message) -> None:
         """A whole request."""
-        self.observer.came(self, seen)
+        self.observer.on_request(self, seen)
         if not seen.headers.get(b"x-call-id"):
             visit.write(reply(404, b""))
             visit.next()
             return
         self._weigh(seen)
-        if self.draining or self.fallen or len(self._queue) >= QUEUE:
-            self.observer.rejected(self, seen)
+        if self.draining or self.overloaded or len(self._queue) >= QUEUE:
+            self.observer.on_rejected(self, seen)
             visit.write(reply(503, b"", REJECTED))
             visit.next()
         elif self._busy < self.cores:
@@ -223,15 +225,15 @@
         else:
             self._queue.append((visit, seen))
 
-    def _work(self, seen: Seen) -> float:
+    def _work(self, seen: Message) -> float:
         kind = seen.headers.get(b"x-call-class", b"").decode()
         return self.work.get(kind, 0.05)
 
-    def _weigh(self, seen: Seen) -> None:
+    def _weigh(self, seen: Message) -> None:
         """A cold node falls over when it is sent too much; the budget is that of any span of the stated length."""
-        if self.fall is None or self.warmth() >= 1.0 or self.fallen:
+        if self.overload_limit is None or self.warmth() >= 1.0 or self.overloaded:
             return
-        multiple, span = self.fall
+        multiple, span = self.overload_limit
         now = self.loop.time()
         self._arrivals.append((now, self._work(seen)))
         while self._arrivals[0][0] <= now - span:
@@ -239,30 +241,30 @@
         sent = sum(work for _, work in self._arrivals)
         carries = multiple * self.warmth() * self.cores * self.speed * span + 3.0 * max(self.work.values())
         if sent > carries:
-            self.fallen = True
-            self.observer.fell(self, sent, carries)
+            self.overloaded = True
+            self.observer.on_overload(self, sent, carries)
 
-    def _run(self, visit: Visit, seen: Seen) -> None:
+    def _run(self, visit: BackendConnection, seen: Message) -> None:
         self._busy += 1
         key = seen.headers.get(b"idempotency-key")
-        self.observer.ran(self, seen, key is None or self.keys.first(self.loop.time(), key))
+        self.observer.on_run(self, seen, key is None or self.keys.register(self.loop.time(), key))
         seconds = self._work(seen) * (0.5 + self.rng.random()) * self.slow / (self.speed * self.warmth())
         self.loop.call_later(seconds, self._worked, visit, seen, self.loop.time())
 
-    def _worked(self, visit: Visit, seen: Seen, began: float) -> None:
+    def _worked(self, visit: BackendConnection, seen: Message, began: float) -> None:
         self._busy -= 1
         while self._queue and self._busy < self.cores:
             waiting, request = self._queue.popleft()
             if waiting.transport is not None:  # else its sender gave up: it never runs
                 self._run(waiting, request)
-        if self.behind is not None:
+        if self.next_tier is not None:
             self._call(visit, seen, began)
         else:
             self._answer(visit, seen, 200, b"")
 
-    def _call(self, visit: Visit, seen: Seen, began: float) -> None:
+    def _call(self, visit: BackendConnection, seen: Message, began: float) -> None:
         """A request to the tier behind, with a new id and what is left of the time."""
-        assert self.behind is not None
+        assert self.next_tier is not None
         budget = seen.headers.get(b"x-budget", b"1000m")
         left = float(budget[:-1]) / (1e3 if budget.endswith(b"m") else 1e6) - (self.loop.time() - began)
         if left <= 0.0:
@@ -282,47 +284,47 @@
         ]
         if seen.line.startswith(b"POST"):
             rows.append(b"Content-Length: %d" % len(seen.body))
-        parcel = Parcel(self.behind, [b"\r\n".join([*rows, b"", b""]) + seen.body])
+        parcel = PendingRequest(self.next_tier, [b"\r\n".join([*rows, b"", b""]) + seen.body])
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             good = answer is not None and answer.status == 200
             self._answer(visit, seen, 200 if good else 500, b"")
 
-        parcel.done = done
-        self._courier.send(self.observer.calls(self, parcel, seen, left))
-        if self.impatient:
-            self.loop.call_later(left, self._courier.leave, parcel)
+        parcel.on_end = done
+        self._courier.send(self.observer.on_call(self, parcel, seen, left))
+        if self.abandons_late_calls:
+            self.loop.call_later(left, self._courier.abandon, parcel)
 
-    def _answer(self, visit: Visit, seen: Seen, status: int, body: bytes) -> None:
+    def _answer(self, visit: BackendConnection, seen: Message, status: int, body: bytes) -> None:
         if visit.transport is None:
             return
         if status == 200:
             body = b"report %s by %s " % (seen.headers[b"x-call-id"], self.host.encode())
             body = body.ljust(int(seen.headers.get(b"x-want", b"0")), b".")
             self.served += 1
-        self._speak(visit, reply(500, b"") if self.mood == "error" else reply(status, body))
+        self._speak(visit, reply(500, b"") if self.fault == "error" else reply(status, body))
 
-    def _speak(self, visit: Visit, data: bytes) -> None:
+    def _speak(self, visit: BackendConnection, data: bytes) -> None:
         """Write an answer, as the mood has it."""
-        if self.mood == "stall":
+        if self.fault == "stall":
             visit.write(data[: len(data) // 2])
             self._stalled.append(visit)
             return
-        if self.mood == "reset":
+        if self.fault == "reset":
             visit.abort()
             return
-        if self.mood == "spoil":
+        if self.fault == "spoil":
             visit.write(self.rng.choice(SPOILT)(data))
             if visit.transport is not None:
                 visit.transport.close()
             return
-        visit.write(data + data if self.mood == "double" else data)
+        visit.write(data + data if self.fault == "double" else data)
         visit.next()
 
     def _sweep(self) -> None:
         self.loop.call_later(0.05, self._sweep)
         now = self.loop.time()
-        for visit in list(self.visits):
+        for visit in list(self.connections):
             if not visit.busy and now - visit.since > self.idle_for and visit.transport is not None:
                 visit.transport.close()
 
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import orjson
-from rig import PATIENCE, SETTINGS
+from rig import PEER_TIMEOUT, SETTINGS
 
 from cometusher.fault_injection.environment import RequestResult, World, wait_until
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
@@ -23,7 +23,7 @@
 
 ROOT = Path(__file__).parent.parent
 FAULTY_COMMAND = [sys.executable, str(ROOT / "standins" / "faulty_instance.py")]
-TIMEOUT = 3.0 * PATIENCE
+TIMEOUT = 3.0 * PEER_TIMEOUT
 QUICK_POLICY = {
     "backoff_from": 0.02,
     "backoff_to": 0.2,
@@ -41,7 +41,7 @@
 
 async def wait_for(condition: Callable[[], Any], what: str) -> None:
     """Wait until a condition of a fault injection world is true; fails after a time limit."""
-    assert await wait_until(condition, 2 * PATIENCE), f"never: {what}"
+    assert await wait_until(condition, 2 * PEER_TIMEOUT), f"never: {what}"
 
 
 @contextlib.asynccontextmanager
@@ -171,7 +171,7 @@
     def status(self) -> dict[str, dict[str, Any]]:
         """The status of each instance by name; empty if no supervisor answers."""
         try:
-            rows = send_request(self.control, "status", PATIENCE)["instances"]
+            rows = send_request(self.control, "status", PEER_TIMEOUT)["instances"]
         except (NoSupervisor, ControlError):
             for process in self.started[-1:]:
                 assert process.poll() in (None, 0, -signal.SIGKILL), process.communicate()[1]
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -15,13 +15,13 @@
 import orjson
 import pytest
 from fleetrig import FleetRig, fleet_rig, run
-from rig import PATIENCE, Backend, serve_ok
+from rig import PEER_TIMEOUT, Backend, serve_ok
 
 from cometusher.fault_injection.environment import wait_until
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.caller import Caller, request
 from standins.discovery import HostList
-from standins.faulty_link import Link, Mood
+from standins.faulty_link import FaultyLink, LinkFault
 from standins.ports import free_ports
 
 QUICK = {"period": 0.25, "patience": 0.1, "suspicion": 5.0, "alone": 2.0, "knock": 0.5, "gossip": 0.05, "sync": 2.0}
@@ -31,7 +31,7 @@
 class Machines:
     """Supervisors of one fleet, each with one idle instance, and the relays before them."""
 
-    def __init__(self, rigs: list[FleetRig], links: list[Link]) -> None:
+    def __init__(self, rigs: list[FleetRig], links: list[FaultyLink]) -> None:
         self.rigs = rigs
         self.links = links
         self.ports = free_ports(len(rigs))  # listened on, behind the relays
@@ -65,12 +65,12 @@
     def view(self, i: int) -> dict[str, Any]:
         """A supervisor's view of the members; empty if it does not run."""
         try:
-            return send_request(self.rigs[i].control, "members", PATIENCE)
+            return send_request(self.rigs[i].control, "members", PEER_TIMEOUT)
         except (NoSupervisor, ControlError):
             return {}
 
     def leases(self, i: int) -> list[dict[str, Any]]:
-        return list(send_request(self.rigs[i].control, "leases", PATIENCE)["duties"])
+        return list(send_request(self.rigs[i].control, "leases", PEER_TIMEOUT)["duties"])
 
     def states(self, i: int) -> dict[str, str]:
         return {row["name"]: row["state"] for row in self.view(i).get("members", [])}
@@ -82,7 +82,7 @@
         async def holds() -> bool:
             return await asyncio.to_thread(condition)
 
-        assert await wait_until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
+        assert await wait_until(holds, 2 * PEER_TIMEOUT), f"never: {description}\n" + "\n".join(
             f"{i}: {self.states(i)}\n{rig.log_text()[-1500:]}" for i, rig in enumerate(self.rigs)
         )
 
@@ -100,7 +100,7 @@
             stack.enter_context(fleet_rig(Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="mesh-")))))
             for _ in range(count)
         ]
-        links = [Link(("127.0.0.1", 0), seed) for seed in range(count)]
+        links = [FaultyLink(("127.0.0.1", 0), seed) for seed in range(count)]
         cluster = Machines(rigs, links)
         for link, port in zip(links, cluster.ports, strict=True):
             link.target = ("127.0.0.1", port)
@@ -166,23 +166,23 @@
             os.kill(m.pid(1), signal.SIGKILL)
             await m.wait_for(lambda: m.rigs[1].started[-1].poll() is not None, "its exit")
             await m.agree(m1="dead")
-            await m.links[1].set(Mood("drop"))
+            await m.links[1].set_fault(LinkFault("drop"))
             m.launch(1)
             await m.agree()
-            await m.links[1].set(Mood())
+            await m.links[1].set_fault(LinkFault())
             await m.agree()
 
     run(test)
 
 
-@pytest.mark.parametrize("fault", [Mood("drop"), Mood("mute", way="down"), Mood("refuse")])
-def test_isolated_members_rejoin_when_the_links_recover(fault: Mood) -> None:
+@pytest.mark.parametrize("fault", [LinkFault("drop"), LinkFault("mute", direction="down"), LinkFault("refuse")])
+def test_isolated_members_rejoin_when_the_links_recover(fault: LinkFault) -> None:
     async def test() -> None:
         async with machines() as m:
             for link in m.links:
-                await link.set(fault)
+                await link.set_fault(fault)
                 if fault.name == "refuse":
-                    await link.set(Mood("reset"))  # open connections as well
+                    await link.set_fault(LinkFault("reset"))  # open connections as well
             for i in range(3):
                 others = {f"m{j}" for j in range(3) if j != i}
                 await m.wait_for(
@@ -190,7 +190,7 @@
                     f"all others are dead for m{i}",
                 )
             for link in m.links:
-                await link.set(Mood())
+                await link.set_fault(LinkFault())
             await m.agree()
 
     run(test)
@@ -199,11 +199,11 @@
 def test_members_agree_after_slow_and_narrow_links() -> None:
     async def test() -> None:
         async with machines() as m:
-            await m.links[0].set(Mood("slow", seconds=0.3, spread=0.5))
-            await m.links[1].set(Mood("narrow", rate=20_000.0))
+            await m.links[0].set_fault(LinkFault("slow", median_delay=0.3, spread=0.5))
+            await m.links[1].set_fault(LinkFault("narrow", rate=20_000.0))
             await asyncio.sleep(1.0)
             for link in m.links:
-                await link.set(Mood())
+                await link.set_fault(LinkFault())
             await m.agree()
 
     run(test)
@@ -373,7 +373,7 @@
     async def start(self) -> None:
         for backend in self.backends:
             await backend.start()
-        self.hosts.hosts = [backend.entry() for backend in self.backends]
+        self.hosts.hosts = [backend.discovery_entry() for backend in self.backends]
         await self.hosts.start()
         for i, rig in enumerate(self.m.rigs):
             rig.common["discovery"] = f"127.0.0.1:{self.hosts.port}"
@@ -395,9 +395,9 @@
             self.count += 1
             reader, writer = await asyncio.open_connection("127.0.0.1", self.m.rigs[i].port(f"i{i}"))
             caller = Caller(reader, writer)
-            writer.write(request(kind="view", rid=f"b{self.count}"))
+            writer.write(request(kind="view", request_id=f"b{self.count}"))
             status, seen = await caller.answer()
-            caller.leave()
+            caller.abort()
             assert status == 200, status
             found.add(seen.body)
         return found
@@ -410,7 +410,7 @@
         """Wait until these machines have the same bans and all their instances have carried them out."""
 
         def same() -> bool:
-            views = [send_request(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
+            views = [send_request(self.m.rigs[i].control, "bans", PEER_TIMEOUT) for i in machines]
             bans = [[(row["key"], row["value"], row["by"]) for row in view["bans"]] for view in views]
             return all(entries == bans[0] for entries in bans) and not any(view["pending"] for view in views)
 
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -16,13 +16,13 @@
 import orjson
 import pytest
 from fleetrig import FleetRig, eventually
-from rig import Backend, Seen, Writer, serve_ok
+from rig import Backend, Message, Writer, serve_ok
 
 from cometusher.fleet import control
 from cometusher.fleet.control import ControlServer, send_request
 from cometusher.fleet.supervisor import ProbeResult, probe
 from standins.discovery import HostList
-from standins.load import Kind, Load
+from standins.load import Load, LoadClass
 from standins.ports import free_ports
 
 # ---- reload ------------------------------------------------------------------------------
@@ -194,7 +194,7 @@
     With answers of 0.4 ms they would (latency ratio); with a single backend its breaker would refuse the request.
     """
 
-    async def steady(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def steady(backend: Backend, seen: Message, writer: Writer) -> None:
         await asyncio.sleep(0.02)
         await serve_ok(backend, seen, writer)
 
@@ -202,17 +202,19 @@
         backends = [Backend(number, steady) for number in range(1, 5)]
         for backend in backends:
             await backend.start()
-        hosts = HostList([backend.entry() for backend in backends])
+        hosts = HostList([backend.discovery_entry() for backend in backends])
         hosts.delay = 0.4
         await hosts.start()
         fleet.common["discovery"] = f"127.0.0.1:{hosts.port}"
         fleet.add("a", "b")
         await asyncio.to_thread(fleet.start)
         fronts = [("127.0.0.1", fleet.port(name)) for name in ("a", "b")]
-        load = Load(fronts, [Kind("view", 0.6, 5.0, False), Kind("submit", 0.4, 5.0, True)], ["acme"], 300.0, seed=1)
+        load = Load(
+            fronts, [LoadClass("view", 0.6, 5.0, False), LoadClass("submit", 0.4, 5.0, True)], ["acme"], 300.0, seed=1
+        )
         stop = asyncio.Event()
         running = asyncio.create_task(load.run(stop))
-        while load.figures.served < 50:
+        while load.counters.served < 50:
             await asyncio.sleep(0.01)
         for _ in range(2):
             done = await asyncio.to_thread(fleet.fleet_command, "restart")
@@ -221,7 +223,7 @@
             await asyncio.sleep(0.05)
         stop.set()
         await running
-        figures = load.figures
+        figures = load.counters
         assert figures.sent == figures.served and not figures.unreachable and not figures.lost, figures
         for backend in backends:
             await backend.stop()
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from rig import PATIENCE, Backend, Rig, Seen, Writer, reply, rig, until
+from rig import PEER_TIMEOUT, Backend, Message, Rig, Writer, reply, rig, until
 from test_proxy import run
 
 from cometusher import management
@@ -21,7 +21,7 @@
     assert r.proxy.management is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", r.proxy.management.port)
     writer.write(data)
-    got = await asyncio.wait_for(reader.read(), PATIENCE)
+    got = await asyncio.wait_for(reader.read(), PEER_TIMEOUT)
     writer.close()
     return got
 
@@ -57,14 +57,14 @@
     run(test)
 
 
-async def echo_name(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def echo_name(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=backend.host.encode()))
 
 
 async def served_by(r: Rig, count: int, prefix: str) -> set[bytes]:
     names = set()
     for i in range(count):
-        status, seen = await r.call(rid=f"{prefix}{i}")
+        status, seen = await r.call(request_id=f"{prefix}{i}")
         assert status == 200
         names.add(seen.body)
     return names
@@ -77,8 +77,8 @@
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert await served_by(r, 40, "b") == {b"s-2"}
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200  # twice is once
-            entries = [backend.entry(health="in_service") for backend in r.backends]
-            (await r.discovery.watch()).tell(43, *entries, whole=True)  # whatever discovery says
+            entries = [backend.discovery_entry(health="in_service") for backend in r.backends]
+            (await r.discovery.watch()).send_list(43, *entries, whole=True)  # whatever discovery says
             await until(lambda: r.proxy.discovery.seq == 43)
             assert await served_by(r, 40, "c") == {b"s-2"}
             assert await r.management_call("include", b'{"who":"s-1"}') == 200
@@ -88,9 +88,9 @@
 
 
 async def until_served(r: Rig, name: bytes) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(PEER_TIMEOUT):
         i = 0
-        while (await r.call(rid=f"until{i}"))[1].body != name:
+        while (await r.call(request_id=f"until{i}"))[1].body != name:
             i += 1
             await asyncio.sleep(0.01)
 
@@ -123,9 +123,9 @@
 
 
 async def until_ok(r: Rig) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(PEER_TIMEOUT):
         i = 0
-        while (await r.call(rid=f"ok{i}"))[0] != 200:
+        while (await r.call(request_id=f"ok{i}"))[0] != 200:
             i += 1
             await asyncio.sleep(0.02)
 
@@ -134,7 +134,7 @@
     caller = await r.caller()
     caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     status, _ = await caller.answer()
-    caller.leave()
+    caller.abort()
     return status
 
 
@@ -143,22 +143,22 @@
         async with rig(echo_name, managed=True) as r:
             kept, quiet = await r.caller(), await r.caller()
             for i, caller in enumerate((kept, quiet)):
-                assert (await caller.call(rid=f"k{i}"))[0] == 200
+                assert (await caller.call(request_id=f"k{i}"))[0] == 200
             assert await up(r) == 200
             assert await r.management_call("evacuate") == 200
             assert await up(r) == 503
             # A kept connection may bring one more request, whose answer ends it; new ones are served, too.
-            assert (await kept.call(rid="last"))[0] == 200
-            assert await kept.ended() == b""
+            assert (await kept.call(request_id="last"))[0] == 200
+            assert await kept.read_to_end() == b""
             fresh = await r.caller()
-            assert (await fresh.call(rid="new"))[0] == 200 and await fresh.ended() == b""
-            assert await quiet.ended() == b""
+            assert (await fresh.call(request_id="new"))[0] == 200 and await fresh.read_to_end() == b""
+            assert await quiet.read_to_end() == b""
             await until(lambda: r.proxy.callers.count() == 0)
             assert await r.management_call("ready", method="GET") == 200
             assert await r.management_call("rejoin") == 200 and await up(r) == 200
             again = await r.caller()
             for i in range(3):
-                assert (await again.call(rid=f"again{i}"))[0] == 200
+                assert (await again.call(request_id=f"again{i}"))[0] == 200
 
     run(test)
 
@@ -167,10 +167,10 @@
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
             kept = await r.caller()
-            assert (await kept.call(rid="1"))[0] == 200
+            assert (await kept.call(request_id="1"))[0] == 200
             assert await r.management_call("evacuate") == 200 and await r.management_call("rejoin") == 200
             for i in range(3):
-                assert (await kept.call(rid=f"x{i}"))[0] == 200
+                assert (await kept.call(request_id=f"x{i}"))[0] == 200
 
     run(test)
 
--- a/tests/loopback/test_outlier_instances.py
+++ b/tests/loopback/test_outlier_instances.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from fleetrig import assert_consistent, next_requests, run, running, wait_for
-from rig import PATIENCE
+from rig import PEER_TIMEOUT
 
 from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, RequestResult, World
 from cometusher.fleet.control import send_request
 from standins.caller import Caller, request
-from standins.faulty_link import Mood
+from standins.faulty_link import LinkFault
 
 RATE = 150.0
 SHORT_INTERVALS = ["steady = 0.4", "retry = 2.0"]  # of the failure detector and the outlier detection
@@ -58,7 +58,7 @@
             await next_requests(world, 200)
             pids = await fleet.pids()
             assert (await detector_view(fleet, "p0"))["unlike"] == ""
-            await fleet.instance_links["p0"].set_fault(Mood("reset"), world.hosts_in_zone(1))
+            await fleet.instance_links["p0"].set_fault(LinkFault("reset"), world.hosts_in_zone(1))
             await wait_for(lambda: has_outlier_reason(fleet, "p0", "path"), "ejected")
             row = await detector_view(fleet, "p0")
             assert row["because"].startswith("zone 1: ") and row["portion"] < 1.0 and row["judgement"] == "well"
@@ -66,13 +66,13 @@
             results = await next_requests(world, 300)
             assert (await fleet.status())["vigil"]["accepted_for_others"] > accepted_before
             assert outcome_share(results, fleet, "p0", "served") > 0.9, "others serve its callers"
-            await fleet.instance_links["p0"].set_fault(Mood())
+            await fleet.instance_links["p0"].set_fault(LinkFault())
             await wait_for(lambda: has_outlier_reason(fleet, "p0", ""), "readmitted")
             results += await next_requests(world, 200)
             status = await fleet.status()
             assert status["vigil"]["aside"] == 0 and await fleet.pids() == pids, "no process was killed"
             assert all(not result["vigil"]["unlike"] for result in status["instances"])
-            reply = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p0"])
+            reply = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PEER_TIMEOUT, names=["p0"])
             texts = [text for _, text in reply["notes"]["p0"]]
             assert "most of its new connections go to others: path: zone 1" in texts[0]
             assert "are its own again" in texts[-1]
@@ -87,7 +87,7 @@
     async def test() -> None:
         async with running_world(tmp_path, 1) as (world, fleet):
             await next_requests(world, 200)
-            await fleet.instance_links["p0"].set_fault(Mood("slow", seconds=0.2, spread=0.2))
+            await fleet.instance_links["p0"].set_fault(LinkFault("slow", median_delay=0.2, spread=0.2))
             await wait_for(lambda: has_outlier_reason(fleet, "p0", "slow"), "ejected")
             results = await next_requests(world, 400)
             late_results = [
@@ -108,14 +108,14 @@
         async with running_world(tmp_path, 2, count=4) as (world, fleet):
             await next_requests(world, 200)
             for name in ("p0", "p1"):
-                await fleet.instance_links[name].discovery_link.set(Mood("drop"))
+                await fleet.instance_links[name].discovery_link.set_fault(LinkFault("drop"))
             entry = world.discovery.hosts[0]
             world.publish(entry | {"health": "draining"})
             for name in ("p0", "p1"):
                 await wait_for(lambda name=name: has_outlier_reason(fleet, name, "behind"), f"{name} ejected")  # type: ignore[misc]
             results = await next_requests(world, 200)
             for name in ("p0", "p1"):
-                await fleet.instance_links[name].discovery_link.set(Mood())
+                await fleet.instance_links[name].discovery_link.set_fault(LinkFault())
             for name in ("p0", "p1"):
                 await wait_for(lambda name=name: has_outlier_reason(fleet, name, ""), f"{name} readmitted")  # type: ignore[misc]
             results += await next_requests(world, 100)
@@ -134,7 +134,7 @@
             try:
                 for i in range(160):
                     callers.append(Caller(*await asyncio.open_connection("127.0.0.1", fleet.ports[0])))
-                    callers[-1].writer.write(request("report-view", budget="4000m", rid=f"full-{i}"))
+                    callers[-1].writer.write(request("report-view", budget="4000m", request_id=f"full-{i}"))
                 await wait_for(lambda: has_outlier_reason(fleet, "p0", "full"), "ejected")
                 for backend in world.backends:
                     backend.work = world.work
@@ -143,7 +143,7 @@
                     assert status in (200, 503), "each has an answer, also those that waited at the listener"
             finally:
                 for caller in callers:
-                    caller.leave()
+                    caller.abort()
             await wait_for(lambda: has_outlier_reason(fleet, "p0", ""), "readmitted")
             assert_none_lost(world, await next_requests(world, 40))
 
@@ -155,8 +155,8 @@
         async with running_world(tmp_path, 5, zones=2) as (world, fleet):
             await next_requests(world, 200)
             for ways in fleet.instance_links.values():
-                await ways.discovery_link.set(Mood("drop"))
-                await ways.set_fault(Mood("reset"), world.hosts_in_zone(1))
+                await ways.discovery_link.set_fault(LinkFault("drop"))
+                await ways.set_fault(LinkFault("reset"), world.hosts_in_zone(1))
             world.publish(world.discovery.hosts[0] | {"health": "draining"})
             await next_requests(world, 600)
             counts = (await fleet.status())["vigil"]
--- a/tests/loopback/test_platform.py
+++ b/tests/loopback/test_platform.py
@@ -13,7 +13,7 @@
 
 import orjson
 import pytest
-from rig import PATIENCE, SETTINGS, Backend, Caller, serve_ok
+from rig import PEER_TIMEOUT, SETTINGS, Backend, Caller, serve_ok
 from test_proxy import run
 
 from standins.ports import free_ports
@@ -156,7 +156,7 @@
                     "listen": f"127.0.0.1:{port}",
                     "discovery": "127.0.0.1:9",
                     "settings": SETTINGS,
-                    "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]},
+                    "known": {"seq": 1, "whole": True, "hosts": [backend.discovery_entry()]},
                 }
             )
         )
@@ -171,7 +171,7 @@
         )
         try:
             assert process.stderr is not None
-            while b"listens on" not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE)):
+            while b"listens on" not in (line := await asyncio.wait_for(process.stderr.readline(), PEER_TIMEOUT)):
                 assert line and b"REFUSED" not in line, line
             caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
             assert (await caller.call())[0] == 200
@@ -179,7 +179,7 @@
             assert not [link for link in held if "io_uring" in link], held
             assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
             process.terminate()
-            assert b"REFUSED" not in await asyncio.wait_for(process.stderr.read(), PATIENCE)
+            assert b"REFUSED" not in await asyncio.wait_for(process.stderr.read(), PEER_TIMEOUT)
             assert await process.wait() == 0
         finally:
             if process.returncode is None:
--- a/tests/loopback/test_race_conditions.py
+++ b/tests/loopback/test_race_conditions.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from rig import Backend, Rig, Seen, Writer, reply, request, rig, serve_ok, until
+from rig import Backend, Message, Rig, Writer, reply, request, rig, serve_ok, until
 from test_proxy import close_connection, reset, run
 
 from cometusher import backends as backends_module
@@ -125,7 +125,7 @@
             watch = await r.discovery.watch()
             call = asyncio.ensure_future(r.call())
             await connects.wait_started()
-            watch.tell(42, r.backends[0].entry(health=health))
+            watch.send_list(42, r.backends[0].discovery_entry(health=health))
             await until(lambda: r.proxy.discovery.seq == 42)
             connects.release()
             assert (await call)[0] == 503  # a refusal, as nothing ran
@@ -139,14 +139,14 @@
         async with rig(serve_ok, serve_ok, settings=SLOW_CONNECT) as r:
             connects = HeldConnects(r)
             watch = await r.discovery.watch()
-            calls = [asyncio.ensure_future(r.call(rid=f"r{i}")) for i in range(8)]
+            calls = [asyncio.ensure_future(r.call(request_id=f"r{i}")) for i in range(8)]
             await connects.wait_started(8)
-            watch.tell(42, r.backends[1].entry(), whole=True)
+            watch.send_list(42, r.backends[1].discovery_entry(), whole=True)
             await until(lambda: r.proxy.discovery.seq == 42)
 
             connects.release(holds=False)
             assert {(await call)[0] for call in calls} == {200}
-            assert not r.backends[0].seen
+            assert not r.backends[0].requests
 
     run(test)
 
@@ -193,12 +193,12 @@
         async with rig(serve_ok, settings=settings) as r:
             connects = HeldConnects(r)
             client = connect(r)
-            client.sendall(request(rid="gone"))
+            client.sendall(request(request_id="gone"))
             await connects.wait_started()
             connects.on_connected = client.close  # before the loop can report it
             connects.release(holds=False)
             await until(lambda: r.proxy.open_requests == 0)
-            assert (await r.call(rid="after"))[0] == 200
+            assert (await r.call(request_id="after"))[0] == 200
             assert [seen.headers[b"x-call-id"] for seen in r.seen] == [b"after"]
 
     run(test)
@@ -213,12 +213,12 @@
 
     async def test() -> None:
         async with rig(serve_ok, settings=settings) as r:
-            assert (await r.call(rid="before"))[0] == 200
+            assert (await r.call(request_id="before"))[0] == 200
             for i in range(100):
                 client = connect(r)
-                client.sendall(request(rid=f"gone-{i}"))
+                client.sendall(request(request_id=f"gone-{i}"))
                 client.close()
-            assert (await r.call(rid="stays"))[0] == 200
+            assert (await r.call(request_id="stays"))[0] == 200
             await until(lambda: r.proxy.callers.count() == 2 and r.proxy.open_requests == 0)
             assert [seen.headers[b"x-call-id"] for seen in r.seen] == [b"before", b"stays"]
             assert r.proxy.counters.get("left", 0) == 100
@@ -230,13 +230,13 @@
     """The first attempt fails in the step in which the caller's disconnect arrives."""
     leaves: list[socket.socket] = []
 
-    async def fails_as_the_caller_leaves(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def fails_as_the_caller_leaves(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply(500, b"broken"))
 
     async def test() -> None:
         async with rig(fails_as_the_caller_leaves, fails_as_the_caller_leaves) as r:
             for i in range(4):
-                assert (await r.call(rid=f"before-{i}"))[0] == 503
+                assert (await r.call(request_id=f"before-{i}"))[0] == 503
             assert set(r.proxy.backends.idle_servers()) == {1, 2}  # so that nothing else delays an attempt
             before = len(r.seen)
             client = connect(r)
@@ -249,7 +249,7 @@
                 return original(*args, **options)
 
             r.proxy.balancer.outcome = leave_first  # type: ignore[method-assign]
-            client.sendall(request(rid="gone"))
+            client.sendall(request(request_id="gone"))
             await until(lambda: r.proxy.counters.get("left", 0) == 1 and r.proxy.open_requests == 0)
             assert len(r.seen) == before + 1
 
@@ -263,10 +263,10 @@
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
-            client.sendall(request(rid="1"))
+            client.sendall(request(request_id="1"))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             before = r.proxy.callers.listener_state
-            client.sendall(request(rid="2"))
+            client.sendall(request(request_id="2"))
             r.proxy.callers.apply_listener_state(replace(before, keeps_idle=False))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             client.close()
@@ -278,11 +278,11 @@
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
-            client.sendall(request(rid="1"))
+            client.sendall(request(request_id="1"))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             (connection,) = r.proxy.callers._connections
             connection.state_since -= 60.0
-            client.sendall(request(rid="2"))
+            client.sendall(request(request_id="2"))
             r.proxy.callers.sweep()
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             client.close()
@@ -294,9 +294,9 @@
     async def test() -> None:
         async with rig(serve_ok) as r:
             client = connect(r)
-            client.sendall(request(rid="1"))
+            client.sendall(request(request_id="1"))
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
-            client.sendall(request(rid="2"))
+            client.sendall(request(request_id="2"))
             assert not r.proxy.descriptors.evict_caller()
             assert await read_answer(client) == b"HTTP/1.1 200 OK"
             assert r.proxy.descriptors.evict_caller()
@@ -330,7 +330,7 @@
     """An HTTP/1.0 client has no other way to tell a truncated answer from a complete one."""
     monkeypatch.setattr(backends_module, "STREAM_DELAY_UNKNOWN_LENGTH", 0.0)
 
-    async def part_and_reset(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def part_and_reset(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n")
         for _ in range(3):
             writer.write(b"a part")
@@ -361,7 +361,7 @@
         async with rig(serve_ok, sockets=1024) as r:
             clients = [connect(r) for _ in range(MAX_ACCEPTS_PER_WAKEUP + 20)]
             for i, client in enumerate(clients):
-                client.sendall(request(rid=f"r{i}"))
+                client.sendall(request(request_id=f"r{i}"))
             r.proxy.callers.apply_listener_state(not_accepting(r.proxy.callers.listener_state))
             r.proxy.callers.close_listener()
             assert {await read_answer(client) for client in clients} == {b"HTTP/1.1 200 OK"}
@@ -436,7 +436,7 @@
             watch.send(b'{"seq": 42, "hosts": [\n')
             watch.send(b"\n")
             again = await r.discovery.watch()
-            assert again.line.endswith(b"from=41 HTTP/1.1")
+            assert again.request_line.endswith(b"from=41 HTTP/1.1")
 
     run(test)
 
@@ -455,13 +455,13 @@
 
             r.proxy.balancer.members = note  # type: ignore[method-assign]
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[0].entry(health="terminated"))
+            watch.send_list(42, r.backends[0].discovery_entry(health="terminated"))
             await watch.writer.drain()
-            r.proxy.discovery.move(("127.0.0.1", 1))
+            r.proxy.discovery.change_address(("127.0.0.1", 1))
             for _ in range(20):
                 await asyncio.sleep(0)
             assert not reported and r.proxy.balancer.ready
-            r.proxy.discovery.move(("127.0.0.1", r.discovery.port))
-            assert (await r.discovery.watch()).line.endswith(b"from=0 HTTP/1.1")
+            r.proxy.discovery.change_address(("127.0.0.1", r.discovery.port))
+            assert (await r.discovery.watch()).request_line.endswith(b"from=0 HTTP/1.1")
 
     run(test)
--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -18,7 +18,7 @@
 from cometusher.fleet.identity import read_stat
 from cometusher.store.records import RecordFile
 from standins.caller import Caller, request
-from standins.faulty_link import Mood
+from standins.faulty_link import LinkFault
 
 COUNT = 4
 RATE = 60.0
@@ -112,12 +112,12 @@
             caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             status, seen = await caller.answer()
             assert (status, seen.headers[b"x-comeback"]) == (503, b"nothing")
-            caller.writer.write(request("report-view", budget="4000m", rid="w1"))
+            caller.writer.write(request("report-view", budget="4000m", request_id="w1"))
             await asyncio.sleep(2.0)
             assert [row["pid"] for row in (await fleet.instance_status()).values()] == pids, "no process was replaced"
             await w.discovery.reconnect()
             assert (await caller.answer())[0] == 200, "the request was queued and then served"
-            caller.leave()
+            caller.abort()
             await wait_for(fleet.is_ready, "ready")
             assert_consistent(w)
 
@@ -298,7 +298,7 @@
         async with world(tmp_path, ("discovery",), count=6) as (w, fleet):
             await wait_for_service(w)
             await wait_for_stored_lists(fleet)
-            await w.links["discovery"][0].set(Mood("drop"))
+            await w.links["discovery"][0].set_fault(LinkFault("drop"))
             await fleet.kill_machine()
             await fleet.start()
             await wait_for(w.all_running, "processes")
@@ -307,7 +307,7 @@
             await wait_for(lambda: _stopped(rows["p0"]["pid"]), "stopped")
             await wait_for(lambda: _others_full(fleet, "p0"), "the others")
             os.kill(rows["p0"]["pid"], signal.SIGCONT)
-            await w.links["discovery"][0].set(Mood())
+            await w.links["discovery"][0].set_fault(LinkFault())
             await wait_for(lambda: all_full(fleet), "all")
             assert_consistent(w)
 
--- a/tests/loopback/test_stalled_instances.py
+++ b/tests/loopback/test_stalled_instances.py
@@ -14,7 +14,7 @@
 
 import pytest
 from fleetrig import assert_consistent, next_requests, run, running, wait_for
-from rig import PATIENCE
+from rig import PEER_TIMEOUT
 from takeover_rig import HOOKS, environment, takeover_rig
 
 from cometusher.fault_injection.environment import ALL_CLASSES, Fleet, World
@@ -71,7 +71,7 @@
             assert not lost, lost
             assert await detector_count(fleet, "replaced") == 2
             assert_consistent(world)
-            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p1"])
+            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PEER_TIMEOUT, names=["p1"])
             texts = [text for _, text in notes["notes"]["p1"]]
             assert "suspect, stopped" in texts[0] and "it is replaced" in texts[-1], texts
 
@@ -85,14 +85,14 @@
         async with running_world(tmp_path, 4, rate=5.0) as (world, fleet):
             text = fleet.file.read_text().replace("[vigil]", "[vigil]\nstopped_for = 120.0\n")
             fleet.file.write_text(text)
-            await asyncio.to_thread(send_request, Path(fleet.control), "reload", PATIENCE)
+            await asyncio.to_thread(send_request, Path(fleet.control), "reload", PEER_TIMEOUT)
             pid = (await fleet.pids())["p2"]
             os.kill(pid, signal.SIGSTOP)
             try:
                 await wait_for(lambda: has_verdict(fleet, "p2", "suspect"), "suspect")
                 reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports[2])
-                writer.write(request("report-view", budget="3000m", rid="s1"))
-                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
+                writer.write(request("report-view", budget="3000m", request_id="s1"))
+                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PEER_TIMEOUT)
                 assert head.startswith(b"HTTP/1.1 200"), head
                 assert read_stat(pid) is not None and await detector_count(fleet, "accepted_for_others") >= 1
                 writer.close()
@@ -169,7 +169,7 @@
             await next_requests(world, 30)
             old_pids = await fleet.pids()
             rolling = asyncio.create_task(
-                asyncio.to_thread(send_request, Path(fleet.control), "restart", 3 * PATIENCE)
+                asyncio.to_thread(send_request, Path(fleet.control), "restart", 3 * PEER_TIMEOUT)
             )
             os.kill(old_pids["p3"], signal.SIGSTOP)
             for name in old_pids:
@@ -197,7 +197,7 @@
             assert {name for name in pids if new_pids[name] != pids[name]} == {"p2"}
             assert not [result for result in world.load.results[first_result:] if result.outcome == "lost"]
             assert_consistent(world)
-            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PATIENCE, names=["p2"])
+            notes = await asyncio.to_thread(send_request, Path(fleet.control), "explain", PEER_TIMEOUT, names=["p2"])
             assert any(f"it is replaced: {cause}" in text for _, text in notes["notes"]["p2"]), notes
 
     run(test)
@@ -246,7 +246,7 @@
             pids = await fleet.pids()
             os.kill(pids["p1"], signal.SIGSTOP)
             fleet.file.write_text(fleet.file.read_text().replace("sockets = 256", "sockets = 300"))
-            answer = await asyncio.to_thread(send_request, Path(fleet.control), "reload", 3 * PATIENCE)
+            answer = await asyncio.to_thread(send_request, Path(fleet.control), "reload", 3 * PEER_TIMEOUT)
             assert "text" in answer
             for name in pids:
                 await wait_for(partial(fleet.is_replaced, name, pids[name]) if name == "p1" else fleet.is_ready, name)
@@ -292,12 +292,14 @@
             try:
                 for i in range(300):
                     callers.append(Caller(*await asyncio.open_connection("127.0.0.1", fleet.ports[2])))
-                    message = request("report-view", budget="4000m", rid=f"q{i}", extra=(b"Connection: close",))
+                    message = request(
+                        "report-view", budget="4000m", request_id=f"q{i}", extra=(b"Connection: close",)
+                    )
                     callers[-1].writer.write(message)
                 answers = [(await caller.answer())[0] for caller in callers]
             finally:
                 for caller in callers:
-                    caller.leave()
+                    caller.abort()
                 os.kill(pid, signal.SIGCONT)
             assert set(answers) <= {200, 503} and answers.count(200) > 200, "each has an answer"
             assert await detector_count(fleet, "accepted_for_others") >= 250
@@ -316,7 +318,7 @@
             caller, rid = await rig.hold_request(0, "once")
             old = (await rig.fleet.pids())["p0"]
             rolling = asyncio.create_task(
-                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE, names=["p0"])
+                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PEER_TIMEOUT, names=["p0"])
             )
             await rig.wait_until(partial(rig.fleet.is_replaced, "p0", old), "a replacement beside the old process")
             assert read_stat(old) is not None, "it drains, with the request in flight"
@@ -367,8 +369,8 @@
             pid = (await fleet.pids())["p2"]
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", fleet.ports[2])
-                writer.write(request("report-view", budget="3000m", rid="s1"))
-                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
+                writer.write(request("report-view", budget="3000m", request_id="s1"))
+                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PEER_TIMEOUT)
                 assert head.startswith(b"HTTP/1.1 200"), head
                 assert await detector_count(fleet, "accepted_for_others") >= 1
                 writer.close()
