--- a/tests/loopback/test_streaming.py
+++ b/tests/loopback/test_streaming.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from rig import PATIENCE, Backend, Reader, Seen, Writer, reply, request, rig, until
+from rig import PEER_TIMEOUT, Backend, Message, Reader, Writer, reply, request, rig, until
 from test_proxy import run
 
 from cometusher import backends as backends_module
@@ -21,16 +21,16 @@
 DIGEST = hashlib.sha256(BODY).hexdigest().encode()
 
 
-async def answer_with_digest(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_with_digest(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=hashlib.sha256(seen.body).hexdigest().encode()))
 
 
-async def large_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_answer(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=BODY))
     await writer.drain()
 
 
-async def large_chunked_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_chunked_answer(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for start in range(0, LARGE, 50_000):
         piece = BODY[start : start + 50_000]
@@ -39,7 +39,7 @@
     writer.write(b"0\r\nX-Trailer: 1\r\n\r\n")
 
 
-async def large_answer_until_close(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def large_answer_until_close(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + BODY)
     await writer.drain()
     writer.close()
@@ -63,7 +63,7 @@
         async with rig(script) as r:
             caller = await r.caller()
             for rid in ("1", "2"):
-                status, seen = await caller.call(rid=rid)
+                status, seen = await caller.call(request_id=rid)
                 assert status == 200 and hashlib.sha256(seen.body).hexdigest().encode() == DIGEST
             await until(lambda: r.proxy.open_requests == 0)
 
@@ -75,7 +75,7 @@
         async with rig(large_chunked_answer) as r:
             caller = await r.caller()
             caller.writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-            got = await caller.ended()
+            got = await caller.read_to_end()
             head, _, body = got.partition(b"\r\n\r\n")
             assert b"chunked" not in head and body == BODY
 
@@ -89,11 +89,11 @@
             caller = await r.caller()
             for rid in ("1", "2"):
                 if chunked:
-                    head = request(kind="submit", rid=rid, extra=(b"Transfer-Encoding: chunked",))
+                    head = request(kind="submit", request_id=rid, extra=(b"Transfer-Encoding: chunked",))
                     pieces = [BODY[start : start + 70_001] for start in range(0, LARGE, 70_001)]
                     caller.writer.write(head + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\n\r\n")
                 else:
-                    caller.writer.write(request(kind="submit", rid=rid, body=BODY))
+                    caller.writer.write(request(kind="submit", request_id=rid, body=BODY))
                 status, seen = await caller.answer()
                 assert (status, seen.body) == (200, DIGEST)
             assert r.proxy.memory.used == 0
@@ -125,7 +125,7 @@
 def test_broken_streamed_answer_is_aborted_and_never_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     reported = record_outcomes(monkeypatch)
 
-    async def breaks(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def breaks(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply(body=BODY)[: LARGE // 2])
         await writer.drain()
         writer.transport.abort()
@@ -134,7 +134,7 @@
         async with rig(breaks, breaks) as r:
             caller = await r.caller()
             caller.writer.write(request())
-            got = await caller.ended()
+            got = await caller.read_to_end()
             assert len(got) < LARGE and len(r.seen) == 1
             assert reported == [Outcome.BROKEN]
 
@@ -144,7 +144,7 @@
 def test_first_bytes_of_an_answer_are_forwarded_before_the_rest_arrives() -> None:
     go = asyncio.Event()
 
-    async def halts(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def halts(backend: Backend, seen: Message, writer: Writer) -> None:
         data = reply(body=BODY)
         writer.write(data[:2000])
         await go.wait()
@@ -154,11 +154,11 @@
         async with rig(halts) as r:
             caller = await r.caller()
             caller.writer.write(request(budget="300m"))
-            head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PATIENCE)
+            head = await asyncio.wait_for(caller.reader.readuntil(b"\r\n\r\n"), PEER_TIMEOUT)
             assert b" 200 " in head and len(await caller.reader.read(100)) == 100
             await asyncio.sleep(0.4)  # beyond the caller's budget, which doesn't cut a streamed answer
             go.set()
-            rest = await asyncio.wait_for(caller.reader.readexactly(LARGE - 100), PATIENCE)
+            rest = await asyncio.wait_for(caller.reader.readexactly(LARGE - 100), PEER_TIMEOUT)
             assert rest == BODY[100:]
 
     run(test)
@@ -167,7 +167,7 @@
 def test_slow_reader_slows_its_backend_and_uses_bounded_memory() -> None:
     written: list[int] = []
 
-    async def endless(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def endless(backend: Backend, seen: Message, writer: Writer) -> None:
         total = 32 * 1024 * 1024
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % total)
         sent = 0
@@ -183,7 +183,7 @@
             caller.reader._transport.pause_reading()  # type: ignore[attr-defined]
             caller.writer.write(request())
             last = -1
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(PEER_TIMEOUT):
                 while not written or written[-1] != last:  # until the backend makes no progress
                     last = written[-1] if written else -1
                     await asyncio.sleep(0.3)
@@ -201,7 +201,7 @@
             caller.reader._transport.pause_reading()  # type: ignore[attr-defined]
             caller.writer.write(request())
             await until(lambda: bool(r.seen))
-            caller.leave()
+            caller.abort()
             await until(lambda: r.proxy.open_requests == 0)
             assert r.proxy.backends.counts() == (0, 0) or r.proxy.backends.counts()[0] == 0
 
@@ -214,9 +214,9 @@
             caller = await r.caller()
             caller.writer.write(request(kind="submit", body=BODY)[: LARGE // 2])
             await until(lambda: r.proxy.open_requests == 1)
-            caller.leave()
+            caller.abort()
             await until(lambda: r.proxy.open_requests == 0 and r.proxy.memory.used == 0)
-            assert not r.seen and (await r.call(rid="2"))[0] == 200
+            assert not r.seen and (await r.call(request_id="2"))[0] == 200
 
     run(test)
 
@@ -287,7 +287,7 @@
             caller.writer.write(request(kind="submit", body=BODY))
             status, _ = await caller.answer()
             assert status == 503 and r.proxy.memory.used == 0
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
 
     run(test)
 
@@ -299,7 +299,7 @@
         async with rig(answer_with_digest) as r:
             small = BODY[: 80 * 1024]
             slow, halted = await r.caller(), await r.caller()
-            halted.writer.write(request(kind="submit", rid="2", body=small)[:-5])
+            halted.writer.write(request(kind="submit", request_id="2", body=small)[:-5])
             data = request(kind="submit", budget="2000m", body=small)
             for start in range(0, len(data), 8192):
                 slow.writer.write(data[start : start + 8192])
@@ -313,17 +313,17 @@
 
 
 def test_input_during_a_streamed_answer_never_corrupts_it() -> None:
-    async def halts(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def halts(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply(body=BODY)[: LARGE // 2])
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(PEER_TIMEOUT)
 
     async def test() -> None:
         async with rig(halts) as r:
             caller = await r.caller()
             caller.writer.write(request())
-            await asyncio.wait_for(caller.reader.readexactly(200_000), PATIENCE)
-            caller.writer.write(request(rid="2"))
-            rest = await caller.ended()
+            await asyncio.wait_for(caller.reader.readexactly(200_000), PEER_TIMEOUT)
+            caller.writer.write(request(request_id="2"))
+            rest = await caller.read_to_end()
             assert b"HTTP/1.1" not in rest and len(r.seen) == 1
 
     run(test)
@@ -335,8 +335,8 @@
 
             async def is_complete(rid: int) -> bool:
                 caller = await r.caller()
-                caller.writer.write(request(rid=str(rid)))
-                seen = await asyncio.wait_for(read_message(caller.reader), 3 * PATIENCE)
+                caller.writer.write(request(request_id=str(rid)))
+                seen = await asyncio.wait_for(read_message(caller.reader), 3 * PEER_TIMEOUT)
                 return seen is not None and seen.body == BODY
 
             assert all(await asyncio.gather(*(is_complete(rid) for rid in range(20))))
--- a/tests/loopback/test_takeover_processes.py
+++ b/tests/loopback/test_takeover_processes.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 import pytest
-from rig import PATIENCE
+from rig import PEER_TIMEOUT
 from takeover_rig import TakeoverRig, takeover_rig
 
 from cometusher.fleet.control import send_request
 from cometusher.fleet.identity import read_stat
 from standins.caller import Caller
-from standins.messages import Seen, Writer
+from standins.messages import Message, Writer
 
 CLASSES = ("view", "submit", "once")
 
@@ -44,7 +44,7 @@
 
 async def kill_owner_at(
     rig: TakeoverRig, caller: Caller, stage: str, owner: int, request_id: bytes, data: bytes, pid: int = 0
-) -> tuple[int, Seen]:
+) -> tuple[int, Message]:
     """Send a request, kill its owner at a stage, and wait for the answer."""
     name = f"p{owner}"
     pid = pid or await rig.pid_of(owner)
@@ -275,7 +275,7 @@
             assert rig.fleet.process is not None
             rig.fleet.process.kill()
             os.kill(pid, signal.SIGKILL)
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
             rig.backends_may_answer.set()
             await rig.fleet.process.wait()
             assert rig.request_count(request_id) == 1
@@ -309,7 +309,7 @@
             caller.writer.write(data)
             pid = await rig.pid_of(0)
             await rig.wait_until(lambda: (stat := read_stat(pid)) is not None and stat.state == "T", "stopped")
-            caller.leave()
+            caller.abort()
             os.kill(pid, signal.SIGKILL)
             await rig.wait_until(lambda: _count_exceeds(rig, "adopted", 0), "a successor")
             await rig.wait_until(lambda: "the caller has disconnected" in rig.fleet.log(), "the decision")
@@ -336,7 +336,7 @@
             status, _ = await caller.answer()
             assert status == 503 and not rig.effects
             caller.writer.write(b"x" * 100_000)
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
 
     run(test)
 
@@ -350,7 +350,7 @@
         async with takeover_rig(3) as rig:
             begun = asyncio.Event()
 
-            async def speak(seen: Seen, writer: Writer, body: bytes) -> None:
+            async def speak(seen: Message, writer: Writer, body: bytes) -> None:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"y" * 150_000)
                 await begun.wait()
 
@@ -358,9 +358,9 @@
             caller = await rig.connect(0)
             request_id, data = rig.message("view")
             caller.writer.write(data)
-            await asyncio.wait_for(caller.reader.readexactly(100_000), PATIENCE)
+            await asyncio.wait_for(caller.reader.readexactly(100_000), PEER_TIMEOUT)
             os.kill(await rig.pid_of(0), signal.SIGKILL)
-            rest = await caller.ended()
+            rest = await caller.read_to_end()
             assert b"HTTP/1.1" not in rest and len(rest) < 300_000
             begun.set()
             assert rig.request_count(request_id) == 1
@@ -393,7 +393,7 @@
         async with takeover_rig(3) as rig:
             rest = asyncio.Event()
 
-            async def speak(seen: Seen, writer: Writer, body: bytes) -> None:
+            async def speak(seen: Message, writer: Writer, body: bytes) -> None:
                 answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
                 if rest.is_set():
                     writer.write(answer)
@@ -462,7 +462,7 @@
             await rig.wait_until(lambda: _has_uncovered(rig), "reported")
             os.kill(await rig.pid_of(0), signal.SIGKILL)
             await rig.wait_until(lambda: _has_adopted(rig, 1), "a successor")
-            assert await second.ended() == b"", "the connection of an uncovered request is closed"
+            assert await second.read_to_end() == b"", "the connection of an uncovered request is closed"
             rig.backends_may_answer.set()
             assert (await first.answer())[0] == 200
             assert [rig.request_count(request_id) for request_id in rids] == [1, 1]
@@ -509,7 +509,7 @@
             caller, request_id = await rig.hold_request(0, "once")
             old = await rig.fleet.pids()
             rolling = asyncio.create_task(
-                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PATIENCE)
+                asyncio.to_thread(send_request, Path(rig.fleet.control), "restart", 3 * PEER_TIMEOUT)
             )
             await rig.wait_until(lambda: rig.fleet.is_replaced("p0", old["p0"]), "a new process beside the old one")
             assert read_stat(old["p0"]) is not None, "it drains, with the request in flight"
@@ -613,6 +613,6 @@
         async with takeover_rig(2, takeover=False) as rig:
             caller, _ = await rig.hold_request(0, "once")
             os.kill(await rig.pid_of(0), signal.SIGKILL)
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
 
     run(test)
--- a/tests/loopback/test_upgrade.py
+++ b/tests/loopback/test_upgrade.py
@@ -9,7 +9,7 @@
 
 import orjson
 import pytest
-from rig import PATIENCE, SETTINGS, Backend, Discovery, Seen, Writer, reply
+from rig import PEER_TIMEOUT, SETTINGS, Backend, Discovery, Message, Writer, reply
 from test_proxy import run
 
 from standins.platform import Platform
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-async def answer_with_host(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_with_host(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=backend.host.encode()))
 
 
@@ -29,7 +29,7 @@
         await backend.start()
     discovery = Discovery()
     await discovery.start()
-    hosts = [backend.entry() for backend in backends]
+    hosts = [backend.discovery_entry() for backend in backends]
     platform = Platform(ROOT, tmp_path, SETTINGS, hosts, discovery.port, sockets)
     try:
         yield platform
@@ -64,14 +64,14 @@
                     status, seen = await caller.answer()
                     answers.append(status)
                     if seen.headers.get(b"connection") == b"close":
-                        caller.leave()
+                        caller.abort()
                         caller = await platform.connect()
 
             tasks = [asyncio.create_task(call_on_new_connections()) for _ in range(3)]
             tasks += [asyncio.create_task(call_on_kept_connection(n)) for n in range(5)]
             for _ in range(3):
                 successor = await platform.launch()
-                assert await platform.end(process) == 0
+                assert await platform.terminate(process) == 0
                 process = successor
             stopping = True
             await asyncio.gather(*tasks)
@@ -82,7 +82,7 @@
 
 async def wait_for_saved_servers(platform: Platform, count: int) -> None:
     """Wait until the learned state of `count` backends is stored; it is written once a second."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(PEER_TIMEOUT):
         while not any(len(saved_servers(path)) == count for path in platform.folder.rglob("learned*")):
             await asyncio.sleep(0.02)
 
@@ -101,27 +101,27 @@
             old = await platform.launch()
             for _ in range(30):
                 assert (await platform.call())[0] == 200
-            assert await platform.operate(old, "exclude", b'{"who":"s-1"}') == 200
+            assert await platform.management_call(old, "exclude", b'{"who":"s-1"}') == 200
             await wait_for_saved_servers(platform, 2)
             new = await platform.launch()
             assert "took over the learned state of 2 backends" in platform.log(1)
             for _ in range(30):
                 assert await platform.call() == (200, b"s-2")
             # While both processes live, an order to either applies to both.
-            assert await platform.operate(new, "include", b'{"who":"s-1"}') == 200
-            await platform.told(0, "backend 1: no longer banned")
-            assert await platform.operate(old, "exclude", b'{"who":"s-2"}') == 200
-            await platform.told(1, "backend 2: banned")
-            assert await platform.operate(old, "evacuate") == 200
-            await platform.told(1, "the proxy is evacuated")
+            assert await platform.management_call(new, "include", b'{"who":"s-1"}') == 200
+            await platform.wait_for_log(0, "backend 1: no longer banned")
+            assert await platform.management_call(old, "exclude", b'{"who":"s-2"}') == 200
+            await platform.wait_for_log(1, "backend 2: banned")
+            assert await platform.management_call(old, "evacuate") == 200
+            await platform.wait_for_log(1, "the proxy is evacuated")
             assert await platform.up() == 503
-            assert await platform.operate(new, "ready", method="GET") == 200
-            assert await platform.end(old) == 0
+            assert await platform.management_call(new, "ready", method="GET") == 200
+            assert await platform.terminate(old) == 0
             third = await platform.launch()
             assert await platform.up() == 503, "evacuation survives a hot restart"
-            assert await platform.operate(third, "rejoin") == 200
-            await platform.told(1, "the proxy has rejoined")
-            assert await platform.end(new) == 0
+            assert await platform.management_call(third, "rejoin") == 200
+            await platform.wait_for_log(1, "the proxy has rejoined")
+            assert await platform.terminate(new) == 0
             assert await platform.up() == 200
             for _ in range(10):
                 assert (await platform.call())[1] != b"s-2"
@@ -134,11 +134,11 @@
         async with running_platform(tmp_path) as platform:
             await platform.launch()
             new = await platform.launch()
-            await platform.told(0, "a newer process serves")
+            await platform.wait_for_log(0, "a newer process serves")
             new.kill()
             await new.wait()
             assert (await platform.call())[0] == 200
-            await platform.told(0, "serving alone again")
+            await platform.wait_for_log(0, "serving alone again")
 
     run(test)
 
@@ -147,7 +147,7 @@
     async def test() -> None:
         async with running_platform(tmp_path) as platform:
             old = await platform.launch()
-            assert await platform.operate(old, "exclude", b'{"who":"s-1"}') == 200
+            assert await platform.management_call(old, "exclude", b'{"who":"s-1"}') == 200
             await platform.launch()
             old.kill()
             await old.wait()
@@ -194,18 +194,18 @@
             callers = []
             for i in range(60):
                 caller = await platform.connect()
-                await caller.call(rid=f"idle{i}")
+                await caller.call(request_id=f"idle{i}")
                 callers.append(caller)
 
-            peak = platform.held()
+            peak = platform.open_descriptors()
             await platform.launch()
             for _ in range(40):
                 assert (await platform.call())[0] == 200
-                peak = max(peak, platform.held())
+                peak = max(peak, platform.open_descriptors())
             assert peak <= 160
-            assert await platform.end(old) == 0
+            assert await platform.terminate(old) == 0
             for caller in callers:
-                caller.leave()
+                caller.abort()
 
     run(test)
 
@@ -215,7 +215,7 @@
         async with running_platform(tmp_path) as platform:
             platform.port = free_ports(1)[0]
             process = await platform.launch(wait=False)
-            assert await asyncio.wait_for(process.wait(), PATIENCE) == 1
+            assert await asyncio.wait_for(process.wait(), PEER_TIMEOUT) == 1
             assert "descriptor 3: listens on" in platform.log(0) and "Traceback" not in platform.log(0)
 
     run(test)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,19 +13,19 @@
 from standins.backend import Backend, Script, serve_ok
 from standins.caller import Caller, request
 from standins.discovery import Discovery, Watch
-from standins.messages import PATIENCE, Reader, Seen, Writer, read_message, reply
+from standins.messages import PEER_TIMEOUT, Message, Reader, Writer, read_message, reply
 from weldroute.settings import read_settings
 
 __all__ = [
-    "PATIENCE",
+    "PEER_TIMEOUT",
     "SETTINGS",
     "Backend",
     "Caller",
     "Discovery",
+    "Message",
     "Reader",
     "Rig",
     "Script",
-    "Seen",
     "Watch",
     "Writer",
     "merge_settings",
@@ -72,7 +72,7 @@
         self.callers.append(caller)
         return caller
 
-    async def call(self, **options: Any) -> tuple[int, Seen]:
+    async def call(self, **options: Any) -> tuple[int, Message]:
         """Sends one request on its own connection; returns status and answer."""
         caller = await self.caller()
         return await caller.call(**options)
@@ -83,20 +83,20 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.management.port)
         body = body or b""
         writer.write(f"{method} /api/{call} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-        seen = await asyncio.wait_for(read_message(reader), PATIENCE)
+        seen = await asyncio.wait_for(read_message(reader), PEER_TIMEOUT)
         writer.close()
         assert seen is not None
         return int(seen.line.split()[1])
 
     @property
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[Message]:
         """The requests that all backends have read."""
-        return [seen for backend in self.backends for seen in backend.seen]
+        return [seen for backend in self.backends for seen in backend.requests]
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Waits until a condition holds; raises TimeoutError after PATIENCE."""
-    async with asyncio.timeout(PATIENCE):
+    """Waits until a condition holds; raises TimeoutError after PEER_TIMEOUT."""
+    async with asyncio.timeout(PEER_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -132,7 +132,7 @@
             seed=1,
             memory_mb=memory_mb,
             sockets=sockets,
-            known={"seq": 41, "whole": True, "hosts": [b.entry() for b in backends]},
+            known={"seq": 41, "whole": True, "hosts": [b.discovery_entry() for b in backends]},
             settings=read_settings(raw),
             zones=tuple(raw["Zones"]),
             management=("127.0.0.1", 0) if managed else None,
@@ -144,7 +144,7 @@
         yield running
     finally:
         for caller in running.callers:
-            caller.leave()
+            caller.abort()
         await proxy.drain()
         await discovery.stop()
         for backend in backends:
--- a/tests/takeover_rig.py
+++ b/tests/takeover_rig.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 import orjson
-from rig import PATIENCE, SETTINGS, merge_settings
+from rig import PEER_TIMEOUT, SETTINGS, merge_settings
 
 from cometusher.fault_injection.environment import Fleet, wait_until
 from standins.backend import Backend
 from standins.caller import Caller, request
 from standins.discovery import HostList
-from standins.messages import Seen, Writer, reply
-from standins.service_backend import Keys
+from standins.messages import Message, Writer, reply
+from standins.service_backend import KeyWindow
 
 HOOKS = Path(__file__).parent / "hooks"
 POLICY = {"backoff_from": 0.02, "backoff_to": 0.1, "budget": 10000, "hang_after": 1.6}
@@ -42,17 +42,17 @@
         self.backends_may_answer.set()
         self.received: list[tuple[bytes, str]] = []  # requests at backends: call id and host
         self.effects: dict[bytes, int] = {}  # by call id: how often a request took effect
-        self._keys = Keys(4.0)
-        self.respond: Callable[[Seen, Writer, bytes], Coroutine[Any, Any, None]] | None = None
+        self._keys = KeyWindow(4.0)
+        self.respond: Callable[[Message, Writer, bytes], Coroutine[Any, Any, None]] | None = None
         self._count = 0
         self.callers: list[Caller] = []
 
-    async def serve(self, backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def serve(self, backend: Backend, seen: Message, writer: Writer) -> None:
         """Serve one request at a backend."""
         request_id = seen.headers[b"x-call-id"]
         self.received.append((request_id, backend.host))
         key = seen.headers.get(b"idempotency-key")
-        if key is None or self._keys.first(asyncio.get_running_loop().time(), key):
+        if key is None or self._keys.register(asyncio.get_running_loop().time(), key):
             self.effects[request_id] = self.effects.get(request_id, 0) + 1
         body = request_id + b" by " + backend.host.encode()
         if self.respond is not None:
@@ -65,7 +65,7 @@
         """Start all, and wait until every instance is ready; `extra` is added to the fleet file's takeover table."""
         for backend in self.backends:
             await backend.start()
-        self.lists.hosts = [backend.entry() for backend in self.backends]
+        self.lists.hosts = [backend.discovery_entry() for backend in self.backends]
         await self.lists.start()
         self.fleet.write(self.lists.port)
         values = merge_settings(merge_settings(SETTINGS, {"Bounds": {"SecondCopies": False}}), settings or {})
@@ -80,7 +80,7 @@
         """Stop all."""
         self.backends_may_answer.set()
         for caller in self.callers:
-            caller.leave()
+            caller.abort()
         await self.fleet.stop()
         await self.lists.stop()
         for backend in self.backends:
@@ -90,7 +90,7 @@
 
     async def wait_until(self, condition: Any, what: str) -> None:
         """Wait until a condition holds; fails the test if it never does."""
-        assert await wait_until(condition, 3 * PATIENCE), f"never: {what}\n{self.fleet.log()[-3000:]}"
+        assert await wait_until(condition, 3 * PEER_TIMEOUT), f"never: {what}\n{self.fleet.log()[-3000:]}"
 
     def signal_at(self, stage: str, who: str = "any", number: int = signal.SIGKILL) -> Path:
         """Signal the first process that reaches a stage; the returned file is gone once that has happened."""
@@ -108,7 +108,7 @@
         """A request's call id and bytes, with a key of its own unless one is given."""
         self._count += 1
         request_id = b"r%d" % self._count
-        data = request(kind=kind, rid=request_id.decode(), **options)
+        data = request(kind=kind, request_id=request_id.decode(), **options)
         return request_id, data.replace(b"Idempotency-Key: k1", b"Idempotency-Key: " + (key or b"k" + request_id))
 
     async def hold_request(self, instance: int, kind: str, key: bytes = b"") -> tuple[Caller, bytes]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from test_proxy import run, silent
 
 from cometusher import discovery as discovery_module
-from cometusher.discovery import read_entry, server_id
+from cometusher.discovery import parse_entry, server_id
 from weldroute import Action, ListKind, ServerRow, State
 
 ASKED = {"RegistryMode": "on_request"}
@@ -27,12 +27,12 @@
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            assert watch.line == b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1"
-            watch.tell(43, r.backends[0].entry(health="terminating"))
+            assert watch.request_line == b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1"
+            watch.send_list(43, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
             for i in range(10):
-                assert (await r.call(rid=str(i)))[1].body == b"s-2"
-            watch.tell(44, r.backends[0].entry(health="terminated"))
+                assert (await r.call(request_id=str(i)))[1].body == b"s-2"
+            watch.send_list(44, r.backends[0].discovery_entry(health="terminated"))
             await until(lambda: state(r, 1) is State.GONE)
 
     run(test)
@@ -42,7 +42,7 @@
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(90, r.backends[1].entry(), whole=True)
+            watch.send_list(90, r.backends[1].discovery_entry(), whole=True)
             await until(lambda: state(r, 1) is State.GONE)
             assert state(r, 2) is State.UP
 
@@ -53,8 +53,8 @@
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[1].entry(health="terminated"))
-            watch.tell(43, r.backends[0].entry(dial=f"127.0.0.1:{r.backends[1].port}"))
+            watch.send_list(42, r.backends[1].discovery_entry(health="terminated"))
+            watch.send_list(43, r.backends[0].discovery_entry(dial=f"127.0.0.1:{r.backends[1].port}"))
             await until(lambda: r.proxy.discovery._seq == 43)
             assert (await r.call())[1].body == b"s-2"
 
@@ -67,19 +67,19 @@
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            old = r.backends[0].entry()
+            old = r.backends[0].discovery_entry()
             new = old | {"host": "s-9", "born_ms": 5000}
-            watch.tell(42, new)
+            watch.send_list(42, new)
             await until(lambda: state(r, 9) is State.UP)
             assert state(r, 1) is State.GONE
-            watch.tell(43, old)
-            watch.tell(44, r.backends[1].entry(health="terminated"))
+            watch.send_list(43, old)
+            watch.send_list(44, r.backends[1].discovery_entry(health="terminated"))
             await until(lambda: state(r, 2) is State.GONE)
             assert state(r, 1) is State.GONE and state(r, 9) is State.UP
             assert (await r.call())[0] == 200
-            watch.tell(45, new | {"health": "terminated"})
+            watch.send_list(45, new | {"health": "terminated"})
             await until(lambda: state(r, 9) is State.GONE)
-            watch.tell(46, old)  # free again
+            watch.send_list(46, old)  # free again
             await until(lambda: state(r, 1) is State.UP)
             assert not r.proxy.backends._owners.keys() - {("127.0.0.1", r.backends[0].port)}
 
@@ -94,9 +94,9 @@
         async with rig(serve_ok) as r:
             (await r.discovery.watch()).send(line)
             watch = await r.discovery.watch()
-            assert b"&from=" in watch.line
+            assert b"&from=" in watch.request_line
             assert state(r, 1) is State.UP
-            watch.tell(50, r.backends[0].entry(health="terminating"))
+            watch.send_list(50, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
 
     run(test)
@@ -107,7 +107,9 @@
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[1].entry(**odd), r.backends[0].entry(health="terminating"))
+            watch.send_list(
+                42, r.backends[1].discovery_entry(**odd), r.backends[0].discovery_entry(health="terminating")
+            )
             await until(lambda: state(r, 1) is State.DRAINING)
             assert state(r, 2) is State.UP
 
@@ -130,7 +132,7 @@
 
 def test_missing_heartbeats_end_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that vanishes leaves the connection open and silent."""
-    monkeypatch.setattr(discovery_module, "HEARTBEAT", 0.2)
+    monkeypatch.setattr(discovery_module, "HEARTBEAT_TIMEOUT", 0.2)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -141,7 +143,7 @@
 
 
 def test_heartbeats_keep_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "HEARTBEAT", 5.0)
+    monkeypatch.setattr(discovery_module, "HEARTBEAT_TIMEOUT", 5.0)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -168,12 +170,12 @@
 
             monkeypatch.setattr(r.proxy.balancer, "members", collect)
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[0].entry(), whole=True)
+            watch.send_list(42, r.backends[0].discovery_entry(), whole=True)
             await until(lambda: told == [ListKind.WHOLE])
             watch.writer.close()
             await until(lambda: told == [ListKind.WHOLE, ListKind.BROKEN])
             again = await r.discovery.watch()
-            assert again.line.endswith(b"from=42 HTTP/1.1")
+            assert again.request_line.endswith(b"from=42 HTTP/1.1")
 
     run(test)
 
@@ -187,7 +189,7 @@
             watch = await r.discovery.watch()
             pending = asyncio.ensure_future(r.call(kind="once", budget="400m"))
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
-            watch.tell(42, r.backends[0].entry(health="terminating"))
+            watch.send_list(42, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
             assert (await pending)[0] == 504  # it was waited for, to the deadline
 
@@ -199,5 +201,5 @@
     assert server_id("s-1") == 1
     assert server_id("anything else") == server_id("anything else") < 2**32
     item = {"host": "s-1", "dial": "127.0.0.1:1", "site": "b", "health": "on_fire", "born_ms": 1500, "block": 3}
-    row = read_entry(item, ("a", "b")).row
+    row = parse_entry(item, ("a", "b")).row
     assert (row.zone, row.cell, row.started, row.state) == (1, 3, 1.5, State.DRAINING)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 
 import orjson
 import pytest
-from rig import PATIENCE, SETTINGS, Backend, Caller, Discovery, Script, Seen, Writer, reply, request, serve_ok
+from rig import PEER_TIMEOUT, SETTINGS, Backend, Caller, Discovery, Message, Script, Writer, reply, request, serve_ok
 from test_proxy import run
 
 from standins.ports import free_ports
@@ -44,14 +44,14 @@
         "seed": "ab",
         "limits": {"memory_mb": 192, "sockets": 128},
         "extra": 1,
-        "known": {"seq": 1, "whole": True, "hosts": [backend.entry()]},
+        "known": {"seq": 1, "whole": True, "hosts": [backend.discovery_entry()]},
         "settings": SETTINGS,
     }
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(config))
     process = await launch({"LB_CONFIG": str(path), "LB_DISCOVERY": discovery})
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(PEER_TIMEOUT):
             while True:
                 with contextlib.suppress(OSError):
                     caller = await connect(port)
@@ -78,7 +78,7 @@
     """
     go = asyncio.Event()
 
-    async def wait(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def wait(backend: Backend, seen: Message, writer: Writer) -> None:
         await go.wait()
         writer.write(reply(body=b"late"))
 
@@ -90,20 +90,20 @@
             await early.writer.drain()
             process.send_signal(signal.SIGTERM)
             after = await connect(port)  # connections still come for a while
-            after.writer.write(request(rid="2"))
-            async with asyncio.timeout(PATIENCE):
+            after.writer.write(request(request_id="2"))
+            async with asyncio.timeout(PEER_TIMEOUT):
                 with contextlib.suppress(OSError):
                     while True:
-                        (await connect(port)).leave()
+                        (await connect(port)).abort()
                         await asyncio.sleep(0.02)
-            kept.writer.write(request(rid="3"))
+            kept.writer.write(request(request_id="3"))
             go.set()
             for caller in (early, after, kept):
                 status, seen = await caller.answer()
                 assert (status, seen.body) == (200, b"late")
             for caller in (early, after, kept):
-                assert await caller.ended() == b""
-            assert await asyncio.wait_for(process.wait(), PATIENCE) == 0
+                assert await caller.read_to_end() == b""
+            assert await asyncio.wait_for(process.wait(), PEER_TIMEOUT) == 0
 
     run(test)
 
@@ -114,8 +114,8 @@
             caller = await connect(port)
             assert (await caller.call())[0] == 200
             process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(process.wait(), PATIENCE) == 0
-            assert await caller.ended() == b""
+            assert await asyncio.wait_for(process.wait(), PEER_TIMEOUT) == 0
+            assert await caller.read_to_end() == b""
 
     run(test)
 
@@ -132,7 +132,7 @@
         await new.start()
         go = asyncio.Event()
 
-        async def wait(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def wait(backend: Backend, seen: Message, writer: Writer) -> None:
             await go.wait()
             writer.write(reply(body=b"whole"))
 
@@ -140,23 +140,23 @@
             await old.watch()
             caller = await connect(port)
             caller.writer.write(request())
-            await asyncio.wait_for(backend.arrived.wait(), PATIENCE)
+            await asyncio.wait_for(backend.arrived.wait(), PEER_TIMEOUT)
             path = tmp_path / "config.json"
             config = orjson.loads(path.read_bytes())
             path.write_bytes(b"{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(PEER_TIMEOUT):
                 while b"the configuration stays" not in (line := await process.stderr.readline()):
                     assert line, "the proxy ended"
             path.write_bytes(orjson.dumps(config | {"discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
             watch = await new.watch()
-            watch.tell(1, backend.entry(health="terminating"), whole=True)
+            watch.send_list(1, backend.discovery_entry(health="terminating"), whole=True)
             go.set()
             assert (await caller.answer())[1].body == b"whole"  # begun before the reload, on the same connection
-            async with asyncio.timeout(PATIENCE):
-                while (await caller.call(kind="once", rid="2"))[0] != 503:
+            async with asyncio.timeout(PEER_TIMEOUT):
+                while (await caller.call(kind="once", request_id="2"))[0] != 503:
                     await asyncio.sleep(0.01)  # until the new list is in force, there is still one backend
             assert process.returncode is None
         await old.stop()
@@ -189,7 +189,7 @@
         if content is not None:
             path.write_bytes(content)
         process = await launch({"LB_CONFIG": str(path)})
-        _, errors = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, errors = await asyncio.wait_for(process.communicate(), PEER_TIMEOUT)
         assert process.returncode == 2
         assert errors.count(b"\n") == 1 and named in errors
 
@@ -201,9 +201,9 @@
 import os, signal, sys
 from cometusher import config, service
 load = config.load
-def replaced_when_read(environ, again=False):
-    settings = load(environ, again)
-    if not again:
+def replaced_when_read(environ, reload=False):
+    settings = load(environ, reload)
+    if not reload:
         os.replace(environ["LB_CONFIG"] + ".new", environ["LB_CONFIG"])
         os.kill(os.getpid(), signal.SIGHUP)
     return settings
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from rig import Backend, Caller, Seen, Writer, reply, request, rig, serve_ok, until
+from rig import Backend, Caller, Message, Writer, reply, request, rig, serve_ok, until
 
 from cometusher import backends as backends_module
 from cometusher import callers as callers_module
@@ -28,59 +28,59 @@
 # ---- scripts of backends -----------------------------------------------------------------
 
 
-async def serve_500(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def serve_500(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(500, b"broken"))
 
 
-async def reject_as_overloaded(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def reject_as_overloaded(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(503, b"", b"X-Rejected: 1"))
 
 
-async def plain_503(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def plain_503(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(503, b""))
 
 
-async def reset(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def reset(backend: Backend, seen: Message, writer: Writer) -> None:
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-async def close_connection(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def close_connection(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.close()
 
 
-async def silent(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def silent(backend: Backend, seen: Message, writer: Writer) -> None:
     pass
 
 
-async def garbage(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def garbage(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"SSH-2.0-nothing\r\n\r\n")
 
 
-async def partial_answer(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def partial_answer(backend: Backend, seen: Message, writer: Writer) -> None:
     """Writes the head and a part of the body, and then nothing."""
     writer.write(reply(body=b"x" * 100)[:-50])
 
 
-async def partial_answer_and_close(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def partial_answer_and_close(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=b"x" * 100)[:-50])
     writer.close()
 
 
-async def in_pieces(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def in_pieces(backend: Backend, seen: Message, writer: Writer) -> None:
     for byte in reply(body=b"pieces"):
         writer.write(bytes([byte]))
         await writer.drain()
         await asyncio.sleep(0)
 
 
-async def chunked(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def chunked(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nchu\r\n4\r\nnked\r\n0\r\n\r\n")
 
 
-async def until_eof(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def until_eof(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.0 200 OK\r\n\r\nto the end")
     writer.close()
 
@@ -143,7 +143,7 @@
     async def test() -> None:
         async with rig(script) as r:
             assert (await r.call(kind="view"))[0] == safe_status
-            assert (await r.call(kind="once", rid="2"))[0] == unsafe_status
+            assert (await r.call(kind="once", request_id="2"))[0] == unsafe_status
             # With a single backend, a broken request that is safe to repeat is retried there once more.
             assert reported == [outcome] * (1 + MAX_ATTEMPTS_PER_SERVER if outcome is Outcome.BROKEN else 2)
 
@@ -177,9 +177,9 @@
     async def test() -> None:
         async with rig(partial_answer, serve_ok) as r:
             for rid in range(6):
-                status, seen = await r.call(rid=str(rid))
+                status, seen = await r.call(request_id=str(rid))
                 assert (status, seen.body) == (200, b"s-2")
-            assert r.backends[0].seen, "the stalling backend was never selected"
+            assert r.backends[0].requests, "the stalling backend was never selected"
 
     run(test)
 
@@ -211,22 +211,22 @@
     run(test)
 
 
-async def announces_3_gb(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def announces_3_gb(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"a" * 200_000)
 
 
-async def head_without_end(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def head_without_end(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppppppppppppppp\r\n" * 4000)
 
 
-async def interims_without_end(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def interims_without_end(backend: Backend, seen: Message, writer: Writer) -> None:
     with contextlib.suppress(OSError):
         while not writer.is_closing():
             writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await writer.drain()
 
 
-async def trickle(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def trickle(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10000\r\n\r\n")
     with contextlib.suppress(OSError):
         while not writer.is_closing():
@@ -235,11 +235,11 @@
             await asyncio.sleep(0.02)
 
 
-async def two_lengths(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def two_lengths(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nhello")
 
 
-async def length_and_chunks(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def length_and_chunks(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(
         b"HTTP/1.1 200 OK\r\nContent-Length: 15\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
     )
@@ -266,7 +266,7 @@
     async def test() -> None:
         async with rig(script, serve_ok) as r:
             for rid in range(500):
-                status, seen = await r.call(rid=str(rid))
+                status, seen = await r.call(request_id=str(rid))
                 assert (status, seen.body) == (200, b"s-2")
                 if reported.count(Outcome.BROKEN):
                     break
@@ -280,7 +280,7 @@
     """A keyed request whose group has one backend is sent there once more, within the rules of the group."""
     broken = True
 
-    async def broken_once(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def broken_once(backend: Backend, seen: Message, writer: Writer) -> None:
         nonlocal broken
         writer.write(b"noise\r\n\r\n" if broken else reply())
         broken = False
@@ -297,16 +297,16 @@
     run(test)
 
 
-async def answer_twice(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_twice(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=seen.headers[b"x-call-id"]) * 2)
 
 
-async def answer_and_a_partial_one(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_and_a_partial_one(backend: Backend, seen: Message, writer: Writer) -> None:
     whole = reply(body=seen.headers[b"x-call-id"])
     writer.write(whole + whole[:-1])
 
 
-async def answer_and_noise(backend: Backend, seen: Seen, writer: Writer) -> None:
+async def answer_and_noise(backend: Backend, seen: Message, writer: Writer) -> None:
     writer.write(reply(body=seen.headers[b"x-call-id"]) + b"\x00\xff$-1\r\n")
 
 
@@ -315,7 +315,7 @@
     async def test() -> None:
         async with rig(script) as r:
             for rid in range(4):
-                status, seen = await r.call(kind="once", rid=str(rid))
+                status, seen = await r.call(kind="once", request_id=str(rid))
                 assert (status, seen.body) == (200, b"%d" % rid)
             assert r.backends[0].connections == 4
 
@@ -328,20 +328,20 @@
     async def test() -> None:
         writers: list[Writer] = []
 
-        async def keep(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def keep(backend: Backend, seen: Message, writer: Writer) -> None:
             writers.append(writer)
             writer.write(reply(body=seen.headers[b"x-call-id"]))
 
         async with rig(keep) as r:
             pool = r.proxy.backends
-            assert (await r.call(rid="1"))[0] == 200
+            assert (await r.call(request_id="1"))[0] == 200
             (connection,) = pool._idle
             assert connection.is_reusable()
             os.write(writers[0].get_extra_info("socket").fileno(), reply(body=b"stray"))
             for _ in range(1_000_000):  # until the kernel has it; without an await the event loop can't read it
                 if not connection.is_reusable():
                     break
-            assert (await r.call(rid="2"))[1].body == b"2"
+            assert (await r.call(request_id="2"))[1].body == b"2"
 
     run(test)
 
@@ -350,7 +350,7 @@
     """A backend that answers 100 at once and then works for long has not stalled."""
     monkeypatch.setattr(backends_module, "ANSWER_STALL_TIMEOUT", 0.05)
 
-    async def early_100(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def early_100(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
         await asyncio.sleep(0.4)
         writer.write(reply(body=b"worked"))
@@ -365,13 +365,13 @@
 def test_4xx_is_not_counted_against_the_backend() -> None:
     """A request answered by 4xx is not retried, and the backend's breaker is unchanged."""
 
-    async def not_found(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def not_found(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply(404, b""))
 
     async def test() -> None:
         async with rig(not_found, not_found) as r:
             for rid in range(30):
-                assert (await r.call(rid=str(rid)))[0] == 503
+                assert (await r.call(request_id=str(rid)))[0] == 503
             assert len(r.seen) == 30
             for server in r.proxy.balancer.servers.values():
                 assert server.breaker is None or server.breaker.error_ratio(r.proxy.clock.now()) == 0.0
@@ -381,7 +381,7 @@
 
 
 def test_buffered_bodies_are_forwarded_both_ways() -> None:
-    async def echo(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def echo(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply(body=seen.body))
 
     async def test() -> None:
@@ -407,7 +407,7 @@
             await until(lambda: r.proxy.memory.used == room * 65536)
             assert (await r.call(kind="submit", body=b"x"))[0] == 503
             for caller in callers:
-                caller.leave()
+                caller.abort()
             await until(lambda: r.proxy.memory.used == 0)
             assert (await r.call(kind="submit", body=b"x"))[0] == 200
 
@@ -423,7 +423,7 @@
         (b"nonsense\r\n\r\n", 400),
         (request(budget="12"), 400),
         (request(budget="-5m"), 400),
-        (request(rid=None), 400),
+        (request(request_id=None), 400),
         (request(kind="other"), 400),
         (request(extra=(b"Content-Length: 1", b"Content-Length: 2")), 400),
         (request(extra=(b"Content-Length: 5", b"Transfer-Encoding: chunked")), 400),
@@ -461,7 +461,7 @@
             got, seen = await caller.answer()
             assert got == status
             assert b"Traceback" not in seen.body
-            assert await caller.ended() == b""  # a single answer, then the connection ends
+            assert await caller.read_to_end() == b""  # a single answer, then the connection ends
             assert not r.seen
             assert r.proxy.memory.used == 0
             assert (await r.call())[0] == 200
@@ -512,7 +512,7 @@
 WRONG_LENGTH = request(kind="submit", extra=(b"Content-Length: 5",)) + b"longer than that"
 
 
-@pytest.mark.parametrize("data", [request() + request(rid="2"), request() + b"\x00noise", WRONG_LENGTH])
+@pytest.mark.parametrize("data", [request() + request(request_id="2"), request() + b"\x00noise", WRONG_LENGTH])
 def test_input_behind_a_request_rejects_both(data: bytes) -> None:
     """The framing differs from the sender's intent, so nothing is forwarded to a backend."""
 
@@ -521,7 +521,7 @@
             caller = await r.caller()
             caller.writer.write(data)
             assert (await caller.answer())[0] == 400
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
             assert not r.seen and not r.proxy._exchanges
 
     run(test)
@@ -533,7 +533,7 @@
             caller = await r.caller()
             caller.writer.write(request())
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
-            caller.writer.write(request(rid="2"))
+            caller.writer.write(request(request_id="2"))
             assert (await caller.answer())[0] == 400
             await asyncio.wait_for(r.backends[0].closed.wait(), 5.0)
             await until(lambda: not r.proxy._exchanges and not r.proxy.balancer.requests)
@@ -548,19 +548,19 @@
     async def test() -> None:
         go = asyncio.Event()
 
-        async def wait(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def wait(backend: Backend, seen: Message, writer: Writer) -> None:
             await go.wait()
             writer.write(reply(body=b"first"))
 
         async with rig(wait) as r:
             first = await r.caller()
-            first.writer.write(request(rid="same"))
+            first.writer.write(request(request_id="same"))
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
-            assert (await r.call(rid="same"))[0] == 409
+            assert (await r.call(request_id="same"))[0] == 409
             assert len(r.seen) == 1
             go.set()
             assert (await first.answer())[1].body == b"first"
-            assert (await r.call(rid="same"))[0] == 200
+            assert (await r.call(request_id="same"))[0] == 200
             assert not r.proxy._open_ids
 
     run(test)
@@ -582,7 +582,7 @@
                     await asyncio.sleep(0.02)
 
             dripping = asyncio.ensure_future(drip())
-            rest = await caller.ended()
+            rest = await caller.read_to_end()
             dripping.cancel()
             assert rest.startswith(b"HTTP/1.1 4") if data else rest == b""
             await until(lambda: not r.proxy.callers.count())
@@ -597,7 +597,7 @@
             caller = await r.caller()
             caller.writer.write(request())
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
-            caller.leave()
+            caller.abort()
             await asyncio.wait_for(r.backends[0].closed.wait(), 5.0)
             await until(lambda: not r.proxy._exchanges and not r.proxy.balancer.requests)
 
@@ -610,7 +610,7 @@
             caller = await r.caller()
             caller.writer.write(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
             assert (await caller.answer())[0] == 200
-            assert await caller.ended() == b""
+            assert await caller.read_to_end() == b""
 
     run(test)
 
@@ -623,7 +623,7 @@
             callers: list[Caller] = []
             for i in range(40):
                 callers.append(await r.caller())
-                assert (await callers[-1].call(rid=str(i)))[0] == 200
+                assert (await callers[-1].call(request_id=str(i)))[0] == 200
             assert r.proxy.descriptors.peak <= r.proxy.descriptors.limit == 16
 
     run(test)
@@ -636,10 +636,10 @@
     async def test() -> None:
         async with rig(serve_ok, sockets=40) as r:
             regular = await r.caller()
-            assert (await regular.call(rid="regular"))[0] == 200
+            assert (await regular.call(request_id="regular"))[0] == 200
             crowd = [await r.caller() for _ in range(60)]
-            assert (await r.call(rid="new"))[0] == 200
-            assert (await regular.call(rid="again"))[0] == 200  # on its existing connection
+            assert (await r.call(request_id="new"))[0] == 200
+            assert (await regular.call(request_id="again"))[0] == 200  # on its existing connection
             assert r.proxy.descriptors.peak <= r.proxy.descriptors.limit
             assert crowd
 
@@ -653,21 +653,21 @@
     async def test() -> None:
         async with rig(serve_ok) as r:
             for i in range(5):
-                assert (await r.call(rid=str(i)))[0] == 200
+                assert (await r.call(request_id=str(i)))[0] == 200
             assert r.backends[0].connections == 1
 
     run(test)
 
 
 def test_connection_closed_by_the_backend_is_not_reused() -> None:
-    async def once(backend: Backend, seen: Seen, writer: Writer) -> None:
+    async def once(backend: Backend, seen: Message, writer: Writer) -> None:
         writer.write(reply())
         writer.close()
 
     async def test() -> None:
         async with rig(once) as r:
             for i in range(3):
-                assert (await r.call(kind="once", rid=str(i)))[0] == 200
+                assert (await r.call(kind="once", request_id=str(i)))[0] == 200
                 await until(lambda: not r.proxy.backends._idle)
             assert r.backends[0].connections == 3
 
@@ -679,9 +679,9 @@
         async with rig(serve_ok) as r:
             assert (await r.call())[0] == 200
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[0].entry(born_ms=1000))
+            watch.send_list(42, r.backends[0].discovery_entry(born_ms=1000))
             await asyncio.wait_for(r.backends[0].closed.wait(), 5.0)
-            assert (await r.call(rid="2"))[0] == 200
+            assert (await r.call(request_id="2"))[0] == 200
             assert r.backends[0].connections == 2
 
     run(test)
@@ -696,7 +696,7 @@
             with monkeypatch.context() as patch:
                 patch.setattr(type(r.proxy.balancer), "request", lambda *rest: 1 / 0)
                 assert (await r.call())[0] == 502
-            assert (await r.call(rid="2"))[0] == 200
+            assert (await r.call(request_id="2"))[0] == 200
             assert not r.proxy._exchanges
 
     run(test)
@@ -708,7 +708,7 @@
     async def test() -> None:
         hang = False
 
-        async def maybe(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def maybe(backend: Backend, seen: Message, writer: Writer) -> None:
             nonlocal hang
             if hang:
                 hang = False  # for this request only
@@ -718,9 +718,9 @@
 
         async with rig(maybe, maybe) as r:
             for i in range(60):
-                assert (await r.call(rid=str(i)))[0] == 200
+                assert (await r.call(request_id=str(i)))[0] == 200
             hang = True
-            status, seen = await r.call(rid="last")
+            status, seen = await r.call(request_id="last")
             assert (status, seen.body) == (200, b"last")
             assert len(r.seen) == 62
 
@@ -733,7 +733,7 @@
     async def test() -> None:
         hang = False
 
-        async def maybe(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def maybe(backend: Backend, seen: Message, writer: Writer) -> None:
             nonlocal hang
             if hang:
                 hang = False  # for this request only
@@ -743,9 +743,9 @@
 
         async with rig(maybe) as r:
             for i in range(60):
-                assert (await r.call(rid=str(i)))[0] == 200
+                assert (await r.call(request_id=str(i)))[0] == 200
             hang = True
-            status, seen = await r.call(kind="submit", rid="last")
+            status, seen = await r.call(kind="submit", request_id="last")
             assert (status, seen.body) == (200, b"last")
             assert r.backends[0].connections == 2
 
@@ -760,7 +760,7 @@
         dead: set[Writer] = set()
         both = asyncio.Barrier(2)
 
-        async def keep(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def keep(backend: Backend, seen: Message, writer: Writer) -> None:
             if writer in dead:
                 await reset(backend, seen, writer)
                 return
@@ -771,10 +771,10 @@
 
         # No second copies: on a busy machine with slow answers, one would be counted as a further repeat.
         async with rig(keep, settings={"Bounds": {"SecondCopies": False}}) as r:
-            await asyncio.gather(r.call(rid="pair1"), r.call(rid="pair2"))
+            await asyncio.gather(r.call(request_id="pair1"), r.call(request_id="pair2"))
             await until(lambda: len(r.proxy.backends._idle) == 2)
             dead |= pooled
-            assert (await r.call(kind="submit", rid="3"))[0] == 200
+            assert (await r.call(kind="submit", request_id="3"))[0] == 200
             assert [seen.headers[b"x-call-id"] for seen in r.seen].count(b"3") == 2
 
     run(test)
@@ -786,7 +786,7 @@
     async def test() -> None:
         used: set[Writer] = set()
 
-        async def one_each(backend: Backend, seen: Seen, writer: Writer) -> None:
+        async def one_each(backend: Backend, seen: Message, writer: Writer) -> None:
             if writer in used:
                 await reset(backend, seen, writer)  # as if it had closed this connection already
             else:
@@ -796,12 +796,12 @@
         async with rig(one_each) as r:
             pool = r.proxy.backends
             while len(pool._close_races) < backends_module.CLOSE_RACES:
-                await r.call(rid="safe")
+                await r.call(request_id="safe")
                 await asyncio.sleep(backends_module.MIN_RACE_IDLE_AGE)
             while not pool._idle:
-                await r.call(rid="pooled")
+                await r.call(request_id="pooled")
             await asyncio.sleep(pool._trusted_idle_age(r.proxy.loop.time()) + 0.01)
-            assert (await r.call(kind="once", rid="unsafe"))[0] == 200
+            assert (await r.call(kind="once", request_id="unsafe"))[0] == 200
 
     run(test)
 
--- a/tests/unit/test_drill.py
+++ b/tests/unit/test_drill.py
@@ -66,7 +66,7 @@
 
 
 def test_every_action_and_link_fault_is_implemented() -> None:
-    assert set(ACTION_TARGETS) == set(ACTIONS) and set(LINK_FAULTS) == set(faulty_link.MOODS)
+    assert set(ACTION_TARGETS) == set(ACTIONS) and set(LINK_FAULTS) == set(faulty_link.LINK_FAULTS)
 
 
 def test_full_service_begins_after_the_last_request_that_was_not_served_promptly() -> None:
--- a/tests/unit/test_schemas.py
+++ b/tests/unit/test_schemas.py
@@ -10,7 +10,7 @@
 import pytest
 from jsonschema import Draft202012Validator
 
-from cometusher.schemas import READERS, schema
+from cometusher.schemas import FILE_KINDS, schema
 
 ROOT = Path(__file__).parent.parent.parent
 FILES = [("fleet", ROOT / "deploy" / "fleet.toml")]
@@ -21,7 +21,7 @@
     return [fault.json_path for fault in Draft202012Validator(schema(name)).iter_errors(values)]
 
 
-@pytest.mark.parametrize("name", sorted(READERS))
+@pytest.mark.parametrize("name", sorted(FILE_KINDS))
 def test_what_is_published_is_what_is_read(name: str) -> None:
     published = orjson.loads((ROOT / "deploy" / "schema" / f"{name}.json").read_bytes())
     assert published == schema(name), "python -m cometusher.schemas deploy/schema"
--- a/tests/unit/test_toml_reader.py
+++ b/tests/unit/test_toml_reader.py
@@ -113,7 +113,7 @@
 @given(st.text(max_size=3000), st.integers(0, 40))
 def test_a_record_is_one_line_and_fits_a_pipe(text: str, repeat: int) -> None:
     record = logging.LogRecord("cometusher.proxy", logging.INFO, "f", 1, "%s", (text * repeat,), None)
-    values = logs.as_fields(record, "a")
+    values = logs.record_fields(record, "a")
     line = logs.to_json(values)
     assert len(line) < logs.MAX_RECORD and b"\n" not in line
     assert orjson.loads(line)["instance"] == "a"
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -12,19 +12,19 @@
 import pytest
 
 from cometusher import config
-from cometusher.demo import WINDOW, settings
+from cometusher.demo import DEDUP_WINDOW, proxy_settings
 from cometusher.proxy import Proxy
 from cometusher.simulation.loop import VirtualLoop, run
 from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualRuntime
 from cometusher.simulation.seed_search import in_fresh_processes
 from standins.discovery import HostList
-from standins.load import Figures, Kind, Load
-from standins.service_backend import Keys, Node
+from standins.load import Load, LoadClass, LoadCounters
+from standins.service_backend import KeyWindow, ServiceBackend
 from weldroute.settings import read_settings
 
 FRONT = ("10.1.0.1", 9000)
 ROOT = Path(__file__).parent.parent.parent
-KINDS = [Kind("report-view", 0.63, 2.0, False), Kind("submit", 0.37, 1.25, True)]
+KINDS = [LoadClass("report-view", 0.63, 2.0, False), LoadClass("submit", 0.37, 1.25, True)]
 
 
 class Silent(asyncio.Protocol):
@@ -51,7 +51,7 @@
         self.clients = self.network.add_machine("10.3.0.1", descriptors=10000)
         self.proxy: Proxy | None = None
         self.load = Load([FRONT], KINDS, ["univ-central"], rate, seed)
-        self.services: list[Node] = []
+        self.services: list[ServiceBackend] = []
         self.ends: list[tuple[int, float]] = []  # of the silent crowd: who, and when
 
     async def _on(self, machine: Machine, start: Callable[[], object]) -> object:
@@ -68,13 +68,15 @@
         entries = []
         for i, machine in enumerate(self.machines):
             work = {"report-view": 0.03, "submit": 0.02}
-            node = Node(f"s-{i + 1:x}", "kigali", 1.0 + 0.3 * i, work, Keys(WINDOW), Random(rng.random()))
+            node = ServiceBackend(
+                f"s-{i + 1:x}", "kigali", 1.0 + 0.3 * i, work, KeyWindow(DEDUP_WINDOW), Random(rng.random())
+            )
             self.services.append(node)
             await self._on(machine, lambda n=node, m=machine: n.start(m.address))  # type: ignore[misc]
-            entries.append(node.entry(dial=f"{machine.address}:{node.port}"))
+            entries.append(node.discovery_entry(dial=f"{machine.address}:{node.port}"))
         hosts = HostList(entries)
         await self._on(self.network.add_machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
-        raw = settings(1, 0)
+        raw = proxy_settings(1, 0)
         told = config.Config(
             name="p",
             listen=FRONT,
@@ -102,7 +104,7 @@
 
         self.loop.create_task(connect(), context=self.clients.context())
 
-    async def play(self, seconds: float, script: dict[float, Callable[[], None]]) -> Figures:
+    async def play(self, seconds: float, script: dict[float, Callable[[], None]]) -> LoadCounters:
         await self.build()
         await asyncio.sleep(1.0)  # until the proxy knows its backends
         for at, fault in script.items():
@@ -111,14 +113,14 @@
         self.loop.call_at(seconds, stop.set)
         await self.loop.create_task(self.load.run(stop), context=self.clients.context())
         assert self.loop.unhandled_errors == []  # here: what is cancelled at the end makes asyncio's streams complain
-        return self.load.figures
+        return self.load.counters
 
 
 def play(
     seed: int,
     seconds: float = 30.0,
     faults: Callable[[World], dict[float, Callable[[], None]]] | None = None,
-) -> tuple[Figures, World]:
+) -> tuple[LoadCounters, World]:
     world = World(seed)
     figures = run(world.loop, world.play(seconds, faults(world) if faults is not None else {}))
     return figures, world
--- a/tests/virtual/test_staleness.py
+++ b/tests/virtual/test_staleness.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cometusher import config
-from cometusher.demo import settings
+from cometusher.demo import proxy_settings
 from cometusher.proxy import Proxy
 from cometusher.simulation.loop import VirtualLoop, run
 from cometusher.simulation.network import Link, Machine, VirtualNetwork, VirtualRuntime
@@ -110,7 +110,7 @@
     network = VirtualNetwork(loop, Link(latency=0.002, jitter=0.5))
     machine = network.add_machine(ADDRESS[0])
     service = Service(network, machine)
-    raw = settings(1, 0) | {"RegistryMode": mode}
+    raw = proxy_settings(1, 0) | {"RegistryMode": mode}
     told = config.Config(
         name="p",
         listen=("10.1.0.1", 9000),
