--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -147,21 +147,21 @@
 
     def _bucket_at(self, now: float) -> list[float]:
         number = int(now / self._bucket_width)
-        ring = self._buckets
-        if ring and ring[-1][0] >= number:
-            return ring[-1]
+        buckets = self._buckets
+        if buckets and buckets[-1][0] >= number:
+            return buckets[-1]
         self._expire(number)
         bucket = [float(number), 0.0, 0.0, 0.0]
-        ring.append(bucket)
+        buckets.append(bucket)
         return bucket
 
     def _expire(self, number: int) -> None:
-        ring = self._buckets
-        while ring and ring[0][0] <= number - BUCKETS:
-            expired = ring.popleft()
+        buckets = self._buckets
+        while buckets and buckets[0][0] <= number - BUCKETS:
+            expired = buckets.popleft()
             self._requests -= expired[1]
             self._accepts -= expired[2]
-        self._failing_buckets = min(self._failing_buckets, len(ring))
+        self._failing_buckets = min(self._failing_buckets, len(buckets))
 
     def record_refusal(self, now: float) -> None:
         """Count a call that was refused locally: a request that the server did not accept."""
@@ -265,14 +265,14 @@
     def score(self, now: float, pooled: float) -> float:
         """Return current latency x (in-flight + 1); lower is better. `pooled` is the latency of the tier.
 
-        The latency of a server that has not answered lately drifts to that of the tier, so that a recovered server
+        The latency of a server that has not answered recently drifts to that of the tier, so that a recovered server
         is tried again and an untried one ranks neither first nor last. Hung servers are avoided because an attempt
         that has been in flight for longer than the current latency counts as a sample.
         """
         latency = pooled
         if self.latency > 0.0:
-            fresh = LATENCY_STALE_AFTER / (LATENCY_STALE_AFTER + now - self.seen)
-            latency += (self.latency - pooled) * fresh
+            own_weight = LATENCY_STALE_AFTER / (LATENCY_STALE_AFTER + now - self.seen)
+            latency += (self.latency - pooled) * own_weight
         in_flight = self.in_flight
         if not in_flight:
             return latency
@@ -461,8 +461,8 @@
 
     def _decay(self, now: float) -> None:
         keep = max(0.0, 1.0 - min(SHARE_WINDOW, now - self.sort_at) / (2.0 * SHARE_WINDOW))
-        self.asked = [v * keep for v in self.asked]
-        self.served = [v * keep for v in self.served]
+        self.asked = [count * keep for count in self.asked]
+        self.served = [count * keep for count in self.served]
         self.sort_at = now
 
     def _rank_slots(self, now: float, ratio: float) -> None:
@@ -472,38 +472,43 @@
         self.sort_at = now + RANKING_INTERVAL
         classes, tenants = settings.classes, self.tenant_count
         slots = range(len(self.asked))
-        worth = [classes[s // (2 * tenants)].worth * (settings.over_share_worth if s % 2 else 1.0) for s in slots]
+        worth = [
+            classes[slot // (2 * tenants)].worth * (settings.over_share_worth if slot % 2 else 1.0) for slot in slots
+        ]
         total = sum(self.asked)
-        offered = sum(w * a for w, a in zip(worth, self.asked, strict=True))
+        offered = sum(slot_worth * requests for slot_worth, requests in zip(worth, self.asked, strict=True))
         if total <= 0.0 or offered <= 0.0:
             return
         by_class = [[0.0, 0.0] for _ in classes]
         by_tenant = [[0.0, 0.0] for _ in range(tenants)]
-        for s in slots:
-            entry = by_class[s // (2 * tenants)]
-            entry[0] += worth[s] * self.asked[s]
-            entry[1] += worth[s] * self.served[s]
-            if not s % 2:
-                entry = by_tenant[s // 2 % tenants]
-                entry[0] += worth[s] * self.asked[s]
-                entry[1] += worth[s] * self.served[s]
-        value = [goal.whole * w / offered for w in worth]
+        for slot in slots:
+            entry = by_class[slot // (2 * tenants)]
+            entry[0] += worth[slot] * self.asked[slot]
+            entry[1] += worth[slot] * self.served[slot]
+            if not slot % 2:
+                entry = by_tenant[slot // 2 % tenants]
+                entry[0] += worth[slot] * self.asked[slot]
+                entry[1] += worth[slot] * self.served[slot]
+        value = [goal.whole * slot_worth / offered for slot_worth in worth]
         # The worst-served class and tenant have weights of their own, so that serving them counts twice for the goal.
-        class_of = [s // (2 * tenants) for s in slots]
-        tenant_of = [-1 if s % 2 else s // 2 % tenants for s in slots]
+        class_of = [slot // (2 * tenants) for slot in slots]
+        tenant_of = [-1 if slot % 2 else slot // 2 % tenants for slot in slots]
         for stats, weight, owner in (
             (by_class, goal.worst_class, class_of),
             (by_tenant, goal.worst_tenant, tenant_of),
         ):
-            worst = min(range(len(stats)), key=lambda i: stats[i][1] / stats[i][0] if stats[i][0] > 0.0 else 2.0)
+            worst = min(
+                range(len(stats)),
+                key=lambda index: stats[index][1] / stats[index][0] if stats[index][0] > 0.0 else 2.0,
+            )
             if weight > 0.0 and len(stats) > 1 and stats[worst][0] > 0.0:
-                for s in slots:
-                    if owner[s] == worst:
-                        value[s] += weight * worth[s] / stats[worst][0]
+                for slot in slots:
+                    if owner[slot] == worst:
+                        value[slot] += weight * worth[slot] / stats[worst][0]
         remaining = ratio * total
-        for s in sorted(slots, key=lambda s: (value[s], s)):
-            refused = min(remaining, self.asked[s])
-            self.chance[s] = refused / self.asked[s] if self.asked[s] > 0.0 else float(remaining > 0.0)
+        for slot in sorted(slots, key=lambda slot: (value[slot], slot)):
+            refused = min(remaining, self.asked[slot])
+            self.chance[slot] = refused / self.asked[slot] if self.asked[slot] > 0.0 else float(remaining > 0.0)
             remaining -= refused
 
 
@@ -590,7 +595,7 @@
 
     def count_warm(self, now: float, rules: Rules) -> None:
         """Recompute which fraction of the active subset is warm, and until when that holds."""
-        warm_at = [until for until in (s.cold_until(rules) for s in self.active) if until > now]
+        warm_at = [until for until in (server.cold_until(rules) for server in self.active) if until > now]
         self.next_warm_at = min(warm_at, default=float("inf"))
         self.warm_fraction = 1.0 - len(warm_at) / len(self.active) if self.active else 1.0
 
@@ -607,7 +612,7 @@
         self.first_call_due: dict[
             ServerId, float
         ] = {}  # servers not called since their ban ended, and when they are due
-        self.past_bans: dict[ServerId, tuple[float, float]] = {}  # start and end of bans that ended lately
+        self.past_bans: dict[ServerId, tuple[float, float]] = {}  # start and end of recent bans
         self.ready: list[Server] = []
         # First attempts go to these servers if possible, while new connections are scarce.
         self.preferred: list[ServerId] | None = None
@@ -699,9 +704,15 @@
         """
         since = self.bans.pop(server_id, None)
         if since is not None:
-            lately = now - self.settings.rules.cold_for
-            self.past_bans = {k: span for k, span in self.past_bans.items() if span[1] >= lately}
-            self.first_call_due = {k: due for k, due in self.first_call_due.items() if k in self.servers}
+            oldest_kept = now - self.settings.rules.cold_for
+            self.past_bans = {
+                banned_id: ban_period
+                for banned_id, ban_period in self.past_bans.items()
+                if ban_period[1] >= oldest_kept
+            }
+            self.first_call_due = {
+                banned_id: due for banned_id, due in self.first_call_due.items() if banned_id in self.servers
+            }
             self.past_bans[server_id] = (since, now)
             # Spread first calls over time, more widely where there are more instances: each of them adds to its load.
             spread = UNBAN_SPREAD * max(1.0, self.settings.balancers / UNBAN_SPREAD_INSTANCES)
@@ -714,15 +725,15 @@
         """Treat a server as started at the end of its ban, until the list reports a start or it would be warm."""
         if not self.past_bans:
             return
-        span, server = self.past_bans.get(server_id), self.servers.get(server_id)
-        if span is None or server is None:
+        ban_period, server = self.past_bans.get(server_id), self.servers.get(server_id)
+        if ban_period is None or server is None:
             return
-        since, back = span
-        if server.row.started > since or now > back + self.settings.rules.cold_for:
+        banned_at, unbanned_at = ban_period
+        if server.row.started > banned_at or now > unbanned_at + self.settings.rules.cold_for:
             server.back = 0.0
             del self.past_bans[server_id]
-        elif server.back != back:
-            server.back = back
+        elif server.back != unbanned_at:
+            server.back = unbanned_at
             server.breaker = None
             server.latency = 0.0
             server.cold_credit = 0.0
@@ -734,19 +745,19 @@
 
     def _rebuild_pools(self, now: float) -> None:
         """Rebuild the lists of ready servers; draining, banned and gone ones leave them at once."""
-        self.ready = [s for s in self.servers.values() if self._is_available(s)]
+        self.ready = [candidate for candidate in self.servers.values() if self._is_available(candidate)]
         self.zones.clear()
         self.cells.clear()
         for server in self.ready:
             self.zones.setdefault(server.row.zone, []).append(server)
             self.cells.setdefault(server.row.cell, []).append(server)
         # A ring in hashed order, the same at every instance; each instance starts at its own position.
-        ring = sorted(self.ready, key=lambda s: (_mix_bits(s.row.server), s.row.server))
+        ring = sorted(self.ready, key=lambda candidate: (_mix_bits(candidate.row.server), candidate.row.server))
         settings = self.settings
         near, far = ring, []
         if settings.zones > 1 and settings.prices.cross_zone > 0.0:
-            near = [s for s in ring if s.row.zone == settings.zone]
-            far = [s for s in ring if s.row.zone != settings.zone]
+            near = [candidate for candidate in ring if candidate.row.zone == settings.zone]
+            far = [candidate for candidate in ring if candidate.row.zone != settings.zone]
         for pool, pool_ring in ((self.near_pool, near), (self.far_pool, far)):
             # Multiples of the golden ratio are evenly spaced whichever instances share a zone.
             position = (
@@ -802,7 +813,7 @@
         deadline: float | None = None,
         receiving: bool = False,
     ) -> list[Action]:
-        """Handle a new request; exactly one final answer is owed from here on.
+        """Handle a new request; exactly one final answer follows.
 
         A request whose body is still being received (`receiving`) is sent while it arrives, with a distant deadline;
         `on_body_complete` reports its end. Raises ValueError for an unknown class.
@@ -839,7 +850,9 @@
         if deadline > now:
             if self.preferred is not None:
                 preferred = [
-                    s for n in self.preferred if (s := self.servers.get(n)) is not None and self._is_available(s)
+                    server
+                    for server_id in self.preferred
+                    if (server := self.servers.get(server_id)) is not None and self._is_available(server)
                 ]
                 sent = self._pick_and_send(now, request, preferred, True, actions)
             sent = sent or self._pick_and_send(now, request, None, True, actions)
@@ -984,7 +997,7 @@
             return False
         if allowed is not None and server not in allowed:
             return False
-        if sum(a.server is server for a in request.attempts) >= MAX_ATTEMPTS_PER_SERVER:
+        if sum(attempt.server is server for attempt in request.attempts) >= MAX_ATTEMPTS_PER_SERVER:
             return False
         if server.cold_until(self.settings.rules) > now:
             return False
@@ -995,7 +1008,7 @@
         return True
 
     def _pick(self, now: float, request: Request, allowed: list[Server] | None, first: bool) -> Server | None:
-        """Choose the better of two random ready servers; if its breaker refuses, the other or one drawn anew.
+        """Choose the better of two random ready servers; if its breaker refuses, the other or a newly drawn one.
 
         Where crossing zones has a price, both are of the own zone and a third one is of the other zones; it is chosen
         if it is better by more than the crossing costs. A zone short of servers spills over to the others.
@@ -1011,7 +1024,7 @@
             pools = (self.near_pool, self.near_pool, self.far_pool)
         skipped: list[Server] = []
         chosen: list[tuple[float, int, Server]] = []
-        tried: list[Server] = [a.server for a in request.attempts]
+        tried: list[Server] = [attempt.server for attempt in request.attempts]
         for pool in pools:
             self._draw_candidate(now, pool, first, timeout, tried, chosen, skipped)
         if not chosen and skipped:
@@ -1019,9 +1032,9 @@
         if self.first_call_due and first and allowed is None:
             # Where calls are few, random draws might leave a formerly banned server out for long.
             for server_id, due in self.first_call_due.items():
-                back = self.servers.get(server_id)
-                if due <= now and back is not None and self._is_available(back):
-                    chosen.append((0.0, -1, back))
+                unbanned = self.servers.get(server_id)
+                if due <= now and unbanned is not None and self._is_available(unbanned):
+                    chosen.append((0.0, -1, unbanned))
                     break
         redraws = FAR_REDRAWS
         while chosen:
@@ -1128,7 +1141,7 @@
         if not self._is_available(attempt.server):
             return False
         request_class = self.settings.classes[request.class_index]
-        earlier = [a for a in request.attempts if a is not attempt and a.maybe_ran]
+        earlier = [other for other in request.attempts if other is not attempt and other.maybe_ran]
         if not earlier or request_class.repeat is Repeat.SAFE:
             return True
         return (
@@ -1252,8 +1265,10 @@
         request = self.requests.get(request_id)
         if request is None or request.done or request.bound or not 0 <= attempt_index < len(request.attempts):
             return []
-        begun = request.attempts[attempt_index]
-        self._record_outcome(now, begun, Outcome.OK, now - begun.sent, self.settings.classes[request.class_index].aim)
+        streaming = request.attempts[attempt_index]
+        self._record_outcome(
+            now, streaming, Outcome.OK, now - streaming.sent, self.settings.classes[request.class_index].aim
+        )
         if self.admission is not None:
             self.admission.on_end(now, request, True)
         actions: list[Action] = []
@@ -1265,7 +1280,7 @@
         return actions
 
     def on_client_gone(self, now: float, request_id: RequestId) -> list[Action]:
-        """Handle a client that left: no answer is owed any more."""
+        """Handle a client that disconnected: it needs no answer any more."""
         request = self.requests.get(request_id)
         if request is None or request.done:
             return []
--- a/weldroute/failure_detector.py
+++ b/weldroute/failure_detector.py
@@ -40,7 +40,7 @@
 requests.
 
 A verdict other than healthy ends only after heartbeats have come for `steady` seconds, so that accepting for a
-process that flaps is not switched on and off in turns.
+process that flaps is not switched on and off repeatedly.
 """
 
 from __future__ import annotations
@@ -55,8 +55,8 @@
 from weldroute.checks import check_numbers
 from weldroute.outlier_detection import Finding, Key, OutlierDetector, OutlierPolicy, TrafficCounters
 
-SMOOTHING = 0.05  # weight of a new gap in mean and deviation...
-SMOOTHING_SUSPECT = 0.005  # ...and while suspect: a process that flaps must not make flapping look normal
+SMOOTHING = 0.05  # weight of a new gap in mean and deviation of a healthy process
+SMOOTHING_SUSPECT = 0.005  # the same while it is suspect: a process that flaps must not make flapping look normal
 MIN_DEVIATION = 0.025  # seconds: the granularity of timers and observations
 OBSERVER_PAUSE = 1.0  # seconds of delay from which on the observer itself counts as having been paused
 HISTORY_LENGTH = 64  # entries per name
@@ -152,10 +152,10 @@
 
 def phi(silence: float, mean: float, deviation: float) -> float:
     """Minus log10 of the probability that a heartbeat comes later than after `silence` seconds."""
-    x = (silence - mean) / max(deviation, MIN_DEVIATION)
-    if x > 6.0:  # erfc underflows to 0: its asymptotic expansion (Abramowitz and Stegun 7.1.23)
-        return x * x / 2.0 * LOG10_E + math.log10(x * math.sqrt(2.0 * math.pi))
-    return -math.log10(0.5 * math.erfc(x / math.sqrt(2.0)))
+    normalized = (silence - mean) / max(deviation, MIN_DEVIATION)
+    if normalized > 6.0:  # erfc underflows to 0: its asymptotic expansion (Abramowitz and Stegun 7.1.23)
+        return normalized * normalized / 2.0 * LOG10_E + math.log10(normalized * math.sqrt(2.0 * math.pi))
+    return -math.log10(0.5 * math.erfc(normalized / math.sqrt(2.0)))
 
 
 @dataclass(slots=True)
@@ -454,7 +454,7 @@
             and self._healthy_count() < (1.0 - self.policy.distrust) * fleet_size
         ):
             # Most of the fleet is down: a correlated failure, which has its own rate limits. The few healthy
-            # processes would receive everybody's connections.
+            # processes would receive all connections.
             return []
         process.accepts_diverted = True
         return [self._decide(now, key, Response.DIVERT_ACCEPTS, self._reason(process))]
--- a/weldroute/links.py
+++ b/weldroute/links.py
@@ -241,26 +241,26 @@
     def due_keepalives(self, now: float) -> list[str]:
         """Return the links on which to send a keepalive now. To be called often, before `expired_links`."""
         gap, self._last_check = now - self._last_check, now
-        found = []
+        addresses = []
         for address, peer in self.peers.items():
             if gap > STALL_THRESHOLD and math.isfinite(peer.awaiting_since):
                 peer.awaiting_since = now  # answers that came during the pause are still unread
             if peer.connected and not peer.keepalive_sent and now - peer.awaiting_since >= self.policy.silent / 3.0:
                 peer.keepalive_sent = True
-                found.append(address)
-        return found
+                addresses.append(address)
+        return addresses
 
     def expired_links(self, now: float) -> list[tuple[str, str]]:
         """Return the links to close now, with the reason; call `on_disconnected` once each has ended."""
-        found = []
+        expired = []
         for address, peer in self.peers.items():
             if peer.connected and now - peer.awaiting_since >= self.policy.silent:
-                found.append((address, "silent"))
+                expired.append((address, "silent"))
             elif peer.connected and now - max(peer.last_used, peer.last_received) >= self.policy.idle:
-                found.append((address, "idle"))
-        for _, reason in found:
+                expired.append((address, "idle"))
+        for _, reason in expired:
             self.closed[reason] += 1
-        return found
+        return expired
 
     def view(self, now: float) -> list[dict[str, object]]:
         """All peers for operators, sorted by address."""
--- a/weldroute/outlier_detection.py
+++ b/weldroute/outlier_detection.py
@@ -25,7 +25,7 @@
 that reports to none. No other process would do better. This follows from the comparison and needs no extra rule.
 
 An outlier receives a share of the new connections that come for it, at first the smallest of TRAFFIC_SHARES, so that
-it keeps showing how it performs. At each step samples are gathered anew, over a window that is longer the smaller the
+it keeps showing how it performs. At each step new samples are gathered, over a window that is longer the smaller the
 share is, and half of `unlike` is enough to keep the process there or to return it to the smallest share. With
 MIN_SAMPLES samples and no such finding for `steady` seconds the share rises by one step; at the last step the process
 is readmitted.
@@ -51,8 +51,8 @@
 LOST_PATH_RATE = 0.5  # share of attempts lost on a path that counts as lost
 PATH_DECAY_FACTOR = 0.25  # relative to the decay of slowness: breakers leave few attempts on a lost path
 MIN_LOG_DEVIATION = 0.3  # lower bound of the standard deviation of the logarithms of times
-SLOWNESS_MARGIN = 0.1  # below the logarithm of `slower`; an answer beyond it counts as slow...
-MAX_GAIN_PER_ANSWER = 1.5  # ...with at most so many decades, or a single late answer would be enough
+SLOWNESS_MARGIN = 0.1  # an answer counts as slow from this far below the logarithm of `slower`
+MAX_GAIN_PER_ANSWER = 1.5  # decades that one slow answer adds at most, or a single late one would be enough
 RECENT_WINDOW = 0.1  # seconds: how fast a change for all processes (slowness, a lost zone) enters the comparison
 MIN_RECENT_ATTEMPTS = 2.0  # attempts of peers to a zone within RECENT_WINDOW that suffice for that
 SUM_LIMIT = 1.0  # times the threshold, up to which cumulative sums grow
@@ -126,7 +126,7 @@
 MAX_LIST_VERSION = 2**62  # discovery may send any number; it has to fit into a cell
 FIXED_POINT_SCALE = 1e6  # of logarithms in cells
 NO_ANSWER_OUTCOMES = frozenset({Outcome.TIMEOUT, Outcome.UNREACHABLE, Outcome.BROKEN})
-# A cancelled attempt counts as unanswered if it lasted for so many seconds and so many times the usual time.
+# A cancelled attempt counts as unanswered if it lasted for this many seconds and this multiple of the usual time.
 MIN_LONG_ATTEMPT, LONG_ATTEMPT_FACTOR = 0.25, 8.0
 
 
@@ -220,13 +220,13 @@
         self.log_sum *= factor
         self.log_square_sum *= factor
 
-    def add(self, new: TrafficCounters, old: TrafficCounters) -> None:
+    def add(self, current: TrafficCounters, previous: TrafficCounters) -> None:
         """Add what was counted between two readings."""
         for zone in range(ZONES):
-            self.answered[zone] += max(0, new.answered[zone] - old.answered[zone])
-            self.unanswered[zone] += max(0, new.unanswered[zone] - old.unanswered[zone])
-        self.log_sum += new.log_sum - old.log_sum
-        self.log_square_sum += new.log_square_sum - old.log_square_sum
+            self.answered[zone] += max(0, current.answered[zone] - previous.answered[zone])
+            self.unanswered[zone] += max(0, current.unanswered[zone] - previous.unanswered[zone])
+        self.log_sum += current.log_sum - previous.log_sum
+        self.log_square_sum += current.log_square_sum - previous.log_square_sum
 
     def merge(self, other: DecayingCounters, sign: float = 1.0) -> None:
         """Add another process's counts, or subtract them (`sign` -1)."""
@@ -315,8 +315,8 @@
                 for zone in range(ZONES)
             ]
             process.recent_attempts = [
-                (old[0] * recent_decay + new[0], old[1] * recent_decay + new[1])
-                for old, new in zip(process.recent_attempts, process.latest_attempts, strict=True)
+                (recent[0] * recent_decay + latest[0], recent[1] * recent_decay + latest[1])
+                for recent, latest in zip(process.recent_attempts, process.latest_attempts, strict=True)
             ]
             process.decaying.add(current, process.counters)
             process.latest_answers = (
@@ -381,7 +381,8 @@
                 threshold,
             )
             peer_attempts = [
-                (a[0] - b[0], a[1] - b[1]) for a, b in zip(recent_attempts, process.recent_attempts, strict=True)
+                (all_attempts[0] - own_attempts[0], all_attempts[1] - own_attempts[1])
+                for all_attempts, own_attempts in zip(recent_attempts, process.recent_attempts, strict=True)
             ]
             path = self._check_paths(process, peers, peer_attempts, threshold)
             finding = (
@@ -498,7 +499,7 @@
 
     @staticmethod
     def _set_share(now: float, process: TrackedProcess, share_step: int) -> None:
-        """Change a process's share and start to gather samples anew."""
+        """Change a process's share and start to gather new samples."""
         process.share_step, process.share_changed_at, process.normal_since, process.decaying, process.slow_sum = (
             share_step,
             now,
--- a/weldroute/recovery.py
+++ b/weldroute/recovery.py
@@ -46,8 +46,8 @@
 QUEUE_GRACE = 0.1  # seconds that a request may be queued and still count as served without delay
 SETTLE_TIME = 2.0  # seconds
 MAX_QUEUED = 512  # requests
-AIM_RESERVE = 0.5  # share of its aim that a request must have left when it is admitted...
-MAX_RESERVE_SHARE = 0.3  # ...but no more than this share of the time until its deadline
+AIM_RESERVE = 0.5  # share of its aim that a request must have left when it is admitted
+MAX_RESERVE_SHARE = 0.3  # the same as a share of the time until its deadline; the smaller one counts
 RATE_SMOOTHING_TIME = 10.0  # seconds over which the normal rate of new connections is smoothed
 MIN_NORMAL_RATE, MAX_NORMAL_RATE = 0.5, 20.0  # bounds of the normal rate; new connections per second and instance
 INITIAL_RETRY_TOKENS = 1.0  # retries that a recovering instance may make at first
@@ -124,7 +124,7 @@
         self.full_since = now
 
     def available(self, now: float) -> float:
-        """Refill the bucket and return its tokens; negative while spent connections are owed."""
+        """Refill the bucket and return its tokens; negative while more connections were opened than it allowed."""
         before, self._updated_at = self._updated_at, max(now, self._updated_at)
         if self.tokens < 1.0:
             filled = self.tokens + self.rate * (self._updated_at - before)
@@ -208,11 +208,13 @@
         if self.phase is not Phase.NO_LIST or not servers:
             return
         self.stored_seq = seq
-        left = self.plan.list_for * 0.5 if age is None else self.plan.list_for - age
-        if left <= 0.0:
+        lifetime_left = self.plan.list_for * 0.5 if age is None else self.plan.list_for - age
+        if lifetime_left <= 0.0:
             return
-        self._list_expires_at = now + left
-        self._on_list_known(now, Phase.STORED, f"{servers} backends, for {left:.0f} s or until discovery reports")
+        self._list_expires_at = now + lifetime_left
+        self._on_list_known(
+            now, Phase.STORED, f"{servers} backends, for {lifetime_left:.0f} s or until discovery reports"
+        )
 
     def on_list(self, now: float, whole: bool, servers: int, seq: int) -> ListDecision:
         """Discovery reported a list, or a change (not `whole`), of `servers` entries; return what to do with it.
--- a/weldroute/request_journal.py
+++ b/weldroute/request_journal.py
@@ -12,18 +12,18 @@
 4. for each block, the number of the block that follows it;
 5. the blocks, which hold longer messages.
 
-A caller's connection has one record for all its requests: between two of them, the last answer tells how far the
+A caller's connection has one record for all its requests: between two of them, the last answer shows how far the
 connection is. A record exists when its serial is not 0. The serial is written last and cleared first, so a record
 that was torn by the writer's death does not exist. Everything else of a record is written before the action that it
 describes. Descriptor numbers are trusted only if the connection still has the id that was recorded.
 
 All journals of a fleet lie in one *pool* of shared memory, which each of its processes can read. An index of the keys
 of keyed requests precedes the journals. By it a process finds a request of the same key that is in flight elsewhere,
-or was lately answered, and follows it by reading memory alone. Readers of a journal that is being written accept only
-what matches its checksum.
+or was recently answered, and follows it by reading memory alone. Readers of a journal that is being written
+accept only what matches its checksum.
 
 A connection row describes a caller's connection that has no record: how much was read from it and written to it.
-While its state is IDLE, nothing has been sent for whatever was read since.
+While its state is IDLE, nothing has been sent for the bytes read since.
 
 Memory is bounded: where no record or no block is free the request is not covered, which is counted.
 """
@@ -191,9 +191,9 @@
         begin = digest % self._sets * self._set_cells
         row_set = self._set_layout.unpack_from(self._bytes, 8 * begin)
         if digest in row_set:
-            for i in range(0, self._set_cells, self.ROW_CELLS):
-                if row_set[i] == digest:
-                    return begin + i, True
+            for offset in range(0, self._set_cells, self.ROW_CELLS):
+                if row_set[offset] == digest:
+                    return begin + offset, True
         # In a row that two processes wrote at once the expiry is one of theirs, so such a row ages out as well.
         expiries = row_set[2 :: self.ROW_CELLS]
         return begin + expiries.index(min(expiries)) * self.ROW_CELLS, False
@@ -396,12 +396,12 @@
             return NONE
         blocks = [self._free_blocks.pop() for _ in range(count)]
         self._blocks_by_slot.setdefault(slot, []).extend(blocks)
-        for i, block in enumerate(blocks):
-            part = data[i * BLOCK_SIZE : (i + 1) * BLOCK_SIZE]
+        for index, block in enumerate(blocks):
+            part = data[index * BLOCK_SIZE : (index + 1) * BLOCK_SIZE]
             offset = self._layout.blocks_offset + block * BLOCK_SIZE
             self._memory[offset : offset + len(part)] = part
-            if i:
-                self._cells[self._layout.next_block_cell + blocks[i - 1]] = block
+            if index:
+                self._cells[self._layout.next_block_cell + blocks[index - 1]] = block
         return blocks[0]
 
     def _allocate_slot(self, previous: int) -> int:
@@ -777,8 +777,8 @@
         stage = Stage(cells[cell + STAGE])
         answer = self._answer(cell) if stage is Stage.ANSWERED else None
         attempts = tuple(
-            self._attempt_at(cell + FIRST_ATTEMPT - i * ATTEMPT_CELLS)
-            for i in range(min(cells[cell + ATTEMPT_COUNT], MAX_ATTEMPTS))
+            self._attempt_at(cell + FIRST_ATTEMPT - index * ATTEMPT_CELLS)
+            for index in range(min(cells[cell + ATTEMPT_COUNT], MAX_ATTEMPTS))
         )
         origin = (
             Origin(*cells[cell + ORIGIN_PROCESS : cell + ORIGIN_TERM + 1]) if cells[cell + ORIGIN_PROCESS] else None
--- a/weldroute/slow_start.py
+++ b/weldroute/slow_start.py
@@ -51,8 +51,8 @@
     __slots__ = ("_answered_at", "_answers", "_observed")
 
     def __init__(self) -> None:
-        self._answers = 0.0  # recent answers per warm server...
-        self._observed = 0.0  # ...and the seconds in which they came
+        self._answers = 0.0  # recent answers per warm server
+        self._observed = 0.0  # the seconds in which these answers came
         self._answered_at = 0.0
 
     def on_answer(self, now: float, warm_servers: float) -> None:
--- a/weldroute/snapshots.py
+++ b/weldroute/snapshots.py
@@ -154,7 +154,7 @@
 
 
 def age(record: Record, now: ClockReading) -> float | None:
-    """Seconds since a record was written; None where no clock can tell."""
+    """Seconds since a record was written; None if neither clock gives its age."""
     same_boot = record.written_at.boot == now.boot
     passed = now.since_boot - record.written_at.since_boot if same_boot else now.unix - record.written_at.unix
     return max(0.0, passed) if passed >= -CLOCK_TOLERANCE else None
