--- a/benchmarks/apart.py
+++ b/benchmarks/apart.py
@@ -16,7 +16,7 @@
 
 
 def busy_loop(seconds: float) -> None:
-    """Keep one core busy for so many seconds."""
+    """Keep one core busy for this many seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         sum(range(1000))
--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -59,7 +59,7 @@
 
 
 async def send_requests(port: int, count: int, build_request: RequestBuilder = report_view_request) -> None:
-    """Send so many requests in a closed loop."""
+    """Send `count` requests in a closed loop."""
     indexes = iter(range(count))
 
     async def caller(number: int) -> None:
@@ -173,7 +173,9 @@
         costs = asyncio.run(measure(Path(folder), rounds, count, options.against))
 
     def ratio(numerator: str, denominator: str) -> float:
-        return statistics.median(a / b for a, b in zip(costs[numerator], costs[denominator], strict=True))
+        return statistics.median(
+            cost / other_cost for cost, other_cost in zip(costs[numerator], costs[denominator], strict=True)
+        )
 
     figures = f"rounds={rounds} requests={count} us_per_request={statistics.median(costs['proxy']) * 1e6:.0f}"
     figures += f" of_relay={ratio('proxy', 'relay'):.2f}"
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -100,9 +100,9 @@
     def command(self, action: str) -> None:
         """Run a fleet command to its end."""
         command = [sys.executable, "-m", "cometusher", "fleet", action, "-c", str(self.file)]
-        done = subprocess.run(command, env=self.environ, capture_output=True, timeout=STEP_TIMEOUT, check=False)
-        if done.returncode:
-            self.failures.append(f"{action}: {done.stderr.decode().strip()}")
+        completed = subprocess.run(command, env=self.environ, capture_output=True, timeout=STEP_TIMEOUT, check=False)
+        if completed.returncode:
+            self.failures.append(f"{action}: {completed.stderr.decode().strip()}")
 
     def instance_status(self) -> list[dict[str, Any]]:
         """The status of all instances; empty while no supervisor answers."""
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -124,7 +124,7 @@
             self.processes.append(process)  # type: ignore[arg-type]
 
     def receive(self, seconds: float) -> None:
-        """Receive reports for so many seconds."""
+        """Receive reports for this many seconds."""
         end = time.monotonic() + seconds
         while (time_left := end - time.monotonic()) > 0.0:
             for pipe in wait(self.pipes, time_left):
@@ -189,7 +189,7 @@
 
 
 def measure(count: int, seconds: float) -> Result:
-    """Measure a cluster of so many members; raises SystemExit if they do not find each other."""
+    """Measure a cluster of `count` members; raises SystemExit if they do not find each other."""
     result = Result(count)
     with tempfile.TemporaryDirectory(prefix="mesh-") as folder:
         members = MemberProcesses(count, Path(folder))
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -297,23 +297,23 @@
     parser.add_argument("--only", default="")
     parser.add_argument("--jobs", type=int, default=0)
     options = parser.parse_args()
-    chosen = [m for m in MUTANTS if options.only in m.name]
+    chosen = [mutant for mutant in MUTANTS if options.only in mutant.name]
     if options.quick:
-        chosen = [m for m in MUTANTS if any(word in m.name for word in QUICK)]
-    found = 0
+        chosen = [mutant for mutant in MUTANTS if any(word in mutant.name for word in QUICK)]
+    found_count = 0
     last_seed = 0
     print("| defect | seed | world | rule that it violates |\n| --- | --- | --- | --- |")
     for mutant in chosen:
         result = find_seed(mutant, options.limit, options.jobs)
         if result is not None:
-            found += 1
+            found_count += 1
             last_seed = max(last_seed, result[0])
             print(f"| {mutant.name} | {result[0]} | {result[1]} | {result[2]} |", flush=True)
         else:
             print(f"| {mutant.name} | not within {options.limit} | | |", flush=True)
-    passed = found == len(chosen)
+    passed = found_count == len(chosen)
     print(
-        f"mutants: planted={len(chosen)} found={found} last_seed={last_seed} limit={options.limit} "
+        f"mutants: planted={len(chosen)} found={found_count} last_seed={last_seed} limit={options.limit} "
         f"{'ok' if passed else 'short'}"
     )
     return 0 if passed else 1
--- a/benchmarks/stall.py
+++ b/benchmarks/stall.py
@@ -130,7 +130,7 @@
 
 
 async def run_partial_failure(with_detector: bool, fault: Mood, zone: int | None, seconds: float) -> PartialResult:
-    """Apply a fault to the links of one of eight instances for so many seconds."""
+    """Apply a fault to the links of one of eight instances for this many seconds."""
     result = PartialResult()
     with tempfile.TemporaryDirectory(prefix="stall-") as folder:
         world = World(Path(folder), 12, WORK)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -331,7 +331,7 @@
 
 
 def run_schedules(first: int, count: int, jobs: int, keep: Path | None) -> int:
-    """Run so many scenarios; returns the exit code."""
+    """Run `count` scenarios; returns the exit code."""
     sums: Counter[str] = Counter()
     violating_seeds = []
     with ProcessPoolExecutor(jobs) as pool:
--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -21,8 +21,8 @@
 from cometusher.demo import COLD_FOR, COLD_FROM, TENANTS, WINDOW, ZONES, settings
 from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from cometusher.fleet.identity import Identity
-from cometusher.fleet.supervisor_state import RECORD_KIND as FLEET_KIND
-from cometusher.recovery import RECORD_KINDS as KEPT_KINDS
+from cometusher.fleet.supervisor_state import RECORD_KIND as FLEET_RECORD_KIND
+from cometusher.recovery import RECORD_KINDS as INSTANCE_RECORD_KINDS
 from cometusher.store.records import RecordFile
 from standins.backend import Backend
 from standins.discovery import HostList
@@ -65,9 +65,8 @@
     connect_times: list[float] = field(default_factory=list)
     effect_counts: dict[bytes, int] = field(default_factory=dict)  # by idempotency key, or call id without one
     stale_requests: int = 0  # requests at backends that had been removed or banned
-    known_keys: Keys = field(
-        default_factory=lambda: Keys(WINDOW)
-    )  # the deduplication group: all backends are in one zone
+    # The keys that the deduplication group recognizes; all backends are in one zone.
+    known_keys: Keys = field(default_factory=lambda: Keys(WINDOW))
     # Seconds; above 0, the work of each request is drawn between its backend's and this.
     max_work: float = 0.0
     rng: Random = field(default_factory=lambda: Random(1))
@@ -78,20 +77,22 @@
 
     def mean_connects(self, begin: float, end: float) -> float:
         """Mean number of new connections in BIN_WIDTH seconds; at least 1."""
-        return max(1.0, sum(begin <= at <= end for at in self.connect_times) * BIN_WIDTH / (end - begin))
+        return max(
+            1.0, sum(begin <= connected_at <= end for connected_at in self.connect_times) * BIN_WIDTH / (end - begin)
+        )
 
     def peak_connects(self, begin: float, end: float) -> int:
         """Largest number of new connections within BIN_WIDTH seconds."""
-        within = (at for at in self.connect_times if begin <= at <= end)
+        within = (connected_at for connected_at in self.connect_times if begin <= connected_at <= end)
         return max((count for _, count in windowed_counts(within, BIN_WIDTH)), default=0)
 
 
 class RecordingBackend(Backend):
     """A backend that takes time for each request, answers with its name, and records connections and effects."""
 
-    def __init__(self, number: int, account: BackendStats, work: float) -> None:
+    def __init__(self, number: int, backend_stats: BackendStats, work: float) -> None:
         super().__init__(number, self.serve)
-        self.backend_stats = account
+        self.backend_stats = backend_stats
         self.work = work  # seconds
         self.cold_since = 0.0  # monotonic time of a cold start; 0: warm
         self.cold_arrivals: list[float] = []  # times of the requests since a cold start
@@ -166,9 +167,7 @@
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.results: list[RequestResult] = []
-        self.send_counts: dict[
-            bytes, int
-        ] = {}  # keys (ids where there is none), and how often their message went out
+        self.send_counts: dict[bytes, int] = {}  # messages sent, by idempotency key (by call id without one)
         self.wrong_answers = 0  # answers to another request
         self.extra_answers = 0  # requests before which a connection had received unrequested data
 
@@ -390,7 +389,9 @@
         for path in self._record_files(names):
             data = bytearray(path.read_bytes()) if path.exists() else bytearray()
             start = seed % max(1, len(data) - 256)
-            data[start : start + 256] = bytes((seed + i) % 256 for i in range(len(data[start : start + 256])))
+            data[start : start + 256] = bytes(
+                (seed + offset) % 256 for offset in range(len(data[start : start + 256]))
+            )
             if data:
                 path.write_bytes(data)
 
@@ -402,7 +403,7 @@
         fleet_records = [".fleet"] if len(names) == self.count else []
         for name in [*names, *fleet_records]:
             records = RecordFile(self.state / "store" / f"{name}.records")
-            for kind, record in records.read([*KEPT_KINDS, FLEET_KIND]).items():
+            for kind, record in records.read([*INSTANCE_RECORD_KINDS, FLEET_RECORD_KIND]).items():
                 written_at = replace(
                     record.written_at, unix=record.written_at.unix - seconds, boot="before", since_boot=0.0
                 )
@@ -410,14 +411,14 @@
             records.close()
 
     def copy_store(self) -> None:
-        """Copy all records aside."""
+        """Make a copy of all records for `restore_store`."""
         shutil.rmtree(self.folder / "older", ignore_errors=True)
         if (self.state / "store").exists():
             shutil.copytree(self.state / "store", self.folder / "older")
 
     def restore_store(self) -> None:
         """Restore the instances' records from that copy; the fleet's own records stay."""
-        for path in self._record_files([f"p{i}" for i in range(self.count)]):
+        for path in self._record_files([f"p{index}" for index in range(self.count)]):
             path.unlink(missing_ok=True)
         for path in (self.folder / "older").glob("p*"):
             shutil.copy(path, self.state / "store" / path.name)
@@ -452,7 +453,7 @@
         self.work = work
         self.seed = seed
         self.backend_stats = BackendStats()
-        self.backends = [RecordingBackend(i + 1, self.backend_stats, work) for i in range(backends)]
+        self.backends = [RecordingBackend(index + 1, self.backend_stats, work) for index in range(backends)]
         self.last_backend_number = backends
         self.fleets: list[Fleet] = []
         self.links: dict[str, list[Link]] = {name: [] for name in links}
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -30,9 +30,8 @@
 SAMPLE_INTERVAL = 0.1  # seconds between samples of the instances' states
 PROMPT_LIMIT = 0.3  # seconds within which a request counts as served promptly
 WARM_UP = 2.5  # seconds for the first connections, before measurements begin
-RECOVERY_STARTS = frozenset(
-    {"kill", "lose", "lose-store", "discovery-back", "continue"}
-)  # actions from which the time of a recovery is measured
+# Actions from which the time of a recovery is measured.
+RECOVERY_STARTS = frozenset({"kill", "lose", "lose-store", "discovery-back", "continue"})
 
 
 @dataclass
--- a/weldroute/decide.py
+++ b/weldroute/decide.py
@@ -609,9 +609,8 @@
         self.rng = Random(seed)
         self.servers: dict[ServerId, Server] = {}
         self.bans: dict[ServerId, float] = {}  # banned by operators, and since when
-        self.first_call_due: dict[
-            ServerId, float
-        ] = {}  # servers not called since their ban ended, and when they are due
+        # Servers not called since their ban ended, and when they are due.
+        self.first_call_due: dict[ServerId, float] = {}
         self.past_bans: dict[ServerId, tuple[float, float]] = {}  # start and end of recent bans
         self.ready: list[Server] = []
         # First attempts go to these servers if possible, while new connections are scarce.
