--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -187,7 +187,7 @@
         "if False:",
     ),
     Mutant(
-        "the end of a watch stops discovery", "discovery", "backoff = min(2.0 * backoff, self.patience)", "return"
+        "the end of a watch stops discovery", "discovery", "backoff = min(2.0 * backoff, self.max_backoff)", "return"
     ),
     # Defects of operators' calls, hot restarts and long messages.
     Mutant(
--- a/cometusher/__init__.py
+++ b/cometusher/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy around weldroute: one process on sockets that carries out the module's decisions."""
+"""The proxy: one process that carries out weldroute's decisions on real sockets."""
--- a/cometusher/__main__.py
+++ b/cometusher/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cometusher`: without arguments one proxy, as the platform runs it; else the command line."""
+"""`python -m cometusher`: runs one proxy without arguments, as the platform does, or else the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Returns the exit code. What a proxy on its own does not use is not imported for it."""
+    """Run the program; returns the exit code. A standalone proxy does not import the command line."""
     if len(sys.argv) == 1:
         from cometusher import service
 
--- a/cometusher/cli.py
+++ b/cometusher/cli.py
@@ -1,4 +1,4 @@
-"""The command line; each command imports what it needs when it is called."""
+"""The command line; each command imports its modules when it is run."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from cometusher.config import ConfigError
 
-FLEET = {
-    "start": "become the supervisor and start the instances; with one running, start those named",
+FLEET_ACTIONS = {
+    "start": "become the supervisor and start the instances; if one is running, start the named instances",
     "status": "show every instance: state, pid, restarts, last exit, memory, requests",
-    "reload": "read the file again and bring the instances to it, a few at a time",
-    "members": "who of other machines is alive, as this supervisor sees it, and its links to them",
-    "ban": "send nothing to these backends, on any machine, until unban",
-    "unban": "let these backends serve again, on all machines",
-    "bans": "what was said of backends, and by whom",
-    "leases": "duties that one machine at a time has, and whether this one has them",
-    "explain": "what was seen of instances that stood still, and what was done, over the last minutes",
-    "restart": "replace instances a few at a time; a fresh process is ready before the old one ends",
-    "stop": "stop those named, or all and the supervisor",
+    "reload": "read the file again and apply it to the instances, a few at a time",
+    "members": "show the other machines, their state as this supervisor sees it, and its links to them",
+    "ban": "send no requests to these backends, on all machines, until unban",
+    "unban": "end the ban of these backends, on all machines",
+    "bans": "show the bans of backends, and who set them",
+    "leases": "show the duties that one machine at a time holds, and whether this one holds them",
+    "explain": "show observations of stalled instances and the responses to them, over the last minutes",
+    "restart": "replace instances a few at a time; the new process is ready before the old one exits",
+    "stop": "stop the named instances, or all instances and the supervisor",
 }
 
 
-def _command(
+def _add_command(
     commands: argparse._SubParsersAction[argparse.ArgumentParser], name: str, text: str, example: str
 ) -> argparse.ArgumentParser:
     return commands.add_parser(name, help=text, description=text, epilog=f"example: cometusher {example}")
@@ -37,36 +37,42 @@
         epilog="example: cometusher demo",
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    demo = _command(commands, "demo", "a whole installation on loopback, made of stand-ins", "demo --seconds 10")
+    demo = _add_command(
+        commands, "demo", "run a complete installation on loopback, made of stand-ins", "demo --seconds 10"
+    )
     demo.add_argument("--seconds", type=float, default=0.0, metavar="N", help="end after N seconds (default: Ctrl-C)")
-    text = "read and check configuration files; nothing is started"
-    check = _command(commands, "check", text, "check deploy/fleet.toml")
+    text = "read and check configuration files; starts nothing"
+    check = _add_command(commands, "check", text, "check deploy/fleet.toml")
     check.add_argument("files", nargs="+", metavar="FILE")
-    text = "the network code on a virtual clock, under faults that a seed draws"
-    simulate = _command(commands, "simulate", text, "simulate --seeds 0..1000")
+    text = "run the network code on a virtual clock, under faults drawn from a seed"
+    simulate = _add_command(commands, "simulate", text, "simulate --seeds 0..1000")
     simulate.add_argument("--seeds", metavar="A..B", help="run the seeds from A up to B; shrink the first failure")
     simulate.add_argument("--seed", type=int, metavar="S", help="run one seed")
-    simulate.add_argument("--replay", metavar="FILE", help="play a script")
+    simulate.add_argument("--replay", metavar="FILE", help="run a script")
     simulate.add_argument("--world", default="any", metavar="NAME", help="one, zone, fleet, tiers (default: any)")
     simulate.add_argument("--jobs", type=int, default=0, metavar="N", help="processes (default: one for each core)")
-    simulate.add_argument("--steps", action="store_true", help="look at what proxies hold after every step; slow")
-    simulate.add_argument("--trace", action="store_true", help="with one run: print its account line by line")
-    simulate.add_argument("--script", action="store_true", help="with --seed: print its script, and run nothing")
+    simulate.add_argument("--steps", action="store_true", help="audit the proxies' containers after every step; slow")
+    simulate.add_argument("--trace", action="store_true", help="with one run: print its events line by line")
+    simulate.add_argument("--script", action="store_true", help="with --seed: print its script without running it")
     simulate.add_argument("--first", action="store_true", help="with --seeds: end at the first failure")
     simulate.add_argument("--keep", action="store_true", help="with --seeds: do not shrink")
-    simulate.add_argument("--tries", type=int, default=400, metavar="N", help="runs that shrinking may take (400)")
+    simulate.add_argument(
+        "--tries", type=int, default=400, metavar="N", help="maximum runs for shrinking (default: 400)"
+    )
     simulate.add_argument("--out", default="found", metavar="DIR", help="where shrunk scripts go (default: found)")
-    text = "a scenario with several real processes, faults between them, load, and rules checked from outside"
-    drill = _command(commands, "drill", text, "drill deploy/drills/machine-lost.toml --out drills")
+    text = "run a scenario of real processes with faults, load, and rules checked from outside"
+    drill = _add_command(commands, "drill", text, "drill deploy/drills/machine-lost.toml --out drills")
     drill.add_argument("file", metavar="FILE", help="the scenario")
     drill.add_argument("--out", metavar="DIR", help="write NAME.html with plots over time, and NAME.json")
     drill.add_argument("--json", action="store_true", help="print one line of JSON")
-    fleet = _command(commands, "fleet", "run many instances under one supervisor", "fleet start -c deploy/fleet.toml")
+    fleet = _add_command(
+        commands, "fleet", "run many instances under one supervisor", "fleet start -c deploy/fleet.toml"
+    )
     actions = fleet.add_subparsers(dest="action", required=True, metavar="ACTION")
-    for name, text in FLEET.items():
-        action = _command(actions, name, text, f"fleet {name} -c deploy/fleet.toml")
+    for name, text in FLEET_ACTIONS.items():
+        action = _add_command(actions, name, text, f"fleet {name} -c deploy/fleet.toml")
         action.add_argument("-c", "--config", required=True, metavar="FILE", help="the fleet's file")
-        action.add_argument("--json", action="store_true", help="answer with one line of JSON")
+        action.add_argument("--json", action="store_true", help="print one line of JSON")
         if name == "reload":
             action.set_defaults(names=[])
         else:
@@ -94,8 +100,8 @@
 def _drill(options: argparse.Namespace) -> int:
     try:
         from cometusher.fault_injection import runner
-    except ModuleNotFoundError as fault:
-        raise ConfigError(f"drill: {fault}; it needs the whole checkout") from fault
+    except ModuleNotFoundError as error:
+        raise ConfigError(f"drill: {error}; it needs the whole checkout") from error
     return runner.main(Path(options.file), Path(options.out) if options.out else None, options.json)
 
 
@@ -108,8 +114,8 @@
 def _simulate(options: argparse.Namespace) -> int:
     try:
         from cometusher.simulation import simulate
-    except ModuleNotFoundError as fault:
-        raise ConfigError(f"simulate: {fault}; it needs the whole checkout") from fault
+    except ModuleNotFoundError as error:
+        raise ConfigError(f"simulate: {error}; it needs the whole checkout") from error
     return simulate.main(options)
 
 
@@ -120,15 +126,15 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Returns the exit code: 0 done, 1 it could not be done, 2 bad usage or configuration."""
-    if arguments == ["instance"]:  # what a supervisor executes; not for people
+    """Run a command; returns the exit code: 0 success, 1 failure, 2 wrong usage or configuration."""
+    if arguments == ["instance"]:  # internal: executed by a supervisor
         from cometusher.fleet import instance
 
         return instance.main()
     try:
         options = build_parser().parse_args(arguments)
-    except SystemExit as end:
-        return int(end.code or 0)
+    except SystemExit as exit_request:
+        return int(exit_request.code or 0)
     try:
         if options.command == "check":
             return _check(options.files)
@@ -139,6 +145,6 @@
         if options.command == "simulate":
             return _simulate(options)
         return _fleet(options)
-    except ConfigError as fault:
-        print(f"cometusher: {fault}".replace("\n", " "), file=sys.stderr)
+    except ConfigError as error:
+        print(f"cometusher: {error}".replace("\n", " "), file=sys.stderr)
         return 2
--- a/cometusher/config.py
+++ b/cometusher/config.py
@@ -1,4 +1,4 @@
-"""What the proxy is told at its start: the file at LB_CONFIG and the environment, as typed values."""
+"""The proxy's configuration: the file at LB_CONFIG and the environment, read into typed values."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class ConfigError(Exception):
-    """A setting that is missing or makes no sense; the text names it."""
+    """A setting is missing or invalid; the text names it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that the proxy is told."""
+    """The configuration of one proxy."""
 
     name: str
     listen: Address
@@ -37,15 +37,15 @@
     known: dict[str, Any]
     settings: Settings
     zones: tuple[str, ...]
-    management: Address | None = None  # where operators call
-    accept_fd: int | None = None  # the listener that this process was started with
-    shared_folder: str | None = None  # a folder that processes of this proxy share, where one takes over from another
-    recovery: RecoveryConfig | None = None  # how to come back, where a supervisor has it switched on
-    journal: JournalAssignment | None = None  # where work in hand is noted, likewise
+    management: Address | None = None  # address for operators' calls
+    accept_fd: int | None = None  # descriptor of the listener that this process was started with
+    shared_folder: str | None = None  # folder that processes of this proxy share for a hot restart
+    recovery: RecoveryConfig | None = None  # set by a supervisor that has recovery enabled
+    journal: JournalAssignment | None = None  # set by a supervisor that has takeover enabled
 
 
 def read_address(text: Any, name: str) -> Address:
-    """`host:port` as a pair."""
+    """Parse `host:port`; raises ConfigError with the setting's name."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ConfigError(f"{name}: {text!r} is not host:port")
@@ -53,7 +53,7 @@
 
 
 def stable_number(text: str) -> int:
-    """A number below 2**32 that is the same in every process; `hash()` is not."""
+    """A hash below 2**32 that is the same in every process, unlike `hash()`."""
     return zlib.crc32(text.encode())
 
 
@@ -92,17 +92,17 @@
     try:
         settings = read_settings(raw)
         settings.check()
-    except (ValueError, TypeError, AttributeError, KeyError) as fault:
-        raise ConfigError(f"settings: {fault}") from fault
+    except (ValueError, TypeError, AttributeError, KeyError) as error:
+        raise ConfigError(f"settings: {error}") from error
     if not settings.limits.connect_timeout > 0.0:
         raise ConfigError("settings.Bounds.DialTimeout: must be above 0")
     return settings
 
 
 def build(values: dict[str, Any], environ: Mapping[str, str], reload: bool = False) -> Config:
-    """The configuration out of its file's values and the environment; raises ConfigError.
+    """Build the configuration from the file's values and the environment; raises ConfigError.
 
-    Read again, the file says where discovery is now: the environment is that of the start and can't change.
+    On a reload the file's address of discovery has precedence, as the environment can't change after the start.
     """
     limits = _object(values, "limits")
     raw = _object(values, "settings")
@@ -111,11 +111,11 @@
     if not isinstance(known.get("hosts", []), list) or not isinstance(known.get("seq", 0), int):
         raise ConfigError("known: not a list of hosts with a seq")
     management = environ.get("LB_MANAGEMENT") or values.get("management")
-    where = (environ.get("LB_DISCOVERY"), values.get("discovery"))
+    addresses = (environ.get("LB_DISCOVERY"), values.get("discovery"))
     return Config(
         name=str(environ.get("LB_NAME") or values.get("name") or "proxy"),
         listen=read_address(environ.get("LB_LISTEN") or values.get("listen"), "listen"),
-        discovery=read_address(next(filter(None, where[::-1] if reload else where), None), "discovery"),
+        discovery=read_address(next(filter(None, addresses[::-1] if reload else addresses), None), "discovery"),
         seed=_seed(values.get("seed", "")),
         memory_mb=_positive(limits, "memory_mb", 192),
         sockets=_positive(limits, "sockets", 1024),
@@ -129,21 +129,21 @@
 
 
 def check(values: dict[str, Any]) -> None:
-    """Raise ConfigError if a proxy could not start with a file of these values alone."""
+    """Raise ConfigError if a proxy could not start with these file values alone."""
     build(values, {})
 
 
 def load(environ: Mapping[str, str], reload: bool = False) -> Config:
-    """Read the configuration at LB_CONFIG; raises ConfigError."""
+    """Load the configuration file at LB_CONFIG; raises ConfigError."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
     try:
         values = orjson.loads(Path(path).read_bytes())
-    except OSError as fault:
-        raise ConfigError(f"LB_CONFIG: {path}: {fault.strerror}") from fault
-    except orjson.JSONDecodeError as fault:
-        raise ConfigError(f"LB_CONFIG: {path}: not JSON: {fault}") from fault
+    except OSError as error:
+        raise ConfigError(f"LB_CONFIG: {path}: {error.strerror}") from error
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"LB_CONFIG: {path}: not JSON: {error}") from error
     if not isinstance(values, dict):
         raise ConfigError(f"LB_CONFIG: {path}: not an object")
     return build(values, environ, reload)
--- a/cometusher/demo.py
+++ b/cometusher/demo.py
@@ -1,7 +1,7 @@
-"""`cometusher demo`: a whole installation on loopback, made of stand-ins; nothing has to be configured.
+"""`cometusher demo`: a complete installation on loopback, made of stand-ins, without any configuration.
 
-Two zones, three tiers, one proxy before each tier in each zone, all six under one supervisor; backends of unlike
-speeds; a discovery service for each tier; and a client that asks for reports and submits drafts.
+It has two zones and three tiers, one proxy for each tier in each zone, all six under one supervisor, backends of
+different speeds, a discovery service for each tier, and a client that requests reports and submits drafts.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 ZONES = ("kigali", "huye")
 TIERS = ("intake", "matching", "archive")
-SPEEDS = (1.9, 1.2, 0.8)  # of the backends of a tier in a zone
+BACKEND_SPEEDS = (1.9, 1.2, 0.8)  # of the backends of one tier in one zone
 TENANTS = ("univ-central", "poly-east", "school-net")
-KINDS = (LoadClass("report-view", 0.63, 2.0, False), LoadClass("submit", 0.37, 1.25, True))
-WORK = {"report-view": 0.08, "submit": 0.05}  # seconds of a yardstick core in each tier
-COLD_FROM, COLD_FOR = 0.14, 20.0  # part of what it can do that a fresh backend begins with; seconds until it is warm
-DEDUP_WINDOW = 4.0  # seconds in which the backends of a zone recognise a key
-RATE = 25.0  # requests a second
-EVERY = 2.0  # seconds between lines of figures
-READY = 30.0  # seconds for the proxies to be ready
-ENDED = 20.0  # seconds for them to end
+REQUEST_CLASSES = (LoadClass("report-view", 0.63, 2.0, False), LoadClass("submit", 0.37, 1.25, True))
+WORK_SECONDS = {"report-view": 0.08, "submit": 0.05}  # seconds on a core of speed 1 in each tier, by class
+COLD_FROM, COLD_FOR = 0.14, 20.0  # initial part of a new backend's speed; seconds until it is warm
+DEDUP_WINDOW = 4.0  # seconds in which the backends of a zone recognize a key
+REQUEST_RATE = 25.0  # requests a second
+REPORT_INTERVAL = 2.0  # seconds between progress lines
+READY_TIMEOUT = 30.0  # seconds until all proxies must be ready
+STOP_TIMEOUT = 20.0  # seconds until the supervisor must have ended
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -78,9 +78,9 @@
 
 @dataclass
 class Installation:
-    """All of it but the proxies."""
+    """All parts of the demo except the proxies."""
 
-    ports: dict[tuple[int, int], int]  # of the proxies, by tier and zone
+    ports: dict[tuple[int, int], int]  # ports of the proxies by tier and zone
     lists: list[HostList]
     backends: list[ServiceBackend]
 
@@ -92,28 +92,28 @@
         ports = dict(zip(keys, free_ports(len(keys)), strict=True))
         lists: list[HostList] = []
         backends: list[ServiceBackend] = []
-        keys_of_zones = {key: KeyWindow(DEDUP_WINDOW) for key in keys}
+        key_windows = {key: KeyWindow(DEDUP_WINDOW) for key in keys}
         for tier in range(len(TIERS)):
             hosts = []
             for zone, site in enumerate(ZONES):
-                for speed in SPEEDS:
-                    behind = ("127.0.0.1", ports[tier + 1, zone]) if tier + 1 < len(TIERS) else None
+                for speed in BACKEND_SPEEDS:
+                    next_tier = ("127.0.0.1", ports[tier + 1, zone]) if tier + 1 < len(TIERS) else None
                     backend = ServiceBackend(
                         f"s-{len(backends) + 1:x}",
                         site,
                         speed,
-                        WORK,
-                        keys_of_zones[tier, zone],
+                        WORK_SECONDS,
+                        key_windows[tier, zone],
                         Random(rng.random()),
-                        next_tier=behind,
+                        next_tier=next_tier,
                         abandons_late_calls=True,
                     )
                     await backend.start("127.0.0.1")
                     backends.append(backend)
                     hosts.append(backend.discovery_entry())
-            hosts_of_tier = HostList(hosts)
-            await hosts_of_tier.start()
-            lists.append(hosts_of_tier)
+            host_list = HostList(hosts)
+            await host_list.start()
+            lists.append(host_list)
         return Installation(ports, lists, backends)
 
     async def stop(self) -> None:
@@ -124,7 +124,7 @@
             backend.stop()
 
     def write(self, folder: Path) -> Path:
-        """The fleet's file, and those that it names; returns the fleet's."""
+        """Write the fleet's file and the files that it names; returns the path of the first."""
         lines = ["[fleet]", 'name = "demo"', 'state = "state"', "[log]", 'target = "demo.log"']
         for (tier, zone), port in self.ports.items():
             name = f"{TIERS[tier]}-{ZONES[zone]}"
@@ -143,28 +143,28 @@
 
 
 def curl_lines(port: int) -> list[str]:
-    """Commands to try, as they are."""
-    head = f"curl -sS -i -H \"X-Call-Id: try-$$-$RANDOM\" -H 'X-Caller: {TENANTS[0]}'"
+    """Shell commands for the user to try."""
+    command = f"curl -sS -i -H \"X-Call-Id: try-$$-$RANDOM\" -H 'X-Caller: {TENANTS[0]}'"
     return [
-        f"{head} -H 'X-Call-Class: report-view' -H 'X-Budget: 2000m' http://127.0.0.1:{port}/api",
-        f"{head} -H 'X-Call-Class: submit' -H 'X-Budget: 1250m' -H \"Idempotency-Key: key-$$-$RANDOM\" "
+        f"{command} -H 'X-Call-Class: report-view' -H 'X-Budget: 2000m' http://127.0.0.1:{port}/api",
+        f"{command} -H 'X-Call-Class: submit' -H 'X-Budget: 1250m' -H \"Idempotency-Key: key-$$-$RANDOM\" "
         f"-d draft http://127.0.0.1:{port}/api",
         f"curl -sS -i http://127.0.0.1:{port}/up",
     ]
 
 
-def _line(at: float, figures: LoadCounters) -> str:
+def _format_counters(elapsed: float, counters: LoadCounters) -> str:
     return (
-        f"{at:6.1f} s  sent {figures.sent}, served {figures.served}, refused {figures.refused}, "
-        f"failed {figures.failed}, lost {figures.lost}, "
-        f"median {figures.quantile(0.5) * 1000:.0f} ms, p95 {figures.quantile(0.95) * 1000:.0f} ms"
+        f"{elapsed:6.1f} s  sent {counters.sent}, served {counters.served}, refused {counters.refused}, "
+        f"failed {counters.failed}, lost {counters.lost}, "
+        f"median {counters.quantile(0.5) * 1000:.0f} ms, p95 {counters.quantile(0.95) * 1000:.0f} ms"
     )
 
 
-async def _ready(process: asyncio.subprocess.Process, control: Path) -> bool:
-    """Wait until every proxy is ready."""
-    until = time.monotonic() + READY
-    while time.monotonic() < until and process.returncode is None:
+async def _wait_until_ready(process: asyncio.subprocess.Process, control: Path) -> bool:
+    """Wait until every proxy is ready; returns whether all are."""
+    deadline = time.monotonic() + READY_TIMEOUT
+    while time.monotonic() < deadline and process.returncode is None:
         with contextlib.suppress(NoSupervisor, ControlError):
             rows = send_request(control, "status", 5.0)["instances"]
             if all(row["state"] == "ready" for row in rows):
@@ -173,22 +173,22 @@
     return False
 
 
-async def _figures(load: Load, began: float) -> None:
+async def _print_counters(load: Load, started_at: float) -> None:
     loop = asyncio.get_running_loop()
     while True:
-        await asyncio.sleep(EVERY)
-        print(_line(loop.time() - began, load.take_recent()), flush=True)
+        await asyncio.sleep(REPORT_INTERVAL)
+        print(_format_counters(loop.time() - started_at, load.take_recent()), flush=True)
 
 
-def _introduce(place: Installation, path: Path) -> None:
+def _print_introduction(installation: Installation, path: Path) -> None:
     print("fenneldeal demo: two zones, three tiers, six proxies under one supervisor")
-    for (tier, zone), port in place.ports.items():
+    for (tier, zone), port in installation.ports.items():
         print(f"  {TIERS[tier] + '-' + ZONES[zone]:<18} 127.0.0.1:{port}")
     print("try:")
-    for line in curl_lines(place.ports[0, 0]):
+    for line in curl_lines(installation.ports[0, 0]):
         print(f"  {line}")
     print(f"  {sys.executable} -m cometusher fleet status -c {path}")
-    print(f"the proxies' log: {path.parent / 'demo.log'}; Ctrl-C ends all of it", flush=True)
+    print(f"the proxies' log: {path.parent / 'demo.log'}; Ctrl-C ends the demo", flush=True)
 
 
 async def _run(seconds: float, folder: Path) -> int:
@@ -196,9 +196,9 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
-    place = await Installation.start(seed=1)
-    path = place.write(folder)
-    # In a session of its own: Ctrl-C is for this process, which ends the proxies in order.
+    installation = await Installation.start(seed=1)
+    path = installation.write(folder)
+    # In its own session, so that Ctrl-C reaches only this process, which shuts down the proxies gracefully.
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -212,43 +212,43 @@
     )
     served = 0
     try:
-        if not await _ready(process, folder / "state" / "control.sock"):
-            print("cometusher: demo: the proxies did not get ready; see the log", file=sys.stderr)
+        if not await _wait_until_ready(process, folder / "state" / "control.sock"):
+            print("cometusher: demo: the proxies did not become ready; see the log", file=sys.stderr)
             return 1
-        _introduce(place, path)
-        fronts = [("127.0.0.1", place.ports[0, zone]) for zone in range(len(ZONES))]
-        load = Load(fronts, KINDS, TENANTS, RATE, seed=1)
-        began = loop.time()
+        _print_introduction(installation, path)
+        entry_addresses = [("127.0.0.1", installation.ports[0, zone]) for zone in range(len(ZONES))]
+        load = Load(entry_addresses, REQUEST_CLASSES, TENANTS, REQUEST_RATE, seed=1)
+        started_at = loop.time()
         if seconds > 0.0:
             loop.call_later(seconds, stop.set)
-        printing = loop.create_task(_figures(load, began))
+        printer = loop.create_task(_print_counters(load, started_at))
         await load.run(stop)
-        printing.cancel()
-        whole = load.counters
-        served = whole.served
+        printer.cancel()
+        totals = load.counters
+        served = totals.served
         print(
-            f"demo: sent={whole.sent} served={whole.served} refused={whole.refused} failed={whole.failed} "
-            f"lost={whole.lost} {'ok' if served and not whole.lost else 'short'}",
+            f"demo: sent={totals.sent} served={totals.served} refused={totals.refused} failed={totals.failed} "
+            f"lost={totals.lost} {'ok' if served and not totals.lost else 'short'}",
             flush=True,
         )
     finally:
-        await _end(process)
-        await place.stop()
-    return 0 if served and not whole.lost else 1
+        await _stop_supervisor(process)
+        await installation.stop()
+    return 0 if served and not totals.lost else 1
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
+async def _stop_supervisor(process: asyncio.subprocess.Process) -> None:
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.terminate()
         try:
-            await asyncio.wait_for(process.wait(), ENDED)
+            await asyncio.wait_for(process.wait(), STOP_TIMEOUT)
         except TimeoutError:
             process.kill()
             await process.wait()
 
 
 def main(seconds: float) -> int:
-    """Run it for so long, or until Ctrl-C; returns the exit code."""
+    """Run the demo for `seconds`, or until Ctrl-C if that is 0; returns the exit code."""
     with tempfile.TemporaryDirectory(prefix="cometusher-demo-") as folder:
         return asyncio.run(_run(seconds, Path(folder)))
--- a/cometusher/discovery.py
+++ b/cometusher/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery: reading the list of backends, and the watch that keeps it up to date.
+"""Client of the discovery service: parses the list of backends and keeps it up to date with a watch.
 
-Where lists are pushed the watch is kept up from here, at no cost to anyone. Where discovery is asked,
-each call is the module's decision: `subscribe` makes one, and its failure is told as BROKEN.
+Where discovery pushes lists, this module renews the watch by itself, which costs other parts nothing. Where discovery
+is polled, weldroute decides on each call: `subscribe` makes one, and its end is reported as BROKEN.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 log = logging.getLogger(__name__)
 
 STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
-# A change has to be known 6 s after discovery had it and could be reached, whatever failed before. The longest way to
-# it is a call that stays without an answer, opened just before discovery could be reached again, and one retry:
-# 3.0 + 1.5 s where lists are pushed. Where discovery is asked the retry is the module's: 3.0 + 2.4 s.
+# The proxy must know a change within 6 s of the time at which discovery had it and was reachable, whatever failed
+# before. The worst case is a call without an answer, opened just before discovery became reachable again, plus one
+# retry: 3.0 + 1.5 s where lists are pushed. Where discovery is polled, weldroute schedules the retry: 3.0 + 2.4 s.
 HEARTBEAT_TIMEOUT = 3.0  # seconds of silence after which a watch is dead; an empty line is due every 2 s
-FIRST_BYTE_TIMEOUT = 3.0  # seconds that a call may wait for the first byte of its answer
-CONNECT_TIMEOUT = 1.0  # seconds until a connection is up
-BACKOFF_MIN, BACKOFF_MAX = 0.1, 1.0  # seconds between tries where lists are pushed, before jitter of half as much
-MAX_MESSAGE = 16 * 1024 * 1024  # bytes of one message, in any number of lines
+FIRST_BYTE_TIMEOUT = 3.0  # seconds from a request to the first byte of its response
+CONNECT_TIMEOUT = 1.0  # seconds
+BACKOFF_MIN, BACKOFF_MAX = 0.1, 1.0  # seconds between attempts where lists are pushed, before jitter of half as much
+MAX_MESSAGE = 16 * 1024 * 1024  # bytes of one message over all of its lines
 
-_STRING = re.compile(rb'"(?:[^"\\]|\\.)*+"')
+_JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*+"')
 
-_HEX = re.compile(r"(?:^|.*[-_.])([0-9a-f]{1,8})")
+_HEX_SUFFIX = re.compile(r"(?:^|.*[-_.])([0-9a-f]{1,8})")
 
 
 class MalformedAnswer(Exception):
-    """An answer of discovery that can't be read."""
+    """A response of discovery is not valid HTTP or not a valid list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendList:
-    """One message: the whole list or a change to it."""
+    """One message of discovery: the whole list, or a change to it."""
 
     seq: int
     whole: bool
@@ -60,8 +60,8 @@
 
 
 def server_id(host: str) -> int:
-    """The module's number for a host, equal at every proxy."""
-    match = _HEX.fullmatch(host)
+    """The number of a host in weldroute, the same at every proxy."""
+    match = _HEX_SUFFIX.fullmatch(host)
     return int(match[1], 16) if match else stable_number(host)
 
 
@@ -74,13 +74,13 @@
 
 
 def parse_entry(item: Any, zones: Sequence[str]) -> BackendEntry:
-    """One entry; raises what a malformed one raises."""
+    """Parse one entry; raises KeyError, TypeError, ValueError, AttributeError or ConfigError if it is malformed."""
     host, site = item["host"], item.get("site")
     if not isinstance(host, str) or not host:
         raise TypeError("host is not a name")
     row = ServerRow(
         server=server_id(host),
-        # An unknown word is no reason to send there.
+        # A backend with an unknown health value gets no new requests.
         state=STATES.get(item.get("health", "in_service"), State.DRAINING),
         zone=zones.index(site) if site in zones else len(zones),
         cell=int(_number(item.get("block"), 0)),
@@ -91,7 +91,7 @@
 
 
 def parse_list(value: Any, zones: Sequence[str]) -> BackendList:
-    """A message; an odd entry is skipped, for the rest may tell of drains."""
+    """Parse a message; raises MalformedAnswer. A malformed entry is skipped, as the others may announce drains."""
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
         raise MalformedAnswer("not a list of hosts")
     seq = value.get("seq", 0)
@@ -101,23 +101,23 @@
     for item in value["hosts"]:
         try:
             entries.append(parse_entry(item, zones))
-        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as fault:
-            log.warning("discovery: an entry is skipped: %s", fault)
+        except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
+            log.warning("discovery: skipped a malformed entry: %s", error)
     return BackendList(seq, value.get("whole") is True, entries)
 
 
-class _Body:
-    """The messages of an answer, out of its bytes: one JSON object each, on one line or indented over several.
+class _MessageParser:
+    """Splits the body of an HTTP response into messages: one JSON object each, on one line or indented over several.
 
-    An empty line belongs to no message; one within a message says that its rest is lost.
+    An empty line between messages is a heartbeat; one inside a message means that the rest of it was lost.
     """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._line = b""  # the part of a line that has come
-        self._lines: list[bytes] = []  # of a message that is not whole
-        self._size = 0  # bytes of them
-        self._depth = 0  # brackets that are open in them
+        self._partial_line = b""  # the received part of the current line
+        self._message_lines: list[bytes] = []  # lines of the incomplete message
+        self._message_size = 0  # bytes of these lines
+        self._bracket_depth = 0  # brackets that are open in these lines
         self.messages: list[bytes] = []
         self.status = 0
         self.ended = False
@@ -126,45 +126,45 @@
         """Take the next bytes; raises MalformedAnswer."""
         try:
             self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            raise MalformedAnswer(f"malformed HTTP: {fault}") from None
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            raise MalformedAnswer(f"malformed HTTP: {error}") from None
 
     def finish(self) -> None:
-        """No more bytes come: a last line needs no line end."""
-        self._take_line(self._line)
-        self._line = b""
+        """Process the last line, which needs no line end; no more bytes follow."""
+        self._on_line(self._partial_line)
+        self._partial_line = b""
 
     def on_headers_complete(self) -> None:
         self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        *lines, self._line = (self._line + data).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
-            self._take_line(line)
-        if self._size + len(self._line) > MAX_MESSAGE:
-            raise MalformedAnswer("a message without end")
+            self._on_line(line)
+        if self._message_size + len(self._partial_line) > MAX_MESSAGE:
+            raise MalformedAnswer("a message exceeds the size limit")
 
     def on_message_complete(self) -> None:
         self.finish()
         self.ended = True
 
-    def _take_line(self, line: bytes) -> None:
+    def _on_line(self, line: bytes) -> None:
         if not line.strip():
-            if self._lines:
-                raise MalformedAnswer("a message that is not whole")
+            if self._message_lines:
+                raise MalformedAnswer("an incomplete message")
             return
-        self._lines.append(line)
-        self._size += len(line)
-        bare = _STRING.sub(b"", line)
-        self._depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
-        if self._depth <= 0:
-            self.messages.append(b"\n".join(self._lines))
-            self._lines = []
-            self._size = self._depth = 0
+        self._message_lines.append(line)
+        self._message_size += len(line)
+        bare = _JSON_STRING.sub(b"", line)
+        self._bracket_depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+        if self._bracket_depth <= 0:
+            self.messages.append(b"\n".join(self._message_lines))
+            self._message_lines = []
+            self._message_size = self._bracket_depth = 0
 
 
 class DiscoveryClient:
-    """The watch of one proxy."""
+    """One proxy's connection to discovery."""
 
     def __init__(
         self,
@@ -173,48 +173,48 @@
         seq: int,
         pushed: bool,
         rng: Random,
-        changed: Callable[[ListKind, Sequence[BackendEntry]], None],
+        on_change: Callable[[ListKind, Sequence[BackendEntry]], None],
     ) -> None:
         self._address = address
         self._zones = zones
         self._seq = seq
         self._pushed = pushed
         self._rng = rng
-        self._changed = changed
-        self.max_backoff = BACKOFF_MAX  # seconds between tries, at most
-        self._told = False  # the present watch has brought a list
-        self.first_attempt_done = asyncio.Event()  # a first list has come, or the first try at one has failed
+        self._on_change = on_change
+        self.max_backoff = BACKOFF_MAX  # seconds between attempts at most
+        self._list_received = False  # on the current watch
+        self.first_attempt_done = asyncio.Event()  # the first list was received, or the first attempt failed
         self._task: asyncio.Task[None] | None = None
 
     @property
     def seq(self) -> int:
-        """The version of the list that was told last."""
+        """Version of the last list received."""
         return self._seq
 
     @property
     def has_current_list(self) -> bool:
-        """A watch is up and has brought a list: what is known is discovery's own view."""
-        return self._told and self._task is not None and not self._task.done()
+        """Whether an open watch has delivered a list, so that the known list is discovery's current one."""
+        return self._list_received and self._task is not None and not self._task.done()
 
     def resume(self, seq: int) -> None:
-        """Go on from a version that another process was told; before the start."""
+        """Continue from a version that another process received; to be called before `start`."""
         self._seq = seq
 
     def start(self) -> None:
-        """Begin to watch, where that costs nobody anything."""
+        """Open the watch where lists are pushed; polling starts with `subscribe`."""
         if self._pushed:
-            self._task = asyncio.get_running_loop().create_task(self._keep())
+            self._task = asyncio.get_running_loop().create_task(self._watch_forever())
 
     def subscribe(self) -> None:
-        """Call discovery; while a watch is up it has the answer already."""
+        """Poll discovery where lists are not pushed; no effect while a watch is open, as it delivers the list."""
         if not self._pushed and (self._task is None or self._task.done()):
-            self._task = asyncio.get_running_loop().create_task(self._once())
+            self._task = asyncio.get_running_loop().create_task(self._poll_once())
 
     def change_address(self, address: Address) -> None:
-        """Discovery is somewhere else now: watch there.
+        """Use a discovery service at another address from now on.
 
-        Guards against following one that has been taken out of service, and against patches to a list that
-        is not ours: the versions of another service may count differently, so the whole list is asked for.
+        The old watch is closed, so that the proxy does not follow a service that was taken out of operation. Version
+        numbers of another service may differ, so the whole list is requested instead of a patch to the known one.
         """
         if address == self._address:
             return
@@ -227,37 +227,37 @@
         if self._pushed:
             self.start()
         else:
-            self._changed(ListKind.BROKEN, ())  # the module decides when to ask again
+            self._on_change(ListKind.BROKEN, ())  # weldroute decides when to poll again
 
     async def stop(self) -> None:
-        """End the watch."""
+        """Close the watch."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait([self._task])
 
-    async def _once(self) -> None:
-        await self._attempt()
-        self._changed(ListKind.BROKEN, ())
+    async def _poll_once(self) -> None:
+        await self._run_watch()
+        self._on_change(ListKind.BROKEN, ())
 
-    async def _keep(self) -> None:
+    async def _watch_forever(self) -> None:
         backoff = BACKOFF_MIN
         while True:
-            await self._attempt()
-            if self._told:
+            await self._run_watch()
+            if self._list_received:
                 backoff = BACKOFF_MIN
-            # Jittered: all proxies lost the same service at the same time.
+            # The jitter spreads the reconnects of all proxies, which lost the same service at the same time.
             await asyncio.sleep(backoff * (0.5 + self._rng.random()))
             backoff = min(2.0 * backoff, self.max_backoff)
 
-    async def _attempt(self) -> None:
-        """One watch until it ends, whatever ends it."""
-        self._told = False
+    async def _run_watch(self) -> None:
+        """Run one watch until it ends, and log the reason."""
+        self._list_received = False
         try:
             await self._watch()
-        except (OSError, EOFError, TimeoutError, MalformedAnswer) as fault:
-            log.info("discovery: the watch ended: %s", str(fault) or "silence")
+        except (OSError, EOFError, TimeoutError, MalformedAnswer) as error:
+            log.info("discovery: watch ended: %s", str(error) or "timeout")
         except Exception:
-            log.exception("discovery: the watch failed")
+            log.exception("discovery: watch failed")
         self.first_attempt_done.set()
 
     async def _watch(self) -> None:
@@ -266,10 +266,10 @@
         try:
             host = "{}:{}".format(*self._address)
             writer.write(f"GET /discovery/hosts?watch=1&from={self._seq} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-            body = _Body()
+            body = _MessageParser()
             wait = FIRST_BYTE_TIMEOUT
             while not body.ended:
-                # A machine that vanishes says nothing: only missing heartbeats tell.
+                # A machine that disappears closes no connection: only missing heartbeats reveal it.
                 async with asyncio.timeout(wait):
                     data = await reader.read(65536)
                 wait = HEARTBEAT_TIMEOUT
@@ -281,23 +281,23 @@
                     raise MalformedAnswer(f"status {body.status}")
                 messages, body.messages = body.messages, []
                 for message in messages:
-                    self._hear(message)
+                    self._on_message(message)
                 if not data:
-                    raise EOFError("ended by discovery")
+                    raise EOFError("closed by discovery")
         finally:
             writer.close()
 
-    def _hear(self, message: bytes) -> None:
+    def _on_message(self, message: bytes) -> None:
         try:
             listing = parse_list(orjson.loads(message), self._zones)
-        except orjson.JSONDecodeError as fault:
-            # What it told is lost: a new watch from the last good version brings it again.
-            raise MalformedAnswer(f"a message is not JSON: {fault}") from None
+        except orjson.JSONDecodeError as error:
+            # The change in it is lost; a new watch from the last valid version delivers it again.
+            raise MalformedAnswer(f"a message is not JSON: {error}") from None
         if not listing.whole and listing.seq < self._seq:
-            # A change to a list that is older than ours would undo what we know.
+            # A patch to a list older than the known one would revert known changes.
             self._seq = 0
-            raise MalformedAnswer(f"seq went back to {listing.seq}")
+            raise MalformedAnswer(f"seq decreased to {listing.seq}")
         self._seq = listing.seq
-        self._told = True
-        self._changed(ListKind.WHOLE if listing.whole else ListKind.PATCH, listing.entries)
+        self._list_received = True
+        self._on_change(ListKind.WHOLE if listing.whole else ListKind.PATCH, listing.entries)
         self.first_attempt_done.set()
--- a/cometusher/logs.py
+++ b/cometusher/logs.py
@@ -1,9 +1,9 @@
-"""Log records: one structured form for all that the program says, written without ever stopping on its reader.
+"""Structured log records, written without ever blocking on the reader of the log.
 
-A record is a flat object: `ts` (seconds, Unix time), `level`, `instance` (who speaks), `subsystem`, `event`
-(a word that does not change between releases), `request` (an id, where there is one), `text`. It is written as
-one line, as JSON or for people. An instance under a supervisor writes JSON into a pipe, and the supervisor
-writes it on in the form that its file asks for.
+A record is a flat object: `ts` (seconds, Unix time), `level`, `instance` (the sender's name), `subsystem`, `event`
+(a word that does not change between releases), `request` (an id, where there is one), `text`. It is written as one
+line of JSON or text. An instance under a supervisor writes JSON into a pipe, and the supervisor writes the records in
+the format that its file names.
 """
 
 from __future__ import annotations
@@ -16,38 +16,39 @@
 
 import orjson
 
-MAX_RECORD = 4096  # bytes; a write of so many to a pipe goes through whole or not at all (POSIX, PIPE_BUF)
+MAX_RECORD = 4096  # bytes; writes to a pipe up to this size are atomic (POSIX, PIPE_BUF)
 FIELDS = ("instance", "subsystem", "event", "request")
 
 
 class RateLimit(logging.Filter):
-    """At most so many lines a second of each kind.
+    """Limits the records per second from each source line with a token bucket.
 
-    Guards against a log that grows with the load, and against stopping on a log that nobody reads.
+    Without it the log would grow with the load, and writing could block on a log that nobody reads.
     """
 
     def __init__(self, per_second: float = 2.0, burst: float = 10.0) -> None:
         super().__init__()
         self._per_second = per_second
         self._burst = burst
-        self._kinds: dict[str, tuple[float, float, int]] = {}  # left, at, held back; keyed by source line
+        # By source line: tokens, time of the last record, suppressed records.
+        self._buckets: dict[str, tuple[float, float, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        kind = f"{record.pathname}:{record.lineno}"
+        source_line = f"{record.pathname}:{record.lineno}"
         now = time.monotonic()
-        left, at, held = self._kinds.get(kind, (self._burst, now, 0))
-        left = min(self._burst, left + (now - at) * self._per_second)
-        if left < 1.0:
-            self._kinds[kind] = (left, now, held + 1)
+        tokens, last_at, suppressed = self._buckets.get(source_line, (self._burst, now, 0))
+        tokens = min(self._burst, tokens + (now - last_at) * self._per_second)
+        if tokens < 1.0:
+            self._buckets[source_line] = (tokens, now, suppressed + 1)
             return False
-        self._kinds[kind] = (left - 1.0, now, 0)
-        if held:
-            record.msg = f"{record.msg} [{held} more like it were left out]"
+        self._buckets[source_line] = (tokens - 1.0, now, 0)
+        if suppressed:
+            record.msg = f"{record.msg} [{suppressed} more like it were suppressed]"
         return True
 
 
 def record_fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
-    """A record of the logging module as the structured one."""
+    """Convert a record of the logging module to a structured one."""
     subsystem = record.name.removeprefix("cometusher.")
     text = record.getMessage()
     if record.exc_info and record.exc_info[0] is not None:
@@ -66,30 +67,30 @@
 
 
 def to_json(values: dict[str, Any]) -> bytes:
-    """One line, without its end; shortened to what a pipe takes in one piece."""
+    """One line of JSON without a line end; the text is cut so that a write to a pipe stays atomic."""
     line = orjson.dumps(values)
     if len(line) >= MAX_RECORD:
-        # Escapes can make a character six bytes long.
-        room = max(0, (MAX_RECORD - len(orjson.dumps(values | {"text": ""})) - 8) // 6)
-        line = orjson.dumps(values | {"text": str(values["text"])[:room] + "…"})
+        # A character takes up to six bytes when escaped.
+        max_characters = max(0, (MAX_RECORD - len(orjson.dumps(values | {"text": ""})) - 8) // 6)
+        line = orjson.dumps(values | {"text": str(values["text"])[:max_characters] + "…"})
     return line
 
 
 def to_text(values: dict[str, Any]) -> bytes:
-    """One line for people, without its end; what a peer chose can't start a line of its own."""
-    at = float(values["ts"])
-    stamp = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(at)) + f",{int(at * 1000) % 1000:03d}"
+    """One line of plain text without a line end; line breaks are escaped, so peers can't forge records."""
+    seconds = float(values["ts"])
+    timestamp = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(seconds)) + f",{int(seconds * 1000) % 1000:03d}"
     request = f" [{values['request']}]" if "request" in values else ""
     text = str(values["text"]).replace("\\", "\\\\").replace("\n", "\\n").replace("\r", "\\r")
-    who = f"{values['instance']} {values['subsystem']}/{values['event']}{request}"
-    return f"{stamp} {str(values['level']).upper()} {who}: {text}".encode()
+    origin = f"{values['instance']} {values['subsystem']}/{values['event']}{request}"
+    return f"{timestamp} {str(values['level']).upper()} {origin}: {text}".encode()
 
 
 FORMATTERS = {"json": to_json, "text": to_text}
 
 
 class PipeHandler(logging.Handler):
-    """Writes JSON lines to a descriptor that does not block; what finds no room is counted, and said later."""
+    """Writes JSON lines to a non-blocking descriptor; counts records that do not fit, and reports the count."""
 
     def __init__(self, descriptor: int, instance: str) -> None:
         super().__init__()
@@ -99,7 +100,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, or count it as dropped; never waits and never raises."""
+        """Write one record, or count it as dropped; never blocks and never raises."""
         try:
             values = record_fields(record, self._instance)
             if self.dropped:
@@ -114,7 +115,7 @@
 
 
 def log_to_stderr() -> None:
-    """The platform's form: plain lines on standard error."""
+    """Log plain text lines to standard error, for a proxy that the platform starts."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s: %(message)s"))
     handler.addFilter(RateLimit())
@@ -122,7 +123,7 @@
 
 
 def log_to_pipe(descriptor: int, instance: str) -> None:
-    """Structured lines into a supervisor's pipe, in place of whatever was set up before."""
+    """Log structured lines to a supervisor's pipe, in place of earlier handlers."""
     handler = PipeHandler(descriptor, instance)
     handler.addFilter(RateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -1,11 +1,11 @@
-"""The operators' address: one call of HTTP/1.1 to a connection, answered at once whatever else goes on.
+"""The management address: one HTTP/1.1 call per connection, answered at once whatever the load on the proxy.
 
-Imported only where an address is set. Verdicts come from `weldroute.operations`; nothing here decides.
+Imported only where a management address is set. `weldroute.operations` decides on the results of calls.
 
-Guards against callers that hold a connection and send no whole call: a connection is read as soon as it is
-accepted, so that a call that has come is answered before others are looked at, and where all places are taken the
-one that has been silent longest gives way. Ought to hold against floods of any kind. Harm: a caller whose call comes
-later than YOUNG after its connection is cut off while MOST others wait.
+Clients that hold a connection without sending a complete call must not block others, also in a flood. Each connection
+is read as soon as it is accepted, so a call that has arrived is answered before more connections are accepted. When
+the connection limit is reached, the connections that have waited longest are closed. The drawback: a client that
+sends its call later than EVICTION_GRACE after it connected is disconnected while MAX_CONNECTIONS are open.
 """
 
 from __future__ import annotations
@@ -24,36 +24,36 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 12  # connections at once
-EVICT = 4  # that give way at once: they come by the hundred
-YOUNG = 0.02  # seconds in which one that has connected is left alone: its call is on its way
-AGAIN = 0.005  # seconds until there may be a place...
-SHORT = 0.05  # ...and until there may be a descriptor, where the system has none left
-ACCEPTS = 64  # at one wake-up
-CALL_TIME = 5.0  # seconds for a whole call, and for its answer to be taken
+MAX_CONNECTIONS = 12  # open at the same time
+MAX_EVICTIONS = 4  # connections evicted in one pass; in a flood they arrive by the hundred
+EVICTION_GRACE = 0.02  # seconds after connecting in which a connection is not evicted: its call may be in transit
+ACCEPT_RETRY_DELAY = 0.005  # seconds until an evicted connection may have freed its place
+DESCRIPTOR_RETRY_DELAY = 0.05  # seconds; the system has run out of descriptors or memory
+MAX_ACCEPTS = 64  # connections accepted in one event loop callback
+CALL_TIMEOUT = 5.0  # seconds for reading a call and writing its response
 
 
-class _Reader:
-    """One call out of the bytes of a connection."""
+class _CallParser:
+    """Parses one call from the bytes of a connection."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._body = b""
-        self._read = 0
-        self.fault: CallResult | None = None
-        self.whole = False
+        self._received_bytes = 0
+        self.error: CallResult | None = None
+        self.complete = False
 
     def feed(self, data: bytes) -> None:
-        """Read on; sets `whole` or `fault`."""
-        self._read += len(data)
-        if self._read > MAX_HEAD + MAX_CALL_BODY:
-            self.fault = CallResult(413, "too large")
+        """Parse the next bytes; sets `complete` or `error`."""
+        self._received_bytes += len(data)
+        if self._received_bytes > MAX_HEAD + MAX_CALL_BODY:
+            self.error = CallResult(413, "too large")
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.fault = self.fault or CallResult(400, "malformed HTTP")
+            self.error = self.error or CallResult(400, "malformed HTTP")
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -61,15 +61,15 @@
     def on_body(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_CALL_BODY:
-            self.fault = CallResult(413, "too large")
+            self.error = CallResult(413, "too large")
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
 
     def call(self) -> tuple[ManagementCall, str] | CallResult:
-        """What is asked, and of which backend; the verdict where it makes no sense."""
-        if self.fault is not None:
-            return self.fault
+        """The call and the backend that it names, or the error result of an invalid call."""
+        if self.error is not None:
+            return self.error
         call = route(self._parser.get_method(), self._target)
         if isinstance(call, CallResult):
             return call
@@ -83,44 +83,44 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection: one call, one answer."""
+    """One connection, which carries one call and its response."""
 
     def __init__(self, management: Management) -> None:
         self._management = management
-        self._reader = _Reader()
+        self._call = _CallParser()
         self.transport: Any = None
-        self.since = 0.0
+        self.opened_at = 0.0
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self._management.opened(self)
+        self._management.on_open(self)
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
             return
-        self._reader.feed(data)
-        if self._reader.whole or self._reader.fault is not None:
-            call = self._reader.call()
+        self._call.feed(data)
+        if self._call.complete or self._call.error is not None:
+            call = self._call.call()
             self.answer(call if isinstance(call, CallResult) else self._management.carry_out(*call))
 
     def eof_received(self) -> bool:
-        return self.answered  # an answer under way is finished
+        return self.answered  # keep the connection open until the response is written
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._management.closed(self)
+        self._management.on_close(self)
 
-    def answer(self, verdict: CallResult) -> None:
-        """Say it, and close."""
+    def answer(self, result: CallResult) -> None:
+        """Write the response and close the connection."""
         self.answered = True
-        body = orjson.dumps({"ok": verdict.succeeded, "text": verdict.text}) + b"\n"
+        body = orjson.dumps({"ok": result.succeeded, "text": result.text}) + b"\n"
         headers = [(b"content-type", b"application/json"), (b"content-length", b"%d" % len(body))]
-        self.transport.write(response_head(verdict.status, headers, True) + body)
+        self.transport.write(response_head(result.status, headers, True) + body)
         self.transport.close()
 
 
 class Management:
-    """The second address of one proxy."""
+    """Serves the management address of one proxy."""
 
     def __init__(
         self,
@@ -134,14 +134,14 @@
         self._listener = listener
         self._handler = handler
         self._connections: dict[Connection, None] = {}  # oldest first
-        self._joining = 0  # accepted, and not yet up
+        self._attaching = 0  # accepted, but not yet attached to the event loop
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
         self._watch()
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
+        """The port of the listener."""
         return self._listener.port
 
     def _watch(self) -> None:
@@ -149,23 +149,23 @@
             self._listener.watch(self._accept)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if len(self._connections) + self._joining >= MOST:
+        for _ in range(MAX_ACCEPTS):
+            if len(self._connections) + self._attaching >= MAX_CONNECTIONS:
                 self._make_room()
                 self._listener.unwatch()
-                self._loop.call_later(AGAIN, self._watch)
+                self._loop.call_later(ACCEPT_RETRY_DELAY, self._watch)
                 return
             try:
                 connection = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as fault:
-                # Guards against spinning on a listener that stays readable: EMFILE, ENFILE, ENOMEM.
-                log.warning("a call's connection is not accepted: %s", fault)
+            except OSError as error:
+                # The listener stays readable after EMFILE, ENFILE or ENOMEM: without a pause this would spin.
+                log.warning("management: accept failed: %s", error)
                 self._listener.unwatch()
-                self._loop.call_later(SHORT, self._watch)
+                self._loop.call_later(DESCRIPTOR_RETRY_DELAY, self._watch)
                 return
-            self._joining += 1
+            self._attaching += 1
             task = self._loop.create_task(self._adopt(connection))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -174,52 +174,54 @@
         protocol = Connection(self)
         try:
             await self._attach(connection, lambda: protocol)
-        except OSError as fault:
-            log.info("a call's connection failed: %s", fault)
+        except OSError as error:
+            log.info("management: connection failed: %s", error)
             connection.close()
         finally:
-            self._joining -= 1
+            self._attaching -= 1
 
     def _make_room(self) -> None:
-        """End those that have said nothing whole for longest; their places are free when they have closed."""
-        young = self._loop.time() - YOUNG
+        """Abort the oldest connections without a complete call; their places are free once they have closed."""
+        young = self._loop.time() - EVICTION_GRACE
         silent = [
             connection
             for connection in self._connections
-            if connection.since <= young and not connection.transport.is_closing()
+            if connection.opened_at <= young and not connection.transport.is_closing()
         ]
-        for connection in silent[:EVICT]:
+        for connection in silent[:MAX_EVICTIONS]:
             connection.transport.abort()
 
-    def opened(self, connection: Connection) -> None:
-        """A connection is up."""
-        connection.since = self._loop.time()
+    def on_open(self, connection: Connection) -> None:
+        """A connection was opened."""
+        connection.opened_at = self._loop.time()
         self._connections[connection] = None
 
-    def closed(self, connection: Connection) -> None:
-        """A connection is gone."""
+    def on_close(self, connection: Connection) -> None:
+        """A connection was closed."""
         self._connections.pop(connection, None)
 
     def carry_out(self, call: ManagementCall, server: str) -> CallResult:
-        """A whole call."""
+        """Execute a call; an exception becomes a result with status 500."""
         try:
-            verdict = self._handler(call, server)
+            result = self._handler(call, server)
         except Exception:
-            log.exception("a call failed")
-            verdict = CallResult(500, "internal fault")
-        log.info("call %s%s: %d %s", call.value, f" {server!r}" if server else "", verdict.status, verdict.text)
-        return verdict
+            log.exception("management: call failed")
+            result = CallResult(500, "internal error")
+        log.info(
+            "management call %s%s: %d %s", call.value, f" {server!r}" if server else "", result.status, result.text
+        )
+        return result
 
     def sweep(self) -> None:
-        """Close what takes too long."""
-        old = self._loop.time() - CALL_TIME
+        """Abort connections that are older than CALL_TIMEOUT."""
+        old = self._loop.time() - CALL_TIMEOUT
         for connection in list(self._connections):
-            if connection.since > old:
+            if connection.opened_at > old:
                 break
             connection.transport.abort()
 
     def close(self) -> None:
-        """Listen no more, and end what is open."""
+        """Close the listener, and abort connections without a response."""
         self._closed = True
         self._listener.unwatch()
         self._listener.close()
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -1,8 +1,7 @@
-"""What the network code needs of its surroundings beyond the event loop: clocks, listeners, a look at readiness.
+"""Runtime interfaces of the network code beyond the event loop: clocks, listeners and readiness checks.
 
-The one place under a proxy that touches `time`, `select` and `socket`. Timers, connecting and reading come from the
-event loop that runs the code. Handed other surroundings and another loop, the same code runs on another clock and
-another network.
+The only module of a proxy that uses `time`, `select` and `socket`. Timers, connecting and reading come from the event
+loop. With another implementation of `Network` and another loop, the same code runs on another clock and network.
 """
 
 from __future__ import annotations
@@ -28,86 +27,86 @@
     from weldroute.takeover import ConnectionCounters
 
 BACKLOG = 4096
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER of socket(7): closing drops what is unsent, and resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of socket(7): close discards unsent data and sends RST
 
 
 def clock_reading() -> ClockReading:
-    """Now, by the clock that may be set and by the one that counts from the machine's boot."""
+    """The present time by the wall clock, which may be set, and by the clock that counts from the machine's boot."""
     boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     return ClockReading(time.time(), boot, time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class Listener(Protocol):
-    """A place where callers connect."""
+    """Accepts connections at one address."""
 
     @property
     def port(self) -> int:
-        """The port."""
+        """The port number."""
 
-    def watch(self, waits: Callable[[], None]) -> None:
-        """Call `waits` whenever a connection waits, until `unwatch`."""
+    def watch(self, on_waiting: Callable[[], None]) -> None:
+        """Call `on_waiting` whenever a connection waits to be accepted, until `unwatch`."""
 
     def unwatch(self) -> None:
-        """Leave connections waiting."""
+        """Stop calling `on_waiting`; connections wait in the backlog."""
 
     def accept(self) -> Any:
-        """A connection, for `Network.attach`; raises BlockingIOError where none waits, and OSError."""
+        """Accept a connection for `Network.attach`; raises OSError, and BlockingIOError if none waits."""
 
     def close(self) -> None:
-        """Listen no more; what waits is reset, unless another holds the same listener."""
+        """Stop listening; waiting connections are reset, unless another process holds the same listener."""
 
 
 class Network(Protocol):
-    """The surroundings of one proxy."""
+    """Clocks, sockets and storage of one proxy."""
 
     def unix_time(self) -> float:
-        """Seconds since 1970, of a clock that may be set."""
+        """Seconds since 1970 by a clock that may be set."""
 
     def monotonic(self) -> float:
-        """Seconds of a clock that never steps back."""
+        """Seconds of a clock that never goes backwards."""
 
     def listen(self, address: Address) -> Listener:
-        """Listen; raises OSError."""
+        """Listen at an address; raises OSError."""
 
     def adopt(self, listener: socket.socket) -> Listener:
-        """A listener that somebody else has opened."""
+        """Use a listening socket that another component has opened."""
 
     async def attach(self, connection: Any, protocol: Callable[[], asyncio.Protocol]) -> None:
-        """Give an accepted connection to the event loop; raises OSError."""
+        """Attach an accepted connection to the event loop; raises OSError."""
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells, whenever asked, whether a connection has something to read, or its end, that was not read yet."""
+        """A function that returns whether a connection has unread data or an unread end of stream."""
 
     def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells, whenever asked, whether the far side has ended a connection, also behind bytes not read yet."""
+        """A function that returns whether the peer has ended a connection, also behind unread data."""
 
     def abort(self, transport: asyncio.Transport) -> None:
-        """Close at once, so that the far side sees a reset."""
+        """Close a connection at once with a reset."""
 
     def open_handover(self, folder: str) -> Handover:
-        """What processes of one proxy share; raises OSError."""
+        """Open the state that processes of one proxy share; raises OSError."""
 
-    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
-        """What is kept of an instance, and where to keep more."""
+    def open_records(self, config: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+        """The stored records of an instance, and the sink for new ones."""
 
     def clock_reading(self) -> ClockReading:
-        """Now, by the clocks that a record is dated with."""
+        """The present time by the clocks that date a record."""
 
-    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
-        """Where a process notes what it has in hand, and is handed that of others."""
+    def open_takeover_channel(self, assignment: JournalAssignment) -> TakeoverChannel:
+        """Open the channel for in-flight requests: the process's journal, and takeovers from other processes."""
 
     def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
-        """A connection's descriptor, and a number for it that no other connection has meanwhile."""
+        """A connection's descriptor and an id that no other open connection has."""
 
     def read_counters(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
-        """What became of a connection that was handed over; None if it is gone, or is not the one of this name."""
+        """Counters of a connection that was handed over; None if it is closed or is not the one with this id."""
 
     def reset(self, connection: Any) -> None:
-        """Have its close be seen by the far side as what it is."""
+        """Make the close of a connection visible to the peer as a reset."""
 
 
 class SocketListener:
-    """A listening socket."""
+    """A listening TCP socket on an asyncio event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, listener: socket.socket) -> None:
         self._loop = loop
@@ -116,30 +115,30 @@
 
     @property
     def port(self) -> int:
-        """The port."""
+        """The port number."""
         return int(self._socket.getsockname()[1])
 
-    def watch(self, waits: Callable[[], None]) -> None:
-        """Call `waits` whenever a connection waits, until `unwatch`."""
-        self._loop.add_reader(self._socket.fileno(), waits)
+    def watch(self, on_waiting: Callable[[], None]) -> None:
+        """Call `on_waiting` whenever a connection waits to be accepted, until `unwatch`."""
+        self._loop.add_reader(self._socket.fileno(), on_waiting)
 
     def unwatch(self) -> None:
-        """Leave connections waiting."""
+        """Stop calling `on_waiting`; connections wait in the backlog."""
         self._loop.remove_reader(self._socket.fileno())
 
     def accept(self) -> socket.socket:
-        """A connection; raises BlockingIOError where none waits, and OSError."""
+        """Accept a connection; raises OSError, and BlockingIOError if none waits."""
         connection, _ = self._socket.accept()
         connection.setblocking(False)
         return connection
 
     def close(self) -> None:
-        """Close this copy of the socket."""
+        """Close this process's descriptor of the socket."""
         self._socket.close()
 
 
 class SocketNetwork:
-    """The real surroundings: the system's clocks and sockets."""
+    """The production implementation: the system's clocks, sockets and files."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -147,54 +146,54 @@
         self.monotonic = time.monotonic
 
     def listen(self, address: Address) -> Listener:
-        """Listen; raises OSError."""
+        """Listen at an address; raises OSError."""
         return SocketListener(self._loop, open_listener(address))
 
     def adopt(self, listener: socket.socket) -> Listener:
-        """A listener that somebody else has opened."""
+        """Use a listening socket that another component has opened."""
         return SocketListener(self._loop, listener)
 
     async def attach(self, connection: socket.socket, protocol: Callable[[], asyncio.Protocol]) -> None:
-        """Give an accepted connection to the event loop; raises OSError."""
+        """Attach an accepted connection to the event loop; raises OSError."""
         await self._loop.connect_accepted_socket(protocol, connection)
 
     def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells by a poll object of its own: it costs a system call to ask."""
+        """Check with a poll object of its own; each call costs one system call."""
         return _poller(transport, select.POLLIN)
 
     def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells by a poll object of its own; an error or a hang-up is told whatever is polled for."""
+        """Check with a poll object of its own; poll reports errors and hang-ups whatever the event mask."""
         return _poller(transport, select.POLLRDHUP)
 
     def abort(self, transport: asyncio.Transport) -> None:
-        """With SO_LINGER of 0, or a close would look like the end of an answer of unknown length."""
+        """Close with SO_LINGER 0; a normal close would look like the end of a response without Content-Length."""
         self.reset(transport.get_extra_info("socket"))
         transport.abort()
 
     def open_handover(self, folder: str) -> Handover:
-        """What processes of one proxy share in a folder; raises OSError."""
+        """Open the state that processes of one proxy share in a folder; raises OSError."""
         from cometusher.handover import open_in_folder
 
         return open_in_folder(folder)
 
-    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
-        """What is kept of an instance on disk, and where to keep more."""
+    def open_records(self, config: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+        """The stored records of an instance on disk, and the sink for new ones."""
         from cometusher.recovery import open_store
 
-        return open_store(returning)
+        return open_store(config)
 
     def clock_reading(self) -> ClockReading:
-        """Now."""
+        """The present time by the system's clocks."""
         return clock_reading()
 
-    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
-        """The book and the door that the supervisor has given this process."""
+    def open_takeover_channel(self, assignment: JournalAssignment) -> TakeoverChannel:
+        """The journal and takeover endpoint that the supervisor assigned to this process."""
         from cometusher.inflight.endpoint import SocketTakeoverChannel
 
-        return SocketTakeoverChannel(self._loop, covered)
+        return SocketTakeoverChannel(self._loop, assignment)
 
     def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
-        """By its two addresses."""
+        """The descriptor, and an id made from the two socket addresses."""
         from cometusher.inflight.tcp_info import address_pair_id
 
         sock = transport.get_extra_info("socket")
@@ -203,13 +202,13 @@
         )
 
     def read_counters(self, connection: socket.socket, name: int, opened_here: bool) -> ConnectionCounters | None:
-        """The kernel's account of a socket."""
+        """The kernel's counters of a socket."""
         from cometusher.inflight.tcp_info import read_counters
 
         return read_counters(connection, name, opened_here)
 
     def reset(self, connection: socket.socket) -> None:
-        """By RST."""
+        """Make the next close send RST."""
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
 
 
@@ -220,11 +219,11 @@
 
 
 def inherited_listener(descriptor: int, address: Address) -> socket.socket:
-    """A listening socket that this process was started with; raises OSError if it is not that of the address."""
+    """The listening socket that this process was started with; raises OSError if it is not bound to the address."""
     try:
         listener = socket.socket(fileno=descriptor)
-    except OSError as fault:
-        raise OSError(f"descriptor {descriptor}: {fault.strerror}") from fault
+    except OSError as error:
+        raise OSError(f"descriptor {descriptor}: {error.strerror}") from error
     try:
         if listener.type != socket.SOCK_STREAM or not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             raise OSError(f"descriptor {descriptor}: does not listen")
@@ -234,13 +233,13 @@
     except OSError:
         listener.detach()
         raise
-    # A process that this one starts must not hold the callers' address open.
+    # Child processes must not keep the address for callers open.
     listener.set_inheritable(False)
     return listener
 
 
 def open_listener(address: Address) -> socket.socket:
-    """A socket that listens on an address; raises OSError."""
+    """Open a socket that listens on an address; raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/cometusher/schemas.py
+++ b/cometusher/schemas.py
@@ -1,9 +1,9 @@
-"""The published JSON schemas of the project's own files, made from the very readers that check them.
+"""Generates the published JSON schemas of the project's files from the readers that check them.
 
     python -m cometusher.schemas deploy/schema
 
-A reader is run on a sample that has every table, and what it asks of each is its schema. What a schema can't say
-(names that are there twice, files that a file names) only `cometusher check` tells.
+A reader runs on a sample that has every table, and the keys that it reads become the schema. Only `cometusher check`
+finds what a schema can't express: duplicate names, and errors in files that a file names.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from cometusher.fleet.spec import build_spec
 from cometusher.toml_reader import Source, Table
 
-FLEET = """
+FLEET_SAMPLE = """
 [fleet]
 state = "state"
 [policy]
@@ -41,7 +41,7 @@
 name = "b{}"
 ports = "9100-9101"
 """
-DRILL = """
+DRILL_SAMPLE = """
 [drill]
 [backends]
 [load]
@@ -55,23 +55,23 @@
 figure = "served"
 """
 FILE_KINDS: dict[str, tuple[str, Callable[[Path, Table], object]]] = {
-    "fleet": (FLEET, build_spec),
-    "drill": (DRILL, build_scenario),
+    "fleet": (FLEET_SAMPLE, build_spec),
+    "drill": (DRILL_SAMPLE, build_scenario),
 }
 
 
 def schema(name: str) -> dict[str, Any]:
-    """The schema of one kind of file."""
-    text, build = FILE_KINDS[name]
+    """The schema of one kind of file, `fleet` or `drill`."""
+    sample, read_table = FILE_KINDS[name]
     path = Path(f"/{name}.toml")
-    table = Table(Source(path, text), tomllib.loads(text))
-    build(path, table)
-    head = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"A {name}'s file"}
-    return head | table.schema.schema()
+    table = Table(Source(path, sample), tomllib.loads(sample))
+    read_table(path, table)
+    header = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"A {name}'s file"}
+    return header | table.schema.schema()
 
 
 def write_schemas(folder: Path) -> None:
-    """Write them all; raises OSError."""
+    """Write all schemas to a folder; raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     for name in FILE_KINDS:
         data = orjson.dumps(schema(name), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE)
--- a/cometusher/service.py
+++ b/cometusher/service.py
@@ -1,4 +1,4 @@
-"""One proxy as a process: its start, its signals, its end."""
+"""Runs one proxy as a process: start-up, signal handling and shutdown."""
 
 from __future__ import annotations
 
@@ -19,56 +19,56 @@
 
 
 class EarlyReload:
-    """Notes a SIGHUP that comes before the event loop listens for it.
+    """Records a SIGHUP that arrives before the event loop handles signals.
 
-    Guards against ending on it, and against missing it: the configuration that was read before may be the old one.
+    By default SIGHUP would end the process. It must not be lost either: the configuration read before may be old.
     """
 
     def __init__(self) -> None:
-        self.seen = False
-        signal.signal(signal.SIGHUP, self._note)
+        self.received = False
+        signal.signal(signal.SIGHUP, self._on_signal)
 
-    def _note(self, number: int, frame: object) -> None:
-        self.seen = True
+    def _on_signal(self, number: int, frame: object) -> None:
+        self.received = True
 
 
 class Parent(Protocol):
-    """Who started this proxy and wants to hear of it; a proxy on its own has none."""
+    """Receives the lifecycle events of a proxy from the process that started it; a standalone proxy has none."""
 
     def on_started(self, proxy: Proxy, stop: asyncio.Event) -> None:
-        """It listens. Setting `stop` ends it in order."""
+        """The proxy listens. Setting `stop` shuts it down gracefully."""
 
-    def on_reloaded(self, why: str | None) -> None:
-        """The configuration was read again: used (None), or refused and why."""
+    def on_reloaded(self, error_text: str | None) -> None:
+        """The configuration was reloaded: None if it is in use, else the reason why it was rejected."""
 
     def on_stopping(self) -> None:
-        """It takes nothing new from here on."""
+        """The proxy has begun its shutdown."""
 
 
 def reload_config(proxy: Proxy, parent: Parent | None = None) -> None:
-    """Follow the file of the configuration; one that can't be used changes nothing."""
-    why: str | None = None
+    """Reload the configuration file; an invalid one changes nothing."""
+    error_text: str | None = None
     try:
-        fresh = config.load(os.environ, reload=True)
-    except config.ConfigError as fault:
-        why = str(fault)
-        logging.error("the configuration stays as it was: %s", fault)
+        new_config = config.load(os.environ, reload=True)
+    except config.ConfigError as error:
+        error_text = str(error)
+        logging.error("the configuration stays unchanged: %s", error)
     else:
-        proxy.reconfigure(fresh)
+        proxy.reconfigure(new_config)
     if parent is not None:
-        parent.on_reloaded(why)
+        parent.on_reloaded(error_text)
 
 
 async def serve(
     settings: config.Config,
     listener: socket.socket | None = None,
     parent: Parent | None = None,
-    early: EarlyReload | None = None,
+    early_reload: EarlyReload | None = None,
 ) -> None:
-    """Run until SIGTERM or SIGINT, then end in order; SIGHUP rereads the configuration.
+    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration.
 
-    `listener` is a socket that listens already; without one, the address of the settings is listened on, and
-    OSError is raised where that can't be had.
+    `listener` is a socket that already listens. Without one, the proxy opens the address of the settings, and raises
+    OSError if it can't.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -76,13 +76,13 @@
         loop.add_signal_handler(number, stop.set)
     proxy = Proxy(settings)
     loop.add_signal_handler(signal.SIGHUP, reload_config, proxy, parent)
-    if early is not None and early.seen:
+    if early_reload is not None and early_reload.received:
         reload_config(proxy, parent)
     if listener is None:
         proxy.start()
     else:
         await proxy.start_on(listener, address_may_be_taken=parent is not None)
-    # What is alive now lives on: full collections need not walk it.
+    # Objects that exist now live as long as the process, so full collections can skip them.
     gc.collect()
     gc.freeze()
     logging.info("%s listens on %s:%d", settings.name, settings.listen[0], proxy.callers.port)
@@ -97,20 +97,20 @@
 
 
 def main() -> int:
-    """The platform's proxy; returns the exit code."""
-    early = EarlyReload()
+    """Run the proxy as the platform starts it; returns the exit code."""
+    early_reload = EarlyReload()
     logs.log_to_stderr()
     try:
         settings = config.load(os.environ)
-    except config.ConfigError as fault:
-        print(f"cometusher: {fault}".replace("\n", " "), file=sys.stderr)
+    except config.ConfigError as error:
+        print(f"cometusher: {error}".replace("\n", " "), file=sys.stderr)
         return 2
     try:
         listener = None
         if settings.accept_fd is not None:
             listener = inherited_listener(settings.accept_fd, settings.listen)
-        uvloop.run(serve(settings, listener, early=early))
-    except OSError as fault:
-        print(f"cometusher: listen: {fault}".replace("\n", " "), file=sys.stderr)
+        uvloop.run(serve(settings, listener, early_reload=early_reload))
+    except OSError as error:
+        print(f"cometusher: listen: {error}".replace("\n", " "), file=sys.stderr)
         return 1
     return 0
--- a/cometusher/toml_reader.py
+++ b/cometusher/toml_reader.py
@@ -1,7 +1,7 @@
-"""Reading configuration files (TOML): typed values, and errors that name the file, the line and the key.
+"""Reads TOML configuration files into typed values, with errors that name the file, the line and the key.
 
-Each subsystem has a file of its own, and reads it through a `Table`. A table knows which of its keys were asked
-for, so that `done` can tell a misspelt one. Nothing is applied before the whole file has been read.
+Each subsystem has its own file and reads it through a `Table`. A table records which of its keys were read, so that
+`reject_unknown_keys` can report a misspelt one. Nothing is applied before the whole file has been read.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def _find_lines(text: str) -> dict[str, int]:
-    """The line of each header and key, by its full name; an estimate that only error texts use."""
+    """The line of each header and key by its full name; an approximation that only error texts use."""
     lines: dict[str, int] = {}
     counts: dict[str, int] = {}
     prefix = ""
@@ -43,91 +43,95 @@
 
 
 class SchemaBuilder:
-    """What a reader asks of a table, noted while it asks: so there is one place for keys and for their schema."""
+    """Collects the JSON schema of a table while it is read, so that keys and schema have one definition."""
 
     def __init__(self) -> None:
         self.keys: dict[str, dict[str, Any]] = {}
-        self.needed: set[str] = set()
-        self.optional: set[str] = set()  # asked for only where they are there
-        self.inner: dict[str, SchemaBuilder] = {}
-        self.lists: set[str] = set()  # those of them that are lists of tables
-
-    def enter(self, key: str, many: bool) -> SchemaBuilder:
-        """The shape of an inner table, or of each of a list of them."""
-        if many:
+        self.required: set[str] = set()
+        self.optional: set[str] = set()  # read only where present
+        self.tables: dict[str, SchemaBuilder] = {}
+        self.lists: set[str] = set()  # keys of `tables` that are lists of tables
+
+    def enter(self, key: str, is_list: bool) -> SchemaBuilder:
+        """The builder for an inner table, or for each table of a list."""
+        if is_list:
             self.lists.add(key)
-        return self.inner.setdefault(key, SchemaBuilder())
+        return self.tables.setdefault(key, SchemaBuilder())
 
     def schema(self) -> dict[str, Any]:
-        """As JSON schema (draft 2020-12)."""
-        found = dict(self.keys)
-        for key, shape in self.inner.items():
-            one = shape.schema()
-            found[key] = {"type": "array", "items": one} if key in self.lists else one
-        left = sorted(self.needed - self.optional)
-        needed = {"required": left} if left else {}
-        return {"type": "object", "properties": dict(sorted(found.items())), "additionalProperties": False} | needed
+        """The JSON schema (draft 2020-12)."""
+        properties = dict(self.keys)
+        for key, builder in self.tables.items():
+            schema = builder.schema()
+            properties[key] = {"type": "array", "items": schema} if key in self.lists else schema
+        required_keys = sorted(self.required - self.optional)
+        required = {"required": required_keys} if required_keys else {}
+        return {
+            "type": "object",
+            "properties": dict(sorted(properties.items())),
+            "additionalProperties": False,
+        } | required
 
 
 class Source:
-    """A file, and where its keys stand."""
+    """A configuration file and the lines of its keys."""
 
     def __init__(self, path: Path, text: str) -> None:
         self.path = path
         self.lines = _find_lines(text)
 
-    def error(self, at: str, why: str) -> ConfigError:
-        """An error at a key; the nearest enclosing table's line is named where the key has none."""
-        name = at
+    def error(self, key_path: str, reason: str) -> ConfigError:
+        """An error at a key, with the line of the key or else of the nearest enclosing table."""
+        name = key_path
         while name and name not in self.lines:
             name = name.rpartition(".")[0]
         line = f":{self.lines[name]}" if name else ""
-        return ConfigError(f"{self.path}{line}: {at}: {why}")
+        return ConfigError(f"{self.path}{line}: {key_path}: {reason}")
 
 
 class Table:
-    """One table of a file."""
+    """One table of a configuration file."""
 
     def __init__(
-        self, source: Source, values: dict[str, Any], name: str = "", shape: SchemaBuilder | None = None
+        self, source: Source, values: dict[str, Any], name: str = "", schema: SchemaBuilder | None = None
     ) -> None:
         self.source = source
         self.values = values
         self.name = name
-        self.schema = shape or SchemaBuilder()
-        self._asked: set[str] = set()
+        self.schema = schema or SchemaBuilder()
+        self._read_keys: set[str] = set()
 
     def full_name(self, key: str) -> str:
-        """A key's full name."""
+        """The name of a key with those of its enclosing tables."""
         return f"{self.name}.{key}" if self.name else key
 
-    def error(self, key: str, why: str) -> ConfigError:
+    def error(self, key: str, reason: str) -> ConfigError:
         """An error at a key of this table."""
-        return self.source.error(self.full_name(key) if key else self.name, why)
+        return self.source.error(self.full_name(key) if key else self.name, reason)
 
     def has(self, key: str) -> bool:
-        """Whether the file has a key, which may be left out."""
+        """Whether the table has an optional key."""
         self.schema.optional.add(key)
         return key in self.values
 
-    def _take(self, key: str, default: T, read: Callable[[Any], T | None], kind: str) -> T:
-        self._asked.add(key)
+    def _read(self, key: str, default: T, read: Callable[[Any], T | None], expected: str) -> T:
+        self._read_keys.add(key)
         if key not in self.values:
             return default
         value = read(self.values[key])
         if value is None:
-            raise self.error(key, f"{self.values[key]!r} is not {kind}")
+            raise self.error(key, f"{self.values[key]!r} is not {expected}")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string that is not empty; without a default it has to be there."""
+        """A non-empty string; required if there is no default."""
         self.schema.keys[key] = {"type": "string", "minLength": 1} | ({"default": default} if default else {})
         if default is None:
-            self.schema.needed.add(key)
-        value = self._take(key, default or "", lambda v: v if isinstance(v, str) and v else None, "a text")
+            self.schema.required.add(key)
+        value = self._read(key, default or "", lambda v: v if isinstance(v, str) and v else None, "a text")
         if not value and default is None:
-            near = difflib.get_close_matches(key, set(self.values) - self._asked, 1)
-            raise self.error(key, "missing" + (f"; is {near[0]} meant to be it?" if near else ""))
+            similar = difflib.get_close_matches(key, set(self.values) - self._read_keys, 1)
+            raise self.error(key, "missing" + (f"; is {similar[0]} meant to be it?" if similar else ""))
         return value
 
     def number(self, key: str, default: float, low: float = 0.0, high: float = 1e9) -> float:
@@ -135,13 +139,13 @@
         self.schema.keys[key] = {"type": "number", "minimum": low, "maximum": high, "default": default}
 
         def read(value: Any) -> float | None:
-            right = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
-            return float(value) if right and low <= value <= high else None
+            is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
+            return float(value) if is_number and low <= value <= high else None
 
-        return self._take(key, default, read, f"a number from {low:g} to {high:g}")
+        return self._read(key, default, read, f"a number from {low:g} to {high:g}")
 
     def integer(self, key: str, default: int, low: int = 0, high: int = 2**31 - 1) -> int:
-        """A whole number within bounds."""
+        """An integer within bounds."""
         self.schema.keys[key] = {"type": "integer", "minimum": low, "maximum": high}
         if low <= default <= high:
             self.schema.keys[key]["default"] = default
@@ -149,29 +153,29 @@
         def read(value: Any) -> int | None:
             return value if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high else None
 
-        return self._take(key, default, read, f"a whole number from {low} to {high}")
+        return self._read(key, default, read, f"a whole number from {low} to {high}")
 
-    def choice(self, key: str, default: str | None, among: Sequence[str]) -> str:
-        """One of some words; without a default it has to be there."""
-        self.schema.keys[key] = {"enum": list(among)} | ({"default": default} if default in among else {})
+    def choice(self, key: str, default: str | None, choices: Sequence[str]) -> str:
+        """One of a set of words; required if there is no default."""
+        self.schema.keys[key] = {"enum": list(choices)} | ({"default": default} if default in choices else {})
         if default is None:
-            self.schema.needed.add(key)
+            self.schema.required.add(key)
             if key not in self.values:
                 raise self.error(key, "missing")
-        return self._take(key, default or "", lambda v: v if v in among else None, "one of " + ", ".join(among))
+        return self._read(key, default or "", lambda v: v if v in choices else None, "one of " + ", ".join(choices))
 
     def texts(self, key: str) -> tuple[str, ...]:
         """A list of strings; empty if absent."""
         self.schema.keys[key] = {"type": "array", "items": {"type": "string"}, "minItems": 1}
 
         def read(value: Any) -> tuple[str, ...] | None:
-            good = isinstance(value, list) and value and all(isinstance(v, str) for v in value)
-            return tuple(value) if good else None
+            valid = isinstance(value, list) and value and all(isinstance(v, str) for v in value)
+            return tuple(value) if valid else None
 
-        return self._take(key, (), read, "a list of texts")
+        return self._read(key, (), read, "a list of texts")
 
     def address(self, key: str, default: str | None = None) -> Address:
-        """`host:port`."""
+        """An address, `host:port`."""
         text = self.text(key, default)
         self.schema.keys[key]["pattern"] = "^.+:[0-9]+$"
         try:
@@ -181,9 +185,9 @@
 
     def table(self, key: str) -> Table:
         """A table; empty if absent."""
-        none: dict[str, Any] = {}
-        value = self._take(key, none, lambda v: v if isinstance(v, dict) else None, "a table")
-        return Table(self.source, value, self.full_name(key), self.schema.enter(key, many=False))
+        empty: dict[str, Any] = {}
+        value = self._read(key, empty, lambda v: v if isinstance(v, dict) else None, "a table")
+        return Table(self.source, value, self.full_name(key), self.schema.enter(key, is_list=False))
 
     def tables(self, key: str) -> list[Table]:
         """A list of tables; empty if absent."""
@@ -191,35 +195,35 @@
         def read(value: Any) -> list[dict[str, Any]] | None:
             return value if isinstance(value, list) and all(isinstance(v, dict) for v in value) else None
 
-        none: list[dict[str, Any]] = []
-        rows = self._take(key, none, read, "a list of tables")
-        shape = self.schema.enter(key, many=True)
-        return [Table(self.source, row, f"{self.full_name(key)}[{i}]", shape) for i, row in enumerate(rows)]
+        empty: list[dict[str, Any]] = []
+        items = self._read(key, empty, read, "a list of tables")
+        schema = self.schema.enter(key, is_list=True)
+        return [Table(self.source, values, f"{self.full_name(key)}[{i}]", schema) for i, values in enumerate(items)]
 
     def reject_unknown_keys(self) -> None:
-        """Raise ConfigError for a key that nobody asked for."""
+        """Raise ConfigError for a key that was not read."""
         for key in self.values:
-            if key not in self._asked:
-                near = difflib.get_close_matches(key, self._asked, 1)
-                raise self.error(key, "unknown" + (f"; did you mean {near[0]}?" if near else ""))
+            if key not in self._read_keys:
+                similar = difflib.get_close_matches(key, self._read_keys, 1)
+                raise self.error(key, "unknown" + (f"; did you mean {similar[0]}?" if similar else ""))
 
 
 def read_file(path: Path) -> Table:
-    """A whole file; raises ConfigError that names what is wrong with it."""
+    """Read and parse a whole file; raises ConfigError."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE + 1)
-    except OSError as fault:
-        raise ConfigError(f"{path}: {fault.strerror}") from fault
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
     if len(data) > MAX_FILE:
         raise ConfigError(f"{path}: larger than {MAX_FILE} bytes")
     try:
         text = data.decode()
         values = tomllib.loads(text)
-    except UnicodeDecodeError as fault:
-        raise ConfigError(f"{path}: not UTF-8: {fault.reason} at byte {fault.start}") from None
-    except tomllib.TOMLDecodeError as fault:
-        where = re.search(r"\(at line (\d+)", str(fault))
-        line = f":{where[1]}" if where else f":{text.count(chr(10)) + 1}"
-        raise ConfigError(f"{path}{line}: not TOML: {fault}") from None
+    except UnicodeDecodeError as error:
+        raise ConfigError(f"{path}: not UTF-8: {error.reason} at byte {error.start}") from None
+    except tomllib.TOMLDecodeError as error:
+        line_match = re.search(r"\(at line (\d+)", str(error))
+        line = f":{line_match[1]}" if line_match else f":{text.count(chr(10)) + 1}"
+        raise ConfigError(f"{path}{line}: not TOML: {error}") from None
     return Table(Source(path, text), values)
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -182,14 +182,14 @@
         async with rig(echo_name, managed=True) as r:
             assert r.proxy.management is not None
             holders = []
-            for i in range(10 * management.MOST):
+            for i in range(10 * management.MAX_CONNECTIONS):
                 reader, writer = await asyncio.open_connection("127.0.0.1", r.proxy.management.port)
                 writer.write(b"POST /api/excl" if i % 2 else b"")
                 holders.append((reader, writer))
                 if i % 10 == 0:
                     assert await r.management_call("ready", method="GET") == 200
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
-            assert len(r.proxy.management._connections) <= management.MOST
+            assert len(r.proxy.management._connections) <= management.MAX_CONNECTIONS
             for _, writer in holders:
                 writer.transport.abort()
 
