--- a/cometusher/toml_reader.py
+++ b/cometusher/toml_reader.py
@@ -98,7 +98,7 @@
         self.source = source
         self.values = values
         self.name = name
-        self.schema = schema or SchemaBuilder()
+        self.schema_builder = schema or SchemaBuilder()
         self._read_keys: set[str] = set()
 
     def full_name(self, key: str) -> str:
@@ -111,7 +111,7 @@
 
     def has(self, key: str) -> bool:
         """Whether the table has an optional key."""
-        self.schema.optional.add(key)
+        self.schema_builder.optional.add(key)
         return key in self.values
 
     def _read(self, key: str, default: T, read: Callable[[Any], T | None], expected: str) -> T:
@@ -125,9 +125,9 @@
 
     def text(self, key: str, default: str | None = None) -> str:
         """A non-empty string; required if there is no default."""
-        self.schema.keys[key] = {"type": "string", "minLength": 1} | ({"default": default} if default else {})
+        self.schema_builder.keys[key] = {"type": "string", "minLength": 1} | ({"default": default} if default else {})
         if default is None:
-            self.schema.required.add(key)
+            self.schema_builder.required.add(key)
         value = self._read(key, default or "", lambda v: v if isinstance(v, str) and v else None, "a text")
         if not value and default is None:
             similar = difflib.get_close_matches(key, set(self.values) - self._read_keys, 1)
@@ -136,7 +136,7 @@
 
     def number(self, key: str, default: float, low: float = 0.0, high: float = 1e9) -> float:
         """A finite number within bounds."""
-        self.schema.keys[key] = {"type": "number", "minimum": low, "maximum": high, "default": default}
+        self.schema_builder.keys[key] = {"type": "number", "minimum": low, "maximum": high, "default": default}
 
         def read(value: Any) -> float | None:
             is_number = isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
@@ -146,9 +146,9 @@
 
     def integer(self, key: str, default: int, low: int = 0, high: int = 2**31 - 1) -> int:
         """An integer within bounds."""
-        self.schema.keys[key] = {"type": "integer", "minimum": low, "maximum": high}
+        self.schema_builder.keys[key] = {"type": "integer", "minimum": low, "maximum": high}
         if low <= default <= high:
-            self.schema.keys[key]["default"] = default
+            self.schema_builder.keys[key]["default"] = default
 
         def read(value: Any) -> int | None:
             return value if isinstance(value, int) and not isinstance(value, bool) and low <= value <= high else None
@@ -157,16 +157,16 @@
 
     def choice(self, key: str, default: str | None, choices: Sequence[str]) -> str:
         """One of a set of words; required if there is no default."""
-        self.schema.keys[key] = {"enum": list(choices)} | ({"default": default} if default in choices else {})
+        self.schema_builder.keys[key] = {"enum": list(choices)} | ({"default": default} if default in choices else {})
         if default is None:
-            self.schema.required.add(key)
+            self.schema_builder.required.add(key)
             if key not in self.values:
                 raise self.error(key, "missing")
         return self._read(key, default or "", lambda v: v if v in choices else None, "one of " + ", ".join(choices))
 
     def texts(self, key: str) -> tuple[str, ...]:
         """A list of strings; empty if absent."""
-        self.schema.keys[key] = {"type": "array", "items": {"type": "string"}, "minItems": 1}
+        self.schema_builder.keys[key] = {"type": "array", "items": {"type": "string"}, "minItems": 1}
 
         def read(value: Any) -> tuple[str, ...] | None:
             valid = isinstance(value, list) and value and all(isinstance(v, str) for v in value)
@@ -177,7 +177,7 @@
     def address(self, key: str, default: str | None = None) -> Address:
         """An address, `host:port`."""
         text = self.text(key, default)
-        self.schema.keys[key]["pattern"] = "^.+:[0-9]+$"
+        self.schema_builder.keys[key]["pattern"] = "^.+:[0-9]+$"
         try:
             return read_address(text, key)
         except ConfigError:
@@ -187,7 +187,7 @@
         """A table; empty if absent."""
         empty: dict[str, Any] = {}
         value = self._read(key, empty, lambda v: v if isinstance(v, dict) else None, "a table")
-        return Table(self.source, value, self.full_name(key), self.schema.enter(key, is_list=False))
+        return Table(self.source, value, self.full_name(key), self.schema_builder.enter(key, is_list=False))
 
     def tables(self, key: str) -> list[Table]:
         """A list of tables; empty if absent."""
@@ -197,7 +197,7 @@
 
         empty: list[dict[str, Any]] = []
         items = self._read(key, empty, read, "a list of tables")
-        schema = self.schema.enter(key, is_list=True)
+        schema = self.schema_builder.enter(key, is_list=True)
         return [Table(self.source, values, f"{self.full_name(key)}[{i}]", schema) for i, values in enumerate(items)]
 
     def reject_unknown_keys(self) -> None:
--- a/standins/service_backend.py
+++ b/standins/service_backend.py
@@ -104,7 +104,7 @@
             return
         if seen is not None:
             self.busy = True
-            self._node.on_request(self, seen)
+            self._node.handle_request(self, seen)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -208,7 +208,7 @@
 
     # ---- a request's way -----------------------------------------------------------------
 
-    def on_request(self, visit: BackendConnection, seen: Message) -> None:
+    def handle_request(self, visit: BackendConnection, seen: Message) -> None:
         """A whole request."""
         self.observer.on_request(self, seen)
         if not seen.headers.get(b"x-call-id"):
