--- a/cometusher/schemas.py
+++ b/cometusher/schemas.py
@@ -67,7 +67,7 @@
     table = Table(Source(path, sample), tomllib.loads(sample))
     read_table(path, table)
     header = {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": f"A {name}'s file"}
-    return header | table.schema_builder.schema_builder()
+    return header | table.schema_builder.schema()
 
 
 def write_schemas(folder: Path) -> None:
