--- a/cometusher/fleet/daemon.py
+++ b/cometusher/fleet/daemon.py
@@ -6,21 +6,21 @@
 import sys
 from collections.abc import Callable
 
-MAX_WORD = 4096  # bytes of the daemon's word on its start
+MAX_REPORT = 4096  # bytes of the daemon's report on its start
 
 
 def daemonize(report: Callable[[int, str], None]) -> Callable[[int, str], None]:
     """Fork twice, and return in the daemon only.
 
-    The daemon has a session of its own and can't get a terminal again, works in `/`, creates files that others
-    can't write, and has its streams at /dev/null. It returns what tells the outcome of its start (exit code and
-    text) to the process that was called; that one waits for it, hands it to `report`, and ends with the code.
+    The daemon has its own session and can't acquire a terminal, works in `/`, creates files that others can't write,
+    and has its standard streams at /dev/null. Returns a function that sends the outcome of the start (exit code and
+    text) to the original process, which waits for it, passes it to `report`, and exits with the code.
     """
     reader, writer = os.pipe()
     if (first := os.fork()) > 0:
         os.close(writer)
         os.waitpid(first, 0)
-        _await_word(reader, report)
+        _await_report(reader, report)
     os.close(reader)
     os.setsid()
     if os.fork() > 0:
@@ -32,23 +32,23 @@
         os.dup2(null, number)
     os.close(null)
 
-    def tell(code: int, text: str) -> None:
+    def report_start(code: int, text: str) -> None:
         nonlocal writer
         if writer >= 0:
-            os.write(writer, f"{code} {text}".encode()[:MAX_WORD])
+            os.write(writer, f"{code} {text}".encode()[:MAX_REPORT])
             os.close(writer)
             writer = -1
 
-    return tell
+    return report_start
 
 
-def _await_word(reader: int, report: Callable[[int, str], None]) -> None:
-    word = b""
-    while data := os.read(reader, MAX_WORD):
-        word += data
-    code, _, text = word.decode(errors="replace").partition(" ")
+def _await_report(reader: int, report: Callable[[int, str], None]) -> None:
+    message = b""
+    while data := os.read(reader, MAX_REPORT):
+        message += data
+    code, _, text = message.decode(errors="replace").partition(" ")
     if not code.isdigit():
-        code, text = "1", "the daemon ended before it was ready; its log tells more"
+        code, text = "1", "the daemon exited before it was ready; see its log"
     report(int(code), text)
     sys.stdout.flush()
     sys.stderr.flush()
--- a/tests/loopback/test_cluster.py
+++ b/tests/loopback/test_cluster.py
@@ -15,13 +15,13 @@
 import orjson
 import pytest
 from fleetrig import FleetRig, fleet_rig, run
-from rig import PATIENCE, Backend, serve_ok
+from rig import PEER_TIMEOUT, Backend, serve_ok
 
-from cometusher.fault_injection.environment import until
-from cometusher.fleet.control import ControlError, NoSupervisor, ask
+from cometusher.fault_injection.environment import wait_until
+from cometusher.fleet.control import ControlError, NoSupervisor, send_request
 from standins.caller import Caller, request
 from standins.discovery import HostList
-from standins.faulty_link import Link, Mood
+from standins.faulty_link import FaultyLink, LinkFault
 from standins.ports import free_ports
 
 QUICK = {"period": 0.25, "patience": 0.1, "suspicion": 5.0, "alone": 2.0, "knock": 0.5, "gossip": 0.05, "sync": 2.0}
@@ -31,7 +31,7 @@
 class Machines:
     """Supervisors of one fleet, each with one idle instance, and the relays before them."""
 
-    def __init__(self, rigs: list[FleetRig], links: list[Link]) -> None:
+    def __init__(self, rigs: list[FleetRig], links: list[FaultyLink]) -> None:
         self.rigs = rigs
         self.links = links
         self.ports = free_ports(len(rigs))  # listened on, behind the relays
@@ -41,7 +41,7 @@
         secret = rig.folder / "mesh.key"
         secret.write_text(key + "\n")
         secret.chmod(0o600)
-        rig.head["name"] = fleet
+        rig.fleet_table["name"] = fleet
         if not rig.instances:
             rig.add(f"i{i}", mode="ok")
         rig.mesh = (
@@ -65,12 +65,12 @@
     def view(self, i: int) -> dict[str, Any]:
         """A supervisor's view of the members; empty if it does not run."""
         try:
-            return ask(self.rigs[i].control, "members", PATIENCE)
+            return send_request(self.rigs[i].control, "members", PEER_TIMEOUT)
         except (NoSupervisor, ControlError):
             return {}
 
     def leases(self, i: int) -> list[dict[str, Any]]:
-        return list(ask(self.rigs[i].control, "leases", PATIENCE)["duties"])
+        return list(send_request(self.rigs[i].control, "leases", PEER_TIMEOUT)["duties"])
 
     def states(self, i: int) -> dict[str, str]:
         return {row["name"]: row["state"] for row in self.view(i).get("members", [])}
@@ -82,8 +82,8 @@
         async def holds() -> bool:
             return await asyncio.to_thread(condition)
 
-        assert await until(holds, 2 * PATIENCE), f"never: {description}\n" + "\n".join(
-            f"{i}: {self.states(i)}\n{rig.logged()[-1500:]}" for i, rig in enumerate(self.rigs)
+        assert await wait_until(holds, 2 * PEER_TIMEOUT), f"never: {description}\n" + "\n".join(
+            f"{i}: {self.states(i)}\n{rig.log_text()[-1500:]}" for i, rig in enumerate(self.rigs)
         )
 
     async def agree(self, **states: str) -> None:
@@ -100,7 +100,7 @@
             stack.enter_context(fleet_rig(Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="mesh-")))))
             for _ in range(count)
         ]
-        links = [Link(("127.0.0.1", 0), seed) for seed in range(count)]
+        links = [FaultyLink(("127.0.0.1", 0), seed) for seed in range(count)]
         cluster = Machines(rigs, links)
         for link, port in zip(links, cluster.ports, strict=True):
             link.target = ("127.0.0.1", port)
@@ -122,7 +122,7 @@
             os.kill(m.pid(2), signal.SIGKILL)
             await m.wait_for(lambda: m.rigs[2].started[-1].poll() is not None, "its exit")
             await m.agree(m2="dead")
-            shown = await asyncio.to_thread(m.rigs[0].fleet, "members")
+            shown = await asyncio.to_thread(m.rigs[0].fleet_command, "members")
             assert b"m2" in shown.stdout and b"dead" in shown.stdout, shown
             m.launch(2)
             await m.agree()
@@ -135,7 +135,7 @@
 def test_supervisor_that_is_stopped_in_order_has_left() -> None:
     async def test() -> None:
         async with machines() as m:
-            done = await asyncio.to_thread(m.rigs[1].fleet, "stop")
+            done = await asyncio.to_thread(m.rigs[1].fleet_command, "stop")
             assert done.returncode == 0, done
             await m.agree(m1="left")
 
@@ -145,7 +145,7 @@
 def test_paused_supervisor_is_alive_again_and_declares_nobody_dead() -> None:
     async def test() -> None:
         async with machines() as m:
-            before = m.rigs[1].logged()
+            before = m.rigs[1].log_text()
             os.kill(m.pid(1), signal.SIGSTOP)
             try:
                 await m.wait_for(lambda: m.states(0).get("m1") == "dead", "m1 is dead for m0")
@@ -153,7 +153,7 @@
             finally:
                 os.kill(m.pid(1), signal.SIGCONT)
             await m.agree()
-            assert "is dead" not in m.rigs[1].logged()[len(before) :]
+            assert "is dead" not in m.rigs[1].log_text()[len(before) :]
 
     run(test)
 
@@ -166,23 +166,23 @@
             os.kill(m.pid(1), signal.SIGKILL)
             await m.wait_for(lambda: m.rigs[1].started[-1].poll() is not None, "its exit")
             await m.agree(m1="dead")
-            await m.links[1].set(Mood("drop"))
+            await m.links[1].set_fault(LinkFault("drop"))
             m.launch(1)
             await m.agree()
-            await m.links[1].set(Mood())
+            await m.links[1].set_fault(LinkFault())
             await m.agree()
 
     run(test)
 
 
-@pytest.mark.parametrize("fault", [Mood("drop"), Mood("mute", way="down"), Mood("refuse")])
-def test_isolated_members_rejoin_when_the_links_recover(fault: Mood) -> None:
+@pytest.mark.parametrize("fault", [LinkFault("drop"), LinkFault("mute", direction="down"), LinkFault("refuse")])
+def test_isolated_members_rejoin_when_the_links_recover(fault: LinkFault) -> None:
     async def test() -> None:
         async with machines() as m:
             for link in m.links:
-                await link.set(fault)
+                await link.set_fault(fault)
                 if fault.name == "refuse":
-                    await link.set(Mood("reset"))  # open connections as well
+                    await link.set_fault(LinkFault("reset"))  # open connections as well
             for i in range(3):
                 others = {f"m{j}" for j in range(3) if j != i}
                 await m.wait_for(
@@ -190,7 +190,7 @@
                     f"all others are dead for m{i}",
                 )
             for link in m.links:
-                await link.set(Mood())
+                await link.set_fault(LinkFault())
             await m.agree()
 
     run(test)
@@ -199,11 +199,11 @@
 def test_members_agree_after_slow_and_narrow_links() -> None:
     async def test() -> None:
         async with machines() as m:
-            await m.links[0].set(Mood("slow", seconds=0.3, spread=0.5))
-            await m.links[1].set(Mood("narrow", rate=20_000.0))
+            await m.links[0].set_fault(LinkFault("slow", median_delay=0.3, spread=0.5))
+            await m.links[1].set_fault(LinkFault("narrow", rate=20_000.0))
             await asyncio.sleep(1.0)
             for link in m.links:
-                await link.set(Mood())
+                await link.set_fault(LinkFault())
             await m.agree()
 
     run(test)
@@ -232,7 +232,7 @@
             both = {"m0": "alive", "m1": "alive"}
             await m.wait_for(lambda: m.states(0) == both and m.states(1) == both, "the two members see each other")
             assert m.states(2) == {"m2": "alive"}
-            assert KEY not in m.rigs[0].logged() and key not in m.rigs[2].logged()
+            assert KEY not in m.rigs[0].log_text() and key not in m.rigs[2].log_text()
 
     run(test)
 
@@ -251,11 +251,11 @@
     async def test() -> None:
         async with machines(1, start=False) as m:
             m.prepare(0, **change)
-            done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
+            done = await asyncio.to_thread(m.rigs[0].run_command, "check", str(m.rigs[0].file))
             assert done.returncode == 2 and reason in done.stderr, done.stderr
             m.prepare(0)
             (m.rigs[0].folder / "mesh.key").chmod(0o644)
-            done = await asyncio.to_thread(m.rigs[0].run, "check", str(m.rigs[0].file))
+            done = await asyncio.to_thread(m.rigs[0].run_command, "check", str(m.rigs[0].file))
             assert done.returncode == 2 and b"others may read it" in done.stderr
 
     run(test)
@@ -268,7 +268,7 @@
     """Time, machine, event and text of all log records, in order of time: the processes share one clock."""
     found = []
     for i, rig in enumerate(m.rigs):
-        for line in rig.logged().splitlines():
+        for line in rig.log_text().splitlines():
             record = orjson.loads(line)
             found.append((record["ts"], i, record.get("event", ""), record["text"]))
     return sorted(found)
@@ -286,7 +286,7 @@
 
 
 def restart_orders(m: Machines, machines: list[int]) -> list[asyncio.Task[Any]]:
-    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet, "restart")) for i in machines]
+    return [asyncio.create_task(asyncio.to_thread(m.rigs[i].fleet_command, "restart")) for i in machines]
 
 
 async def launch_grantors(m: Machines, instances: int) -> None:
@@ -311,7 +311,7 @@
             assert {i for i, _ in history} == {0, 1, 2} and [epoch for _, epoch in history] == sorted(
                 epoch for _, epoch in history
             )
-            shown = await asyncio.to_thread(m.rigs[0].fleet, "leases")
+            shown = await asyncio.to_thread(m.rigs[0].fleet_command, "leases")
             assert b"rollout: not held here" in shown.stdout, shown
 
     run(test)
@@ -373,7 +373,7 @@
     async def start(self) -> None:
         for backend in self.backends:
             await backend.start()
-        self.hosts.hosts = [backend.entry() for backend in self.backends]
+        self.hosts.hosts = [backend.discovery_entry() for backend in self.backends]
         await self.hosts.start()
         for i, rig in enumerate(self.m.rigs):
             rig.common["discovery"] = f"127.0.0.1:{self.hosts.port}"
@@ -395,22 +395,22 @@
             self.count += 1
             reader, writer = await asyncio.open_connection("127.0.0.1", self.m.rigs[i].port(f"i{i}"))
             caller = Caller(reader, writer)
-            writer.write(request(kind="view", rid=f"b{self.count}"))
+            writer.write(request(kind="view", request_id=f"b{self.count}"))
             status, seen = await caller.answer()
-            caller.leave()
+            caller.abort()
             assert status == 200, status
             found.add(seen.body)
         return found
 
     async def order(self, i: int, command: str, host: str) -> None:
-        done = await asyncio.to_thread(self.m.rigs[i].fleet, command, host)
+        done = await asyncio.to_thread(self.m.rigs[i].fleet_command, command, host)
         assert done.returncode == 0, done.stderr
 
     async def carried_out(self, *machines: int) -> None:
         """Wait until these machines have the same bans and all their instances have carried them out."""
 
         def same() -> bool:
-            views = [ask(self.m.rigs[i].control, "bans", PATIENCE) for i in machines]
+            views = [send_request(self.m.rigs[i].control, "bans", PEER_TIMEOUT) for i in machines]
             bans = [[(row["key"], row["value"], row["by"]) for row in view["bans"]] for view in views]
             return all(entries == bans[0] for entries in bans) and not any(view["pending"] for view in views)
 
@@ -440,7 +440,7 @@
             for i in range(3):  # slow start after the ban sends it fewer requests
                 while b"s-2" not in await s.served_by(i):
                     await asyncio.sleep(0.1)
-            shown = await asyncio.to_thread(s.m.rigs[2].fleet, "bans")
+            shown = await asyncio.to_thread(s.m.rigs[2].fleet_command, "bans")
             assert b"s-2" in shown.stdout and b"no more" in shown.stdout and b"by m1" in shown.stdout, shown
 
     run(test)
--- a/tests/unit/test_toml_reader.py
+++ b/tests/unit/test_toml_reader.py
@@ -14,7 +14,7 @@
 
 from cometusher import logs
 from cometusher.config import ConfigError
-from cometusher.fleet.spec import read_place, read_spec, write_private
+from cometusher.fleet.spec import read_location, read_spec, write_private
 from cometusher.toml_reader import read_file
 
 HEAD = '[fleet]\nstate = "s"\n[common]\nconfig = "proxy.json"\ndiscovery = "127.0.0.1:9"\n'
@@ -84,7 +84,7 @@
 
 def test_a_fleet_can_be_reached_whatever_became_of_the_rest(tmp_path: Path) -> None:
     path = spec_file(tmp_path, '[fleet]\nstate = "s"\n[common]\nnonsense = 1\n')
-    assert read_place(path).control == tmp_path / "s" / "control.sock"
+    assert read_location(path).control_socket == tmp_path / "s" / "control.sock"
 
 
 @pytest.mark.parametrize("content", [b"\xff\xfe", b"a = " + b"9" * 5_000_000, None])
@@ -113,7 +113,7 @@
 @given(st.text(max_size=3000), st.integers(0, 40))
 def test_a_record_is_one_line_and_fits_a_pipe(text: str, repeat: int) -> None:
     record = logging.LogRecord("cometusher.proxy", logging.INFO, "f", 1, "%s", (text * repeat,), None)
-    values = logs.as_fields(record, "a")
+    values = logs.record_fields(record, "a")
     line = logs.to_json(values)
     assert len(line) < logs.MAX_RECORD and b"\n" not in line
     assert orjson.loads(line)["instance"] == "a"
