--- a/cometusher/fleet/orphans.py
+++ b/cometusher/fleet/orphans.py
@@ -168,7 +168,7 @@
             return
         resources.is_reaped = True
         resources.close_child_end()
-        assigned = {piece for piece, claim in self._planner.assigned() if claim.successor == resources.process}
+        assigned = {request for request, claim in self._planner.assigned() if claim.successor == resources.process}
         self._collect_adopted()
         # Recorded by it at most, but not adopted; the previous owner's journal has them.
         unproven = assigned & set(self._planner.claims)
--- a/tests/loopback/test_fleet_control.py
+++ b/tests/loopback/test_fleet_control.py
@@ -96,20 +96,20 @@
     fleet.add("behind", tier=0)
     fleet.start()
 
-    def places() -> dict[str, tuple[int, int]]:
+    def ring_positions() -> dict[str, tuple[int, int]]:
         found = {}
         for name in fleet.instances:
             settings = orjson.loads((fleet.state / f"instance-{name}.json").read_bytes())["settings"]
             found[name] = settings["Ordinal"], settings["Instances"]
         return found
 
-    before, pids = places(), fleet.pids()
+    before, pids = ring_positions(), fleet.pids()
     assert before == {"a": (0, 4), "b": (1, 4), "c": (2, 4), "d": (3, 4), "behind": (0, 1)}
     del fleet.instances["a"]
     fleet.instances["c"]["discovery"] = "127.0.0.1:10"
     fleet.write()
     assert fleet.fleet_command("reload").returncode == 0
-    assert places() == {name: place for name, place in before.items() if name != "a"}
+    assert ring_positions() == {name: position for name, position in before.items() if name != "a"}
     assert fleet.pids() == {name: pid for name, pid in pids.items() if name != "a"}
     assert "waits for the next start" not in fleet.log_text()
 
