--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Loopback peers written from the public specifications, for tests, the demo and benchmarks alike.
+"""Stand-ins for the proxy's peers on loopback, for tests, the demo and benchmarks.
 
-They import neither the proxy nor its decisions: what they hold a proxy to is written down a second time, on purpose.
+They are written from the public specifications and deliberately import neither the proxy nor weldroute, so that they
+check a proxy against a second, independent implementation.
 """
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A scripted backend: what it does with each request is a function."""
+"""A backend whose behaviour for each request is a function, its script."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 Script = Callable[["Backend", Message, Writer], Awaitable[None]]
 
 
-async def serve_ok(backend: Backend, seen: Message, writer: Writer) -> None:
-    """Answer at once with the backend's name."""
+async def serve_ok(backend: Backend, request: Message, writer: Writer) -> None:
+    """Respond at once with the backend's name."""
     writer.write(reply(body=backend.host.encode()))
 
 
 class Backend:
-    """A backend that does what its script says with each request."""
+    """A backend that runs its script for each request."""
 
     def __init__(self, number: int, script: Script = serve_ok) -> None:
         self.host = f"s-{number:x}"
@@ -26,13 +26,13 @@
         self.requests: list[Message] = []
         self.connections = 0
         self.arrived = asyncio.Event()
-        self.closed = asyncio.Event()  # a connection was ended by the proxy
+        self.closed = asyncio.Event()  # set once a connection has ended
         self.port = 0
         self._server: asyncio.Server | None = None
         self._writers: set[Writer] = set()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; on a free port unless one is given."""
+        """Start to listen, on a free port unless one is given."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=2**20)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -46,10 +46,10 @@
         self.connections += 1
         self._writers.add(writer)
         try:
-            while (seen := await read_message(reader)) is not None:
-                self.requests.append(seen)
+            while (request := await read_message(reader)) is not None:
+                self.requests.append(request)
                 self.arrived.set()
-                await self.script(self, seen, writer)
+                await self.script(self, request, writer)
         except (OSError, asyncio.IncompleteReadError, AssertionError):
             pass
         finally:
@@ -58,8 +58,8 @@
             writer.close()
 
     def discovery_entry(self, **changes: Any) -> dict[str, Any]:
-        """Discovery's line about it."""
-        line = {
+        """The backend's entry in a list of discovery."""
+        entry = {
             "host": self.host,
             "dial": f"127.0.0.1:{self.port}",
             "site": "a",
@@ -69,4 +69,4 @@
             "share": 1.0,
             "born_ms": 0,
         }
-        return line | changes
+        return entry | changes
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A scripted client: one connection to a proxy, and a request's bytes."""
+"""A client that tests control: one connection to a proxy, and the bytes of a request."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
         self.writer = writer
 
     async def answer(self) -> tuple[int, Message]:
-        """The next answer; fails if there is none."""
-        seen = await asyncio.wait_for(read_message(self.reader), PEER_TIMEOUT)
-        assert seen is not None, "the proxy closed the connection without an answer"
-        return seen.status, seen
+        """Read the next response; raises AssertionError at the end of the stream."""
+        response = await asyncio.wait_for(read_message(self.reader), PEER_TIMEOUT)
+        assert response is not None, "the proxy closed the connection without a response"
+        return response.status, response
 
     async def call(self, **options: Any) -> tuple[int, Message]:
         self.writer.write(request(**options))
         return await self.answer()
 
     async def read_to_end(self) -> bytes:
-        """What still comes until the proxy closes."""
+        """Read until the proxy closes the connection."""
         try:
             return await asyncio.wait_for(self.reader.read(), PEER_TIMEOUT)
         except ConnectionError:
@@ -43,7 +43,7 @@
     request_id: str | None = "1",
     extra: tuple[bytes, ...] = (),
 ) -> bytes:
-    """A request's bytes."""
+    """The bytes of a request."""
     safe = kind in ("view", "report-view") and not body
     lines = [b"GET /api?x=1 HTTP/1.1" if safe else b"POST /api?x=1 HTTP/1.1"]
     lines.append(b"Host: backend.local")
--- a/standins/client_connections.py
+++ b/standins/client_connections.py
@@ -1,6 +1,6 @@
-"""A client's connections: kept, one request at a time on each, as the protocol has it; and what became of each.
+"""A client's persistent connections, with one request at a time on each, and the outcome of each request.
 
-Callbacks, no tasks: thousands of requests cost little, and a world of many clients stays quick.
+Callbacks instead of tasks keep the cost of thousands of requests low, and simulations of many clients fast.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
 
 
 class RequestEnd(Enum):
-    """How a parcel ended, as its sender sees it."""
+    """How a request ended for its sender."""
 
     ANSWERED = "answered"
-    LOST = "lost"  # the connection ended with no answer
-    TRUNCATED = "cut"  # it ended in the middle of an answer, and that shows
-    UNREACHED = "unreached"  # no connection, or it ended before the last byte was written
-    ABANDONED = "left"  # the sender went away
+    LOST = "lost"  # the connection ended without a response
+    TRUNCATED = "cut"  # the connection ended within a response, detectably
+    UNREACHED = "unreached"  # no connection, or it ended before the request was sent completely
+    ABANDONED = "left"  # the sender gave up
 
 
 @dataclass(eq=False)
 class PendingRequest:
-    """One request on its way. `pieces` are written `pause` seconds apart."""
+    """One request being sent or waiting for its response. `pieces` are written `pause` seconds apart."""
 
     address: Address
     pieces: list[bytes]
     pause: float = 0.0
-    read_pause: float = 0.0  # seconds in which no more is read, once the head of the answer has come
-    on_sending: Callable[[], None] = lambda: None  # its first bytes are about to be written
-    on_head: Callable[[], None] = lambda: None  # the head has come
-    on_sent: Callable[[], None] = lambda: None  # its last byte is; once more where it has to be sent again
+    read_pause: float = 0.0  # seconds for which reading stops after the head of the response
+    on_sending: Callable[[], None] = lambda: None  # before the first bytes are written
+    on_head: Callable[[], None] = lambda: None  # the head of the response was received
+    on_sent: Callable[[], None] = lambda: None  # after the last byte is written, again if it is sent again
     on_end: Callable[[RequestEnd, Message | None], None] = lambda end, answer: None
     connection: ClientConnection | None = None
     tries: int = 0
     over: bool = False
-    head_received: bool = False  # the head of its answer has come
-    _next: int = 0
+    head_received: bool = False  # the head of the response was received
+    _next_piece: int = 0
     _timer: asyncio.TimerHandle | None = field(default=None, repr=False)
 
     def finish(self, end: RequestEnd, answer: Message | None) -> None:
-        """Tell the one end."""
+        """Report the end of the request, once."""
         if not self.over:
             self.over = True
             if self._timer is not None:
@@ -57,44 +57,44 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection of a client."""
 
-    def __init__(self, courier: ClientPool, address: Address) -> None:
-        self._courier = courier
+    def __init__(self, pool: ClientPool, address: Address) -> None:
+        self._pool = pool
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.request: PendingRequest | None = None
         self.uses = 0
         self._buffer = bytearray()
-        self._sent_at = 0  # bytes written on this connection when the parcel's last byte was
+        self._sent_at = 0  # bytes written on this connection up to the end of the request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def start(self, parcel: PendingRequest) -> None:
-        """Write a parcel."""
-        self.request, parcel.connection = parcel, self
+    def start(self, request: PendingRequest) -> None:
+        """Start to write a request."""
+        self.request, request.connection = request, self
         self.uses += 1
-        parcel._next = 0
+        request._next_piece = 0
         self._write()
 
     def _write(self) -> None:
-        parcel = self.request
-        if parcel is None or self.transport is None:
+        request = self.request
+        if request is None or self.transport is None:
             return
-        if not parcel._next:
-            parcel.on_sending()
-        self.transport.write(parcel.pieces[parcel._next])
-        parcel._next += 1
-        if parcel._next < len(parcel.pieces):
-            parcel._timer = self._courier.loop.call_later(parcel.pause, self._write, context=self._courier.context)
+        if not request._next_piece:
+            request.on_sending()
+        self.transport.write(request.pieces[request._next_piece])
+        request._next_piece += 1
+        if request._next_piece < len(request.pieces):
+            request._timer = self._pool.loop.call_later(request.pause, self._write, context=self._pool.context)
         else:
-            parcel.on_sent()
+            request.on_sent()
 
     @property
     def request_sent(self) -> bool:
-        """Whether the parcel's last byte is written."""
-        return self.request is not None and self.request._next == len(self.request.pieces)
+        """Whether the current request was written completely."""
+        return self.request is not None and self.request._next_piece == len(self.request.pieces)
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
@@ -103,57 +103,57 @@
         try:
             answer = take_message(self._buffer)
         except ValueError:
-            self._courier.on_surplus(self.address, bytes(self._buffer))
+            self._pool.on_surplus(self.address, bytes(self._buffer))
             self.abort()
             return
-        parcel = self.request
+        request = self.request
         if answer is None:
-            if parcel is not None and not parcel.head_received and b"\r\n\r\n" in self._buffer:
-                self._begin(parcel)
+            if request is not None and not request.head_received and b"\r\n\r\n" in self._buffer:
+                self._on_head(request)
             return
-        if parcel is None or self._buffer:
-            self._courier.on_surplus(self.address, bytes(self._buffer) or answer.line)
+        if request is None or self._buffer:
+            self._pool.on_surplus(self.address, bytes(self._buffer) or answer.line)
             self.abort()
             return
         self.request = None
-        if answer.headers.get(b"connection", b"").lower() == b"close" or parcel._next < len(parcel.pieces):
+        if answer.headers.get(b"connection", b"").lower() == b"close" or request._next_piece < len(request.pieces):
             self.close()
         else:
-            self._courier.keep_idle(self)
-        parcel.finish(RequestEnd.ANSWERED, answer)
+            self._pool.keep_idle(self)
+        request.finish(RequestEnd.ANSWERED, answer)
 
-    def _begin(self, parcel: PendingRequest) -> None:
-        parcel.head_received = True
-        parcel.on_head()
-        if parcel.read_pause and self.transport is not None:
+    def _on_head(self, request: PendingRequest) -> None:
+        request.head_received = True
+        request.on_head()
+        if request.read_pause and self.transport is not None:
             self.transport.pause_reading()
-            self._courier.loop.call_later(parcel.read_pause, self._read_on, context=self._courier.context)
+            self._pool.loop.call_later(request.read_pause, self._resume_reading, context=self._pool.context)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._courier.drop_idle(self)
-        parcel, self.request = self.request, None
-        if parcel is None or parcel.over:
+        self._pool.drop_idle(self)
+        request, self.request = self.request, None
+        if request is None or request.over:
             return
-        if parcel._next < len(parcel.pieces):
-            parcel.finish(RequestEnd.UNREACHED, None)
-        elif self.uses > 1 and not self._buffer and not self._courier.was_read(self.transport):
-            # It crossed a close between requests: once more, on a new connection.
-            parcel.tries += 1
-            self._courier.connect(parcel)
+        if request._next_piece < len(request.pieces):
+            request.finish(RequestEnd.UNREACHED, None)
+        elif self.uses > 1 and not self._buffer and not self._pool.was_read(self.transport):
+            # It crossed the peer's close of an idle connection, so it is sent again on a new one.
+            request.tries += 1
+            self._pool.connect(request)
         else:
-            parcel.finish(RequestEnd.TRUNCATED if b"\r\n\r\n" in self._buffer else RequestEnd.LOST, None)
+            request.finish(RequestEnd.TRUNCATED if b"\r\n\r\n" in self._buffer else RequestEnd.LOST, None)
 
     def close(self) -> None:
-        """End in order."""
+        """Close the connection after pending writes."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -161,71 +161,71 @@
 class ClientPool:
     """All connections of one client.
 
-    `was_read` tells of a connection that has ended whether its peer had read all that was written to it; sockets
-    can't tell, and there the first end of a kept connection counts as one that crossed.
+    `was_read` returns whether the peer of a closed connection had read all data written to it. Sockets can't tell, so
+    there the close of a reused connection without a response counts as one that crossed the request.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, context: contextvars.Context | None = None) -> None:
         self.loop = loop
-        self.context = context  # in which its connections live, whoever sends on them; None: the sender's
+        self.context = context  # of the connections' callbacks, whoever sends; None: the sender's
         self.was_read: Callable[[asyncio.Transport | None], bool] = lambda transport: False
         self.on_surplus: Callable[[Address, bytes], None] = lambda address, data: None
         self._idle: dict[Address, list[ClientConnection]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def send(self, parcel: PendingRequest) -> None:
-        """Write on a kept connection if there is one, else on a new one."""
-        idle = self._idle.get(parcel.address)
+    def send(self, request: PendingRequest) -> None:
+        """Send a request on an idle connection if there is one, else on a new one."""
+        idle = self._idle.get(request.address)
         while idle:
-            line = idle.pop()
-            if line.transport is not None and not line.transport.is_closing():
-                line.start(parcel)
+            connection = idle.pop()
+            if connection.transport is not None and not connection.transport.is_closing():
+                connection.start(request)
                 return
-        self.connect(parcel)
+        self.connect(request)
 
     def has_idle(self, address: Address) -> bool:
-        """Whether a kept connection waits for a request."""
+        """Whether there is an idle connection to an address."""
         return bool(self._idle.get(address))
 
-    def connect(self, parcel: PendingRequest) -> None:
-        """Write on a new connection."""
-        task = self.loop.create_task(self._connect(parcel), context=self.context)
+    def connect(self, request: PendingRequest) -> None:
+        """Send a request on a new connection."""
+        task = self.loop.create_task(self._connect(request), context=self.context)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, parcel: PendingRequest) -> None:
-        line = ClientConnection(self, parcel.address)
+    async def _connect(self, request: PendingRequest) -> None:
+        connection = ClientConnection(self, request.address)
         try:
-            await self.loop.create_connection(lambda: line, *parcel.address)
+            await self.loop.create_connection(lambda: connection, *request.address)
         except OSError:
-            parcel.finish(RequestEnd.UNREACHED, None)
+            request.finish(RequestEnd.UNREACHED, None)
             return
-        if parcel.over:
-            line.abort()
+        if request.over:
+            connection.abort()
         else:
-            line.start(parcel)
-
-    def abandon(self, parcel: PendingRequest) -> None:
-        """The sender goes away."""
-        line = parcel.connection
-        parcel.finish(RequestEnd.ABANDONED, None)
-        if line is not None:
-            line.request = None
-            line.abort()
-
-    def keep_idle(self, line: ClientConnection) -> None:
-        """Keep a connection for the next parcel."""
-        self._idle.setdefault(line.address, []).append(line)
-
-    def drop_idle(self, line: ClientConnection) -> None:
-        """It is gone."""
-        idle = self._idle.get(line.address)
-        if idle and line in idle:
-            idle.remove(line)
+            connection.start(request)
+
+    def abandon(self, request: PendingRequest) -> None:
+        """End a request and abort its connection, as a sender that gives up."""
+        connection = request.connection
+        request.finish(RequestEnd.ABANDONED, None)
+        if connection is not None:
+            connection.request = None
+            connection.abort()
+
+    def keep_idle(self, connection: ClientConnection) -> None:
+        """Keep a connection for a later request."""
+        self._idle.setdefault(connection.address, []).append(connection)
+
+    def drop_idle(self, connection: ClientConnection) -> None:
+        """Forget an idle connection that has ended."""
+        idle = self._idle.get(connection.address)
+        if idle and connection in idle:
+            idle.remove(connection)
 
     def close(self) -> None:
-        """End all that is idle."""
+        """Close all idle connections."""
         for idle in self._idle.values():
-            for line in list(idle):
-                line.close()
+            for connection in list(idle):
+                connection.close()
             idle.clear()
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a list of hosts and the watch on it, told by a script or kept up by itself."""
+"""Stand-ins for discovery: one whose watches a test drives, and one that serves a list of hosts by itself."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from standins.messages import PEER_TIMEOUT, Reader, Writer
 
-HEARTBEAT = 2.0  # seconds between the empty lines of a watch on which nothing changes
+HEARTBEAT_INTERVAL = 2.0  # seconds between the empty lines of a watch on which nothing changes
 
 
 class Watch:
-    """One watch that the proxy has opened."""
+    """A watch that a proxy has opened."""
 
-    def __init__(self, line: bytes, writer: Writer) -> None:
-        self.request_line = line
+    def __init__(self, request_line: bytes, writer: Writer) -> None:
+        self.request_line = request_line
         self.writer = writer
 
     def send(self, text: bytes) -> None:
@@ -28,7 +28,7 @@
 
 
 class Discovery:
-    """Discovery that hands each call to the test."""
+    """A discovery service that hands each watch to the test."""
 
     def __init__(self) -> None:
         self.watches: asyncio.Queue[Watch] = asyncio.Queue()
@@ -38,7 +38,7 @@
         self._writers: set[Writer] = set()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; on a free port unless one is given."""
+        """Start to listen, on a free port unless one is given."""
         self._server = await asyncio.start_server(self._serve, host, port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -62,17 +62,17 @@
 
 
 class HostList(Discovery):
-    """Discovery that answers by itself: the whole list, then each change, and a heartbeat in between."""
+    """A discovery service that sends the whole list, then each change, and heartbeats in between."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         super().__init__()
         self.hosts = hosts
         self.seq = 1
-        self.delay = 0.0  # seconds before a watch is told anything
+        self.delay = 0.0  # seconds before a new watch gets the list
         self.on_list_sent: Callable[[Watch, int, list[dict[str, Any]]], None] = lambda watch, seq, entries: None
-        self.fault = ""  # "stale": changes are kept back; "reorder": the newest goes first; "garble": nonsense
-        self._kept: list[tuple[int, list[dict[str, Any]]]] = []
-        self._open: dict[Watch, None] = {}  # in the order of their coming
+        self.fault = ""  # "stale": changes are withheld; "reorder": the newest goes first; "garble": invalid JSON
+        self._withheld: list[tuple[int, list[dict[str, Any]]]] = []
+        self._open: dict[Watch, None] = {}  # open watches, oldest first
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
@@ -82,33 +82,33 @@
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
             writer.close()
             return
-        line = head.split(b"\r\n")[0]
-        if b"watch=1" not in line:
+        request_line = head.split(b"\r\n")[0]
+        if b"watch=1" not in request_line:
             body = json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             writer.close()
             return
         writer.write(self.answer)
-        watch = Watch(line, writer)
+        watch = Watch(request_line, writer)
         self._open[watch] = None
-        beat = asyncio.get_running_loop().create_task(self._beat(watch))
+        heartbeat = asyncio.get_running_loop().create_task(self._send_heartbeats(watch))
         try:
             await asyncio.sleep(self.delay)
-            self._tell(watch, self.seq, self.hosts, whole=True)
+            self._send_list(watch, self.seq, self.hosts, whole=True)
             with contextlib.suppress(OSError):
                 await reader.read()
         finally:
-            beat.cancel()
+            heartbeat.cancel()
             self._open.pop(watch, None)
             self._writers.discard(writer)
             writer.close()
 
-    async def _beat(self, watch: Watch) -> None:
+    async def _send_heartbeats(self, watch: Watch) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
             watch.send(b"\n")
 
-    def _tell(self, watch: Watch, seq: int, entries: list[dict[str, Any]], whole: bool = False) -> None:
+    def _send_list(self, watch: Watch, seq: int, entries: list[dict[str, Any]], whole: bool = False) -> None:
         if self.fault == "garble":
             watch.send(b'{"seq": 1, "whole": tr\n')
             return
@@ -116,21 +116,21 @@
         self.on_list_sent(watch, seq, entries)
 
     def change(self, *entries: dict[str, Any]) -> None:
-        """Replace entries by their host, and tell all watches."""
-        fresh = {entry["host"]: entry for entry in entries}
-        self.hosts = [h for h in self.hosts if h["host"] not in fresh] + list(entries)
+        """Replace entries by their host, and send the change to all watches."""
+        changed = {entry["host"]: entry for entry in entries}
+        self.hosts = [h for h in self.hosts if h["host"] not in changed] + list(entries)
         self.seq += 1
-        self._kept.append((self.seq, list(entries)))
-        if self.fault != "stale" and (self.fault != "reorder" or len(self._kept) > 1):
-            self._tell_kept()
+        self._withheld.append((self.seq, list(entries)))
+        if self.fault != "stale" and (self.fault != "reorder" or len(self._withheld) > 1):
+            self._send_withheld()
 
-    def _tell_kept(self) -> None:
-        kept, self._kept = self._kept, []
-        for seq, entries in reversed(kept) if self.fault == "reorder" else kept:
+    def _send_withheld(self) -> None:
+        withheld, self._withheld = self._withheld, []
+        for seq, entries in reversed(withheld) if self.fault == "reorder" else withheld:
             for watch in self._open:
-                self._tell(watch, seq, entries)
+                self._send_list(watch, seq, entries)
 
     def clear_fault(self) -> None:
-        """The mood is over: what was kept back is told."""
+        """End the fault, and send the withheld changes."""
         self.fault = ""
-        self._tell_kept()
+        self._send_withheld()
--- a/standins/faulty_instance.py
+++ b/standins/faulty_instance.py
@@ -1,17 +1,17 @@
-"""An instance that misbehaves as its first argument says; it speaks a supervisor's contract, or breaks it.
+"""An instance that follows or breaks the supervisor's protocol, as its first argument says.
 
 Descriptors: 3 the listener, 4 the status pipe, 5 the lifeline (docs/operators/fleet.md).
 
-    ok           ready, answers, ends on SIGTERM and with its supervisor
-    exits        ends at once with code 3
-    exits-later  ready, and ends with code 4 as soon as it has answered a check
-    mute         listens and says nothing: never ready
-    stubborn     ready, answers, and ignores SIGTERM
-    deaf         ready; beats on, but answers nothing after its first check
-    busy         ready; computes for a second and a half after its first check, and hears nothing meanwhile
-    flag FILE    ok, unless FILE is there: then it ends at once with code 5
-    stuck        ready, and then neither reads nor hears anything any more
-    loud N       ok, and writes N lines of rubbish to standard output
+    ok           becomes ready, responds, ends on SIGTERM and with its supervisor
+    exits        exits at once with code 3
+    exits-later  becomes ready, and exits with code 4 after it has answered a check
+    mute         listens and sends nothing: never becomes ready
+    stubborn     becomes ready, responds, and ignores SIGTERM
+    deaf         becomes ready; continues heartbeats, but accepts nothing after its first check
+    busy         becomes ready; uses the processor for 1.5 s after its first check, and handles nothing meanwhile
+    flag FILE    ok, unless FILE exists: then it exits at once with code 5
+    stuck        becomes ready, and after its first check blocks with all signals masked
+    loud N       ok, and writes N lines of unstructured text to standard output
 """
 
 from __future__ import annotations
@@ -26,30 +26,31 @@
 from pathlib import Path
 
 LISTENER, STATUS, LIFELINE = 3, 4, 5
-BEAT = 0.2  # seconds
+HEARTBEAT_INTERVAL = 0.2  # seconds
 
 
-def say(**values: object) -> None:
-    """One line through the status pipe."""
+def report(**values: object) -> None:
+    """Write one line to the status pipe."""
     os.write(STATUS, json.dumps(values).encode() + b"\n")
 
 
-def answer(listener: socket.socket) -> bool:
-    """One request, whatever it is, is answered with 200; False if nobody waited for that any more."""
+def answer_request(listener: socket.socket) -> bool:
+    """Answer one request, whatever it is, with 200; returns False if the client had already closed."""
     connection, _ = listener.accept()
     with connection:
         connection.settimeout(2.0)
         try:
             connection.recv(4096)
-            waits = not select.select([connection], [], [], 0)[0]  # else its end has come
+            # Readable after the request: the end of the stream.
+            client_waits = not select.select([connection], [], [], 0)[0]
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
         except OSError:
             return False
-    return waits
+    return client_waits
 
 
 def main(mode: str, value: str) -> int:
-    """Returns the exit code."""
+    """Run one mode; returns the exit code."""
     if mode == "exits":
         return 3
     if mode == "flag" and Path(value).exists():
@@ -67,26 +68,26 @@
     if mode == "mute":
         select.select([LIFELINE], [], [])
         return 0
-    signal.signal(signal.SIGHUP, lambda *rest: say(event="reloaded", why=None))
-    say(event="ready")
+    signal.signal(signal.SIGHUP, lambda *rest: report(event="reloaded", why=None))
+    report(event="ready")
     answered = 0
     while True:
-        wanted = [LIFELINE] if mode == "deaf" and answered else [LIFELINE, LISTENER]
-        readable, _, _ = select.select(wanted, [], [], BEAT)
+        watched = [LIFELINE] if mode == "deaf" and answered else [LIFELINE, LISTENER]
+        readable, _, _ = select.select(watched, [], [], HEARTBEAT_INTERVAL)
         if LIFELINE in readable:
             return 0
         if LISTENER in readable:
-            answered += answer(listener)
+            answered += answer_request(listener)
             if answered and mode == "exits-later":
                 return 4
             if answered == 1 and mode == "busy":
-                until = time.process_time() + 1.5
-                while time.process_time() < until:
+                deadline = time.process_time() + 1.5
+                while time.process_time() < deadline:
                     pass
             if answered and mode == "stuck":
                 signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
-                signal.sigwait([signal.SIGUSR2])  # which nobody sends
-        say(event="beat", open=0, served=answered if mode != "deaf" else 0)
+                signal.sigwait([signal.SIGUSR2])  # which is never sent
+        report(event="beat", open=0, served=answered if mode != "deaf" else 0)
 
 
 if __name__ == "__main__":
--- a/standins/faulty_link.py
+++ b/standins/faulty_link.py
@@ -1,19 +1,19 @@
-"""A faulty link: a relay between one listener and one address that drops, delays, narrows, cuts or silences.
-
-Each direction is its own: `up` from who connects, `down` to them. A mood holds for what comes from then on, also on
-connections that are open; delays come from the link's seed.
-
-| mood    | what happens                                                                             |
-| ------- | ---------------------------------------------------------------------------------------- |
-| pass    | all goes through                                                                         |
-| drop    | nothing goes either way, open connections stay open, new ones are taken and stay silent  |
-| mute    | the same for one direction only                                                          |
-| reset   | open connections are reset, new ones too                                                 |
-| refuse  | new connections are refused; open ones go on                                             |
-| half    | the far side of each open connection ends, the near side is told nothing                 |
-| slow    | each piece waits for a log-normal time with this median (seconds) and spread             |
-| narrow  | so many bytes a second in each direction                                                 |
-| cut     | each connection is reset after so many bytes more in one direction                       |
+"""A faulty link: a relay between one listener and one target address, with a fault that can be set.
+
+Each direction is separate: `up` from the connecting side, `down` to it. A fault applies to all data that arrives
+while it is set, also on open connections. Delays are drawn from the link's seed.
+
+| fault   | effect                                                                                          |
+| ------- | ----------------------------------------------------------------------------------------------- |
+| pass    | none                                                                                            |
+| drop    | both directions are blocked; open connections stay open, new ones are accepted and get no data  |
+| mute    | the same in one direction only                                                                  |
+| reset   | open and new connections are reset                                                              |
+| refuse  | new connections are refused; open ones continue                                                 |
+| half    | the target's side of each open connection is aborted, the connecting side is not notified       |
+| slow    | each chunk is delayed by a log-normal time with this median (seconds) and spread                |
+| narrow  | the rate in each direction is limited to this many bytes a second                               |
+| cut     | each connection is reset after this many more bytes in one direction                            |
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 LINK_FAULTS = ("pass", "drop", "mute", "reset", "refuse", "half", "slow", "narrow", "cut")
 DIRECTIONS = ("up", "down")
-PIECE = 65536
+CHUNK_SIZE = 65536
 
 
 @dataclass(frozen=True)
 class LinkFault:
-    """What a link does now."""
+    """A fault of a link; the default is none."""
 
     name: str = "pass"
     direction: str = "down"  # of mute and cut
-    median_delay: float = 0.0  # median delay of slow
+    median_delay: float = 0.0  # seconds, of slow
     spread: float = 0.5  # sigma of the logarithm of that delay
     rate: float = 0.0  # bytes a second of narrow
     after: int = 0  # bytes of cut
@@ -46,51 +46,51 @@
     """One direction of one connection."""
 
     def __init__(
-        self, link: FaultyLink, way: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, link: FaultyLink, direction: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._link = link
-        self._way = way
+        self._direction = direction
         self._reader = reader
         self._writer = writer
-        self._mood = link.fault
-        self._left = link.fault.after
+        self._fault = link.fault
+        self._remaining = link.fault.after
 
     async def run(self) -> None:
-        """Until this direction ends, or is cut."""
-        while data := await self._reader.read(PIECE):
-            await self._pass(data)
-        await self._open()
+        """Forward data until this direction ends; raises ConnectionResetError after a cut."""
+        while data := await self._reader.read(CHUNK_SIZE):
+            await self._forward(data)
+        await self._wait_while_blocked()
         while self._link.fault.name == "half":
             await self._link.wait_for_change()
         with contextlib.suppress(OSError, RuntimeError):
             self._writer.write_eof()
 
-    async def _open(self) -> None:
-        """Wait while nothing goes this way."""
+    async def _wait_while_blocked(self) -> None:
+        """Wait while the fault blocks this direction."""
         link = self._link
-        while link.fault.name == "drop" or (link.fault.name == "mute" and link.fault.direction == self._way):
+        while link.fault.name == "drop" or (link.fault.name == "mute" and link.fault.direction == self._direction):
             await link.wait_for_change()
 
-    async def _pass(self, data: bytes) -> None:
-        await self._open()
-        mood = self._link.fault
-        if mood is not self._mood:
-            self._mood, self._left = mood, mood.after
-        if mood.name == "slow":
-            delay = mood.median_delay * math.exp(self._link.rng.gauss(0.0, mood.spread))
+    async def _forward(self, data: bytes) -> None:
+        await self._wait_while_blocked()
+        fault = self._link.fault
+        if fault is not self._fault:
+            self._fault, self._remaining = fault, fault.after
+        if fault.name == "slow":
+            delay = fault.median_delay * math.exp(self._link.rng.gauss(0.0, fault.spread))
             await asyncio.sleep(min(delay, 60.0))
-        elif mood.name == "narrow" and mood.rate > 0.0:
-            await asyncio.sleep(len(data) / mood.rate)
-        elif mood.name == "cut" and mood.direction == self._way:
-            data, self._left = data[: self._left], self._left - len(data)
+        elif fault.name == "narrow" and fault.rate > 0.0:
+            await asyncio.sleep(len(data) / fault.rate)
+        elif fault.name == "cut" and fault.direction == self._direction:
+            data, self._remaining = data[: self._remaining], self._remaining - len(data)
         self._writer.write(data)
         await self._writer.drain()
-        if mood.name == "cut" and mood.direction == self._way and self._left <= 0:
+        if fault.name == "cut" and fault.direction == self._direction and self._remaining <= 0:
             raise ConnectionResetError
 
 
 class FaultyLink:
-    """One listener, and the address behind it: a host and port, or the path of a Unix socket."""
+    """One listener and its target: a host and port, or the path of a Unix socket."""
 
     def __init__(self, target: tuple[str, int] | str, seed: int = 0) -> None:
         self.target = target
@@ -100,44 +100,44 @@
         self.accepted = 0  # connections
         self._server: asyncio.Server | None = None
         self._address: tuple[str, int] | str = ("127.0.0.1", 0)
-        self._change = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()
-        self._far: set[asyncio.StreamWriter] = set()
+        self._changed = asyncio.Event()
+        self._open_writers: set[asyncio.StreamWriter] = set()
+        self._target_writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, address: tuple[str, int] | str = ("127.0.0.1", 0)) -> None:
-        """Listen."""
+        """Listen at an address; on a free port of loopback by default."""
         self._address = address
         if isinstance(address, str):
-            self._server = await asyncio.start_unix_server(self._take, address)
+            self._server = await asyncio.start_unix_server(self._on_connection, address)
             return
-        self._server = await asyncio.start_server(self._take, *address)
+        self._server = await asyncio.start_server(self._on_connection, *address)
         self.port = self._server.sockets[0].getsockname()[1]
         self._address = (address[0], self.port)
 
-    async def set_fault(self, mood: LinkFault) -> None:
-        """Be in this mood from now on."""
-        before, self.fault = self.fault, mood
-        if mood.name == "refuse" and self._server is not None:
+    async def set_fault(self, fault: LinkFault) -> None:
+        """Apply a fault from now on."""
+        previous, self.fault = self.fault, fault
+        if fault.name == "refuse" and self._server is not None:
             self._server.close()
             self._server = None
-        elif before.name == "refuse" and self._server is None:
+        elif previous.name == "refuse" and self._server is None:
             await self.start(self._address)
-        if mood.name == "reset":
-            for writer in list(self._open):
+        if fault.name == "reset":
+            for writer in list(self._open_writers):
                 _reset(writer)
-        if mood.name == "half":
-            for writer in list(self._far):
+        if fault.name == "half":
+            for writer in list(self._target_writers):
                 writer.transport.abort()
-        change, self._change = self._change, asyncio.Event()
-        change.set()
+        changed, self._changed = self._changed, asyncio.Event()
+        changed.set()
 
     async def wait_for_change(self) -> None:
-        """Wait for another mood."""
-        await self._change.wait()
+        """Wait until another fault is set."""
+        await self._changed.wait()
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop listening, and end all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -145,7 +145,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks)
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
@@ -162,24 +162,24 @@
             raise ConnectionResetError
         while self.fault.name == "drop":
             await self.wait_for_change()
-        self._open.add(writer)
-        far: asyncio.StreamWriter | None = None
+        self._open_writers.add(writer)
+        target_writer: asyncio.StreamWriter | None = None
         try:
             if isinstance(self.target, str):
-                back, far = await asyncio.open_unix_connection(self.target)
+                target_reader, target_writer = await asyncio.open_unix_connection(self.target)
             else:
-                back, far = await asyncio.open_connection(*self.target)
-            self._open.add(far)
-            self._far.add(far)
-            await self._both(Pipe(self, "up", reader, far), Pipe(self, "down", back, writer))
+                target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self._open_writers.add(target_writer)
+            self._target_writers.add(target_writer)
+            await self._run_pipes(Pipe(self, "up", reader, target_writer), Pipe(self, "down", target_reader, writer))
         finally:
-            for each in filter(None, (writer, far)):
-                self._open.discard(each)
-                self._far.discard(each)
-                each.close()
+            for open_writer in filter(None, (writer, target_writer)):
+                self._open_writers.discard(open_writer)
+                self._target_writers.discard(open_writer)
+                open_writer.close()
 
-    async def _both(self, up: Pipe, down: Pipe) -> None:
-        """Both directions; the end of what is behind ends both, unless the mood is to hide it."""
+    async def _run_pipes(self, up: Pipe, down: Pipe) -> None:
+        """Run both directions; the end of the target's side ends both, unless the fault hides it."""
         tasks = [asyncio.ensure_future(pipe.run()) for pipe in (up, down)]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_EXCEPTION)
@@ -194,7 +194,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by RST, as a process that dies does."""
+    """Abort a connection with RST, as the death of a process can."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.family != socket.AF_UNIX:
         with contextlib.suppress(OSError):
--- a/standins/messages.py
+++ b/standins/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the peers read and write them (RFC 9112)."""
+"""HTTP/1.1 messages as the stand-ins read and write them (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"  # RFC 9110, 15.2.1
-MAX_HEAD = 64 * 1024  # bytes of a head, before a peer gives up
-PEER_TIMEOUT = 10.0  # how long a peer waits for what must happen; never a figure that is measured
+MAX_HEAD = 64 * 1024  # bytes of a message head
+PEER_TIMEOUT = 10.0  # seconds that a peer waits for an expected event; never part of a measurement
 
 
 @dataclass
 class Message:
-    """A request as a peer read it."""
+    """A request or response as a peer received it."""
 
     line: bytes
     headers: dict[bytes, bytes]
@@ -22,25 +22,25 @@
 
     @property
     def status(self) -> int:
-        """Of an answer; raises ValueError or IndexError where the line is none's."""
+        """The status of a response; raises ValueError or IndexError if the first line is not a status line."""
         return int(self.line.split()[1])
 
 
 async def read_message(reader: Reader) -> Message | None:
-    """One message with a Content-Length or chunked body; None at a clean end."""
+    """Read a message with a Content-Length or chunked body; None at the end of the stream between messages."""
     head = b""
     while True:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as end:
-            assert not end.partial, f"cut off in a head: {end.partial!r}"
+            assert not end.partial, f"stream ended within a head: {end.partial!r}"
             return None
         if head != CONTINUE:
             break
-    line, *rest = head[:-4].split(b"\r\n")
+    line, *header_lines = head[:-4].split(b"\r\n")
     headers = {}
-    for row in rest:
-        name, _, value = row.partition(b":")
+    for header_line in header_lines:
+        name, _, value = header_line.partition(b":")
         headers[name.strip().lower()] = value.strip()
     body = b""
     if headers.get(b"transfer-encoding") == b"chunked":
@@ -54,19 +54,19 @@
 
 
 def take_message(buffer: bytearray) -> Message | None:
-    """One whole message with a Content-Length, or none, off the front of what has come; None while it is not whole.
+    """Remove one message, with or without Content-Length, from the front of a buffer; None while it is incomplete.
 
-    Raises ValueError for what is no message.
+    Raises ValueError for an invalid message.
     """
     end = buffer.find(b"\r\n\r\n")
     if end < 0:
         if len(buffer) > MAX_HEAD:
-            raise ValueError("a head without end")
+            raise ValueError("the head is too long")
         return None
-    line, *rows = bytes(buffer[:end]).split(b"\r\n")
+    line, *header_lines = bytes(buffer[:end]).split(b"\r\n")
     headers = {}
-    for row in rows:
-        name, _, value = row.partition(b":")
+    for header_line in header_lines:
+        name, _, value = header_line.partition(b":")
         headers[name.strip().lower()] = value.strip()
     size = end + 4 + int(headers.get(b"content-length", b"0"))
     if len(buffer) < size:
@@ -77,6 +77,6 @@
 
 
 def reply(status: int = 200, body: bytes = b"ok", *extra: bytes) -> bytes:
-    """An answer's bytes."""
+    """The bytes of a response."""
     lines = [b"HTTP/1.1 %d X" % status, b"Content-Length: %d" % len(body), *extra, b"", b""]
     return b"\r\n".join(lines) + body
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform on a day with upgrades: it keeps the callers' listener, and starts one version beside another."""
+"""A stand-in for the platform during upgrades: holds the callers' listener and starts one version next to another."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Platform:
-    """What the platform does: it keeps the listener and the folder, and starts processes beside each other."""
+    """Holds the listener and the shared folder, and starts proxy processes next to each other."""
 
     def __init__(
         self,
@@ -38,38 +38,38 @@
         self.port = int(self.listener.getsockname()[1])
         self.sockets = sockets
         self.processes: list[asyncio.subprocess.Process] = []
-        self.management_ports: dict[int, int] = {}  # second addresses, by pid
+        self.management_ports: dict[int, int] = {}  # by process id
         self.count = 0
 
     async def launch(self, wait: bool = True, **environ: str) -> asyncio.subprocess.Process:
-        """`run`, with a second address of its own; ready when it returns."""
-        door = free_ports(1)[0]
+        """Start a proxy process with its own management address; returns when it is ready unless `wait` is False."""
+        management_port = free_ports(1)[0]
         config = {
             "name": "t",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery}",
             "seed": "ab",
             "limits": {"memory_mb": 80, "sockets": self.sockets},
-            "management": f"127.0.0.1:{door}",
+            "management": f"127.0.0.1:{management_port}",
             "known": {"seq": 1, "whole": True, "hosts": self.hosts},
             "settings": self.settings,
         }
         path = self.folder / f"config{len(self.processes)}.json"
         path.write_bytes(orjson.dumps(config))
         base = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
-        shared = {"LB_CONFIG": str(path), "LB_ACCEPT_FD": "3", "TMPDIR": str(self.folder)}
+        proxy_environ = {"LB_CONFIG": str(path), "LB_ACCEPT_FD": "3", "TMPDIR": str(self.folder)}
         command = f"exec {sys.executable} -m cometusher 3<&{self.listener.fileno()}"
         process = await asyncio.create_subprocess_exec(
             "/bin/bash",
             "-c",
             command,
             cwd=self.root,
-            env=base | shared | environ,
+            env=base | proxy_environ | environ,
             pass_fds=[self.listener.fileno()],
             stderr=(self.folder / f"log{len(self.processes)}").open("wb"),
         )
         self.processes.append(process)
-        self.management_ports[process.pid] = door
+        self.management_ports[process.pid] = management_port
         async with asyncio.timeout(PEER_TIMEOUT):
             while wait and await self.management_call(process, "ready", method="GET") != 200:
                 await asyncio.sleep(0.02)
@@ -79,7 +79,7 @@
         return (self.folder / f"log{number}").read_text()
 
     async def wait_for_log(self, number: int, text: str, times: int = 1) -> None:
-        """Wait for a line of a process's log."""
+        """Wait until a text was logged `times` times by one process; raises TimeoutError."""
         async with asyncio.timeout(PEER_TIMEOUT):
             while self.log(number).count(text) < times:
                 await asyncio.sleep(0.02)
@@ -87,17 +87,17 @@
     async def management_call(
         self, process: asyncio.subprocess.Process, call: str, body: bytes = b"", method: str = "POST"
     ) -> int:
-        """A call at the second address of one process; 0 where nobody listens."""
+        """Make a call at the management address of one process; returns the status, or 0 if it does not listen."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.management_ports[process.pid])
         except OSError:
             return 0
         writer.write(f"{method} /api/{call} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
         try:
-            seen = await asyncio.wait_for(read_message(reader), PEER_TIMEOUT)
+            response = await asyncio.wait_for(read_message(reader), PEER_TIMEOUT)
         finally:
             writer.close()
-        return int(seen.line.split()[1]) if seen is not None else 0
+        return int(response.line.split()[1]) if response is not None else 0
 
     async def connect(self) -> Caller:
         return Caller(*await asyncio.open_connection("127.0.0.1", self.port))
@@ -106,9 +106,9 @@
         self.count += 1
         request_id = f"r{self.count}"
         caller = await self.connect()
-        status, seen = await caller.call(request_id=request_id)
+        status, response = await caller.call(request_id=request_id)
         caller.abort()
-        return status, seen.body
+        return status, response.body
 
     async def up(self) -> int:
         caller = await self.connect()
@@ -121,15 +121,15 @@
         return await asyncio.wait_for(process.wait(), PEER_TIMEOUT)
 
     def open_descriptors(self) -> int:
-        """Descriptors of all its processes together, as proc(5) lists them."""
-        held = 0
+        """Number of open descriptors of all its processes together, from proc(5)."""
+        count = 0
         for process in self.processes:
             if process.returncode is None:
-                held += len(os.listdir(f"/proc/{process.pid}/fd"))
-        return held
+                count += len(os.listdir(f"/proc/{process.pid}/fd"))
+        return count
 
     async def close(self) -> None:
-        """End all."""
+        """Kill all processes, and close the listener."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
--- a/standins/service_backend.py
+++ b/standins/service_backend.py
@@ -1,8 +1,8 @@
-"""A service backend as the protocol describes them, with a memory, a temper and an account of what it did.
+"""A stand-in for a service backend, as the protocol describes it, with faults and an observer of its actions.
 
-Cores, a queue, a cold start, a window in which a repeated key is recognised, calls to the tier behind; and moods in
-which it stalls, spoils, doubles or breaks its answers. Its work is waiting: it says how a machine of a given speed
-would behave, and costs this one next to nothing.
+It has cores, a queue, a cold start, a window in which it recognizes a repeated key, and calls to the next tier. With
+a fault set it stalls, corrupts, duplicates or breaks its responses. Work is simulated by waiting, for as long as a
+machine of the given speed would take, so it uses almost no processor time.
 """
 
 from __future__ import annotations
@@ -17,183 +17,186 @@
 from standins.client_connections import Address, ClientPool, PendingRequest, RequestEnd
 from standins.messages import Message, reply, take_message
 
-QUEUE = 32  # requests that wait for a core
+MAX_QUEUE = 32  # requests that may wait for a core
 REJECTED = b"X-Rejected: 1"
 BACKEND_FAULTS = ("", "stall", "spoil", "double", "reset", "error")
-IDLE = 5.0  # seconds after which an idle connection is closed
+IDLE_TIMEOUT = 5.0  # seconds after which an idle connection is closed
 
 
 class Observer(Protocol):
-    """Who keeps the account."""
+    """Receives the events of backends."""
 
-    def on_request(self, node: ServiceBackend, seen: Message) -> None:
-        """A request's last byte has come."""
+    def on_request(self, backend: ServiceBackend, request: Message) -> None:
+        """A request was received completely."""
 
-    def on_rejected(self, node: ServiceBackend, seen: Message) -> None:
-        """It was turned away, and never ran."""
+    def on_rejected(self, backend: ServiceBackend, request: Message) -> None:
+        """A request was rejected without running."""
 
-    def on_run(self, node: ServiceBackend, seen: Message, effect: bool) -> None:
-        """It begins to run; with no effect if its key was recognised."""
+    def on_run(self, backend: ServiceBackend, request: Message, effect: bool) -> None:
+        """A request starts to run; it has no effect if its key was recognized."""
 
-    def on_overload(self, node: ServiceBackend, sent: float, carries: float) -> None:
-        """Cold, it was sent more than it bears: seconds of work in the span, and what it would bear."""
+    def on_overload(self, backend: ServiceBackend, sent: float, capacity: float) -> None:
+        """A cold backend was sent more than its capacity, both in seconds of work in the stated span."""
 
-    def on_call(self, node: ServiceBackend, parcel: PendingRequest, seen: Message, budget: float) -> PendingRequest:
-        """It is about to call the tier behind; the account may add to the parcel."""
+    def on_call(
+        self, backend: ServiceBackend, call: PendingRequest, request: Message, budget: float
+    ) -> PendingRequest:
+        """The backend is about to call the next tier; the observer may extend the call."""
 
 
 class NullObserver:
-    """An observer that keeps nothing."""
+    """An observer that ignores all events."""
 
-    def on_request(self, node: ServiceBackend, seen: Message) -> None: ...
+    def on_request(self, backend: ServiceBackend, request: Message) -> None: ...
 
-    def on_rejected(self, node: ServiceBackend, seen: Message) -> None: ...
+    def on_rejected(self, backend: ServiceBackend, request: Message) -> None: ...
 
-    def on_run(self, node: ServiceBackend, seen: Message, effect: bool) -> None: ...
+    def on_run(self, backend: ServiceBackend, request: Message, effect: bool) -> None: ...
 
-    def on_overload(self, node: ServiceBackend, sent: float, carries: float) -> None: ...
+    def on_overload(self, backend: ServiceBackend, sent: float, capacity: float) -> None: ...
 
-    def on_call(self, node: ServiceBackend, parcel: PendingRequest, seen: Message, budget: float) -> PendingRequest:
-        return parcel
+    def on_call(
+        self, backend: ServiceBackend, call: PendingRequest, request: Message, budget: float
+    ) -> PendingRequest:
+        return call
 
 
 @dataclass
 class KeyWindow:
-    """What a group of nodes remembers of keyed requests."""
+    """The idempotency keys that a group of backends recognizes for `window` seconds."""
 
     window: float
-    _known: dict[bytes, float] = field(default_factory=dict)
+    _seen_at: dict[bytes, float] = field(default_factory=dict)
 
     def register(self, now: float, key: bytes) -> bool:
-        """Whether a key is new; it is known from here on."""
-        at = self._known.get(key)
-        if at is not None and now - at <= self.window:
+        """Record a key; returns whether it was new."""
+        seen_at = self._seen_at.get(key)
+        if seen_at is not None and now - seen_at <= self.window:
             return False
-        self._known[key] = now
+        self._seen_at[key] = now
         return True
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection to a node."""
+    """One connection to a backend, with at most one request running."""
 
-    def __init__(self, node: ServiceBackend) -> None:
-        self._node = node
+    def __init__(self, backend: ServiceBackend) -> None:
+        self._backend = backend
         self.transport: asyncio.Transport | None = None
         self.busy = False
-        self.since = 0.0
+        self.idle_since = 0.0
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.since = self._node.loop.time()
-        self._node.connections[self] = None
+        self.idle_since = self._backend.loop.time()
+        self._backend.connections[self] = None
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
         if not self.busy:
-            self.next()
+            self.process_next()
 
-    def next(self) -> None:
-        """Take the next request, if it is whole."""
+    def process_next(self) -> None:
+        """Handle the next request if it was received completely."""
         self.busy = False
-        self.since = self._node.loop.time()
+        self.idle_since = self._backend.loop.time()
         try:
-            seen = take_message(self._buffer)
+            request = take_message(self._buffer)
         except ValueError:
             self.abort()
             return
-        if seen is not None:
+        if request is not None:
             self.busy = True
-            self._node.handle_request(self, seen)
+            self._backend.handle_request(self, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self._node.connections.pop(self, None)
+        self._backend.connections.pop(self, None)
 
     def write(self, data: bytes) -> None:
-        """Send, if anybody is there."""
+        """Send data if the connection is open."""
         if self.transport is not None:
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Break off."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 @dataclass(eq=False)
 class ServiceBackend:
-    """One backend."""
+    """A simulated backend."""
 
     host: str
     zone: str
-    speed: float  # of a core, against a yardstick machine
-    work: dict[str, float]  # seconds of a yardstick core, by class
+    speed: float  # of a core, relative to a reference machine
+    work: dict[str, float]  # seconds on a reference core, by class
     keys: KeyWindow
     rng: Random
     observer: Observer = field(default_factory=NullObserver)
     cores: int = 2
-    cold_from: float = 1.0  # the part of its speed that it starts with...
-    cold_for: float = 0.0  # ...and the seconds until it has all of it
-    overload_limit: tuple[float, float] | None = (
-        None  # it falls over at so many times what it carries, for so many seconds
-    )
-    next_tier: Address | None = None  # the proxy before the tier behind...
-    abandons_late_calls: bool = False  # ...which it leaves when its time is over
+    cold_from: float = 1.0  # initial part of its speed
+    cold_for: float = 0.0  # seconds until full speed
+    # A cold backend fails when it is sent this multiple of its capacity over this many seconds.
+    overload_limit: tuple[float, float] | None = None
+    next_tier: Address | None = None  # the proxy of the next tier
+    abandons_late_calls: bool = False  # whether it abandons a call to the next tier at its deadline
     started_at: float = 0.0
     slow: float = 1.0
     fault: str = ""
     draining: bool = False
-    idle_for: float = IDLE
+    idle_for: float = IDLE_TIMEOUT
     overloaded: bool = False
     served: int = 0
     connections: dict[BackendConnection, None] = field(default_factory=dict)
     loop: asyncio.AbstractEventLoop = field(init=False)
     port: int = 0
-    _busy: int = 0
+    _busy_cores: int = 0
     _queue: deque[tuple[BackendConnection, Message]] = field(default_factory=deque)
     _arrivals: deque[tuple[float, float]] = field(default_factory=deque)
     _stalled: list[BackendConnection] = field(default_factory=list)
-    _calls: int = 0
-    _courier: ClientPool = field(init=False)
+    _call_count: int = 0
+    _client_pool: ClientPool = field(init=False)
     _server: Any = None
 
     async def start(self, host: str, port: int = 0) -> None:
-        """Listen."""
+        """Start to listen."""
         self.loop = asyncio.get_running_loop()
-        self._courier = ClientPool(self.loop)
+        self._client_pool = ClientPool(self.loop)
         self._server = await self.loop.create_server(lambda: BackendConnection(self), host, port)
         self.port = self._server.sockets[0].getsockname()[1]
-        self.loop.call_later(0.05, self._sweep)
+        self.loop.call_later(0.05, self._close_idle)
 
     def stop(self) -> None:
-        """Listen no more, and break off what is open."""
+        """Stop listening, and abort open connections."""
         self._server.close()
-        self._courier.close()
-        for visit in list(self.connections):
-            visit.abort()
+        self._client_pool.close()
+        for connection in list(self.connections):
+            connection.abort()
 
     @property
     def client_pool(self) -> ClientPool:
-        """Its connections to the tier behind."""
-        return self._courier
+        """Its connections to the next tier."""
+        return self._client_pool
 
     def warmth(self) -> float:
-        """The part of its speed that it has."""
+        """The current part of its full speed."""
         age = self.loop.time() - self.started_at
         if self.cold_for <= 0.0 or age >= self.cold_for:
             return 1.0
         return self.cold_from + (1.0 - self.cold_from) * age / self.cold_for
 
     def clear_fault(self) -> None:
-        """The mood is over; what was stalled breaks."""
+        """End the fault; stalled connections are aborted."""
         self.fault = ""
-        for visit in self._stalled:
-            visit.abort()
+        for connection in self._stalled:
+            connection.abort()
         self._stalled.clear()
 
     def discovery_entry(self, **changes: Any) -> dict[str, Any]:
-        """Discovery's line about it."""
+        """The backend's entry in a list of discovery."""
         line = {
             "host": self.host,
             "dial": f"127.0.0.1:{self.port}",
@@ -206,130 +209,134 @@
         }
         return line | changes
 
-    # ---- a request's way -----------------------------------------------------------------
+    # ---- requests -----------------------------------------------------------------
 
-    def handle_request(self, visit: BackendConnection, seen: Message) -> None:
-        """A whole request."""
-        self.observer.on_request(self, seen)
-        if not seen.headers.get(b"x-call-id"):
-            visit.write(reply(404, b""))
-            visit.next()
+    def handle_request(self, connection: BackendConnection, request: Message) -> None:
+        """Run, queue or reject a request."""
+        self.observer.on_request(self, request)
+        if not request.headers.get(b"x-call-id"):
+            connection.write(reply(404, b""))
+            connection.process_next()
             return
-        self._weigh(seen)
-        if self.draining or self.overloaded or len(self._queue) >= QUEUE:
-            self.observer.on_rejected(self, seen)
-            visit.write(reply(503, b"", REJECTED))
-            visit.next()
-        elif self._busy < self.cores:
-            self._run(visit, seen)
+        self._check_overload(request)
+        if self.draining or self.overloaded or len(self._queue) >= MAX_QUEUE:
+            self.observer.on_rejected(self, request)
+            connection.write(reply(503, b"", REJECTED))
+            connection.process_next()
+        elif self._busy_cores < self.cores:
+            self._start_work(connection, request)
         else:
-            self._queue.append((visit, seen))
+            self._queue.append((connection, request))
 
-    def _work(self, seen: Message) -> float:
-        kind = seen.headers.get(b"x-call-class", b"").decode()
-        return self.work.get(kind, 0.05)
+    def _work_seconds(self, request: Message) -> float:
+        class_name = request.headers.get(b"x-call-class", b"").decode()
+        return self.work.get(class_name, 0.05)
 
-    def _weigh(self, seen: Message) -> None:
-        """A cold node falls over when it is sent too much; the budget is that of any span of the stated length."""
+    def _check_overload(self, request: Message) -> None:
+        """Fail a cold backend that is sent too much work within any span of the stated length."""
         if self.overload_limit is None or self.warmth() >= 1.0 or self.overloaded:
             return
         multiple, span = self.overload_limit
         now = self.loop.time()
-        self._arrivals.append((now, self._work(seen)))
+        self._arrivals.append((now, self._work_seconds(request)))
         while self._arrivals[0][0] <= now - span:
             self._arrivals.popleft()
         sent = sum(work for _, work in self._arrivals)
-        carries = multiple * self.warmth() * self.cores * self.speed * span + 3.0 * max(self.work.values())
-        if sent > carries:
+        capacity = multiple * self.warmth() * self.cores * self.speed * span + 3.0 * max(self.work.values())
+        if sent > capacity:
             self.overloaded = True
-            self.observer.on_overload(self, sent, carries)
-
-    def _run(self, visit: BackendConnection, seen: Message) -> None:
-        self._busy += 1
-        key = seen.headers.get(b"idempotency-key")
-        self.observer.on_run(self, seen, key is None or self.keys.register(self.loop.time(), key))
-        seconds = self._work(seen) * (0.5 + self.rng.random()) * self.slow / (self.speed * self.warmth())
-        self.loop.call_later(seconds, self._worked, visit, seen, self.loop.time())
-
-    def _worked(self, visit: BackendConnection, seen: Message, began: float) -> None:
-        self._busy -= 1
-        while self._queue and self._busy < self.cores:
-            waiting, request = self._queue.popleft()
-            if waiting.transport is not None:  # else its sender gave up: it never runs
-                self._run(waiting, request)
+            self.observer.on_overload(self, sent, capacity)
+
+    def _start_work(self, connection: BackendConnection, request: Message) -> None:
+        self._busy_cores += 1
+        key = request.headers.get(b"idempotency-key")
+        self.observer.on_run(self, request, key is None or self.keys.register(self.loop.time(), key))
+        seconds = self._work_seconds(request) * (0.5 + self.rng.random()) * self.slow / (self.speed * self.warmth())
+        self.loop.call_later(seconds, self._on_work_done, connection, request, self.loop.time())
+
+    def _on_work_done(self, connection: BackendConnection, request: Message, started: float) -> None:
+        self._busy_cores -= 1
+        while self._queue and self._busy_cores < self.cores:
+            waiting, queued = self._queue.popleft()
+            if waiting.transport is not None:  # else the sender has given up, and the request never runs
+                self._start_work(waiting, queued)
         if self.next_tier is not None:
-            self._call(visit, seen, began)
+            self._call(connection, request, started)
         else:
-            self._answer(visit, seen, 200, b"")
+            self._respond(connection, request, 200, b"")
 
-    def _call(self, visit: BackendConnection, seen: Message, began: float) -> None:
-        """A request to the tier behind, with a new id and what is left of the time."""
+    def _call(self, connection: BackendConnection, request: Message, started: float) -> None:
+        """Call the next tier with a new id and the remaining budget."""
         assert self.next_tier is not None
-        budget = seen.headers.get(b"x-budget", b"1000m")
-        left = float(budget[:-1]) / (1e3 if budget.endswith(b"m") else 1e6) - (self.loop.time() - began)
-        if left <= 0.0:
-            self._answer(visit, seen, 500, b"")
+        budget = request.headers.get(b"x-budget", b"1000m")
+        remaining = float(budget[:-1]) / (1e3 if budget.endswith(b"m") else 1e6) - (self.loop.time() - started)
+        if remaining <= 0.0:
+            self._respond(connection, request, 500, b"")
             return
-        self._calls += 1
-        rows = [
-            seen.line,
+        self._call_count += 1
+        lines = [
+            request.line,
             b"Host: backend.local",
-            b"X-Call-Id: %s.%s.%d" % (seen.headers[b"x-call-id"], self.host.encode(), self._calls),
-            b"X-Budget: %du" % max(1, int(left * 1e6)),
+            b"X-Call-Id: %s.%s.%d" % (request.headers[b"x-call-id"], self.host.encode(), self._call_count),
+            b"X-Budget: %du" % max(1, int(remaining * 1e6)),
         ]
-        rows += [
-            name + b": " + seen.headers[name]
+        lines += [
+            name + b": " + request.headers[name]
             for name in (b"x-call-class", b"x-caller", b"idempotency-key", b"x-want")
-            if name in seen.headers
+            if name in request.headers
         ]
-        if seen.line.startswith(b"POST"):
-            rows.append(b"Content-Length: %d" % len(seen.body))
-        parcel = PendingRequest(self.next_tier, [b"\r\n".join([*rows, b"", b""]) + seen.body])
+        if request.line.startswith(b"POST"):
+            lines.append(b"Content-Length: %d" % len(request.body))
+        call = PendingRequest(self.next_tier, [b"\r\n".join([*lines, b"", b""]) + request.body])
 
-        def done(end: RequestEnd, answer: Message | None) -> None:
-            good = answer is not None and answer.status == 200
-            self._answer(visit, seen, 200 if good else 500, b"")
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
+            succeeded = answer is not None and answer.status == 200
+            self._respond(connection, request, 200 if succeeded else 500, b"")
 
-        parcel.on_end = done
-        self._courier.send(self.observer.on_call(self, parcel, seen, left))
+        call.on_end = on_end
+        self._client_pool.send(self.observer.on_call(self, call, request, remaining))
         if self.abandons_late_calls:
-            self.loop.call_later(left, self._courier.abandon, parcel)
+            self.loop.call_later(remaining, self._client_pool.abandon, call)
 
-    def _answer(self, visit: BackendConnection, seen: Message, status: int, body: bytes) -> None:
-        if visit.transport is None:
+    def _respond(self, connection: BackendConnection, request: Message, status: int, body: bytes) -> None:
+        if connection.transport is None:
             return
         if status == 200:
-            body = b"report %s by %s " % (seen.headers[b"x-call-id"], self.host.encode())
-            body = body.ljust(int(seen.headers.get(b"x-want", b"0")), b".")
+            body = b"report %s by %s " % (request.headers[b"x-call-id"], self.host.encode())
+            body = body.ljust(int(request.headers.get(b"x-want", b"0")), b".")
             self.served += 1
-        self._speak(visit, reply(500, b"") if self.fault == "error" else reply(status, body))
+        self._write_response(connection, reply(500, b"") if self.fault == "error" else reply(status, body))
 
-    def _speak(self, visit: BackendConnection, data: bytes) -> None:
-        """Write an answer, as the mood has it."""
+    def _write_response(self, connection: BackendConnection, data: bytes) -> None:
+        """Write a response, altered by the current fault."""
         if self.fault == "stall":
-            visit.write(data[: len(data) // 2])
-            self._stalled.append(visit)
+            connection.write(data[: len(data) // 2])
+            self._stalled.append(connection)
             return
         if self.fault == "reset":
-            visit.abort()
+            connection.abort()
             return
         if self.fault == "spoil":
-            visit.write(self.rng.choice(SPOILT)(data))
-            if visit.transport is not None:
-                visit.transport.close()
+            connection.write(self.rng.choice(CORRUPTIONS)(data))
+            if connection.transport is not None:
+                connection.transport.close()
             return
-        visit.write(data + data if self.fault == "double" else data)
-        visit.next()
+        connection.write(data + data if self.fault == "double" else data)
+        connection.process_next()
 
-    def _sweep(self) -> None:
-        self.loop.call_later(0.05, self._sweep)
+    def _close_idle(self) -> None:
+        self.loop.call_later(0.05, self._close_idle)
         now = self.loop.time()
-        for visit in list(self.connections):
-            if not visit.busy and now - visit.since > self.idle_for and visit.transport is not None:
-                visit.transport.close()
+        for connection in list(self.connections):
+            if (
+                not connection.busy
+                and now - connection.idle_since > self.idle_for
+                and connection.transport is not None
+            ):
+                connection.transport.close()
 
 
-SPOILT: tuple[Callable[[bytes], bytes], ...] = (
+CORRUPTIONS: tuple[Callable[[bytes], bytes], ...] = (
     lambda data: data[: len(data) // 3],
     lambda data: data[:-1],
     lambda data: b"\x00\xffnonsense\r\n\r\n" + data,
