--- a/cometusher/simulation/__init__.py
+++ b/cometusher/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A virtual clock and an in-memory network under the same network code that runs on real ones."""
+"""Deterministic simulation: the real proxy on a virtual clock and an in-memory network, checked by test oracles."""
--- a/cometusher/simulation/container_audit.py
+++ b/cometusher/simulation/container_audit.py
@@ -1,6 +1,7 @@
-"""What hangs on a proxy, found by walking its objects: when all is quiet, each container is empty or within a bound.
+"""Audits the containers of an idle proxy for leaks: each must be empty or within a stated bound.
 
-A container that is new in the code is found without being told of, and has to be empty until a bound is stated here.
+Containers are found by walking the proxy's objects, so a new one is audited automatically: it must be empty unless a
+bound is stated here.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 AUDITED_MODULES = ("cometusher.", "weldroute.")
 EXCLUDED_MODULES = ("cometusher.simulation.",)
 
-#: What may be there in silence: so many, and so many more for each backend of the list.
+#: How many items an idle proxy may hold: a fixed number, and a number for each backend of discovery's list.
 BOUNDS: dict[str, tuple[int, int]] = {
     "Backends._backends": (0, 1),
     "Backends._owners": (0, 1),
@@ -45,10 +46,10 @@
     "AdmissionControl.quota_at": (2, 0),
     "AdmissionControl.pending": (64, 0),
     "AdmissionControl.queued": (64, 0),
-    "Request.attempts": (3, 0),  # until the next request comes
+    "Request.attempts": (3, 0),  # until the next request arrives
     "RecoveryConfig.standing": (5, 0),
     "RecoveryConfig.standing[]": (0, 1),
-    "RecoveryConfig.standing[][]": (3, 0),  # one form
+    "RecoveryConfig.standing[][]": (3, 0),  # one order
     "ProcessLedger._values": (33, 0),
     "OpenRequestIds._values": (8192, 0),
     "OpenRequestIds._free_slots": (1023, 0),
@@ -59,7 +60,7 @@
 
 
 def containers_over_bound(root: object, backends: int) -> dict[str, tuple[int, int]]:
-    """What holds more than is stated, where discovery lists so many backends: how many, and the bound."""
+    """Containers above their bound, where discovery lists this many backends: by name, the size and the bound."""
     found = {}
     for name, count in containers(root).items():
         fixed, per_backend = BOUNDS.get(name, (0, 0))
@@ -69,7 +70,7 @@
 
 
 def _attributes(instance: object) -> Iterator[tuple[str, Any]]:
-    """The attributes of an object, slots and all."""
+    """The attributes of an object, including those in slots."""
     yield from getattr(instance, "__dict__", {}).items()
     for base in type(instance).__mro__:
         slots = base.__dict__.get("__slots__", ())
@@ -84,7 +85,7 @@
 
 
 def containers(root: object) -> dict[str, int]:
-    """The most that any container of each name holds: `Class.attribute`, and `[]` behind it for one within it."""
+    """The largest size by container name: `Class.attribute`, with `[]` appended for a container within another."""
     found: dict[str, int] = {}
     seen: set[int] = {id(root)}
     pending: list[tuple[str, object]] = [(type(root).__name__, root)]
--- a/cometusher/simulation/loop.py
+++ b/cometusher/simulation/loop.py
@@ -1,8 +1,8 @@
 """A deterministic event loop for asyncio: time is virtual, and jumps to the next event.
 
-What asyncio guarantees holds here too: callbacks run in the order in which they were registered, timers in the
-order of their times, and a round of the loop runs what was ready when it began. What asyncio leaves open, the order
-of timers of the same time, the seed decides; two runs with one seed do the same.
+It keeps asyncio's guarantees: callbacks run in the order in which they were registered, timers in the order of their
+times, and an iteration of the loop runs what was ready when it began. The order of timers with the same time, which
+asyncio leaves open, is drawn from the seed; two runs with one seed are equal.
 """
 
 from __future__ import annotations
@@ -27,30 +27,33 @@
 
 #: The machine that the running code belongs to; tasks and callbacks inherit it with their context.
 CURRENT_MACHINE: contextvars.ContextVar[Machine | None] = contextvars.ContextVar("machine", default=None)
-STUCK_CPU_TIMEOUT = 4.0  # seconds of processor time after which one callback counts as one that never yields
-MAX_STEPS_PER_INSTANT = 100_000  # callbacks at one moment, after which time stands still for good
+STUCK_CPU_TIMEOUT = 4.0  # seconds of processor time after which a callback counts as one that never yields
+MAX_STEPS_PER_INSTANT = 100_000  # callbacks at one instant, after which time counts as stuck
 
 
 class Deadlock(Exception):
-    """Nothing will ever happen any more, and what is waited for has not."""
+    """No callback is ready and no timer is set, but the awaited future is not done."""
 
 
 class Stuck(BaseException):
-    """A callback does not return; the text says where it was. Not an Exception, for code that catches these."""
+    """A callback does not return, or time does not advance; the text says where.
 
+    Not an Exception, so that code under test that catches Exception does not swallow it.
+    """
 
-#: Typed loosely: what the abstract loop asks for and a world has no use for (subprocesses, threads, signals, name
-#: look-ups) stays unimplemented, and raises NotImplementedError there.
+
+#: Typed as Any: the abstract loop's methods that a simulation does not use (subprocesses, threads, signals, name
+#: resolution) are left unimplemented, and raise NotImplementedError.
 _LoopBase: Any = asyncio.AbstractEventLoop
 
 
 class VirtualLoop(_LoopBase):  # type: ignore[misc]
-    """One world's loop; not thread-safe, and needing no thread."""
+    """The event loop of one simulation; not thread-safe, and without threads of its own."""
 
     def __init__(self, seed: int = 0) -> None:
         self.rng = Random(seed)
         self.network: VirtualNetwork | None = None
-        self.unhandled_errors: list[dict[str, Any]] = []  # what went to the exception handler
+        self.unhandled_errors: list[dict[str, Any]] = []  # contexts that went to the exception handler
         self.steps = 0
         self._now = 0.0
         self._ready: collections.deque[asyncio.Handle] = collections.deque()
@@ -61,21 +64,21 @@
         self._stopping = False
         self._tasks: set[asyncio.Task[Any]] = set()
         self._watchdog_step = -1
-        self._last_advance_step = 0  # the step at which time moved last
+        self._last_advance_step = 0  # the step at which time last advanced
         self._stuck_error: Stuck | None = None
         self.after_step: Callable[[], None] | None = None  # called after every callback
-        self.dead_tasks: list[asyncio.Task[Any]] = []  # of processes that died; kept, or their ends would run
+        self.dead_tasks: list[asyncio.Task[Any]] = []  # of dead processes: freed tasks would run their cleanup
 
     # ---- time ----------------------------------------------------------------------------
 
     def time(self) -> float:
-        """Seconds since the world began."""
+        """Virtual seconds since the loop was made."""
         return self._now
 
     def call_soon(
         self, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """Run a callback in the next round."""
+        """Run a callback in the next iteration."""
         self._check_open()
         handle = asyncio.Handle(callback, args, self, context)
         self._ready.append(handle)
@@ -84,19 +87,19 @@
     def call_soon_threadsafe(
         self, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """There are no threads in a world; the same as `call_soon`."""
+        """The same as `call_soon`: there are no threads."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(
         self, delay: float, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        """Run a callback so many seconds from now."""
+        """Run a callback after a delay in seconds."""
         return self.call_at(self._now + delay, callback, *args, context=context)
 
     def call_at(
         self, when: float, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        """Run a callback at a time; of those with the same time, the seed says which is first."""
+        """Run a callback at a time; the seed decides the order of callbacks with the same time."""
         self._check_open()
         machine = CURRENT_MACHINE.get() if context is None else context.get(CURRENT_MACHINE)
         if machine is not None and machine.timer_granularity:
@@ -107,12 +110,12 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Cancelled timers are passed over when their time comes."""
+        """Do nothing: cancelled timers are skipped when their time comes."""
 
     # ---- running -------------------------------------------------------------------------
 
     def _run_once(self) -> None:
-        """What is ready now, after a jump to the next timer if nothing is."""
+        """Run what is ready; if nothing is, jump to the time of the next timer first."""
         while self._timers and self._timers[0][3].cancelled():
             heapq.heappop(self._timers)
         if not self._ready:
@@ -137,7 +140,7 @@
             if self.steps - self._last_advance_step > MAX_STEPS_PER_INSTANT:
                 raise Stuck(f"time stands still: {next_handle!r}")
             if self._stuck_error is not None:
-                raise self._stuck_error  # the handle took it for a fault of the callback
+                raise self._stuck_error  # the handle took it for an error of the callback
             if self.after_step is not None:
                 self.after_step()
 
@@ -145,7 +148,7 @@
         """Run until `stop`."""
         self._check_open()
         if self._running or asyncio._get_running_loop() is not None:
-            raise RuntimeError("a loop is running already")
+            raise RuntimeError("an event loop is already running")
         self._running = True
         asyncio._set_running_loop(self)
         previous_handler = self._start_watchdog()
@@ -158,25 +161,25 @@
             self._running = self._stopping = False
 
     def run_until_complete(self, future: Generator[Any, None, T] | Coroutine[Any, Any, T] | asyncio.Future[T]) -> T:
-        """Run until a future is done; returns its result."""
+        """Run until a future is done and return its result."""
         task: asyncio.Future[T] = asyncio.ensure_future(future, loop=self)  # type: ignore[arg-type]
         task.add_done_callback(lambda _: self.stop())
         try:
             self.run_forever()
         except BaseException:
             if task.done() and not task.cancelled():
-                task.exception()  # it is raised already
+                task.exception()  # marks the exception as retrieved; it is being raised
             raise
         if not task.done():
             raise RuntimeError("the loop was stopped before the future was done")
         return task.result()
 
     def stop(self) -> None:
-        """End after the present round."""
+        """Stop after the current iteration."""
         self._stopping = True
 
     def _start_watchdog(self) -> Any:
-        """Processor time, not real time: a slow machine does not count as a stuck callback."""
+        """Detect stuck callbacks by processor time, so that a slow machine does not count as one."""
 
         def check_progress(signal_number: int, frame: FrameType | None) -> None:
             if self._watchdog_step == self.steps and frame is not None:
@@ -196,19 +199,19 @@
         signal.signal(signal.SIGVTALRM, previous_handler)
 
     def is_running(self) -> bool:
-        """Whether it runs."""
+        """Whether the loop is running."""
         return self._running
 
     def is_closed(self) -> bool:
-        """Whether it was closed."""
+        """Whether the loop was closed."""
         return self._closed
 
     def close(self) -> None:
-        """End for good."""
+        """Close the loop and drop what is left."""
         if self._running:
-            raise RuntimeError("it runs")
+            raise RuntimeError("cannot close a running event loop")
         for task in self.dead_tasks:
-            # What a dead process would still do is done while the loop takes it, and comes to nothing.
+            # Cleanup code of dead processes runs while the loop still accepts callbacks; these never run.
             with contextlib.suppress(RuntimeError):
                 task.get_coro().close()
         self.dead_tasks.clear()
@@ -221,21 +224,21 @@
             raise RuntimeError("Event loop is closed")
 
     async def shutdown_asyncgens(self) -> None:
-        """No asynchronous generators are kept."""
+        """Do nothing: asynchronous generators are not tracked."""
 
     async def shutdown_default_executor(self, timeout: float | None = None) -> None:
-        """There is none."""
+        """Do nothing: there is no executor."""
 
     # ---- futures and tasks ---------------------------------------------------------------
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
         self, coro: Coroutine[Any, Any, T], *, name: object = None, context: contextvars.Context | None = None
     ) -> asyncio.Task[T]:
-        """A task; kept until it is done, so that what is left over can be told."""
+        """Create a task; it is tracked until it is done, so that leftover tasks can be reported."""
         self._check_open()
         task = asyncio.Task(coro, loop=self, name=None if name is None else str(name), context=context)
         self._tasks.add(task)
@@ -247,7 +250,7 @@
         return task
 
     def discard_tasks(self, tasks: list[asyncio.Task[Any]]) -> None:
-        """Tasks of a process that died: they never go on, and nobody complains of it."""
+        """Discard the tasks of a process that died: they never continue, and no warning is logged."""
         for task in tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             self._tasks.discard(task)
@@ -255,34 +258,34 @@
 
     @property
     def tasks(self) -> set[asyncio.Task[Any]]:
-        """Tasks that are not done."""
+        """All tasks that are not done."""
         return {task for task in self._tasks if not task.done()}
 
     @property
     def timer_count(self) -> int:
-        """Timers that are set."""
+        """The number of timers that are set."""
         return sum(not handle.cancelled() for _, _, _, handle in self._timers)
 
     def timers_of(self, machine: Machine) -> list[asyncio.TimerHandle]:
-        """Timers that the code on one machine has set."""
+        """The timers that code on one machine has set."""
         handles = (handle for _, _, _, handle in sorted(self._timers, key=lambda row: row[:3]))
         return [h for h in handles if not h.cancelled() and h._context.get(CURRENT_MACHINE) is machine]  # type: ignore[attr-defined]
 
-    # ---- faults --------------------------------------------------------------------------
+    # ---- errors --------------------------------------------------------------------------
 
     def get_debug(self) -> bool:
-        """Never: debugging would bring real time in."""
+        """Always false: debug mode would read real time."""
         return False
 
     def set_debug(self, enabled: bool) -> None:
-        """Not available."""
+        """Do nothing: debug mode is not available."""
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what nobody caught."""
+        """Record an unhandled error."""
         self.unhandled_errors.append(context)
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        """The same."""
+        """Record an unhandled error."""
         self.call_exception_handler(context)
 
     # ---- the network ---------------------------------------------------------------------
@@ -301,12 +304,12 @@
     async def create_server(
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, **unused: Any
     ) -> Any:
-        """Listen, and accept whatever comes."""
+        """Listen, and accept every connection."""
         return self._require_network().serve(protocol_factory, (host, port))
 
 
 def run(loop: VirtualLoop, main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end on a loop; what is left over is cancelled, and the loop closed."""
+    """Run a coroutine to its end on a loop, cancel leftover tasks and close the loop; returns its result."""
     try:
         return loop.run_until_complete(main)
     finally:
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -1,8 +1,8 @@
-"""An in-memory network with TCP's manners, on a virtual loop.
+"""An in-memory TCP network on a virtual loop, with the runtime that a proxy needs.
 
-Connections have latency, bandwidth and a window; what is written comes in segments that the seed cuts; sides close
-by halves, reset each other, and meet queues that are full, descriptors that are used up and machines that say
-nothing. The rules are those of RFC 9293 as a program sees them through asyncio's transports.
+Connections have latency, bandwidth and a window; written data arrives in segments whose sizes the seed decides.
+Connections close by halves and are reset; accept queues fill up, descriptors run out and machines fall silent. The
+rules are those of RFC 9293 as a program sees them through asyncio's transports.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     from cometusher.inflight.tracker import TakeoverChannel
     from cometusher.recovery import RecordSink, RecoveryConfig
 
-RECEIVE_WINDOW = 64 * 1024  # bytes under way and unread in one direction
-WRITE_BUFFER_HIGH, WRITE_BUFFER_LOW = 64 * 1024, 16 * 1024  # asyncio's own marks for its write buffer
+RECEIVE_WINDOW = 64 * 1024  # bytes in transit and unread in one direction
+WRITE_BUFFER_HIGH, WRITE_BUFFER_LOW = 64 * 1024, 16 * 1024  # asyncio's own limits of its write buffer
 DEFAULT_BACKLOG = 128
-READINESS_INTERVAL = 0.0005  # seconds until those who watch a shared listener on which something waits are told again
-SYN_RETRIES = (1.0, 2.0, 4.0, 8.0, 16.0)  # seconds between tries to connect (RFC 6298, 2)
+READINESS_INTERVAL = 0.0005  # seconds between notifications while connections wait at a shared listener
+SYN_RETRIES = (1.0, 2.0, 4.0, 8.0, 16.0)  # seconds between attempts to connect (RFC 6298, 2)
 
 
 def _os_error(code: int) -> OSError:
@@ -45,18 +45,18 @@
 
 @dataclass
 class Link:
-    """What lies between machines; seconds and bytes a second."""
+    """The properties of the link between machines; seconds and bytes a second."""
 
     latency: float = 0.001
-    jitter: float = 0.0  # of latency, drawn for each segment; order is kept
+    jitter: float = 0.0  # part of the latency, drawn for each segment; order is kept
     bandwidth: float = 1e9
-    cut: float = 0.5  # chance that a write is cut in two anywhere, again and again
+    cut: float = 0.5  # chance that a write is split at a random place, repeatedly
 
 
 class Machine:
-    """One process on a machine of its own: an address, descriptors, and whether it runs.
+    """One process on a machine of its own: its address, descriptors, tasks and connections.
 
-    A process that is started anew is another Machine at the same address.
+    A restarted process is another Machine at the same address.
     """
 
     def __init__(self, network: VirtualNetwork, address: str, descriptors: int = 1024) -> None:
@@ -64,45 +64,45 @@
         self.address = address
         self.descriptor_limit = descriptors
         self.descriptors_used = 0
-        self.on_descriptors_exhausted: Callable[[], None] = lambda: None  # told when a descriptor is not to be had
-        self.timer_granularity = 0.0  # seconds; timers end at multiples of it only
+        self.on_descriptors_exhausted: Callable[[], None] = lambda: None  # called when no descriptor is free
+        self.timer_granularity = 0.0  # seconds; timers expire only at multiples of it
         self.dead = False
         self.stopped = False  # paused, or dead
-        self.on_write: Callable[[VirtualTransport, bytes], None] | None = None  # told of all that it writes
+        self.on_write: Callable[[VirtualTransport, bytes], None] | None = None  # called with all written data
         self.transports: dict[VirtualTransport, None] = {}
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self._deferred: deque[asyncio.Handle] = deque()
 
     def context(self) -> contextvars.Context:
-        """A context in which code runs on this machine; for tasks and callbacks."""
+        """A context for tasks and callbacks that run on this machine."""
         context = contextvars.copy_context()
         context.run(CURRENT_MACHINE.set, self)
         return context
 
     def on_task_done(self, task: asyncio.Task[Any]) -> None:
-        """A task is done."""
+        """Remove a task that is done."""
         self.tasks.pop(task, None)
 
     def defer(self, handle: asyncio.Handle) -> None:
-        """Keep a callback for later, while the process is paused; a dead one's are dropped."""
+        """Defer a callback while the process is paused; callbacks of a dead process are dropped."""
         if not self.dead:
             self._deferred.append(handle)
 
     def pause(self) -> None:
-        """As by SIGSTOP: the kernel goes on, the process does not."""
+        """Pause the process, as by SIGSTOP: the kernel goes on."""
         self.stopped = True
 
     def resume(self) -> None:
-        """Run what has become ready meanwhile, in its order."""
+        """Resume the process: deferred callbacks run in their order."""
         if not self.dead:
             self.stopped = False
             self.network.loop._ready.extend(self._deferred)
             self._deferred.clear()
 
     def kill(self, keep_connections: bool = False) -> list[VirtualTransport]:
-        """The process dies: its connections are reset, and what comes to its address is refused.
+        """Kill the process: its connections are reset, and new ones to its address are refused.
 
-        Where a second process `keeps` its connections they stay, and are returned.
+        With `keep_connections` another process holds copies of the connections: they stay, and are returned.
         """
         kept_connections = [item for item in self.transports if keep_connections and not item.is_closing()]
         self.dead = self.stopped = True
@@ -123,15 +123,15 @@
 
     @property
     def silent(self) -> bool:
-        """Whether nothing that it is sent arrives, and nothing that it sends."""
+        """Whether everything that is sent to or from this machine is lost."""
         return self.address in self.network.silent
 
     @silent.setter
-    def silent(self, whether: bool) -> None:
-        self.network.set_silent(self.address, whether)
+    def silent(self, value: bool) -> None:
+        self.network.set_silent(self.address, value)
 
     def take_descriptor(self) -> None:
-        """Use a descriptor; raises EMFILE."""
+        """Take a descriptor; raises OSError (EMFILE) if none is free."""
         if self.descriptors_used >= self.descriptor_limit:
             self.on_descriptors_exhausted()
             raise _os_error(errno.EMFILE)
@@ -150,13 +150,13 @@
         self._context = machine.context() if machine is not None else contextvars.copy_context()
         self._protocol: asyncio.Protocol | None = None
         self.peer: VirtualTransport | None = None
-        self._send_buffer = bytearray()  # not taken by the kernel yet
-        self._bytes_in_transit = 0  # bytes sent and not yet at the peer
-        self._receive_buffer: deque[bytes] = deque()  # at this end, not read...
-        self._last_arrival = 0.0  # ...and when the last of it came
-        self._deliveries: deque[Callable[[], None]] = deque()  # on the way to the peer, first in first out
-        self._last_delivery_at = 0.0  # when the last of it arrives
-        self._link_free_at = 0.0  # when the line is free again
+        self._send_buffer = bytearray()  # written by the program, not yet taken by the kernel
+        self._bytes_in_transit = 0  # bytes sent that have not reached the peer
+        self._receive_buffer: deque[bytes] = deque()  # segments that have arrived and are not read
+        self._last_arrival = 0.0  # when the newest of them arrived
+        self._deliveries: deque[Callable[[], None]] = deque()  # in transit to the peer, in their order
+        self._last_delivery_at = 0.0  # when the newest of them arrives
+        self._link_free_at = 0.0  # when the link has sent all that was given to it
         self._reading = True
         self._writing_paused = False
         self._high_water, self._low_water = WRITE_BUFFER_HIGH, WRITE_BUFFER_LOW
@@ -164,61 +164,63 @@
         self._eof_received = self._eof_reported = False
         self._reset_received = False
         self._closing = False
-        self._descriptor_closed = False  # the descriptor is closed
-        self._read_scheduled = False  # reading is scheduled
-        self._blocked_deliveries: deque[tuple[int, Callable[[], None]]] = deque()  # the way is cut: to be sent again
+        self._descriptor_closed = False  # whether the descriptor is closed
+        self._read_scheduled = False  # whether a read is scheduled
+        self._blocked_deliveries: deque[tuple[int, Callable[[], None]]] = (
+            deque()
+        )  # to be sent when the partition ends
         network.transport_count += 1
-        self.number = network.transport_count  # in place of a descriptor
-        self.bytes_written = 0  # bytes that the program wrote...
-        self.bytes_read = 0  # ...and that it was told
+        self.number = network.transport_count  # identifies the connection, as a descriptor would
+        self.bytes_written = 0  # by the program
+        self.bytes_read = 0  # passed to the program
         if machine is not None:
             machine.transports[self] = None
 
-    # ---- what programs call --------------------------------------------------------------
+    # ---- the transport's interface -------------------------------------------------------
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Names of both ends; there is no socket."""
+        """The addresses of both ends; there is no socket."""
         return self._addresses.get(name, default)
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Whom to tell."""
+        """Set the protocol that receives the events."""
         assert isinstance(protocol, asyncio.Protocol)
         self._protocol = protocol
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """Who is told."""
+        """The protocol that receives the events."""
         assert self._protocol is not None
         return self._protocol
 
     def is_closing(self) -> bool:
-        """Whether it is closed, or will be."""
+        """Whether the connection is closed or closing."""
         return self._closing
 
     def is_reading(self) -> bool:
-        """Whether what comes is told."""
+        """Whether arriving data is passed to the protocol."""
         return self._reading and not self._closing
 
     def pause_reading(self) -> None:
-        """Tell nothing more for now."""
+        """Pass no data to the protocol until `resume_reading`."""
         self._reading = False
 
     def resume_reading(self) -> None:
-        """Go on telling."""
+        """Pass data to the protocol again."""
         if not self._reading and not self._closing:
             self._reading = True
             self._schedule_read()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """When to pause and to resume the writer."""
+        """Set the buffer sizes at which the protocol's writing is paused and resumed."""
         self._high_water = WRITE_BUFFER_HIGH if high is None else high
         self._low_water = self._high_water // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Bytes that the kernel has not yet taken."""
         return len(self._send_buffer)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high."""
+        """The low and the high limit."""
         return self._low_water, self._high_water
 
     def can_write_eof(self) -> bool:
@@ -226,7 +228,7 @@
         return True
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send; after the end of writing that is an error, after the connection's it is dropped."""
+        """Send data; raises RuntimeError after `write_eof`. After the connection's end the data is dropped."""
         if self._eof_wanted:
             raise RuntimeError("Cannot call write() after write_eof()")
         if not data or self._closing or self._descriptor_closed:
@@ -241,18 +243,18 @@
             self._protocol.pause_writing()
 
     def writelines(self, list_of_data: Iterable[bytes | bytearray | memoryview]) -> None:
-        """Send one after the other."""
+        """Send the items in their order."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """End this direction when all is sent."""
+        """End this direction when all data is sent."""
         if self._eof_wanted or self._closing:
             return
         self._eof_wanted = True
         self._flush()
 
     def close(self) -> None:
-        """Send what is left, then end."""
+        """Send what is left, then close."""
         if self._closing:
             return
         self._closing = True
@@ -261,16 +263,16 @@
             self._call_soon(self._finish_close, None)
 
     def abort(self) -> None:
-        """End at once; what is left is dropped."""
+        """Close at once; unsent data is dropped."""
         self._start_close(None)
 
     def reset(self) -> None:
-        """End at once, in a way that the far side can't take for an end in order."""
+        """Close at once with a reset, which the peer cannot take for an orderly end."""
         if not self._descriptor_closed:
             self._send_reset()
             self._start_close(None)
 
-    # ---- within --------------------------------------------------------------------------
+    # ---- closing -------------------------------------------------------------------------
 
     def _call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
         self._loop.call_soon(callback, *args, context=self._context)
@@ -292,15 +294,15 @@
             self.machine.descriptors_used -= 1
             self.machine.transports.pop(self, None)
         if unread:
-            self._send_reset()  # closing with bytes unread resets (RFC 9293, 3.6.1)
+            self._send_reset()  # closing with unread bytes resets (RFC 9293, 3.6.1)
         elif not self._eof_sent:
             self._send_eof()
-        protocol, self._protocol = self._protocol, None  # as asyncio's own: the other end must not keep it alive
+        protocol, self._protocol = self._protocol, None  # as in asyncio: the peer must not keep the protocol alive
         if protocol is not None:
             protocol.connection_lost(exc)
 
     def attach(self, protocol: asyncio.Protocol) -> None:
-        """Connection made: what has come already is told after that."""
+        """Connect a protocol; data that has arrived already is passed to it afterwards."""
         self._protocol = protocol
         protocol.connection_made(self)
         self._schedule_read()
@@ -308,7 +310,7 @@
     # ---- sending -------------------------------------------------------------------------
 
     def _transmit(self, size: int, deliver: Callable[[], None]) -> None:
-        """Put something on the wire. A timer brings the next that is due, whichever: nothing overtakes."""
+        """Send something to the peer. Each timer delivers the next item in order, so that nothing is reordered."""
         local, remote = self._addresses["sockname"][0], self._addresses["peername"][0]
         network = self._network
         if network.silent and (local in network.silent or remote in network.silent):
@@ -328,7 +330,7 @@
         self._loop.call_at(self._last_delivery_at, self._deliver_next, context=network.neutral_context)
 
     def retransmit_blocked(self) -> None:
-        """The way is open again: what was kept is sent once more."""
+        """Resend what a partition held back, now that it has ended."""
         blocked, self._blocked_deliveries = self._blocked_deliveries, deque()
         for size, deliver in blocked:
             self._transmit(size, deliver)
@@ -337,7 +339,7 @@
         self._deliveries.popleft()()
 
     def kill(self) -> None:
-        """The process is no more; its kernel resets the connection."""
+        """The process has died: its kernel resets the connection."""
         if not self._descriptor_closed:
             self._descriptor_closed = self._closing = True
             self._reading = False
@@ -348,7 +350,7 @@
             self._send_reset()
 
     def orphan(self) -> None:
-        """Its process is no more, and another holds it: what the kernel had not taken is gone."""
+        """The process has died and another one holds the connection: data not taken by the kernel is lost."""
         self.bytes_written -= len(self._send_buffer)
         self._send_buffer.clear()
         self._protocol = None
@@ -357,14 +359,14 @@
         if self.machine is not None:
             self.machine.transports.pop(self, None)
             self.machine = None
-        self._context = self._network.neutral_context  # a close by its heir must not wait for the dead
+        self._context = self._network.neutral_context  # a close by the successor must not depend on the dead process
 
     def fileno(self) -> int:
-        """In place of a descriptor."""
+        """The connection's number, in place of a descriptor."""
         return self.number
 
     def counters(self) -> ConnectionCounters | None:
-        """What the kernel knows of it; None if it is gone."""
+        """The kernel's counters of the connection; None if it is closed or reset."""
         if self._reset_received or self._descriptor_closed:
             return None
         unread = sum(map(len, self._receive_buffer))
@@ -372,13 +374,13 @@
         return ConnectionCounters(self.bytes_written, self.bytes_read, self._eof_received, unread, idle)
 
     def assign_to(self, machine: Machine) -> None:
-        """A process has accepted it, on a listener that several hold, or was handed it."""
+        """A process has accepted the connection on a shared listener, or it was handed over to the process."""
         self.machine = machine
         self._context = machine.context()
         machine.transports[self] = None
 
     def _flush(self) -> None:
-        """Give the kernel what it has room for, in segments that the seed cuts."""
+        """Send what the window has room for, in segments whose sizes the seed decides."""
         peer = self.peer
         if peer is None:
             return
@@ -413,13 +415,13 @@
         if self.peer is not None:
             self._transmit(0, self.peer._on_reset)
 
-    # ---- what the kernel does, whether the process runs or not ---------------------------
+    # ---- the kernel's part, whether or not the process runs ------------------------------
 
     def _on_segment(self, segment: bytes) -> None:
         assert self.peer is not None
         self.peer._bytes_in_transit -= len(segment)
         if self._descriptor_closed:
-            self._send_reset()  # nobody is there any more
+            self._send_reset()  # data after the close is answered with a reset
             return
         self._receive_buffer.append(segment)
         self._last_arrival = self._loop.time()
@@ -433,23 +435,23 @@
         if self._descriptor_closed:
             return
         self._reset_received = True
-        self._receive_buffer.clear()  # what was not read is lost
+        self._receive_buffer.clear()  # unread data is lost
         self._send_buffer.clear()
         self._schedule_read()
 
     @property
     def ended(self) -> bool:
-        """Whether it has ended, from either side, as far as the program was told."""
+        """Whether the connection has ended from either side, as far as the program has been notified."""
         return self._closing or self._eof_reported or self._reset_received
 
     @property
     def pending(self) -> bool:
-        """Whether something waits that was not told yet."""
+        """Whether there is an event that was not passed to the protocol yet."""
         return bool(self._receive_buffer) or (self._eof_received and not self._eof_reported) or self._reset_received
 
     @property
     def peer_ended(self) -> bool:
-        """Whether the far side has ended it."""
+        """Whether the peer has closed or reset the connection."""
         return self._eof_received or self._reset_received
 
     def _schedule_read(self) -> None:
@@ -458,13 +460,13 @@
         self._read_scheduled = True
         max_delay = self._network.max_read_delay
         if max_delay and self._loop.rng.random() < 0.5:
-            # A process at work looks at its sockets when it comes to it, and in no order.
+            # A busy process reads its sockets after a delay, and in no particular order.
             self._loop.call_later(max_delay * self._loop.rng.random(), self._read, context=self._context)
         else:
             self._call_soon(self._read)
 
     def _read(self) -> None:
-        """Tell what has come: all of it in one piece, as a read of a socket returns it."""
+        """Pass on what has arrived in one piece, as a read of a socket returns it."""
         self._read_scheduled = False
         if self._descriptor_closed or (self._closing and not self._reset_received):
             return
@@ -492,7 +494,7 @@
 
 @dataclass(eq=False)
 class VirtualListener:
-    """A place to connect to; with a factory it accepts by itself."""
+    """A listening socket; with a factory it accepts connections by itself."""
 
     network: VirtualNetwork
     machine: Machine | None
@@ -508,32 +510,32 @@
 
     @property
     def port(self) -> int:
-        """The port."""
+        """The port it listens on."""
         return self.address[1]
 
     @property
     def sockets(self) -> list[VirtualListener]:
-        """As of an asyncio.Server, whose callers ask for the address only."""
+        """The attribute of an asyncio.Server, whose users read the address only."""
         return [self]
 
     def getsockname(self) -> Address:
-        """The address."""
+        """The address it listens on."""
         return self.address
 
     def is_serving(self) -> bool:
-        """Whether it listens."""
+        """Whether it is listening."""
         return self._is_listening
 
     async def wait_closed(self) -> None:
-        """It closes at once."""
+        """Return at once: closing takes no time."""
 
     def enqueue(self, transport: VirtualTransport) -> None:
-        """The kernel has a connection for it."""
+        """Queue a connection that the kernel has established."""
         self.queue.append(transport)
         self.notify()
 
     def notify(self) -> None:
-        """Level-triggered, as readiness is: told again as long as something waits."""
+        """Notify those who watch it; level-triggered, so repeated while a connection waits."""
         if self.factory is not None:
             self._accept_all()
         elif self.holders and self.queue and not self._notify_scheduled:
@@ -550,7 +552,7 @@
             self.notify()
 
     def _notify_holders(self) -> None:
-        """Every process that watches wakes up; the first that runs accepts (no EPOLLEXCLUSIVE)."""
+        """Wake every process that watches; the first to run accepts (no EPOLLEXCLUSIVE)."""
         self._notify_scheduled = False
         for holder, (on_waiting, context) in list(self.holders.items()):
             if not holder.notify_scheduled:
@@ -589,7 +591,7 @@
         self._on_waiting = None
 
     def accept(self, holder: Machine | None = None) -> VirtualTransport:
-        """A connection, for one of its holders or for its own machine; raises BlockingIOError and EMFILE."""
+        """Accept a connection for a holder, or for its own machine; raises BlockingIOError, OSError (EMFILE)."""
         if not self.queue:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         machine = holder or self.machine
@@ -598,13 +600,13 @@
         return self.queue.popleft()
 
     def stop_accepting(self) -> None:
-        """Nothing new comes; what waits can still be accepted."""
+        """Refuse new connections; queued ones can still be accepted."""
         if self._is_listening:
             self._is_listening = False
             del self.network.listeners[self.address]
 
     def close(self) -> None:
-        """Listen no more; what waits is reset."""
+        """Stop listening and reset queued connections."""
         if self._is_listening:
             self.stop_accepting()
             self._on_waiting = None
@@ -614,15 +616,15 @@
 
 @dataclass(eq=False)
 class SharedListener:
-    """One process's copy of a listener that the platform holds: whoever is first accepts."""
+    """One process's copy of a listener that the platform holds: the first process to accept gets a connection."""
 
     source: VirtualListener
     machine: Machine
-    notify_scheduled: bool = False  # its process is about to look
+    notify_scheduled: bool = False  # whether a notification of its process is scheduled
 
     @property
     def port(self) -> int:
-        """The port."""
+        """The port it listens on."""
         return self.source.port
 
     def watch(self, waits: Callable[[], None]) -> None:
@@ -635,18 +637,18 @@
         self.source.holders.pop(self, None)
 
     def accept(self) -> VirtualTransport:
-        """A connection; raises BlockingIOError where none waits, and EMFILE."""
+        """Accept a connection; raises BlockingIOError if none waits, OSError (EMFILE) without a descriptor."""
         transport = self.source.accept(self.machine)
         transport.assign_to(self.machine)
         return transport
 
     def close(self) -> None:
-        """Close this copy only: what waits stays for the others."""
+        """Close this copy only: queued connections stay for the other holders."""
         self.unwatch()
 
 
 class VirtualNetwork:
-    """All machines and listeners of a world."""
+    """All machines, links and listeners of a world."""
 
     def __init__(self, loop: VirtualLoop, link: Link | None = None) -> None:
         self.loop = loop
@@ -654,14 +656,14 @@
         self.default_link = link or Link()
         self.listeners: dict[Address, VirtualListener] = {}
         self.machines: dict[str, Machine] = {}
-        self.link_overrides: dict[str, Link] = {}  # where a machine's differs from the usual
-        self.max_read_delay = 0.0  # seconds that a program may take to see what has come
-        self.transport_count = 0  # since the beginning
+        self.link_overrides: dict[str, Link] = {}  # by address, where it differs from the default
+        self.max_read_delay = 0.0  # seconds that a program may take to read what has arrived
+        self.transport_count = 0  # created since the start
         self.silent: set[str] = set()
         self.partitioned_pairs: set[frozenset[str]] = set()
-        self.transports_with_loss: dict[VirtualTransport, None] = {}  # something that they sent was lost
-        self.blocked_transports: dict[VirtualTransport, None] = {}  # something that they sent waits for an open way
-        self.neutral_context = contextvars.Context()  # of what happens between machines
+        self.transports_with_loss: dict[VirtualTransport, None] = {}  # those of which sent data was lost
+        self.blocked_transports: dict[VirtualTransport, None] = {}  # those with data held back by a partition
+        self.neutral_context = contextvars.Context()  # for callbacks that run on no machine
         self._last_port = 40000
 
     def add_machine(self, address: str, descriptors: int = 1024) -> Machine:
@@ -670,13 +672,13 @@
         return machine
 
     def link_between(self, local: str, remote: str) -> Link:
-        """What lies between two addresses."""
+        """The link between two addresses."""
         if self.link_overrides:
             return self.link_overrides.get(local) or self.link_overrides.get(remote) or self.default_link
         return self.default_link
 
     def set_silent(self, address: str, silent: bool) -> None:
-        """A machine says and hears nothing; when it is back, connections that missed something are reset."""
+        """Make a machine silent or end its silence; connections that lost data meanwhile are reset at its end."""
         if silent:
             self.silent.add(address)
             return
@@ -690,7 +692,7 @@
                         end._on_reset()
 
     def set_partitioned(self, first: str, second: str, partitioned: bool) -> None:
-        """Nothing passes between two machines; what is sent meanwhile arrives when the way is open again."""
+        """Start or end a partition of two machines; data that is sent meanwhile arrives after its end."""
         pair = frozenset((first, second))
         if partitioned:
             self.partitioned_pairs.add(pair)
@@ -714,7 +716,7 @@
         factory: Callable[[], asyncio.BaseProtocol] | None = None,
         backlog: int = DEFAULT_BACKLOG,
     ) -> VirtualListener:
-        """Listen; raises EADDRINUSE. Port 0 takes a free one."""
+        """Listen; raises OSError (EADDRINUSE). Port 0 stands for a free one."""
         if address[1] == 0:
             address = (address[0], self._next_port())
         if address in self.listeners:
@@ -724,13 +726,13 @@
         return listener
 
     def serve(self, factory: Callable[[], asyncio.BaseProtocol], address: Address) -> VirtualListener:
-        """Listen, and accept whatever comes."""
+        """Listen, and accept every connection."""
         return self.listen(address, factory)
 
     async def connect(
         self, factory: Callable[[], asyncio.BaseProtocol], address: Address
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect from the machine that the caller runs on; raises OSError."""
+        """Connect from the machine on which the calling code runs; raises OSError."""
         machine = CURRENT_MACHINE.get()
         if machine is not None:
             machine.take_descriptor()
@@ -751,7 +753,7 @@
         return near, protocol
 
     async def _handshake(self, address: Address, machine: Machine | None) -> VirtualListener:
-        """Three ways of a handshake; a SYN that finds a full queue or a silent machine is sent again, in vain."""
+        """Three-way handshake; a SYN to a full queue or a silent machine is retransmitted until it times out."""
         local = machine.address if machine is not None else "127.0.0.1"
         for delay in SYN_RETRIES:
             await asyncio.sleep(2.0 * self.link_between(local, address[0]).latency)
@@ -770,44 +772,44 @@
 
 
 class SharedMemory:
-    """What processes of one proxy share, in memory: named data, the ledger's page, and its locks."""
+    """What the processes of one proxy share: named data, the process ledger's page, and its locks."""
 
     def __init__(self) -> None:
         self.data: dict[str, bytes] = {}
         self._revisions: dict[str, int] = {}
         self.ledger_page = [0] * (ORDERS_CELL + 1)
         self.request_id_cells = [0] * (MAX_PROCESSES * OpenRequestIds.ROW_WIDTH)
-        self.lock_holders: dict[int, Machine] = {}  # of the locks
+        self.lock_holders: dict[int, Machine] = {}  # by row
 
     def replace(self, name: str, data: bytes) -> None:
-        """A reader finds the old or the new one."""
+        """Replace data atomically: a reader finds the old or the new version."""
         self.data[name] = data
         self._revisions[name] = self._revisions.get(name, 0) + 1
 
     def read(self, name: str) -> bytes | None:
-        """What is there, if anything."""
+        """The data of a name; None if there is none."""
         return self.data.get(name)
 
     def revision(self, name: str) -> Hashable | None:
-        """Another value after each replacement."""
+        """A value that differs after each replacement."""
         return self._revisions.get(name)
 
     def truncate(self, name: str) -> None:
-        """Half of what is there is lost, as by a write that was cut off."""
+        """Lose half of the data, as by a write that was interrupted."""
         data = self.data.get(name)
         if data is not None:
             self.replace(name, data[: len(data) // 2])
 
 
 class MemoryLocks:
-    """One process's view of the locks; the dead hold none."""
+    """One process's view of the locks; dead processes hold none."""
 
     def __init__(self, memory: SharedMemory, machine: Machine) -> None:
         self._holders = memory.lock_holders
         self._machine = machine
 
     def try_lock(self, row: int) -> bool:
-        """Hold a row's lock, if no other process does."""
+        """Take a row's lock unless another process holds it; returns whether it is held."""
         holder = self._holders.get(row)
         if holder is not None and holder is not self._machine and not holder.dead:
             return False
@@ -815,35 +817,35 @@
         return True
 
     def unlock(self, row: int) -> None:
-        """Let go of it."""
+        """Release a row's lock."""
         self._holders.pop(row, None)
 
 
-DISK_WRITE_DELAY = 0.05  # seconds until what is kept is on a virtual disk
+DISK_WRITE_DELAY = 0.05  # seconds until a record is on the virtual disk
 
 
 class VirtualDisk:
-    """What is kept of one instance, over the lives of its processes."""
+    """The stored records of one instance, which outlive its processes."""
 
     def __init__(self) -> None:
         self.records: dict[str, dict[str, Any]] = {}
         self._snapshot: dict[str, dict[str, Any]] = {}
 
     def take_snapshot(self) -> None:
-        """Keep a copy of all."""
+        """Take a snapshot of all records."""
         self._snapshot = dict(self.records)
 
     def restore_snapshot(self) -> None:
-        """All is as it was at the copy."""
+        """Restore the records of the snapshot."""
         self.records = dict(self._snapshot)
 
     def read(self) -> dict[str, Record]:
-        """What is there."""
+        """All records, by kind."""
         return {kind: read_record(data) for kind, data in self.records.items()}
 
 
 class DiskRecordWriter:
-    """One process's way to its disk; what it has not written when it dies is lost."""
+    """Writes a process's records to its disk; records that are pending when the process dies are lost."""
 
     def __init__(
         self, disk: VirtualDisk, owner: Owner, surroundings: VirtualRuntime, machine: Machine | None
@@ -854,7 +856,7 @@
         self._machine = machine
 
     def put(self, kind: str, body: object) -> None:
-        """Have a form written soon."""
+        """Write a record after DISK_WRITE_DELAY."""
         data = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
         self._surroundings.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
 
@@ -863,11 +865,11 @@
             self._disk.records[kind] = data
 
     async def close(self) -> None:
-        """Nothing is held open."""
+        """Do nothing: no file is open."""
 
 
 class VirtualRuntime:
-    """What `cometusher.runtime.Network` asks for, out of a virtual network; one for each proxy."""
+    """Implements `cometusher.runtime.Network` on a virtual network; one for each process."""
 
     def __init__(
         self,
@@ -882,7 +884,7 @@
         self._disk = disk or VirtualDisk()
         self._open_channel = open_channel
         self.loop = network.loop
-        self.epoch = epoch  # Unix time at the world's beginning; a change of it is a step of the wall clock
+        self.epoch = epoch  # Unix time at the world's start; changing it steps the wall clock
 
     def unix_time(self) -> float:
         """Seconds since 1970."""
@@ -897,14 +899,14 @@
         return self._network.listen(address)
 
     def adopt(self, listener: Any) -> Listener:
-        """A listener that somebody else has opened."""
+        """A copy of a listener that the platform has opened."""
         assert isinstance(listener, VirtualListener)
         machine = CURRENT_MACHINE.get()
         assert machine is not None
         return SharedListener(listener, machine)
 
     async def attach(self, connection: Any, protocol: Callable[[], asyncio.Protocol]) -> None:
-        """Give an accepted connection, or one that was handed over, to its protocol."""
+        """Attach a protocol to a connection that was accepted or handed over."""
         machine = CURRENT_MACHINE.get()
         if connection.machine is None and machine is not None:
             machine.take_descriptor()
@@ -912,50 +914,50 @@
         connection.attach(protocol())
 
     def pending(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells whether something has come that was not read."""
+        """A function that tells whether data or an end has arrived that was not read."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.pending
 
     def peer_ended(self, transport: asyncio.Transport) -> Callable[[], bool]:
-        """Tells whether the far side has ended a connection."""
+        """A function that tells whether the peer has ended a connection."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.peer_ended
 
     def abort(self, transport: asyncio.Transport) -> None:
-        """Close at once, so that the far side sees a reset."""
+        """Close at once, so that the peer sees a reset."""
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
     def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
-        """What is kept of an instance, and where to keep more."""
+        """The stored records of an instance, and a writer for further ones."""
         return self._disk.read(), DiskRecordWriter(self._disk, returning.owner, self, CURRENT_MACHINE.get())
 
     def moment(self) -> ClockReading:
-        """Now, by the clock that may step and by the one that does not."""
+        """The current time by the wall clock, which may step, and by the monotonic clock."""
         return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
     def cover(self, covered: JournalAssignment) -> TakeoverChannel:
-        """Where a process notes what it has in hand; raises OSError in a world without."""
+        """The takeover channel of a process's in-flight requests; raises OSError in a world without takeover."""
         if self._open_channel is None:
             raise _os_error(errno.ENOSYS)
         return self._open_channel(covered)
 
     def named(self, transport: asyncio.Transport) -> tuple[int, int]:
-        """By its number, which no other has."""
+        """A connection's identity: its unique number."""
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
     def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
-        """The kernel's account of a connection."""
+        """The kernel's counters of a connection; None if it is closed or not the named one."""
         assert isinstance(connection, VirtualTransport)
         return connection.counters() if connection.number == name else None
 
     def reset(self, connection: Any) -> None:
-        """By RST."""
+        """Reset a connection."""
         connection.kill()
 
     def share(self, folder: str) -> Handover:
-        """What processes of one proxy share; raises OSError."""
+        """The state that the processes of one proxy share; raises OSError if there is none."""
         machine = CURRENT_MACHINE.get()
         if self._memory is None or machine is None:
             raise _os_error(errno.ENOENT)
--- a/cometusher/simulation/oracles.py
+++ b/cometusher/simulation/oracles.py
@@ -1,7 +1,8 @@
-"""The four rules, checked from outside: what was written, read and run, as the wire and the peers saw it.
+"""Test oracles of the simulation: check the platform's rules against what was written, read and run.
 
-Sans-I/O: every method is told the time and an event. Nothing here asks the program under test for its own books, so
-a fault in these can't hide itself. The account of a run is the list of its events; its digest names the run.
+The events are those that the network and the simulated peers observed. Sans-I/O: every method receives the time and
+an event. The oracles never query the program under test for its own records, so that a defect in these cannot hide
+itself. The trace of a run is the list of its events; its digest identifies the run.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 from cometusher.simulation.script import LONG_THRESHOLD
 from weldroute.model import Group, Repeat, RequestClass, Settings
 
-PERSIST_DELAY = 1.0  # seconds after which what a proxy was told is kept
-TIMING_SLACK = 0.05  # seconds by which each time limit is longer over a network than in the rules
-RECHECK_INTERVAL = 0.1  # seconds between looks at a request whose proxy is held up
-READ_DELAY = 0.2  # seconds that a request may wait in its connection
-CATCH_UP_PERIOD = 1.0  # seconds after a hold in which what had come meanwhile may still be at work
-LONG_MESSAGE = LONG_THRESHOLD  # bytes; longer answers go on while they come...
-STALL_TIMEOUT = 13.0  # ...and what stopped coming is cut by then
-REJECTION_STATUSES = (400, 405, 409, 413, 417, 431)  # what an honest request must not be told
+PERSIST_DELAY = 1.0  # seconds after which a proxy has stored what it was sent
+TIMING_SLACK = 0.05  # seconds that the network adds to each time limit of the rules
+RECHECK_INTERVAL = 0.1  # seconds between checks of a request whose proxy is blocked
+READ_DELAY = 0.2  # seconds that a request may wait unread in its connection
+CATCH_UP_PERIOD = 1.0  # seconds after a blocked span in which a proxy may still process the backlog
+LONG_MESSAGE = LONG_THRESHOLD  # bytes; longer answers may outlast the deadline while data arrives
+STALL_TIMEOUT = 13.0  # seconds without data after which a long answer must have been cut
+REJECTION_STATUSES = (400, 405, 409, 413, 417, 431)  # never correct for a well-formed request
 
-ENDED_WITH_PROXY = "with the dead"  # how a request ended whose proxy was killed, when its time is up
+ENDED_WITH_PROXY = "with the dead"  # outcome of a request that expired after its proxy was killed
 
 
 @dataclass(frozen=True)
 class Violation:
-    """One breach of a rule."""
+    """One violation of a rule."""
 
     oracle: str
     time: float
@@ -42,18 +43,18 @@
 
 @dataclass
 class Attempt:
-    """One sending of a request to a node."""
+    """One attempt: a request as it was sent to a backend."""
 
     backend: str
     started_at: float
-    is_pending: Callable[[], bool]  # whether its proxy still waits for it
-    is_complete: Callable[[], bool]  # whether its last byte is written
+    is_pending: Callable[[], bool]  # whether its proxy still waits for the answer
+    is_complete: Callable[[], bool]  # whether its last byte was written
     rejected: bool = False
 
 
 @dataclass
 class RequestState:
-    """What is known of one request."""
+    """The known state of one request."""
 
     request_class: RequestClass
     proxy: str
@@ -61,25 +62,25 @@
     sent_at: float
     deadline: float
     body_size: int  # bytes
-    answer_size: int  # bytes of its answer
+    answer_size: int  # bytes
     budget: float = 0.0  # seconds; 0 until its last byte is written
     key: bytes = b""
     attempts: list[Attempt] = field(default_factory=list)
     runs: int = 0
-    outcome: str = ""  # how it ended...
-    ended_at: float = 0.0  # ...and when
-    other_holders: set[str] = field(default_factory=set)  # proxies that had it in hand beside its own, as heirs
-    no_live_proxy: bool = False  # no proxy was there when it was sent
+    outcome: str = ""  # how it ended; empty while it is open
+    ended_at: float = 0.0
+    other_holders: set[str] = field(default_factory=set)  # successors and other proxies that held it, beside `proxy`
+    no_live_proxy: bool = False  # no proxy that could take it was alive when it was sent
 
     @property
     def holders(self) -> set[str]:
-        """All proxies that have, or had, its connection."""
+        """All proxies that have, or had, the request in flight."""
         return {self.proxy} | self.other_holders
 
 
 @dataclass
 class BackendState:
-    """What discovery has told one proxy of one node."""
+    """What discovery has reported to one proxy about one backend."""
 
     up: bool
     since: float
@@ -88,21 +89,21 @@
 
 @dataclass
 class BlockedSpans:
-    """Spans in which a proxy could do nothing, through no fault of its own."""
+    """Time spans in which an injected fault kept a proxy from working."""
 
     spans: list[tuple[float, float]] = field(default_factory=list)
 
     def overlap(self, begin: float, end: float) -> float:
-        """Seconds of a span that it was held up."""
+        """Seconds of the given span in which the proxy was blocked."""
         return sum(max(0.0, min(end, stop) - max(begin, start)) for start, stop in self.spans)
 
     def contains(self, now: float) -> bool:
-        """Whether it is held up now."""
+        """Whether the proxy is blocked at a time."""
         return any(start <= now < stop for start, stop in self.spans)
 
 
 class RunChecker:
-    """The account of one run, and what breaks the rules in it."""
+    """Records the events of one run and reports violations of the rules."""
 
     def __init__(
         self, settings: Settings, zones: dict[str, str], round_trip: float, seconds_per_byte: float = 0.0
@@ -111,61 +112,58 @@
         self._rules = settings.rules
         self._max_attempts = settings.limits.max_attempts
         self._second_copies = settings.limits.second_copies
-        self._zones = zones  # of nodes
-        self._round_trip = round_trip  # seconds that a message may take to a proxy and back...
-        self._seconds_per_byte = seconds_per_byte  # ...and each byte of a long one beside that
+        self._zones = zones  # by backend
+        self._round_trip = round_trip  # seconds that a message may take to a proxy and back
+        self._seconds_per_byte = seconds_per_byte  # added for each byte of a message
         self._requests: dict[str, RequestState] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._open_counts: dict[str, int] = {}
         self._known_states: dict[tuple[str, str], BackendState] = {}
-        self._bans: dict[tuple[str, str], float] = {}  # since when a node is out at a proxy
+        self._bans: dict[tuple[str, str], float] = {}  # by proxy and backend: when the ban was confirmed
         self._blocked_spans: dict[str, BlockedSpans] = {}
-        self._deaths: dict[str, list[float]] = {}  # when proxies were killed
-        self._first_effects: dict[str, float] = {}  # when unsafe and keyed requests first took effect
-        self._recent_sends: dict[
-            str, deque[tuple[float, bool]]
-        ] = {}  # sends to a node: when, and by one that knew it cold
-        self.slack: dict[str, float] = {}  # further seconds that a proxy has, as its timers are coarse
-        self.cutting_backends: set[str] = set()  # nodes that were made to break off answers...
-        self.faulted_backends: set[str] = (
-            set()
-        )  # ...and those that something befell: long ones of theirs may break off
-        self.duplicated_ids: set[str] = set()  # requests whose id strangers used as well
+        self._deaths: dict[str, list[float]] = {}  # times at which processes of a proxy were killed
+        self._first_effects: dict[str, float] = {}  # when unsafe and keyed requests first took effect, by effect
+        # By backend: when attempts were sent, and whether the sender knew the backend to be cold.
+        self._recent_sends: dict[str, deque[tuple[float, bool]]] = {}
+        self.slack: dict[str, float] = {}  # extra seconds allowed to a proxy with coarse timers or a slow link
+        self.cutting_backends: set[str] = set()  # backends with a fault that cuts answers
+        self.faulted_backends: set[str] = set()  # backends with any fault: their long answers may be cut
+        self.duplicated_ids: set[str] = set()  # requests whose id another client used as well
         self.violations: list[Violation] = []
         self.trace: list[tuple[object, ...]] = []
 
-    # ---- the account ---------------------------------------------------------------------
+    # ---- the trace -----------------------------------------------------------------------
 
     def record_event(self, now: float, *fields: object) -> None:
-        """One line of the account."""
+        """Append an event to the trace."""
         self.trace.append((now, *fields))
 
     def trace_lines(self) -> list[str]:
-        """The account, to be read."""
+        """The trace as text, one event a line."""
         return [" ".join([f"{event[0]:11.6f}", *map(str, event[1:])]) for event in self.trace]
 
     def digest(self) -> str:
-        """The same for runs that did the same."""
+        """A hash of the trace: equal for runs with equal events."""
         return hashlib.sha256(repr(self.trace).encode()).hexdigest()[:16]
 
     def report_violation(self, now: float, oracle: str, text: str) -> None:
-        """A rule is broken."""
+        """Record a violation, also in the trace."""
         self.violations.append(Violation(oracle, now, text))
         self.record_event(now, "BROKEN", oracle, text)
 
     def outcome_counts(self) -> dict[str, int]:
-        """How requests ended."""
+        """The number of requests by outcome."""
         counts: dict[str, int] = {}
         for request in self._requests.values():
             counts[request.outcome or "open"] = counts.get(request.outcome or "open", 0) + 1
         return dict(sorted(counts.items()))
 
     def open_request_count(self, proxy: str) -> int:
-        """Requests that wait for their answer."""
+        """The number of a proxy's requests that wait for their answer."""
         return self._open_counts.get(proxy, 0)
 
     def recently_blocked(self, now: float, proxy: str) -> bool:
-        """Whether a proxy can do nothing, or could not a moment ago."""
+        """Whether a proxy is blocked, or was within the last CATCH_UP_PERIOD."""
         return self.blocked_seconds(proxy, now - CATCH_UP_PERIOD, now) > 0.0
 
     def _end_request(self, now: float, request: RequestState, outcome: str) -> None:
@@ -191,7 +189,8 @@
     ) -> None:
         """A request's last byte was written.
 
-        `holder` has the connection, where another proxy had it moved there; `alone`: all that could are dead.
+        `holder` is the proxy that has the connection, if it was moved from `proxy`; `no_live_proxy`: no proxy that
+        could take the request is alive. Raises ValueError if the caller sends a request twice.
         """
         deadline = (
             now
@@ -210,14 +209,14 @@
         request.other_holders |= {holder} - {"", proxy}
         request.no_live_proxy = no_live_proxy
         for attempt in request.attempts:
-            attempt.started_at = now  # a node begins with the last byte
+            attempt.started_at = now  # a backend starts with the last byte
         heapq.heappush(self._deadlines, (deadline, request_id))
         self.record_event(now, "sent", request_id, class_name, proxy, f"{budget:.3f}")
 
     def on_request_started(
         self, now: float, request_id: str, class_name: str, proxy: str, caller: str, body_size: int, answer_size: int
     ) -> None:
-        """The first bytes of a long request were written: it may be passed on while it comes."""
+        """The first bytes of a long request were written: it may be forwarded while the rest arrives."""
         if request_id not in self._requests:
             self._add_request(now, request_id, class_name, proxy, caller, body_size, answer_size)
             self.record_event(now, "coming", request_id, class_name, proxy)
@@ -232,12 +231,12 @@
         return request
 
     def on_answer(self, now: float, request_id: str, status: int, body: bytes, answer_size: int) -> None:
-        """A whole answer has come."""
+        """A complete answer has arrived."""
         request = self._requests.get(request_id)
         self.record_event(now, "answered", request_id, status, len(body))
         if request is None:
-            return  # a request of which not all was written: turned away early
-        if request.outcome and request.outcome != ENDED_WITH_PROXY:  # of those an heir may still tell
+            return  # answered before the request was completely written
+        if request.outcome and request.outcome != ENDED_WITH_PROXY:  # a successor may still answer these
             self.report_violation(now, "one answer", f"{request_id} was answered again, with {status}")
             return
         self._end_request(now, request, _outcome(status))
@@ -252,7 +251,7 @@
             self.report_violation(now, "turned away", f"{request_id} was told {status}: {body!r}")
 
     def _check_refusal(self, now: float, request_id: str, request: RequestState) -> None:
-        """To refuse says that a further try is harmless."""
+        """A refusal tells the caller that a retry is safe: no attempt may have run unless a repeat is harmless."""
         harmless = request.request_class.repeat is Repeat.SAFE or (
             request.request_class.repeat is Repeat.KEYED and request.request_class.group is Group.ALL
         )
@@ -263,28 +262,28 @@
             )
 
     def is_waiting(self, now: float, request_id: str) -> bool:
-        """Whether it has come to its proxy by now, whole, and is not answered."""
+        """Whether a request has completely reached its proxy by now and is not answered."""
         request = self._requests.get(request_id)
         return request is not None and not request.outcome and request.sent_at + self._round_trip < now
 
     def on_answer_started(self, now: float, request_id: str) -> None:
-        """The head of its answer has come: if that is a long one, the rest may take its time."""
+        """The head of the answer has arrived; the rest of a long answer may outlast the deadline."""
         request = self._requests.get(request_id)
         if request is not None and not request.outcome and request.answer_size > LONG_MESSAGE:
             request.deadline = max(request.deadline, now + STALL_TIMEOUT)
             self.record_event(now, "begun", request_id)
 
     def on_request_resent(self, now: float, request_id: str) -> None:
-        """It crossed a close between requests, and was written once more: its time begins anew."""
+        """The request crossed the close of an idle connection and was resent: its time starts again."""
         request = self._requests[request_id]
         request.deadline += now - request.sent_at
         request.sent_at = now
         for attempt in request.attempts:
-            attempt.rejected = True  # its proxy had not read the whole of it, so that no node had either
+            attempt.rejected = True  # its proxy had not read all of it, so no backend had either
         self.record_event(now, "resent", request_id)
 
     def on_connection_lost(self, now: float, request_id: str) -> None:
-        """Its connection ended with no whole answer."""
+        """A request's connection ended without a complete answer."""
         request = self._requests.get(request_id)
         if request is None or request.outcome:
             return
@@ -294,7 +293,7 @@
             self.report_violation(now, "no request lost", f"{request_id} had no answer from {request.proxy}")
 
     def on_answer_cut(self, now: float, request_id: str) -> None:
-        """Its connection ended in the middle of an answer: right only where a node broke one off."""
+        """The connection ended in the middle of an answer: correct only if a backend cut the answer."""
         request = self._requests.get(request_id)
         if request is None or request.outcome:
             return
@@ -310,26 +309,26 @@
             self.record_event(now, "cut", request_id)
 
     def on_caller_left(self, now: float, request_id: str) -> None:
-        """Its caller went away."""
+        """The caller of a request disconnected."""
         request = self._requests.get(request_id)
         if request is not None and not request.outcome:
             self._end_request(now, request, "left")
             self.record_event(now, "left", request_id)
 
     def on_caller_died(self, now: float, caller: str) -> None:
-        """All that it waits for is void."""
+        """A caller died: nobody waits for its requests any more."""
         for request_id, request in self._requests.items():
             if request.caller == caller:
                 self.on_caller_left(now, request_id)
 
     def on_surplus_data(self, now: float, proxy: str, data: bytes) -> None:
-        """A caller read what it had not asked for."""
+        """A caller received data that answers no request."""
         self.report_violation(now, "one answer", f"{proxy} sent more than was asked: {data[:40]!r}")
 
     # ---- proxies -------------------------------------------------------------------------
 
     def must_be_abandoned(self, now: float, request_id: str) -> bool:
-        """Whether a request has ended, and its time as well, and its proxy must know."""
+        """Whether a request has ended and expired so long ago that its proxy must have abandoned it."""
         request = self._requests.get(request_id)
         if request is None or not request.outcome or request.proxy in self.slack:
             return False
@@ -338,7 +337,7 @@
         ) + self._round_trip + RECHECK_INTERVAL + self.blocked_seconds(request.proxy, request.sent_at, now)
 
     def body_size(self, request_id: str) -> int:
-        """Bytes of a request's body."""
+        """The size of a request's body in bytes."""
         request = self._requests.get(request_id)
         return request.body_size if request is not None else 0
 
@@ -352,10 +351,10 @@
         is_complete: Callable[[], bool] = lambda: True,
         headers: dict[bytes, bytes] | None = None,
     ) -> None:
-        """A proxy began to write a request to a node.
+        """A proxy began to write a request to a backend.
 
-        `out` tells whether it still waits for that, `whole` whether it has written the last byte: a node begins
-        with that one, so what is not whole never ran. `said` are the headers.
+        `is_pending` tells whether the proxy still waits for the answer, `is_complete` whether it has written the last
+        byte: a backend starts with that byte, so an incomplete request never ran. `headers` are the forwarded ones.
         """
         self.record_event(now, "wrote", request_id, proxy, backend)
         request = self._requests.get(request_id)
@@ -367,7 +366,7 @@
             )
             return
         if request.outcome and request_id in self.duplicated_ids:
-            return  # the id was free again
+            return  # the id was free for reuse
         if request.outcome and (request.outcome != "left" or self._caller_departure_known(request, now)):
             self.report_violation(
                 now, "nothing after", f"{request_id} was sent to {backend} after its end ({request.outcome})"
@@ -406,7 +405,7 @@
     def _check_forwarded_headers(
         self, now: float, request_id: str, request: RequestState, backend: str, headers: dict[bytes, bytes]
     ) -> None:
-        """What is sent on never says more than there is: the time that is left, and the caller's own key."""
+        """Check the forwarded headers: the budget is at most the remaining time, the key is the caller's."""
         budget_text = headers.get(b"x-budget", b"")
         try:
             budget = float(budget_text[:-1]) / {b"m": 1e3, b"u": 1e6}[budget_text[-1:]]
@@ -416,7 +415,7 @@
             )
             return
         if request.budget:
-            # Its time counts from when its proxy reads it: late where that has much to do, or has had no descriptor.
+            # The budget counts from when the proxy reads the request: later if it is busy or lacked a descriptor.
             tolerance = self._round_trip + READ_DELAY + max(self.slack.get(holder, 0.0) for holder in request.holders)
             tolerance += self._holders_blocked_seconds(request, request.sent_at - 2.0 * CATCH_UP_PERIOD, now)
             remaining = request.budget - max(0.0, now - request.sent_at - tolerance)
@@ -431,12 +430,12 @@
             self.report_violation(now, "right request", f"{request_id} was sent to {backend} with the key {key!r}")
 
     def _caller_departure_known(self, request: RequestState, now: float) -> bool:
-        """Whether its proxy must know by now that its caller has left."""
+        """Whether a request's proxy must know by now that the caller has left."""
         known_at = request.ended_at + self._round_trip + TIMING_SLACK + self.slack.get(request.proxy, 0.0)
         return now > known_at + self._holders_blocked_seconds(request, request.sent_at, now)
 
     def _check_repeat(self, now: float, request_id: str, request: RequestState, backend: str) -> None:
-        """A further attempt: whether every earlier one allows it."""
+        """Check that every earlier attempt permits a further one."""
         for earlier in request.attempts:
             if earlier.rejected or request.request_class.repeat is Repeat.SAFE or not earlier.is_complete():
                 continue
@@ -451,18 +450,18 @@
                 self.report_violation(now, "no effect twice", f"{text}, {now - earlier.started_at:.3f} s earlier")
 
     def on_discovery_update(self, now: float, proxy: str, backend: str, up: bool, born_ms: float) -> None:
-        """Discovery has written a line about a node to a proxy."""
+        """Discovery has sent a proxy an update about a backend."""
         known_state = self._known_states.get((proxy, backend))
         if known_state is None or known_state.up != up or known_state.born_ms != born_ms:
             self._known_states[proxy, backend] = BackendState(up, now, born_ms)
         self.record_event(now, "told", proxy, backend, "up" if up else "ends")
 
     def on_blocked(self, now: float, proxy: str) -> None:
-        """From here on it can't do anything, or nobody can reach it."""
+        """From now on a proxy cannot work or cannot be reached."""
         self._blocked_spans.setdefault(proxy, BlockedSpans()).spans.append((now, math.inf))
 
     def on_unblocked(self, now: float, proxy: str, extra: float = 0.0) -> None:
-        """It can again, `after` some seconds in which the rest arrives."""
+        """A proxy works again; it counts as blocked for `extra` more seconds, in which the backlog arrives."""
         blocked = self._blocked_spans.setdefault(proxy, BlockedSpans())
         for i in reversed(range(len(blocked.spans))):
             if blocked.spans[i][1] == math.inf:
@@ -470,23 +469,24 @@
                 return
 
     def on_banned(self, now: float, proxy: str, backend: str) -> None:
-        """Operators have had their yes: from here on nothing new goes there."""
+        """A ban is confirmed to the operators: from now on the proxy starts no attempt at the backend."""
         self._bans[proxy, backend] = now
         self.record_event(now, "banned", proxy, backend)
 
     def on_unbanned(self, proxy: str, backend: str) -> None:
-        """They ask for its return."""
+        """Operators ask to lift a ban."""
         self._bans.pop((proxy, backend), None)
 
     def on_new_proxy(self, proxy: str) -> None:
-        """A new proxy at the place of an old one: what operators had ordered is forgotten."""
+        """A new proxy without stored state replaces an old one: its operators' orders are forgotten."""
         for key in [key for key in self._bans if key[0] == proxy]:
             del self._bans[key]
 
     def on_killed(self, now: float, proxy: str, loses_state: bool = True, state_kept: bool = False) -> None:
-        """A process of it is dead, and what that had taken is lost; all that it was told, unless another lives.
+        """A process of a proxy was killed: its requests are lost, and with `loses_state` all that it was told.
 
-        Where its state is kept, what it had known for a while outlives it: a decision against that is a stale one.
+        `loses_state` is false while another process of the proxy lives. With `state_kept`, what the proxy had known
+        for PERSIST_DELAY outlives the process: a decision that contradicts it is stale.
         """
         self._deaths.setdefault(proxy, []).append(now)
         if not loses_state:
@@ -501,34 +501,34 @@
             del self._bans[key]
 
     def on_state_lost(self, proxy: str) -> None:
-        """What it had kept is lost, or older than what it knew; orders are kept elsewhere too."""
+        """A proxy's stored state is lost or outdated; operators' orders are stored elsewhere as well."""
         for key in [key for key in self._known_states if key[0] == proxy]:
             del self._known_states[key]
 
     def blocked_seconds(self, proxy: str, begin: float, end: float) -> float:
-        """Seconds of a span in which a proxy was held up."""
+        """Seconds of a span in which a proxy was blocked."""
         blocked = self._blocked_spans.get(proxy)
         return blocked.overlap(begin, end) if blocked is not None else 0.0
 
     def _holders_blocked_seconds(self, request: RequestState, begin: float, end: float) -> float:
-        """Seconds of a span in which those that had a request in hand were held up."""
+        """Seconds of a span in which the holders of a request were blocked, added up."""
         return sum(self.blocked_seconds(holder, begin, end) for holder in request.holders)
 
     def _holder_died(self, request: RequestState, now: float) -> bool:
-        """Whether a proxy that had it in hand was killed since it was sent."""
+        """Whether a holder of a request was killed after the request was sent."""
         if request.no_live_proxy:
             return True
         dead = (at for holder in request.holders for at in self._deaths.get(holder, ()))
         return any(request.sent_at - self._round_trip <= at <= now for at in dead)
 
     def _is_excused(self, request: RequestState, now: float) -> bool:
-        """Whether its proxy died, or could not be reached, since it was sent."""
+        """Whether a holder of a request was killed or blocked after the request was sent."""
         return self._holder_died(request, now) or self._holders_blocked_seconds(request, request.sent_at, now) > 0.0
 
-    # ---- nodes ---------------------------------------------------------------------------
+    # ---- backends ------------------------------------------------------------------------
 
     def on_backend_received(self, now: float, request_id: str, backend: str, body_size: int) -> None:
-        """A request's last byte has come to a node."""
+        """A request's last byte has arrived at a backend."""
         self.record_event(now, "came", request_id, backend)
         request = self._requests.get(request_id)
         if request_id in self.duplicated_ids:
@@ -541,7 +541,7 @@
             )
 
     def on_backend_rejected(self, now: float, request_id: str, backend: str) -> None:
-        """A node turned it away: it never ran there."""
+        """A backend rejected a request: it never ran there."""
         self.record_event(now, "rejected", request_id, backend)
         for attempt in reversed(self._requests[request_id].attempts):
             if attempt.backend == backend and not attempt.rejected:
@@ -549,32 +549,32 @@
                 return
 
     def on_backend_ran(self, now: float, request_id: str, backend: str, key: str | None, effect: bool) -> None:
-        """It begins to run; `key` names the effect of a keyed request."""
+        """A request starts to run; `key` identifies the effect of a keyed request."""
         self.record_event(now, "ran", request_id, backend, "anew" if effect else "known")
         request = self._requests.get(request_id)
         if request is None:
             return
         request.runs += 1
         if request.request_class.repeat is not Repeat.SAFE and effect:
-            # What was sent in time may run after a keyed class's window, and is then nobody's fault.
+            # A request that was sent in time may run after the key's window; that is no violation.
             window = request.request_class.window if key is not None else math.inf
             first_effect = self._first_effects.setdefault(key or request_id, now)
             if first_effect < now <= first_effect + window:
                 self.report_violation(now, "no effect twice", f"{request_id} took effect a second time, at {backend}")
 
     def check_descriptors(self, now: float, proxy: str, total: int, limit: int) -> None:
-        """The descriptors that connections of all processes of a proxy take."""
+        """Check the descriptors that the connections of all processes of a proxy use."""
         if total > limit:
             self.report_violation(
                 now, "descriptors", f"the processes of {proxy} have {total} where {limit} are for both"
             )
 
     def on_ready_while_evacuated(self, now: float, proxy: str) -> None:
-        """The front was told yes while operators have the proxy evacuated."""
+        """A proxy reported ready to the front while operators have it evacuated."""
         self.report_violation(now, "drains", f"{proxy} says yes to the front while it is evacuated")
 
     def on_cold_overload(self, now: float, backend: str, load: float, capacity: float) -> None:
-        """A cold node was sent more than it bears."""
+        """A cold backend was overloaded: a violation if at least two thirds of the sends knew that it was cold."""
         recent = self._recent_sends.get(backend, deque())
         informed = sum(is_informed for _, is_informed in recent)
         self.record_event(
@@ -588,7 +588,7 @@
     # ---- every step ----------------------------------------------------------------------
 
     def check_deadlines(self, now: float) -> None:
-        """Whether an answer is overdue; to be called after every step."""
+        """Report overdue answers; to be called after every step of the loop."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heapq.heappop(self._deadlines)
             request = self._requests[request_id]
--- a/cometusher/simulation/orphans.py
+++ b/cometusher/simulation/orphans.py
@@ -1,4 +1,7 @@
-"""A supervisor's part in worlds: what dead processes leave is handed on, by the decisions of the real one."""
+"""The supervisor's part of a takeover in simulated worlds: orphaned requests are handed to other processes.
+
+The decisions are those of the real supervisor (`weldroute.takeover`); only the channels are simulated.
+"""
 
 from __future__ import annotations
 
@@ -23,15 +26,15 @@
 from weldroute.takeover import RequestRef, TakeoverPlanner
 
 JOURNAL_POOL = JournalPool(JournalSize(128, 256, 8192), books=32, keys=256)
-DETECTION_DELAY = (0.002, 0.02)  # seconds until a death is noticed and what is left is at hand, and for each offer
+DETECTION_DELAY = (0.002, 0.02)  # seconds until a death is detected, and that an offer takes
 TICK_INTERVAL = 0.01
 EXPIRY_GRACE = 1.0
 
-Successors = Callable[[], list[tuple[int, int]]]  # processes, and the requests that they have in hand
+Successors = Callable[[], list[tuple[int, int]]]  # serving processes, and the number of their open requests
 
 
 class VirtualTakeoverChannel:
-    """A process's side."""
+    """The takeover channel of one process."""
 
     def __init__(self, orphans: VirtualOrphans, assignment: JournalAssignment) -> None:
         self.pool = JOURNAL_POOL
@@ -42,15 +45,15 @@
 
     @property
     def memory(self) -> memoryview:
-        """This process's own book."""
+        """The memory of this process's own journal."""
         return JOURNAL_POOL.journal_memory(self._orphans.view, self.number)
 
     def journal_of(self, book: int) -> OrphanedJournal:
-        """Any book; raises ValueError for one that is not there."""
+        """Any process's journal; raises ValueError if it does not exist."""
         return OrphanedJournal(JOURNAL_POOL.journal_memory(self._orphans.view, book), JOURNAL_POOL.size)
 
     def start_receiving(self, on_offer: Callable[[ReceivedOffer], None], has_capacity: Callable[[], bool]) -> None:
-        """Call for each offer from here on."""
+        """Call `on_offer` for each offer from now on."""
         machine = CURRENT_MACHINE.get()
         assert machine is not None
         self._orphans.receivers[self.process] = (machine, on_offer)
@@ -58,7 +61,7 @@
 
 @dataclass
 class VirtualOrphans:
-    """All that the processes of a world leave."""
+    """The orphaned requests of all processes of a world, and the supervisor that assigns them."""
 
     loop: VirtualLoop
     rng: Random
@@ -70,7 +73,7 @@
     started_count: int = 0
     adopted: int = 0
     lost: int = 0
-    _journal_by_process: dict[int, int] = field(default_factory=dict)  # by process
+    _journal_by_process: dict[int, int] = field(default_factory=dict)
     _ticking: bool = False
 
     def __post_init__(self) -> None:
@@ -78,7 +81,7 @@
         self.keys = JOURNAL_POOL.key_index(self.view)
 
     def assign_journal(self) -> JournalAssignment:
-        """A process is about to start."""
+        """Assign an empty journal to a process that is about to start."""
         self.started_count += 1
         book = self.started_count % JOURNAL_POOL.books
         at = JOURNAL_POOL.journal_offset(book)
@@ -92,7 +95,7 @@
         )
 
     def on_died(self, process: int, orphans: list[VirtualTransport]) -> None:
-        """A process is dead; its connections are here a moment later."""
+        """A process has died; its connections reach the supervisor after DETECTION_DELAY."""
         self.receivers.pop(process, None)
         self._after_delay(self._on_reaped, process, {connection.number: connection for connection in orphans})
 
@@ -109,11 +112,12 @@
         open_records = {
             slot: record for slot, record in records.items() if record is not None and record.caller_descriptor >= 0
         }
-        # Here a connection is one object, where a kernel gives out copies: whoever used it last has it.
+        # A connection is one object here, where a kernel duplicates descriptors: the last attempt on it owns it.
         last_use = {
-            one.descriptor: one.sent_at
-            for one in sorted(
-                (one for record in open_records.values() for one in record.attempts), key=lambda one: one.sent_at
+            attempt.descriptor: attempt.sent_at
+            for attempt in sorted(
+                (attempt for record in open_records.values() for attempt in record.attempts),
+                key=lambda attempt: attempt.sent_at,
             )
         }
         for slot, record in open_records.items():
@@ -123,8 +127,8 @@
             self.held_connections[process, slot] = [
                 orphans.pop(record.caller_descriptor, None),
                 *(
-                    orphans.pop(one.descriptor, None) if last_use[one.descriptor] == one.sent_at else None
-                    for one in record.attempts
+                    orphans.pop(attempt.descriptor, None) if last_use[attempt.descriptor] == attempt.sent_at else None
+                    for attempt in record.attempts
                 ),
             ]
             self.planner.add_orphans(process, [(slot, max(record.deadline, self.loop.time()) + EXPIRY_GRACE)])
@@ -140,7 +144,7 @@
         orphans: dict[int, VirtualTransport],
         caller_descriptors: set[int],
     ) -> None:
-        """Connections between two requests."""
+        """Move connections between two requests to the process with the fewest open requests."""
         idle = [
             (record, orphans.pop(record.descriptor))
             for record in journal.connections([IDLE])
--- a/cometusher/simulation/script.py
+++ b/cometusher/simulation/script.py
@@ -1,7 +1,7 @@
-"""The language of faults: a world, its requests and what befalls it, as text that can be edited and played again.
+"""The simulation's script language: a world, its requests and its faults, as text that can be edited and replayed.
 
-One statement a line; `#` begins a comment. What a seed draws is printed in full, so that a script goes on meaning the
-same when the drawing changes:
+A script has one statement a line; `#` starts a comment. Everything that a seed draws is written in full, so that a
+script keeps its meaning when the drawing changes:
 
     world zone seed 17 seconds 6.0
     shape zones 2 tiers 1 proxies 1 backends 2
@@ -11,8 +11,8 @@
     fault at 2.150 kill proxy/0 for 1.3
     fault at 2.150 slow backend/1 for 2 by 8
 
-Faults of one time happen in the order of their lines. `for` is how long, `by` how much; at the end of the world all
-that still goes on is ended.
+Faults with the same time start in the order of their lines. `for` is the duration in seconds, `by` an amount whose
+meaning depends on the fault (see FAULT_KINDS). Faults that still last at the end of the plan are ended then.
 """
 
 from __future__ import annotations
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True)
 class PlannedRequest:
-    """One request: seconds, bytes; `leaves` is when its caller goes away, `slow` how long it writes."""
+    """One planned request; times in seconds, sizes in bytes.
+
+    `leaves` is the time until its caller disconnects, `slow` the time that writing the request takes.
+    """
 
     number: int
     at: float
@@ -40,13 +43,13 @@
     body: int = 0
     leaves: float = 0.0
     slow: float = 0.0
-    dawdle: float = 0.0  # seconds in which its caller reads nothing more of a long answer
-    again: int = 1  # times that a refused one is tried again
+    dawdle: float = 0.0  # seconds for which the caller pauses reading a long answer
+    again: int = 1  # number of retries after a refusal
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What befalls whom, when, for how long and how much."""
+    """One planned fault: when, its kind, its target, for how long and how much."""
 
     at: float
     what: str
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Everything that decides a run."""
+    """A world with its requests and faults: everything that determines a run."""
 
     world: str = "one"
     seed: int = 0
@@ -71,22 +74,25 @@
     bandwidth: float = 1e7
     cut: float = 0.5
     sockets: int = 96
-    copies: int = 1  # whether a second copy may go out...
-    cancel: int = 1  # ...and an attempt be given up early
-    keeps: int = 0  # whether proxies come back as under a supervisor that has it switched on, with what they kept
-    covers: int = 0  # whether work in hand of the first tier is taken over from proxies that are killed
-    shared: int = 0  # whether listeners are the platform's, and processes of one proxy share a folder
-    lazy: float = 0.0  # seconds that a program may take to see what has come
+    copies: int = 1  # whether a second copy of a request may be sent
+    cancel: int = 1  # whether an attempt may be abandoned early
+    keeps: int = 0  # whether proxies store state and recover it after a restart, as under a supervisor
+    covers: int = 0  # whether in-flight requests of killed proxies of the first tier are taken over
+    shared: int = 0  # whether the platform holds the listeners, and processes of one proxy share a folder
+    lazy: float = 0.0  # seconds that a program may take to read what has arrived
     requests: tuple[PlannedRequest, ...] = ()
     faults: tuple[Fault, ...] = ()
 
 
-#: What can befall whom, and what `by` means there. (None: it means nothing.)
+#: By kind of fault: its possible targets, and a function that draws `by` (None if `by` has no meaning).
 FAULT_KINDS: dict[str, tuple[tuple[str, ...], Callable[[Random], float] | None]] = {
-    "kill": (("proxy", "backend", "discovery"), None),  # and started again after `for`
+    "kill": (("proxy", "backend", "discovery"), None),  # and restarted after `for`
     "pause": (("proxy", "backend", "discovery"), None),
     "silent": (("proxy", "backend"), None),
-    "cut": (("proxy", "backend"), lambda rng: float(rng.randrange(4))),  # from the by-th of the other side
+    "cut": (
+        ("proxy", "backend"),
+        lambda rng: float(rng.randrange(4)),
+    ),  # partitioned from the by-th machine of the other kind
     "lag": (("proxy", "backend"), lambda rng: round(rng.uniform(0.005, 0.08), 3)),
     "narrow": (("proxy", "backend"), lambda rng: round(rng.uniform(2e4, 2e5))),
     "slow": (("backend",), lambda rng: round(rng.uniform(2.0, 30.0), 1)),
@@ -95,33 +101,42 @@
     "double": (("backend",), None),
     "reset": (("backend",), None),
     "error": (("backend",), None),
-    "hasty": (("backend",), lambda rng: round(rng.uniform(0.02, 0.4), 3)),  # closes idle connections so early
-    "leave": (("backend",), None),  # drains, ends, and is back after `for`
-    "stale": (("discovery",), None),  # tells of nothing new
-    "reorder": (("discovery",), None),  # tells the older list after the newer
+    "hasty": (
+        ("backend",),
+        lambda rng: round(rng.uniform(0.02, 0.4), 3),
+    ),  # closes idle connections after `by` seconds
+    "leave": (("backend",), None),  # drains, exits, and is restarted after `for`
+    "stale": (("discovery",), None),  # sends no changes
+    "reorder": (("discovery",), None),  # sends the older list after the newer one
     "garble": (("discovery",), None),
-    "reload": (("proxy",), None),  # SIGHUP, with discovery somewhere else
-    "drain": (("proxy",), None),  # SIGTERM, and started again `for` seconds after its end
-    "ban": (("proxy",), lambda rng: float(rng.randrange(8))),  # of the by-th backend, by its operators, for `for`
-    "evacuate": (("proxy",), None),  # by its operators, who have it rejoin after `for`
-    "upgrade": (("proxy",), lambda rng: float(rng.choice((0, 0, 0, 1, 2, 3, 4)))),  # see UPGRADES
-    "famine": (("proxy",), lambda rng: float(rng.randint(4, 40))),  # descriptors left
+    "reload": (("proxy",), None),  # SIGHUP, with the other discovery service
+    "drain": (("proxy",), None),  # SIGTERM, and restarted `for` seconds after its exit
+    "ban": (("proxy",), lambda rng: float(rng.randrange(8))),  # operators ban the by-th backend during `for`
+    "evacuate": (("proxy",), None),  # operators evacuate it, and let it rejoin after `for`
+    "upgrade": (("proxy",), lambda rng: float(rng.choice((0, 0, 0, 1, 2, 3, 4)))),  # see UPGRADE_TROUBLES
+    "famine": (("proxy",), lambda rng: float(rng.randint(4, 40))),  # number of free descriptors that are left
     "coarse": (("proxy",), lambda rng: round(rng.uniform(0.005, 0.05), 3)),
-    "step": (("proxy",), lambda rng: round(rng.uniform(-3600.0, 3600.0), 1)),  # of the wall clock
-    "crowd": (("proxy",), lambda rng: float(rng.randint(10, 120))),  # connections that say nothing
+    "step": (
+        ("proxy",),
+        lambda rng: round(rng.uniform(-3600.0, 3600.0), 1),
+    ),  # the wall clock steps by this many seconds
+    "crowd": (("proxy",), lambda rng: float(rng.randint(10, 120))),  # idle connections
     "halves": (("proxy",), lambda rng: float(rng.randint(5, 60))),  # connections with half a request
-    "twins": (("proxy",), lambda rng: float(rng.randint(1, 8))),  # strangers use the ids of so many open requests
-    "blow": (("proxy",), lambda rng: round(rng.uniform(0.3, 1.0), 2)),  # such a part of the first tier, at once
-    "forget": (("proxy",), None),  # killed, and what it kept is lost
-    "rollback": (("proxy",), None),  # killed, and what it kept is as it was in the middle of the time before
-    "burst": (("proxy",), lambda rng: float(rng.randint(20, 60))),  # requests at once, told by their own lines
+    "twins": (("proxy",), lambda rng: float(rng.randint(1, 8))),  # other clients use the ids of `by` open requests
+    "blow": (("proxy",), lambda rng: round(rng.uniform(0.3, 1.0), 2)),  # kills this part of the first tier at once
+    "forget": (("proxy",), None),  # killed, and its stored state is lost
+    "rollback": (("proxy",), None),  # killed, and its stored state is that of half of the fault's time
+    "burst": (
+        ("proxy",),
+        lambda rng: float(rng.randint(20, 60)),
+    ),  # a burst of requests, which have statements of their own
 }
-RESTART_FAULTS = ("blow", "forget", "rollback")  # drawn apart: the plans of older seeds stay as they were
+RESTART_FAULTS = ("blow", "forget", "rollback")  # drawn separately, so that the plans of older seeds stay the same
 INSTANT_FAULTS = ("reload", "step", "burst", "upgrade", "twins")
-LONG_SIZES = (100_000, 300_000, 900_000)  # bytes of messages that go on while they come...
-LONG_THRESHOLD = 64 * 1024  # ...which those above this do...
-LONG_SHARE = 0.04  # ...and how many are
-#: What goes wrong with an upgrade, by its number.
+LONG_SIZES = (100_000, 300_000, 900_000)  # bytes of long messages
+LONG_THRESHOLD = 64 * 1024  # bytes; longer messages are streamed: they may outlast the deadline while data arrives
+LONG_SHARE = 0.04  # share of requests with long messages
+#: What goes wrong during an upgrade, by the fault's `by`.
 UPGRADE_TROUBLES = (
     "nothing",
     "what was learned is torn",
@@ -132,7 +147,7 @@
 
 
 def world_shape(world: str, rng: Random) -> dict[str, Any]:
-    """What a named world is made of; raises KeyError."""
+    """The sizes of a named kind of world; raises KeyError if it is unknown."""
     return {
         "one": {"backends": rng.randint(2, 4)},
         "zone": {"zones": 2, "backends": rng.randint(1, 3)},
@@ -145,7 +160,7 @@
 
 
 def target_counts(plan: Plan) -> dict[str, int]:
-    """How many there are of what can be named in a fault."""
+    """The number of targets of each kind that a fault can name."""
     backends = plan.zones * plan.backends
     return {
         "proxy": plan.zones * plan.proxies + (plan.tiers - 1) * backends,
@@ -155,7 +170,7 @@
 
 
 def draw_plan(seed: int, world: str = "any") -> Plan:
-    """The plan of a seed; raises KeyError for a world that is not known."""
+    """Draw the plan of a seed; raises KeyError if the kind of world is unknown."""
     rng = Random(f"fenneldeal {world} {seed}")
     name = rng.choice(WORLDS) if world == "any" else world
     plan = Plan(
@@ -175,8 +190,8 @@
     plan = replace(plan, shared=int(rng.random() < 0.3))
     plan = replace(plan, faults=tuple(sorted(_draw_faults(rng, plan), key=lambda fault: fault.at)))
     if any(fault.what == "double" for fault in plan.faults):
-        # A cut just between an answer and its copy lets the copy come after the next request was written: HTTP/1.1
-        # has nothing by which a proxy could tell it from that one's answer.
+        # If a write is split between an answer and its copy, the copy may arrive after the next request was written:
+        # HTTP/1.1 gives a proxy no means to tell it from the next answer.
         plan = replace(plan, cut=0.0)
     if any(fault.what == "upgrade" for fault in plan.faults):
         plan = replace(plan, shared=1)
@@ -188,7 +203,7 @@
 
 
 def _add_restart_faults(rng: Random, plan: Plan) -> Plan:
-    """A part of the worlds keeps state and has blows; not those with upgrades, whose processes share otherwise."""
+    """Add stored state and restarts to a part of the plans without upgrades, which share state in another way."""
     if rng.random() >= 0.3:
         return plan
     faults = list(plan.faults)
@@ -205,7 +220,7 @@
 
 
 def _add_takeover_faults(rng: Random, plan: Plan) -> Plan:
-    """A part of the worlds with several proxies of the first tier hands work in hand on when they are killed."""
+    """Add takeovers from killed proxies to a part of the plans with several proxies in the first tier."""
     count = plan.zones * plan.proxies
     if plan.tiers > 1 or count < 2 or rng.random() >= 0.5:
         return plan
@@ -215,7 +230,7 @@
         victim = rng.randrange(count)
         faults.append(Fault(at, "kill", f"proxy/{victim}", round(rng.choice((0.05, 0.3, 1.0)), 3)))
         if rng.random() < 0.4:
-            # Heirs that are paused, and killed in the middle of what they inherit.
+            # A successor is paused, or killed in the middle of the takeover.
             successor = (victim + 1 + rng.randrange(count - 1)) % count
             kind = rng.choice(("pause", "kill"))
             faults.append(Fault(round(at + rng.uniform(0.0, 0.08), 3), kind, f"proxy/{successor}", 0.2))
@@ -231,7 +246,7 @@
         target = rng.choice(targets)
         at = round(rng.uniform(0.3, plan.seconds - 0.5), 3)
         if faults and rng.random() < 0.2:
-            at = faults[-1].at  # two at one tick
+            at = faults[-1].at  # two faults at one instant
         seconds = (
             0.0 if kind in INSTANT_FAULTS else round(rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.5, 1.5), 3)
         )
@@ -250,7 +265,7 @@
 
 
 def _companion_faults(rng: Random, fault: Fault) -> list[Fault]:
-    """What is drawn beside some faults, since they are worst together."""
+    """Draw faults to accompany another one, because their combinations are the most severe."""
     faults = []
     earlier = max(0.1, round(fault.at - 0.4, 3))
     if fault.what == "upgrade":
@@ -289,7 +304,7 @@
         leaves=round(rng.uniform(0.0, 0.4), 3) if rng.random() < 0.05 else 0.0,
         slow=round(rng.uniform(0.05, 1.2), 3) if rng.random() < 0.03 else 0.0,
     )
-    # A line made narrow would take longer for these than there is time; theirs counts from the last byte.
+    # On a narrowed link a long body would outlast its budget, which counts from the last byte.
     if (
         plan.bandwidth >= 1e7
         and rng.random() < LONG_SHARE
@@ -326,7 +341,7 @@
 
 
 def format_plan(plan: Plan) -> str:
-    """The script of a plan."""
+    """The script of a plan, as text."""
     lines = []
     for statement, names in _STATEMENTS.items():
         values = " ".join(f"{name} {getattr(plan, name):.12g}" for name in names)
@@ -346,7 +361,7 @@
 
 @dataclass
 class _Reader:
-    """Reads one script; errors name file, line and word."""
+    """Parses one script; errors name the file, line and word."""
 
     name: str
     line: int = 0
@@ -440,7 +455,7 @@
 
 
 def parse_plan(text: str, name: str = "script") -> Plan:
-    """The plan of a script; raises ConfigError."""
+    """Parse a script; raises ConfigError."""
     reader = _Reader(name)
     for reader.line, line in enumerate(text.splitlines(), 1):
         words = line.partition("#")[0].split()
--- a/cometusher/simulation/seed_search.py
+++ b/cometusher/simulation/seed_search.py
@@ -1,7 +1,8 @@
-"""Many seeds on all cores, and from a failing one to the smallest script that still fails.
+"""Runs many seeds on all cores, and shrinks the plan of a failing seed to the smallest script that still fails.
 
-A failure is named by the oracles that it breaks; a smaller plan counts if it breaks the same one first. Workers are
-processes of their own: what one run leaves behind can't reach another's, and the order of workers decides nothing.
+A failure is identified by the oracles that it violates; a smaller plan counts if it violates the first of them too.
+Workers are separate processes: runs of different workers cannot affect each other, and the order of workers does not
+affect results.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from cometusher.simulation.world import Result, run_plan
 
 T = TypeVar("T", PlannedRequest, Fault)
-MAX_SHRINK_RUNS = 400  # runs that shrinking one plan may take, unless told otherwise
-MAX_VIOLATIONS = 12  # of an account that are kept of a failing run
+MAX_SHRINK_RUNS = 400  # default limit of runs for shrinking one plan
+MAX_VIOLATIONS = 12  # violations of a failing run that are reported
 
 
 @dataclass(frozen=True)
 class SeedResult:
-    """What one seed did, small enough to send between processes."""
+    """The result of one seed, small enough to send between processes."""
 
     seed: int
     world: str
@@ -40,13 +41,13 @@
 
 
 def freeze_heap() -> None:
-    """A worker has all that it needs: what is alive now need not be looked at again."""
+    """Exclude the objects of an initialized worker from garbage collection, which makes later collections cheaper."""
     gc.collect()
     gc.freeze()
 
 
 def run_seed(world: str, seed: int) -> SeedResult:
-    """Run one seed."""
+    """Run the plan of one seed."""
     result = run_plan(draw_plan(seed, world))
     return SeedResult(
         seed,
@@ -60,7 +61,7 @@
 
 
 def search(seeds: Iterable[int], world: str = "any", jobs: int = 0) -> Iterator[SeedResult]:
-    """Run seeds, in their order, on so many processes (0: one for each core)."""
+    """Run seeds on `jobs` processes (0: one for each core); results come in the order of the seeds."""
     jobs = jobs or multiprocessing.cpu_count()
     if jobs == 1:
         yield from map(functools.partial(run_seed, world), seeds)
@@ -71,7 +72,7 @@
 
 @dataclass
 class Shrinker:
-    """Takes away what a failure does not need."""
+    """Removes from a plan what its failure does not need."""
 
     oracle: str
     run: Callable[[Plan], Result] = run_plan
@@ -79,14 +80,14 @@
     runs: int = 0
 
     def fails(self, plan: Plan) -> bool:
-        """Whether a plan still breaks the rule."""
+        """Whether a plan still violates the oracle; false once `max_runs` is used up."""
         if self.runs >= self.max_runs:
             return False
         self.runs += 1
         return self.oracle in self.run(plan).oracles
 
     def minimize(self, items: Sequence[T], fails: Callable[[tuple[T, ...]], bool]) -> tuple[T, ...]:
-        """The fewest items, by taking away ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
+        """A minimal failing subset, by removing ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
         kept = tuple(items)
         if kept and fails(()):
             return ()
@@ -105,7 +106,7 @@
         return kept
 
     def shrink(self, plan: Plan) -> Plan:
-        """The smallest plan that was found; the same one if nothing can go."""
+        """The smallest failing plan that was found; the same plan if nothing can be removed."""
         plan = self._fewer_faults(plan)
         requests = self.minimize(plan.requests, lambda subset: self.fails(replace(plan, requests=subset)))
         plan = self._fewer_faults(replace(plan, requests=requests))
@@ -128,7 +129,7 @@
 
 
 def shrink(plan: Plan, max_runs: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
-    """The smallest plan that fails as this one does, and the rule that it breaks; ValueError if it breaks none."""
+    """The smallest plan that fails like this one, and the violated oracle; raises ValueError if none is."""
     oracles = run_plan(plan).oracles
     if not oracles:
         raise ValueError("the plan breaks no rule")
@@ -136,7 +137,7 @@
 
 
 def in_fresh_processes(code: str, folder: Path, hash_seeds: Iterable[int]) -> set[str]:
-    """What some code prints in new processes in a folder, one for each PYTHONHASHSEED; raises CalledProcessError."""
+    """The distinct outputs of code in new processes, one for each PYTHONHASHSEED; raises CalledProcessError."""
     command = [sys.executable, "-c", code]
     running = [
         subprocess.Popen(
@@ -152,11 +153,11 @@
 
 
 class Stopwatch:
-    """Real seconds since it was made."""
+    """Measures real time since its construction."""
 
     def __init__(self) -> None:
         self._began = time.perf_counter()
 
     def seconds(self) -> float:
-        """So many."""
+        """Elapsed real seconds."""
         return time.perf_counter() - self._began
--- a/cometusher/simulation/simulate.py
+++ b/cometusher/simulation/simulate.py
@@ -1,4 +1,4 @@
-"""`cometusher simulate`: hunts through seeds, shows one, shrinks what fails, plays a script again."""
+"""The command `cometusher simulate`: searches seeds for failures, shows one seed, or replays a script."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def parse_seeds(text: str) -> range:
-    """`A..B`, B not counted; raises ConfigError."""
+    """Parse `A..B`, a range without B; raises ConfigError."""
     first, separator, last = text.partition("..")
     if not separator or not first.isdigit() or not last.isdigit() or int(first) >= int(last):
         raise ConfigError(f"--seeds: {text!r} is not A..B with A below B")
@@ -21,7 +21,7 @@
 
 
 def load_plan(name: str) -> script.Plan:
-    """The plan in a file; raises ConfigError."""
+    """Load the plan in a script file; raises ConfigError."""
     path = Path(name)
     try:
         return script.parse_plan(path.read_text(), name)
@@ -79,7 +79,7 @@
 
 
 def main(options: argparse.Namespace) -> int:
-    """Returns the exit code: 0 no rule was broken, 1 one was; raises ConfigError."""
+    """Run the command; returns the exit code: 0 without a violation, 1 with one. Raises ConfigError."""
     if options.world not in ("any", *script.WORLDS):
         raise ConfigError(f"--world: {options.world!r} is not one of any, {', '.join(script.WORLDS)}")
     if options.jobs < 0:
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -1,7 +1,8 @@
-"""A world: proxies, nodes, discovery, a front and clients on machines of their own, and what a plan does to them.
+"""Runs a simulated world: proxies, backends, discovery, a front and clients, under the faults of a plan.
 
-The proxies are the real ones (`cometusher.proxy`), the peers are `standins`; everything runs on one virtual loop and
-network. `play` runs a plan to its end and returns the account.
+The proxies are the real ones (`cometusher.proxy`), the peers are `standins`; each has a machine of its own, and all
+run on one virtual loop and network. The front is the load balancer before the proxies: it routes clients to proxies
+that report ready. `run_plan` runs a plan to its end and returns the result with the trace and the violations.
 """
 
 from __future__ import annotations
@@ -51,29 +52,29 @@
 
 EPOCH = 1.6e9  # Unix time at a world's beginning
 PORT = 9000
-MANAGEMENT_PORT = 9001  # where operators call: the first of the ports that the processes of one proxy take in turn
+MANAGEMENT_PORT = 9001  # for operators: the first of the ports that the processes of one proxy use in turn
 MANAGEMENT_PORTS = 8
-READY_POLL_INTERVAL = 0.3  # seconds between questions of the front to an evacuated proxy
-RESERVED_DESCRIPTORS = 24  # descriptors of a process that are not connections: none of those are here
-START_POLL_INTERVAL = 0.05  # seconds between questions whether a new process is ready
-START_TIMEOUT = 4.0  # seconds within which one must be
+READY_POLL_INTERVAL = 0.3  # seconds between the front's readiness checks of an evacuated proxy
+RESERVED_DESCRIPTORS = 24  # descriptors that a real process needs beside its connections; none are used here
+START_POLL_INTERVAL = 0.05  # seconds between readiness checks of a new process
+START_TIMEOUT = 4.0  # seconds within which a new process must be ready
 COLD_PERIOD, COLD_FROM, FALL_MULTIPLE, FALL_AFTER = 6.0, 0.1, 2.0, 1.0
-WINDOW_BYTES = 64 * 1024  # of a connection
-KEY_WINDOW = 3.0  # seconds in which a zone's nodes recognise a key
+WINDOW_BYTES = 64 * 1024  # receive window of a connection
+KEY_WINDOW = 3.0  # seconds in which a zone's backends recognise an idempotency key
 DEADLINE = 1.5
 WORK_SECONDS = {"view": 0.06, "submit": 0.05, "pay": 0.04}
 SPEEDS = (1.0, 1.6, 0.8)
-FRONT_DEATH_DELAY = (2.0, 3.8)  # seconds after which the front knows of a death...
-FRONT_STOP_DELAY = 0.3  # ...and of an order to stop
-DISCOVERY_DEATH_DELAY = 1.0  # seconds after which discovery knows of a death, and 0.2 of a start
-ANSWER_GRACE = 4.0  # seconds that answers may still take at the end
-QUIET_PERIOD = 16.0  # seconds after which nothing may be left
+FRONT_DEATH_DELAY = (2.0, 3.8)  # seconds until the front stops routing to a proxy that died
+FRONT_STOP_DELAY = 0.3  # seconds until the front stops routing to a proxy that was ordered to stop
+DISCOVERY_DEATH_DELAY = 1.0  # seconds until discovery lists a dead backend as terminated (a started one: 0.2)
+ANSWER_GRACE = 4.0  # seconds that answers may still take after the plan's end
+QUIET_PERIOD = 16.0  # seconds without requests after which no proxy may hold anything
 MAX_PROBES, PROBE_INTERVAL = 40, 0.5
-BOUNDS_CHECK_INTERVAL = 0.25  # seconds between looks at what a proxy holds
-MAX_BUFFERED = 12 * 1024 * 1024  # bytes that answers may take which nobody reads
-IDLE_TIMERS = 4  # of a proxy at rest: the sweep, the watch, the module's...
-SPARE_TIMERS = 8  # ...and beside three for each request at work: what ends at this moment
-Undo = Callable[[], object]  # what ends a fault
+BOUNDS_CHECK_INTERVAL = 0.25  # seconds between checks of what each proxy holds
+MAX_BUFFERED = 12 * 1024 * 1024  # bytes of unread answers that a proxy may hold
+IDLE_TIMERS = 4  # timers of an idle proxy: the sweep, the watch of discovery, the decision module's
+SPARE_TIMERS = 8  # allowed beside the idle ones and three for each open request, for those that are about to end
+Undo = Callable[[], object]  # ends a fault
 READY_REQUEST = b"GET /up HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n"
 IDEMPOTENCY_KEY = re.compile(rb"\r\nidempotency-key: ([^\r\n]+)", re.IGNORECASE)
 CALL_ID = re.compile(rb"\r\nx-call-id: ([^\r\n]+)", re.IGNORECASE)
@@ -128,64 +129,63 @@
 
 @dataclass(eq=False)
 class Process:
-    """One process of a proxy."""
+    """One process in a proxy slot."""
 
     machine: Machine
-    surroundings: VirtualRuntime
-    management: Address  # where operators call
-    number: int  # grows with every start
+    runtime: VirtualRuntime
+    management: Address  # for operators' calls
+    number: int  # increases with every start in the slot
     proxy: Proxy | None = None
-    journal: JournalAssignment | None = None  # its book of work in hand
+    journal: JournalAssignment | None = None  # for its in-flight requests
 
 
 @dataclass(eq=False)
 class ProxySlot:
-    """One proxy, and where it is."""
+    """The place of one proxy, over all processes that run there one after the other."""
 
     name: str
     address: Address
     tier: int
     zone: int
     config: config.Config
-    for_backend: BackendSlot | None = None  # the node that has it for itself
-    process: Process | None = None  # the one that serves
-    other_processes: list[Process] = field(
-        default_factory=list
-    )  # that take over from it, or from which it has taken over
-    shared_memory: SharedMemory | None = None  # what its processes share
-    disk: VirtualDisk = field(default_factory=VirtualDisk)  # what outlives them, where they keep anything
-    operator_orders: dict[str, Any] | None = None  # orders that it told its supervisor of
-    routed: bool = False  # the front sends here
+    for_backend: BackendSlot | None = None  # the backend that this proxy serves alone, if any
+    process: Process | None = None  # the serving process
+    # Processes that take over from the serving one in an upgrade, or from which it has taken over.
+    other_processes: list[Process] = field(default_factory=list)
+    shared_memory: SharedMemory | None = None  # shared by its processes
+    disk: VirtualDisk = field(default_factory=VirtualDisk)  # stored state, which outlives the processes
+    operator_orders: dict[str, Any] | None = None  # orders that the proxy reported to its supervisor
+    routed: bool = False  # whether the front routes clients here
     draining: bool = False
-    accepts_until: float = 0.0  # with an order to stop, it takes connections until then
-    starved: bool = False  # it was short of descriptors through no fault of its own
-    discovery_index: int = 0  # which discovery it follows
+    accepts_until: float = 0.0  # after an order to stop, it must accept connections until then
+    starved: bool = False  # whether a fault made it run out of descriptors
+    discovery_index: int = 0  # which of the two discovery services it uses
     generation: int = 0
-    process_count: int = 0  # of processes
-    upgrades_in_progress: int = 0  # under way
-    evacuated: bool = False  # by operators, who have their yes, and have asked for nothing else since
-    revoked_orders: int = 0  # that were taken back
-    banned_hosts: set[str] = field(default_factory=set)  # backends that operators have out, or want out
+    process_count: int = 0  # processes started so far
+    upgrades_in_progress: int = 0
+    evacuated: bool = False  # operators' order is confirmed and not revoked
+    revoked_orders: int = 0  # number of orders that operators revoked
+    banned_hosts: set[str] = field(default_factory=set)  # backends that operators have banned or are about to ban
 
     @property
     def up(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is alive."""
         return self.process is not None and not self.process.machine.dead
 
     @property
     def machine(self) -> Machine | None:
-        """Of the process that serves."""
+        """The machine of the serving process."""
         return self.process.machine if self.process is not None else None
 
     @property
     def proxy(self) -> Proxy | None:
-        """The program in it."""
+        """The proxy object of the serving process."""
         return self.process.proxy if self.process is not None else None
 
 
 @dataclass(eq=False)
 class BackendSlot:
-    """One node, and where it is."""
+    """The place of one backend, over all processes that run there one after the other."""
 
     number: int
     tier: int
@@ -194,36 +194,38 @@
     speed: float
     machine: Machine | None = None
     service: Node | None = None
-    own_proxy: ProxySlot | None = None  # its own proxy to the tier behind
+    own_proxy: ProxySlot | None = None  # the proxy through which it calls the next tier
     leaving: bool = False
 
     @property
     def host(self) -> str:
-        """Its name in the list."""
+        """The host name in discovery's list."""
         return f"s-{self.number + 1:x}"
 
     @property
     def up(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is alive."""
         return self.machine is not None and not self.machine.dead
 
 
 @dataclass(eq=False)
 class DiscoveryTier:
-    """The list of one tier, at two discovery services."""
+    """The list of backends of one tier, at two discovery services."""
 
     tier: int
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     seq: int = 1
     machines: list[Machine] = field(default_factory=list)
     lists: list[HostList] = field(default_factory=list)
-    last_seen_seq: dict[tuple[str, int], int] = field(default_factory=dict)  # the newest that each was told by each
-    starting: set[int] = field(default_factory=set)  # services that begin
+    last_seen_seq: dict[tuple[str, int], int] = field(
+        default_factory=dict
+    )  # newest sequence number by proxy generation and service
+    starting: set[int] = field(default_factory=set)  # indices of services that are starting
 
 
 @dataclass
 class Result:
-    """The account of one run."""
+    """The outcome of one run."""
 
     plan: Plan
     violations: list[Violation]
@@ -235,12 +237,12 @@
 
     @property
     def oracles(self) -> list[str]:
-        """What was broken, first things first."""
+        """The violated oracles, in the order of their first violation."""
         return list(dict.fromkeys(violation.oracle for violation in self.violations))
 
 
 class _ErrorHandler(logging.Handler):
-    """What the program itself calls an error: a fault that it survived is one all the same."""
+    """Reports the program's own error log lines as violations, even if the program continues after the error."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -254,7 +256,7 @@
 
 
 class World:
-    """All that there is in one run."""
+    """All machines and programs of one run."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -285,7 +287,7 @@
         self.client_machines = [self.network.add_machine(f"10.3.{zone}.1", 100000) for zone in range(plan.zones)]
         self.client_pools: list[Courier] = []
         self.longest_message = max([request.want + request.body for request in plan.requests], default=0)
-        # From SIGTERM to SIGKILL: whoever reads a long answer slowly is waited for.
+        # Seconds from SIGTERM to SIGKILL: a drain waits for callers that read a long answer slowly.
         longest_pause = max([request.dawdle for request in plan.requests], default=0.0)
         self.patience = DEADLINE + 0.7 + 2.0 * longest_pause + self._seconds_per_byte(plan) * self.longest_message
         self.round_trip = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
@@ -303,19 +305,19 @@
         self._proxy_by_address = {slot.address[0]: slot for slot in self.proxy_slots}
         self._active_faults: dict[int, Undo] = {}
         self._fault_count = 0
-        self._attempt_by_transport: dict[
-            VirtualTransport, tuple[str, str, int]
-        ] = {}  # whose, what, and what was told before
-        self._duplicable_requests: dict[
-            str, tuple[ProxySlot, Parcel, bytes]
-        ] = {}  # requests that are harmless to copy
-        self._pending_bans: dict[Parcel, str] = {}  # calls for bans that wait for their answer
+        # By transport to a backend: the proxy, the request's id, and the bytes that were read before the attempt.
+        self._attempt_by_transport: dict[VirtualTransport, tuple[str, str, int]] = {}
+        # By id: requests that are safe to repeat, with their proxy and message.
+        self._duplicable_requests: dict[str, tuple[ProxySlot, Parcel, bytes]] = {}
+        self._pending_bans: dict[
+            Parcel, str
+        ] = {}  # the host to be banned, by management call that waits for its answer
         self._next_bounds_check = 0.0
         self.bounds_check_interval = BOUNDS_CHECK_INTERVAL
 
     @staticmethod
     def _seconds_per_byte(plan: Plan) -> float:
-        """Seconds that each byte of a long message may take: a window a round trip, over each of three ways."""
+        """Seconds that each byte of a long message may take: one window a round trip on each of three connections."""
         round_trip = 2.0 * plan.latency * (1.0 + plan.jitter) + 3.0 * plan.lazy
         return 3.0 * (round_trip / WINDOW_BYTES + 1.0 / plan.bandwidth)
 
@@ -346,8 +348,8 @@
         self.loop.create_task(start(), context=machine.context())
 
     def _start_process(self, slot: ProxySlot) -> Process:
-        """A process of a proxy begins."""
-        # Its own books keep a part of the descriptors for what is not a connection; none of that is here.
+        """Start a process of a proxy."""
+        # The proxy reserves some descriptors for other uses than connections; none of these exist here.
         machine = self.network.add_machine(slot.address[0], slot.config.sockets)
         machine.on_write = lambda transport, data: self._on_proxy_write(slot, transport, data)
         machine.on_descriptors_exhausted = lambda: self._on_descriptors_exhausted(slot, machine)
@@ -372,7 +374,7 @@
                 returning=self._recovery_config(slot),
                 covered=journal,
             )
-            process.proxy = proxy = Proxy(proxy_config, process.surroundings)
+            process.proxy = proxy = Proxy(proxy_config, process.runtime)
             if proxy.recovery is not None:
                 proxy.recovery.report = on_report
             if listener is None:
@@ -384,7 +386,7 @@
         return process
 
     def _successors(self) -> list[tuple[int, int]]:
-        """Processes of the first tier that serve, and what they have in hand."""
+        """Serving processes of the first tier, each with its number of open requests."""
         return [
             (slot.process.journal.process, slot.process.proxy.open_requests)
             for slot in self.proxy_slots
@@ -396,10 +398,10 @@
         ]
 
     def _recovery_config(self, slot: ProxySlot) -> RecoveryConfig | None:
-        """What a supervisor would tell of its return."""
+        """The recovery settings that a supervisor would pass to a proxy; None if the plan keeps no state."""
         if not self.plan.keeps:
             return None
-        tier_proxies = sum(each.tier == slot.tier for each in self.proxy_slots)
+        tier_proxies = sum(other.tier == slot.tier for other in self.proxy_slots)
         limits = AgeLimits()
         owner = Owner("world", slot.name, 1)
         plan = ReturnPlan(instances=tier_proxies, returning=tier_proxies, list_for=limits.list_for)
@@ -407,7 +409,7 @@
         return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), slot.operator_orders)
 
     def start_proxy(self, slot: ProxySlot) -> None:
-        """A proxy begins, with one process."""
+        """Start a proxy with one process."""
         now = self.loop.time()
         slot.draining = slot.starved = False
         slot.accepts_until = 0.0
@@ -429,7 +431,7 @@
             )
 
     def _open_listener(self, slot: ProxySlot) -> None:
-        """The platform listens for a proxy."""
+        """Open the platform's listener for a proxy."""
         if slot.address not in self.network.listeners:
             contextvars.Context().run(self.network.listen, slot.address)
 
@@ -439,7 +441,7 @@
             listener.close()
 
     def _poll_ready(self, slot: ProxySlot, generation: int) -> None:
-        """The front takes in a proxy that says that it is ready."""
+        """The front checks a proxy until it is ready, then routes clients to it."""
         if slot.generation != generation or slot.routed or not slot.up:
             return
 
@@ -453,7 +455,7 @@
         self.client_pools[slot.zone].send(Parcel(slot.address, [READY_REQUEST], done=done))
 
     def end_proxy(self, slot: ProxySlot, excused: bool) -> None:
-        """A proxy's process ends; what it owes is lost, and excused only if it was killed."""
+        """End a proxy's processes. Their open requests are lost; that is no violation if they were `excused`."""
         now = self.loop.time()
         if not slot.up or slot.machine is None:
             return
@@ -476,7 +478,7 @@
         self.loop.call_later(self.rng.uniform(*FRONT_DEATH_DELAY), stop_routing, context=contextvars.Context())
 
     async def start_backend(self, backend: BackendSlot, cold: bool) -> None:
-        """A node's process begins."""
+        """Start a backend's process."""
         now = self.loop.time()
         backend.machine = self.network.add_machine(backend.address, 4096)
         backend.leaving = False
@@ -508,7 +510,7 @@
             self.start_proxy(backend.own_proxy)
 
     def end_backend(self, backend: BackendSlot) -> None:
-        """A node's process dies, and its own proxy with it."""
+        """Kill a backend's process, and the proxy that serves it alone."""
         if not backend.up or backend.machine is None:
             return
         self.checker.record_event(self.loop.time(), "ends", backend.host)
@@ -523,7 +525,7 @@
             self._publish(backend, self.discoveries[backend.tier].entries[backend.host] | {"health": "terminated"})
 
     def _publish(self, backend: BackendSlot, entry: dict[str, Any]) -> None:
-        """Discovery is told."""
+        """Change a backend's entry at both discovery services."""
         registry = self.discoveries[backend.tier]
         registry.entries[backend.host] = entry
         registry.seq += 1
@@ -532,7 +534,7 @@
                 self.loop.call_soon(hosts.change, entry, context=machine.context())
 
     async def start_discovery(self, registry: DiscoveryTier, index: int) -> None:
-        """A discovery service begins, with the list as it is."""
+        """Start a discovery service with the current list."""
         address = f"10.4.{registry.tier}.{index + 1}"
         machine = self.network.add_machine(address, 4096)
         hosts = HostList(list(registry.entries.values()))
@@ -551,7 +553,7 @@
             return
         key = (f"{slot.name} {slot.generation}", index)
         if seq < registry.last_seen_seq.get(key, 0):
-            return  # an older change after a newer one tells nothing
+            return  # a reordered older change; proxies ignore it
         registry.last_seen_seq[key] = seq
         now = self.loop.time()
         for entry in entries:
@@ -559,10 +561,10 @@
                 now, slot.name, entry["host"], entry["health"] == "in_service", entry["born_ms"]
             )
 
-    # ---- what the account is told --------------------------------------------------------
+    # ---- events for the oracles ----------------------------------------------------------
 
     def _on_proxy_write(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
-        """All that a proxy writes passes here; what goes to a node begins an attempt."""
+        """Observe all that a proxy writes: a request head to a backend starts an attempt."""
         if MANAGEMENT_PORT <= transport.get_extra_info("sockname")[1] < MANAGEMENT_PORT + MANAGEMENT_PORTS:
             self._on_management_answer(slot, transport, data)
             return
@@ -589,7 +591,7 @@
             )
 
     def _on_management_answer(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
-        """A yes holds from the moment that it is given, whenever it is heard."""
+        """A ban is in force from the instant at which the proxy writes its confirmation, whenever that is read."""
         peer = transport.get_extra_info("peername")
         for pending, host in list(self._pending_bans.items()):
             client_transport = pending.line.transport if pending.line is not None else None
@@ -619,7 +621,7 @@
         self.checker.on_cold_overload(self.loop.time(), service.host, sent, carries)
 
     def calls(self, service: Node, pending: Parcel, seen: Seen, budget: float) -> Parcel:
-        """A node calls the tier behind through its own proxy, as any caller does."""
+        """A backend calls the next tier through its own proxy, as any caller does."""
         match = CALL_ID.search(pending.pieces[0])
         slot = self._backend_by_host[service.host].own_proxy
         assert match is not None and slot is not None
@@ -641,7 +643,7 @@
         budget: float,
         answer_size: int,
     ) -> None:
-        """Have the account follow a parcel."""
+        """Report the events of a pending request to the oracles."""
         done = pending.done
         checker, loop = self.checker, self.loop
 
@@ -666,7 +668,7 @@
                     key,
                     self._connection_holder(pending),
                     no_live_proxy=not any(
-                        each.up and each.routed for each in self.proxy_slots if each.tier == slot.tier
+                        other.up and other.routed for other in self.proxy_slots if other.tier == slot.tier
                     ),
                 )
 
@@ -694,7 +696,7 @@
             )
 
     def _connection_holder(self, pending: Parcel) -> str:
-        """Which proxy has the connection that a parcel is on; empty for none that is known."""
+        """The name of the proxy that holds a pending request's connection; empty if unknown."""
         near = pending.line.transport if pending.line is not None else None
         far = near.peer if isinstance(near, VirtualTransport) else None
         return next(
@@ -710,7 +712,7 @@
     # ---- clients -------------------------------------------------------------------------
 
     def send_planned(self, planned: PlannedRequest, attempt: int = 0) -> None:
-        """A client sends a request: on a connection that it has, or on one through the front."""
+        """A client sends a request: on an idle connection, or on a new one that the front routes."""
         client_pool = self.client_pools[planned.zone]
         slots = [
             slot
@@ -766,7 +768,7 @@
     # ---- faults --------------------------------------------------------------------------
 
     def inject(self, fault: Fault) -> None:
-        """A fault begins, and plans its end."""
+        """Start a fault and schedule its end."""
         self.checker.record_event(
             self.loop.time(), "fault", fault.what, fault.whom, f"{fault.seconds:g}", f"{fault.by:g}"
         )
@@ -793,7 +795,7 @@
         process = slot.process
         if process is None or process.machine.dead or process.proxy is None:
             return None
-        machine, proxy, runtime = process.machine, process.proxy, process.surroundings
+        machine, proxy, runtime = process.machine, process.proxy, process.runtime
         fault_kind = fault.what
         if fault_kind == "blow":
             return self._kill_many(fault)
@@ -812,7 +814,7 @@
             self._drain_proxy(slot, machine, proxy, fault.seconds)
             return None
         if fault_kind == "pause":
-            # What has come meanwhile is worked off first.
+            # The backlog that arrived meanwhile is processed first.
             return self._block_proxy(slot, machine.pause, machine.resume, self.round_trip + 0.1 * fault.seconds)
         if fault_kind == "silent":
             address = machine.address
@@ -870,10 +872,10 @@
             )
         if fault_kind == "twins":
             self._duplicate_open_ids(slot, int(fault.by))
-        return None  # a burst is told by its requests
+        return None  # a burst consists of its requests in the plan
 
     def _kill_many(self, fault: Fault) -> Undo:
-        """A part of the first tier is killed at once, and comes back at once."""
+        """Kill a part of the first tier at one instant, and restart it at one instant."""
         first_tier = [slot for slot in self.proxy_slots if slot.tier == 0]
         killed = first_tier[: max(1, round(fault.by * len(first_tier)))]
         for slot in killed:
@@ -886,7 +888,7 @@
         return undo
 
     def _duplicate_open_ids(self, slot: ProxySlot, count: int) -> None:
-        """Strangers send requests with the ids of open ones: while those are open, they are turned away."""
+        """Other clients send requests with the ids of open ones; the proxy must reject them while those are open."""
         for request_id, (target, pending, message) in list(self._duplicable_requests.items()):
             if pending.over:
                 del self._duplicable_requests[request_id]
@@ -910,7 +912,7 @@
 
         def done(end: End, answer: Seen | None) -> None:
             if answer is not None and answer.status == 200:
-                self.loop.call_later(self.round_trip, check)  # what was answered before is here by then
+                self.loop.call_later(self.round_trip, check)  # an answer that was sent before has arrived by then
 
         duplicate = Parcel(slot.address, [message], done=done)
         self.loop.call_soon(
@@ -918,7 +920,7 @@
         )
 
     def _block_proxy(self, slot: ProxySlot, begin: Undo, end: Undo, after: float) -> Undo:
-        """A proxy can't do its work for a while, and is excused."""
+        """Run a fault during which a proxy cannot work, so that its delays are excused."""
         self.checker.on_blocked(self.loop.time(), slot.name)
         begin()
 
@@ -934,7 +936,7 @@
             self.start_proxy(slot)
 
     def _drain_proxy(self, slot: ProxySlot, machine: Machine, proxy: Proxy, seconds: float) -> None:
-        """SIGTERM; the front sends for a moment longer; SIGKILL for one that does not end."""
+        """SIGTERM; SIGKILL if the proxy does not exit in time. The front routes to it for FRONT_STOP_DELAY more."""
         if slot.draining or slot.upgrades_in_progress or slot.other_processes:
             return
         slot.draining = True
@@ -952,7 +954,7 @@
 
         def on_exit() -> None:
             if slot.generation == generation and slot.up:
-                # One that was held up meanwhile could not end in its time.
+                # A proxy that was blocked meanwhile could not exit in time.
                 self.end_proxy(slot, self.checker.blocked_seconds(slot.name, began, self.loop.time()) > 0.0)
                 key = self._fault_count = self._fault_count + 1
                 self._active_faults[key] = restart
@@ -960,11 +962,11 @@
 
         async def drain() -> None:
             await proxy.drain()
-            # The process is at its end: what follows is the world's.
+            # The process has exited: what follows runs outside its machine.
             self.loop.call_soon(on_exit, context=contextvars.Context())
 
         def stop_accepting() -> None:
-            # The platform's listener would keep them waiting for the next process, which is not what is asked here.
+            # The platform's listener would queue new connections for the next process; this fault tests a refusal.
             listener = self.network.listeners.get(slot.address)
             if self.plan.shared and listener is not None and slot.generation == generation:
                 listener.stop_accepting()
@@ -985,7 +987,7 @@
         body: bytes = b"",
         method: str = "POST",
     ) -> Parcel:
-        """A call to one process of a proxy; `done` is told its status, or 0 where no answer came."""
+        """Call a proxy process's management API; `done` receives the status, or 0 without an answer."""
         lines = f"{method} /api/{command} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
 
         def on_end(end: End, answer: Seen | None) -> None:
@@ -1009,7 +1011,7 @@
         on_revoked: Undo,
         host: str = "",
     ) -> Undo:
-        """An order, and at its end the opposite one: after the answer to the first, and until there is a yes."""
+        """Give an order, and at the fault's end the opposite one: after the answer to the first, until confirmed."""
         generation = slot.generation
         state = {"answered": False, "over": False}
 
@@ -1022,7 +1024,7 @@
 
         def on_revoke_answer(status: int) -> None:
             if status in (0, 409) and (self.plan.keeps or (slot.generation == generation and slot.up)):
-                self.loop.call_later(0.1, revoke)  # the process that was asked is ending, or has gone
+                self.loop.call_later(0.1, revoke)  # the called process is exiting or has exited
 
         def revoke() -> None:
             slot.revoked_orders += 1
@@ -1030,7 +1032,7 @@
             send_opposite()
 
         def send_opposite() -> None:
-            # Where orders are kept, they outlive the process that was told; so does the wish to take them back.
+            # Stored orders outlive the process that received them; the revocation is then sent to its successor.
             if slot.up and slot.process is not None and (slot.generation == generation or self.plan.keeps):
                 self._call_management(slot, slot.process, opposite, on_revoke_answer, body)
             elif self.plan.keeps:
@@ -1048,7 +1050,7 @@
         return end
 
     def _ban(self, slot: ProxySlot, host: str) -> Undo | None:
-        """A backend is out at one proxy, from the yes on until its return is asked for."""
+        """Ban a backend at one proxy, from the confirmation until operators ask to lift the ban."""
         if host in slot.banned_hosts:
             return None
         slot.banned_hosts.add(host)
@@ -1068,7 +1070,7 @@
         )
 
     def _evacuate(self, slot: ProxySlot) -> Undo:
-        """A proxy is emptied; the front goes on for a moment, and comes back when it is told yes again."""
+        """Evacuate a proxy; the front stops after FRONT_STOP_DELAY and resumes when the proxy is ready again."""
         generation = slot.generation
 
         def stop_routing() -> None:
@@ -1089,7 +1091,7 @@
         return self._operator_order(slot, "evacuate", "rejoin", b"", on_accepted, on_revoked)
 
     def _poll_evacuated(self, slot: ProxySlot, generation: int) -> None:
-        """While it is evacuated, whichever process answers says no to the front."""
+        """The front checks an evacuated proxy: no process of it may report ready."""
         if slot.generation != generation or not slot.up or not slot.evacuated or slot.draining:
             return
         orders = slot.revoked_orders
@@ -1112,7 +1114,7 @@
     # ---- upgrades ------------------------------------------------------------------------
 
     def _upgrade(self, slot: ProxySlot, trouble_index: int) -> None:
-        """A new process beside the old one, on one listener; the old one ends when the new one is ready."""
+        """Start a new process beside the old one on one listener; the old one exits when the new one is ready."""
         old = slot.process
         if not self.plan.shared or slot.draining or slot.upgrades_in_progress > 1 or old is None or old.machine.dead:
             return
@@ -1160,11 +1162,11 @@
             self.loop.call_later(self.rng.uniform(0.0, 0.3), self._upgrade, slot, 0)
 
     def _promote(self, slot: ProxySlot, new: Process) -> None:
-        """A new process serves; one before it, or one that came late, is told to end."""
+        """Make a new process the serving one; the older of the two is told to exit."""
         old, now = slot.process, self.loop.time()
         slot.upgrades_in_progress -= 1
         self.checker.record_event(now, "serves", slot.name)
-        if new is old:  # the other was killed meanwhile, and nobody was there to answer
+        if new is old:  # the old process was killed meanwhile; the new one serves already
             self.checker.on_unblocked(now, slot.name, 0.5)
             return
         if old is not None and old.number > new.number:
@@ -1177,7 +1179,7 @@
             self._retire(slot, old)
 
     def _retire(self, slot: ProxySlot, old: Process) -> None:
-        """SIGTERM to one of several; SIGKILL for one that does not end."""
+        """SIGTERM to one of several processes; SIGKILL if it does not exit in time."""
         proxy = old.proxy
         if proxy is None:
             return
@@ -1197,22 +1199,22 @@
         self.loop.call_later(self.patience, on_exit, context=contextvars.Context())
 
     def _end_process(self, slot: ProxySlot, process: Process) -> None:
-        """One of several ends."""
+        """End one of several processes."""
         process.machine.kill()
         process.proxy = None
         if process in slot.other_processes:
             slot.other_processes.remove(process)
 
     def _kill_new(self, slot: ProxySlot, new: Process) -> None:
-        """The new process dies before the platform has its yes."""
+        """Kill the new process before the platform knows that it is ready."""
         if new in slot.other_processes and new is not slot.process:
             now = self.loop.time()
             self.checker.record_event(now, "new killed", slot.name)
-            self.checker.on_killed(now, slot.name, False)  # it may have listened already
+            self.checker.on_killed(now, slot.name, False)  # it may have accepted connections already
             self._end_process(slot, new)
 
     def _kill_old(self, slot: ProxySlot, old: Process, new: Process) -> None:
-        """The old process is killed while the new one starts: what it had is lost, what waits is the new one's."""
+        """Kill the old process while the new one starts: its requests are lost, queued connections remain."""
         if old is not slot.process or new not in slot.other_processes or new.machine.dead or old.machine.dead:
             return
         now = self.loop.time()
@@ -1290,14 +1292,14 @@
         return service.calm
 
     def _with_own_proxy(self, backend: BackendSlot, begin: Undo, end: Undo) -> Undo:
-        """What befalls a node on the side of its own proxy, too: that one's answers can't reach it."""
+        """Start a backend's fault that also blocks its own proxy, whose answers cannot reach the backend."""
         if backend.own_proxy is not None:
             return self._block_proxy(backend.own_proxy, begin, end, 2.0)
         begin()
         return end
 
     def _drain_backend(self, backend: BackendSlot, service: Node) -> Undo | None:
-        """A node drains: discovery says so, it finishes what it has, and is gone."""
+        """Drain a backend: discovery lists it as terminating, it finishes its requests and exits."""
         if backend.leaving:
             return None
         backend.leaving = True
@@ -1361,7 +1363,7 @@
     # ---- the run -------------------------------------------------------------------------
 
     def _after_step(self) -> None:
-        """After every step: nothing is overdue, and no proxy holds more than it may."""
+        """Check after every step that no answer is overdue, and periodically that no proxy holds too much."""
         now = self.loop.time()
         self.checker.check_deadlines(now)
         if now >= self._next_bounds_check:
@@ -1371,7 +1373,7 @@
             self._check_abandoned(now)
 
     def _on_descriptors_exhausted(self, slot: ProxySlot, machine: Machine) -> None:
-        """A proxy's own limit is there so that this never happens."""
+        """A proxy ran out of descriptors: a violation, since its own limit must prevent that."""
         if not slot.starved:
             slot.starved = True
             self.checker.report_violation(
@@ -1379,7 +1381,7 @@
             )
 
     def _check_bounds(self, now: float, slot: ProxySlot) -> None:
-        """What a proxy holds is bounded by what it is at work on."""
+        """Check that a proxy's timers, descriptors and buffers are bounded by its open requests."""
         if slot.machine is None or not slot.up:
             return
         timers = len(self.loop.timers_of(slot.machine))
@@ -1388,8 +1390,10 @@
         )
         open_requests = sum(
             self.checker.open_request_count(other.name) for other in tier_slots
-        )  # heirs have that of others
-        offers = self.orphans.planner.max_pending if self.orphans is not None else 0  # that are on their way here
+        )  # successors hold requests of others
+        offers = (
+            self.orphans.planner.max_pending if self.orphans is not None else 0
+        )  # offers that may be on their way to this process
         if timers > IDLE_TIMERS + SPARE_TIMERS + offers + 3 * open_requests and not self.checker.recently_blocked(
             now, slot.name
         ):
@@ -1411,12 +1415,12 @@
             self.checker.report_violation(now, "bounded", f"{slot.name} holds {held} bytes that nobody takes")
 
     def _check_abandoned(self, now: float) -> None:
-        """An attempt is given up by ending its connection; the node must not go on with it for nobody."""
+        """Check that attempts of ended requests are abandoned by closing their connections."""
         for transport, (proxy, request_id, bytes_read_before) in list(self._attempt_by_transport.items()):
             if transport.ended or transport.bytes_read != bytes_read_before:
                 del self._attempt_by_transport[transport]
             elif transport.machine is None:
-                continue  # its process is dead, and no heir there yet
+                continue  # its process is dead and no successor has it yet
             elif self.checker.must_be_abandoned(now, request_id) and not self.checker.recently_blocked(now, proxy):
                 del self._attempt_by_transport[transport]
                 self.checker.report_violation(
@@ -1440,7 +1444,7 @@
         await asyncio.sleep(1.0)
 
     async def main(self) -> None:
-        """The whole run: the plan, then its end, then silence."""
+        """Run the plan, end all faults, probe every proxy, and check that nothing is left after a quiet period."""
         await self._build()
         begin = self.loop.time()
         for planned in self.plan.requests:
@@ -1455,7 +1459,7 @@
         await asyncio.sleep(begin + self.plan.seconds - self.loop.time())
         for key in sorted(self._active_faults):
             self._end_fault(key)
-        await asyncio.sleep(ANSWER_GRACE + 1.0)  # whoever drains or starts has done so
+        await asyncio.sleep(ANSWER_GRACE + 1.0)  # drains and starts are complete by then
         for key in sorted(self._active_faults):
             self._end_fault(key)
         await asyncio.sleep(1.0)
@@ -1476,7 +1480,7 @@
             self.inject(fault)
 
     def _check_timers(self) -> None:
-        """With nothing under way there is nothing to wait for."""
+        """Check that proxies without open requests have only their idle timers."""
         now = self.loop.time()
         for slot in self.proxy_slots:
             if slot.machine is None or not slot.up or self.checker.open_request_count(slot.name):
@@ -1487,7 +1491,7 @@
                 self.checker.report_violation(now, "nothing left", f"{slot.name} has timers: {', '.join(names)}")
 
     async def _check_liveness(self) -> None:
-        """Liveness: every proxy serves again before long."""
+        """Check that every proxy serves a request again within MAX_PROBES probes."""
         waiting = {slot: True for slot in self.proxy_slots if slot.for_backend is None}
         for i in range(MAX_PROBES):
             for number, slot in enumerate(list(waiting)):
@@ -1502,7 +1506,7 @@
 
     @staticmethod
     def _track_liveness(slot: ProxySlot, pending: Parcel, waiting: dict[ProxySlot, bool]) -> None:
-        """Cross a proxy off once it serves."""
+        """Remove a proxy from `waiting` once it has served the request."""
         done = pending.done
 
         def on_end(end: End, answer: Seen | None) -> None:
@@ -1513,7 +1517,7 @@
         pending.done = on_end
 
     def _check_leaks(self) -> None:
-        """In silence: no descriptor, task, exchange or byte of a body is left."""
+        """Check after the quiet period that no descriptor, task, exchange or byte of a body is left."""
         now = self.loop.time()
         for slot in self.proxy_slots:
             if slot.machine is None or not slot.up or slot.proxy is None:
@@ -1540,13 +1544,13 @@
         self._check_objects()
 
     def _check_unhandled_errors(self) -> None:
-        """What nobody caught; not what the end of the world itself cancels later."""
+        """Report unhandled errors; called before the end of the run cancels what is left."""
         for context in self.loop.unhandled_errors:
             text = f"{context.get('message')}: {context.get('exception')!r}"
             self.checker.report_violation(self.loop.time(), "sound", text)
 
     def _check_objects(self) -> None:
-        """Nothing of a request lives on: what the collector can't free, something still holds."""
+        """Check with the garbage collector that no object of a request is still referenced."""
         gc.collect()
         living = {id(slot.proxy): slot for slot in self.proxy_slots if slot.up and slot.proxy is not None}
         counts_by_proxy: dict[str, dict[str, int]] = {}
@@ -1568,7 +1572,7 @@
 
 
 def _peer_has_read(transport: asyncio.Transport | None) -> bool:
-    """Whether the other end had read all that was written; in memory that is known."""
+    """Whether the peer has read all that was written, which an in-memory network knows."""
     if not isinstance(transport, VirtualTransport) or transport.peer is None:
         return False
     return transport.peer.bytes_read >= transport.bytes_written
@@ -1576,7 +1580,7 @@
 
 @contextlib.contextmanager
 def _capture_errors(world: World) -> Iterator[None]:
-    """Take the program's errors into the account, and spare its other words."""
+    """Report the program's error log lines as violations and drop its other log lines."""
     logger = logging.getLogger("cometusher")
     handler, level, propagate = _ErrorHandler(world), logger.level, logger.propagate
     logger.addHandler(handler)
@@ -1591,10 +1595,10 @@
 
 
 def run_plan(plan: Plan, every_step: bool = False) -> Result:
-    """Run a plan to its end; what goes wrong is in the account.
+    """Run a plan to its end; the result holds the violations.
 
-    After every step it is checked whether an answer is overdue, and a few times a second what the proxies hold;
-    `every_step` has both done after every step, which is slow.
+    Overdue answers are checked after every step, the bounds on what proxies hold every BOUNDS_CHECK_INTERVAL.
+    `every_step` checks both after every step, which is slow.
     """
     world = World(plan)
     checker, loop = world.checker, world.loop
