--- a/cometusher/simulation/script.py
+++ b/cometusher/simulation/script.py
@@ -414,7 +414,7 @@
             raise self.wrong(f"request: not of the form NUMBER at SECONDS {'|'.join(REQUEST_CLASSES)}")
         number, time = self.number(int, "request", words[0]), self.number(float, "at", words[2])
         if any(ask.number == number for ask in self.requests[-1:]):
-            raise self.wrong(f"request: there is a {number} already")
+            raise self.wrong(f"request: the number {number} is used twice")
         self.requests.append(PlannedRequest(number, time, words[3], **self.pairs(words[4:], dict(_REQUEST_OPTIONS))))
 
     def fault(self, words: list[str]) -> None:
--- a/cometusher/simulation/seed_search.py
+++ b/cometusher/simulation/seed_search.py
@@ -87,7 +87,7 @@
         return self.oracle in self.run(plan).oracles
 
     def minimize(self, items: Sequence[T], fails: Callable[[tuple[T, ...]], bool]) -> tuple[T, ...]:
-        """A minimal failing subset, by removing ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
+        """A minimal failing subset, removing ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
         kept = tuple(items)
         if kept and fails(()):
             return ()
--- a/cometusher/simulation/simulate.py
+++ b/cometusher/simulation/simulate.py
@@ -74,7 +74,7 @@
     )
     if failed and not options.keep:
         path = _shrink(script.draw_plan(failed[0].seed, options.world), Path(options.out), options.tries)
-        print(f"the first is shrunk to {path}; play it with: cometusher simulate --replay {path}")
+        print(f"the first failure was shrunk to {path}; replay it with: cometusher simulate --replay {path}")
     return 1 if failed else 0
 
 
