--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -847,18 +847,16 @@
 class DiskRecordWriter:
     """Writes a process's records to its disk; records that are pending when the process dies are lost."""
 
-    def __init__(
-        self, disk: VirtualDisk, owner: Owner, surroundings: VirtualRuntime, machine: Machine | None
-    ) -> None:
+    def __init__(self, disk: VirtualDisk, owner: Owner, runtime: VirtualRuntime, machine: Machine | None) -> None:
         self._disk = disk
         self._owner = owner
-        self._surroundings = surroundings
+        self._runtime = runtime
         self._machine = machine
 
     def put(self, kind: str, body: object) -> None:
         """Write a record after DISK_WRITE_DELAY."""
-        data = Record(kind, 1, self._owner, self._surroundings.moment(), body).to_dict()
-        self._surroundings.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
+        data = Record(kind, 1, self._owner, self._runtime.moment(), body).to_dict()
+        self._runtime.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
 
     def _write(self, kind: str, data: dict[str, Any]) -> None:
         if self._machine is None or not self._machine.dead:
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -289,7 +289,9 @@
         self.longest_message = max([request.want + request.body for request in plan.requests], default=0)
         # Seconds from SIGTERM to SIGKILL: a drain waits for callers that read a long answer slowly.
         longest_pause = max([request.dawdle for request in plan.requests], default=0.0)
-        self.patience = DEADLINE + 0.7 + 2.0 * longest_pause + self._seconds_per_byte(plan) * self.longest_message
+        self.drain_timeout = (
+            DEADLINE + 0.7 + 2.0 * longest_pause + self._seconds_per_byte(plan) * self.longest_message
+        )
         self.round_trip = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
         self.checker = RunChecker(
             self.proxy_slots[0].config.settings,
@@ -526,35 +528,35 @@
 
     def _publish(self, backend: BackendSlot, entry: dict[str, Any]) -> None:
         """Change a backend's entry at both discovery services."""
-        registry = self.discoveries[backend.tier]
-        registry.entries[backend.host] = entry
-        registry.seq += 1
-        for machine, hosts in zip(registry.machines, registry.lists, strict=True):
+        discovery = self.discoveries[backend.tier]
+        discovery.entries[backend.host] = entry
+        discovery.seq += 1
+        for machine, hosts in zip(discovery.machines, discovery.lists, strict=True):
             if not machine.dead:
                 self.loop.call_soon(hosts.change, entry, context=machine.context())
 
-    async def start_discovery(self, registry: DiscoveryTier, index: int) -> None:
+    async def start_discovery(self, discovery: DiscoveryTier, index: int) -> None:
         """Start a discovery service with the current list."""
-        address = f"10.4.{registry.tier}.{index + 1}"
+        address = f"10.4.{discovery.tier}.{index + 1}"
         machine = self.network.add_machine(address, 4096)
-        hosts = HostList(list(registry.entries.values()))
-        hosts.seq = registry.seq
-        hosts.on_tell = lambda watch, seq, entries: self._on_discovery_update(registry, index, watch, seq, entries)
-        registry.machines[index : index + 1] = [machine]
-        registry.lists[index : index + 1] = [hosts]
+        hosts = HostList(list(discovery.entries.values()))
+        hosts.seq = discovery.seq
+        hosts.on_tell = lambda watch, seq, entries: self._on_discovery_update(discovery, index, watch, seq, entries)
+        discovery.machines[index : index + 1] = [machine]
+        discovery.lists[index : index + 1] = [hosts]
         await self._run_on(machine, lambda: hosts.start(address, PORT))
-        registry.starting.discard(index)
+        discovery.starting.discard(index)
 
     def _on_discovery_update(
-        self, registry: DiscoveryTier, index: int, watch: Watch, seq: int, entries: list[dict[str, Any]]
+        self, discovery: DiscoveryTier, index: int, watch: Watch, seq: int, entries: list[dict[str, Any]]
     ) -> None:
         slot = self._proxy_by_address.get(watch.writer.get_extra_info("peername")[0])
         if slot is None or watch.writer.is_closing():
             return
         key = (f"{slot.name} {slot.generation}", index)
-        if seq < registry.last_seen_seq.get(key, 0):
+        if seq < discovery.last_seen_seq.get(key, 0):
             return  # a reordered older change; proxies ignore it
-        registry.last_seen_seq[key] = seq
+        discovery.last_seen_seq[key] = seq
         now = self.loop.time()
         for entry in entries:
             self.checker.on_discovery_update(
@@ -974,7 +976,7 @@
         self.loop.call_later(FRONT_STOP_DELAY, stop_routing, context=contextvars.Context())
         self.loop.call_later(FRONT_STOP_DELAY + 0.1, stop_accepting, context=contextvars.Context())
         self._spawn(machine, drain)
-        self.loop.call_later(self.patience, on_exit, context=contextvars.Context())
+        self.loop.call_later(self.drain_timeout, on_exit, context=contextvars.Context())
 
     # ---- operators -----------------------------------------------------------------------
 
@@ -1196,7 +1198,7 @@
             self.loop.call_soon(on_exit, context=contextvars.Context())
 
         self._spawn(old.machine, drain)
-        self.loop.call_later(self.patience, on_exit, context=contextvars.Context())
+        self.loop.call_later(self.drain_timeout, on_exit, context=contextvars.Context())
 
     def _end_process(self, slot: ProxySlot, process: Process) -> None:
         """End one of several processes."""
@@ -1231,31 +1233,31 @@
         return lambda: self.network.set_partitioned(first, second, False)
 
     def _degrade_link(self, address: str, fault: Fault) -> Undo:
-        usual = self.network.default_link
-        more = {"latency": usual.latency + fault.by} if fault.what == "lag" else {"bandwidth": fault.by}
-        self.network.link_overrides[address] = replace(usual, **more)
+        default_link = self.network.default_link
+        changes = {"latency": default_link.latency + fault.by} if fault.what == "lag" else {"bandwidth": fault.by}
+        self.network.link_overrides[address] = replace(default_link, **changes)
         return lambda: self.network.link_overrides.pop(address, None)
 
-    def _open_silent_connections(self, slot: ProxySlot, count: int, say: bytes) -> Undo:
-        """Strangers that take up connections; while they are many, a proxy is excused."""
-        lines: list[asyncio.Transport] = []
+    def _open_silent_connections(self, slot: ProxySlot, count: int, first_bytes: bytes) -> Undo:
+        """Open connections that occupy a proxy's descriptors; the proxy is excused until they are closed."""
+        transports: list[asyncio.Transport] = []
         ended: list[bool] = []
 
-        async def come() -> None:
+        async def connect_all() -> None:
             for _ in range(count):
                 with contextlib.suppress(OSError):
                     transport, _ = await self.loop.create_connection(asyncio.Protocol, *slot.address)
-                    transport.write(say)
-                    lines.append(transport)
+                    transport.write(first_bytes)
+                    transports.append(transport)
                 if ended:
                     break
 
         def leave() -> None:
             ended.append(True)
-            for line in lines:
-                line.abort()
+            for transport in transports:
+                transport.abort()
 
-        self._spawn(self.client_machines[slot.zone], come)
+        self._spawn(self.client_machines[slot.zone], connect_all)
         return self._block_proxy(slot, lambda: None, leave, 3.0)
 
     def _inject_backend_fault(self, fault: Fault, backend: BackendSlot) -> Undo | None:
@@ -1328,18 +1330,18 @@
         if not backend.up:
             self.loop.create_task(self.start_backend(backend, True))
 
-    def _inject_discovery_fault(self, fault: Fault, registry: DiscoveryTier) -> Undo | None:
+    def _inject_discovery_fault(self, fault: Fault, discovery: DiscoveryTier) -> Undo | None:
         fault_kind = fault.what
-        machines, lists = list(registry.machines), list(registry.lists)
+        machines, lists = list(discovery.machines), list(discovery.lists)
         if fault_kind == "kill":
             for machine in machines:
                 machine.kill()
 
             def restart() -> None:
                 for index in range(len(machines)):
-                    if registry.machines[index].dead and index not in registry.starting:
-                        registry.starting.add(index)
-                        self.loop.create_task(self.start_discovery(registry, index))
+                    if discovery.machines[index].dead and index not in discovery.starting:
+                        discovery.starting.add(index)
+                        self.loop.create_task(self.start_discovery(discovery, index))
 
             return restart
         if fault_kind == "pause":
@@ -1388,12 +1390,9 @@
         tier_slots = (
             [other for other in self.proxy_slots if other.tier == slot.tier] if self.orphans is not None else [slot]
         )
-        open_requests = sum(
-            self.checker.open_request_count(other.name) for other in tier_slots
-        )  # successors hold requests of others
-        offers = (
-            self.orphans.planner.max_pending if self.orphans is not None else 0
-        )  # offers that may be on their way to this process
+        # With takeover, a successor may hold requests of the other proxies, and offers may be on their way to it.
+        open_requests = sum(self.checker.open_request_count(other.name) for other in tier_slots)
+        offers = self.orphans.planner.max_pending if self.orphans is not None else 0
         if timers > IDLE_TIMERS + SPARE_TIMERS + offers + 3 * open_requests and not self.checker.recently_blocked(
             now, slot.name
         ):
@@ -1406,13 +1405,13 @@
             if process is not None and not process.machine.dead
         ]
         if len(machines) > 1 and not slot.starved:
-            most = slot.config.sockets - RESERVED_DESCRIPTORS * len(machines)
+            limit = slot.config.sockets - RESERVED_DESCRIPTORS * len(machines)
             self.checker.check_descriptors(
-                now, slot.name, sum(machine.descriptors_used for machine in machines), most
+                now, slot.name, sum(machine.descriptors_used for machine in machines), limit
             )
-        held = sum(map(VirtualTransport.get_write_buffer_size, slot.machine.transports))
-        if held > MAX_BUFFERED:
-            self.checker.report_violation(now, "bounded", f"{slot.name} holds {held} bytes that nobody takes")
+        buffered = sum(map(VirtualTransport.get_write_buffer_size, slot.machine.transports))
+        if buffered > MAX_BUFFERED:
+            self.checker.report_violation(now, "bounded", f"{slot.name} holds {buffered} bytes that nobody takes")
 
     def _check_abandoned(self, now: float) -> None:
         """Check that attempts of ended requests are abandoned by closing their connections."""
@@ -1435,9 +1434,9 @@
             self.client_pools.append(client_pool)
         for backend in self.backend_slots:
             await self.start_backend(backend, False)
-        for registry in self.discoveries:
+        for discovery in self.discoveries:
             for index in (0, 1):
-                await self.start_discovery(registry, index)
+                await self.start_discovery(discovery, index)
         for slot in self.proxy_slots:
             if slot.for_backend is None:
                 self.start_proxy(slot)
--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -1,4 +1,4 @@
-"""The real proxy on the virtual loop and network: it serves, survives faults, and does the same again."""
+"""Tests of the real proxy on the virtual loop and network: it serves, survives faults, and runs are reproducible."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 KINDS = [Kind("report-view", 0.63, 2.0, False), Kind("submit", 0.37, 1.25, True)]
 
 
-class Silent(asyncio.Protocol):
-    """One of a crowd that connects and says nothing; notes when it is sent away."""
+class SilentClient(asyncio.Protocol):
+    """A client that connects and sends nothing; records when the proxy ends its connection."""
 
     def __init__(self, number: int, ends: list[tuple[int, float]]) -> None:
         self.number = number
@@ -39,7 +39,7 @@
 
 
 class World:
-    """One proxy, some backends, discovery and a client, each on a machine of its own."""
+    """One proxy, several backends, discovery and a client, each on its own machine."""
 
     def __init__(self, seed: int, backends: int = 3, rate: float = 60.0) -> None:
         self.loop = VirtualLoop(seed)
@@ -52,10 +52,10 @@
         self.proxy: Proxy | None = None
         self.load = Load([FRONT], KINDS, ["univ-central"], rate, seed)
         self.services: list[Node] = []
-        self.ends: list[tuple[int, float]] = []  # of the silent crowd: who, and when
+        self.ends: list[tuple[int, float]] = []  # of silent clients: number and time
 
-    async def _on(self, machine: Machine, start: Callable[[], object]) -> object:
-        """Run something on a machine; what it starts stays there."""
+    async def _run_on(self, machine: Machine, start: Callable[[], object]) -> object:
+        """Run a function on a machine; the tasks that it starts run there too."""
 
         async def call() -> object:
             result = start()
@@ -70,12 +70,12 @@
             work = {"report-view": 0.03, "submit": 0.02}
             node = Node(f"s-{i + 1:x}", "kigali", 1.0 + 0.3 * i, work, Keys(WINDOW), Random(rng.random()))
             self.services.append(node)
-            await self._on(machine, lambda n=node, m=machine: n.start(m.address))  # type: ignore[misc]
+            await self._run_on(machine, lambda n=node, m=machine: n.start(m.address))  # type: ignore[misc]
             entries.append(node.entry(dial=f"{machine.address}:{node.port}"))
         hosts = HostList(entries)
-        await self._on(self.network.add_machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
+        await self._run_on(self.network.add_machine("10.4.0.1"), lambda: hosts.start("10.4.0.1"))
         raw = settings(1, 0)
-        told = config.Config(
+        proxy_config = config.Config(
             name="p",
             listen=FRONT,
             discovery=("10.4.0.1", hosts.port),
@@ -88,21 +88,21 @@
         )
 
         def start() -> None:
-            self.proxy = Proxy(told, VirtualRuntime(self.network))
+            self.proxy = Proxy(proxy_config, VirtualRuntime(self.network))
             self.proxy.start()
 
-        await self._on(self.front, start)
+        await self._run_on(self.front, start)
 
     def crowd(self, count: int) -> None:
-        """Connections that say nothing; the proxy ends them all at one look."""
+        """Open silent connections, which the proxy ends all at once."""
 
         async def connect() -> None:
             for number in range(count):
-                await self.loop.create_connection(functools.partial(Silent, number, self.ends), *FRONT)
+                await self.loop.create_connection(functools.partial(SilentClient, number, self.ends), *FRONT)
 
         self.loop.create_task(connect(), context=self.clients.context())
 
-    async def play(self, seconds: float, script: dict[float, Callable[[], None]]) -> Figures:
+    async def run(self, seconds: float, script: dict[float, Callable[[], None]]) -> Figures:
         await self.build()
         await asyncio.sleep(1.0)  # until the proxy knows its backends
         for at, fault in script.items():
@@ -110,23 +110,24 @@
         stop = asyncio.Event()
         self.loop.call_at(seconds, stop.set)
         await self.loop.create_task(self.load.run(stop), context=self.clients.context())
-        assert self.loop.unhandled_errors == []  # here: what is cancelled at the end makes asyncio's streams complain
+        # Checked before the cancellation at the end, which makes asyncio's streams report errors.
+        assert self.loop.unhandled_errors == []
         return self.load.figures
 
 
-def play(
+def run_world(
     seed: int,
     seconds: float = 30.0,
     faults: Callable[[World], dict[float, Callable[[], None]]] | None = None,
 ) -> tuple[Figures, World]:
     world = World(seed)
-    figures = run(world.loop, world.play(seconds, faults(world) if faults is not None else {}))
+    figures = run(world.loop, world.run(seconds, faults(world) if faults is not None else {}))
     return figures, world
 
 
 def digest(seed: int) -> str:
-    """Of all that can be seen of a run with faults and a crowd."""
-    figures, world = play(
+    """A hash of all that can be observed of a run with faults and silent clients."""
+    figures, world = run_world(
         seed,
         15.0,
         lambda w: {
@@ -146,23 +147,23 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_calm_world_serves_everything_and_leaves_nothing(seed: int) -> None:
-    figures, world = play(seed)
+def test_a_world_without_faults_serves_everything_and_leaves_nothing(seed: int) -> None:
+    figures, world = run_world(seed)
     assert figures.sent > 1500 and figures.served == figures.sent, figures
     assert world.proxy is not None and world.proxy.open_requests == 0 and world.proxy.memory.used == 0
     assert sum(service.served for service in world.services) >= figures.served
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_silent_machine_costs_no_request_its_answer(seed: int) -> None:
-    """Its open connections say nothing; every request still has one answer, and the others go on."""
-    figures, _ = play(seed, faults=lambda w: {10.0: lambda: setattr(w.machines[0], "silent", True)})
+def test_no_request_is_lost_when_a_backend_falls_silent(seed: int) -> None:
+    """Its open connections fall silent; every request still has one answer, and the other backends serve."""
+    figures, _ = run_world(seed, faults=lambda w: {10.0: lambda: setattr(w.machines[0], "silent", True)})
     assert figures.lost == 0 and figures.served > 0.9 * figures.sent, figures
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_paused_backends_and_a_paused_proxy_lose_nothing(seed: int) -> None:
-    figures, _ = play(
+def test_no_request_is_lost_when_a_backend_and_the_proxy_pause(seed: int) -> None:
+    figures, _ = run_world(
         seed,
         faults=lambda w: {
             5.0: w.machines[1].pause,
@@ -174,7 +175,7 @@
     assert figures.lost == 0 and figures.served > 0.9 * figures.sent, figures
 
 
-def test_a_seed_does_the_same_in_every_process_and_with_every_hash_seed() -> None:
+def test_a_seed_gives_the_same_run_in_every_process_and_with_every_hash_seed() -> None:
     code = "import sys; sys.path[:0] = ['.', 'tests/virtual']; import test_proxy_world as t; print(t.digest(7))"
     assert len(in_fresh_processes(code, ROOT, (0, 1, 4242))) == 1
     assert digest(7) != digest(8)
--- a/tests/virtual/test_script.py
+++ b/tests/virtual/test_script.py
@@ -1,4 +1,4 @@
-"""The language of faults: what is drawn can be written, edited and read; what can't be read is named."""
+"""Tests of the script language: drawn plans can be written and read again; errors are reported with their line."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**9), st.sampled_from(["any", *script.WORLDS]))
-def test_what_is_drawn_is_read_again_as_it_was(seed: int, world: str) -> None:
+def test_a_drawn_plan_survives_formatting_and_parsing(seed: int, world: str) -> None:
     plan = script.draw_plan(seed, world)
     assert script.parse_plan(script.format_plan(plan)) == plan
     assert script.draw_plan(seed, world) == plan
     assert world in ("any", plan.world)
 
 
-def test_every_fault_is_drawn_some_time() -> None:
-    seen = {fault.what for seed in range(300) for fault in script.draw_plan(seed).faults}
-    assert seen == set(script.FAULT_KINDS)
+def test_every_kind_of_fault_is_drawn() -> None:
+    drawn = {fault.what for seed in range(300) for fault in script.draw_plan(seed).faults}
+    assert drawn == set(script.FAULT_KINDS)
 
 
-def test_two_faults_of_one_tick_are_drawn_and_keep_their_order() -> None:
+def test_simultaneous_faults_are_drawn_and_keep_their_order() -> None:
     pairs = 0
     for seed in range(100):
         plan = script.draw_plan(seed)
         times = [fault.at for fault in plan.faults]
         pairs += len(times) - len(set(times))
-        swapped = script.format_plan(plan).splitlines()
-        assert times == sorted(times) and len(swapped) == 4 + len(plan.requests) + len(plan.faults)
+        lines = script.format_plan(plan).splitlines()
+        assert times == sorted(times) and len(lines) == 4 + len(plan.requests) + len(plan.faults)
     assert pairs > 20
 
 
-def test_comments_and_empty_lines_say_nothing() -> None:
+def test_comments_and_empty_lines_are_ignored() -> None:
     plan = script.parse_plan("# a world\n\nworld one seed 3 seconds 2  # short\nrequest 1 at 0.5 view\n")
     assert plan.seed == 3 and plan.seconds == 2.0 and plan.requests == (script.PlannedRequest(1, 0.5, "view"),)
 
 
 @pytest.mark.parametrize(
-    ("line", "what"),
+    ("line", "message"),
     [
         ("wrold one", "'wrold' is not one of world"),
         ("world", "no name"),
@@ -62,12 +62,12 @@
         ("link cut 1", "cut is under 0.95"),
     ],
 )
-def test_what_cant_be_read_is_named_with_its_line(line: str, what: str) -> None:
-    with pytest.raises(ConfigError) as fault:
+def test_a_parse_error_names_its_line(line: str, message: str) -> None:
+    with pytest.raises(ConfigError) as error:
         script.parse_plan(f"# first\n{line}\n", "x.world")
-    assert str(fault.value).startswith("x.world:2: ") and what in str(fault.value)
+    assert str(error.value).startswith("x.world:2: ") and message in str(error.value)
 
 
-def test_one_number_for_two_requests_is_refused() -> None:
+def test_a_request_number_that_is_used_twice_is_rejected() -> None:
     with pytest.raises(ConfigError, match="two requests have one number"):
         script.parse_plan("request 1 at 0.5 view\nrequest 2 at 0.6 view\nrequest 1 at 0.7 view\n")
--- a/tests/virtual/test_staleness.py
+++ b/tests/virtual/test_staleness.py
@@ -1,7 +1,7 @@
-"""How old a list may become: a change is known within 6 s of discovery having it, whatever failed before.
+"""Tests of how stale a list may become: the proxy knows a change within 6 s of discovery, whatever failed before.
 
-The real proxy and a discovery that fails in a stated way until a stated moment, on a virtual clock. The moment moves
-through the proxy's own timers, so that it falls between any two of them.
+The real proxy runs on a virtual clock with a discovery that fails in one way until a given time. The time is varied
+across the proxy's own timers, so that the recovery falls between any two of them.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 from weldroute.settings import read_settings
 
 KNOWN_WITHIN = 6.0  # seconds
-MARGIN = 0.5  # seconds of them that are not to be needed
+MARGIN = 0.5  # seconds by which the measured time must stay below the limit
 HEARTBEAT = 2.0  # seconds between empty lines
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ADDRESS = ("10.4.0.1", 8500)
-PHASES = [2.5 + 0.31 * step for step in range(24)]  # seconds after the start when discovery is well again
+PHASES = [2.5 + 0.31 * step for step in range(24)]  # seconds after the start at which discovery recovers
 
-#: What discovery does with calls while it is not well. A watch that was open before falls silent, or ends.
+#: How discovery treats calls while it fails. A watch that was open before falls silent or ends.
 FAILURES = ["refuses", "resets", "503", "never answers", "never connects", "ends"]
 
 
-def entry(health: str) -> dict[str, Any]:
+def host_entry(health: str) -> dict[str, Any]:
     return {"host": "s-1", "dial": "10.2.0.1:9000", "site": "kigali", "health": health, "born_ms": 0}
 
 
-class Service:
-    """Discovery that pushes a change, and fails in one way for some time."""
+class FailingDiscovery:
+    """A discovery service that fails in one way for some time, then pushes a change."""
 
     def __init__(self, network: VirtualNetwork, machine: Machine) -> None:
         self.network = network
         self.machine = machine
-        self.failure = ""  # how calls fail now
+        self.failure = ""  # how calls fail at present; empty if they succeed
         self.changed = False
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -53,7 +53,10 @@
 
     def _line(self) -> bytes:
         health = "terminating" if self.changed else "in_service"
-        text = json.dumps({"seq": 2 if self.changed else 1, "whole": True, "hosts": [entry(health)]}).encode() + b"\n"
+        text = (
+            json.dumps({"seq": 2 if self.changed else 1, "whole": True, "hosts": [host_entry(health)]}).encode()
+            + b"\n"
+        )
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -83,7 +86,7 @@
             writer.close()
 
     def fail(self, failure: str, silently: bool) -> None:
-        """Open watches fall silent, or end; calls fail from now on."""
+        """Start failing: open watches fall silent or end, and calls fail."""
         self.failure = failure
         watches, self._watches = set(self._watches), set()
         if not silently:
@@ -96,7 +99,7 @@
             self.machine.silent = True
 
     async def recover(self) -> None:
-        """It is well, and has a change to tell to whoever calls."""
+        """Recover, with a change for every caller."""
         self.changed = True
         failure, self.failure = self.failure, ""
         if failure == "refuses":
@@ -105,17 +108,19 @@
             self.machine.silent = False
 
 
-async def staleness(loop: VirtualLoop, failure: str, silently: bool, at: float, mode: str) -> tuple[float, int]:
-    """Seconds from discovery's being well to the proxy's knowing of the change, and the calls up to then."""
+async def measure_staleness(
+    loop: VirtualLoop, failure: str, silently: bool, duration: float, mode: str
+) -> tuple[float, int]:
+    """Seconds from discovery's recovery until the proxy knows the change, and the calls up to the recovery."""
     network = VirtualNetwork(loop, Link(latency=0.002, jitter=0.5))
     machine = network.add_machine(ADDRESS[0])
-    service = Service(network, machine)
+    service = FailingDiscovery(network, machine)
     raw = settings(1, 0) | {"RegistryMode": mode}
-    told = config.Config(
+    proxy_config = config.Config(
         name="p",
         listen=("10.1.0.1", 9000),
         discovery=ADDRESS,
-        seed=round(at * 1000),
+        seed=round(duration * 1000),
         memory_mb=64,
         sockets=256,
         known={},
@@ -125,7 +130,7 @@
     await loop.create_task(service.start(), context=machine.context())
 
     async def begin() -> Proxy:
-        proxy = Proxy(told, VirtualRuntime(network))
+        proxy = Proxy(proxy_config, VirtualRuntime(network))
         proxy.start()
         return proxy
 
@@ -137,33 +142,33 @@
 
     while await state() is not State.UP:
         await asyncio.sleep(0.01)
-    await asyncio.sleep(1.0 + at % 1.0)
+    await asyncio.sleep(1.0 + duration % 1.0)
     service.fail(failure, silently)
-    await asyncio.sleep(at)
+    await asyncio.sleep(duration)
     await loop.create_task(service.recover(), context=machine.context())
-    since, calls = loop.time(), service.calls
+    recovered_at, calls = loop.time(), service.calls
     while await state() is not State.DRAINING:
-        assert loop.time() < since + 60.0
+        assert loop.time() < recovered_at + 60.0
         await asyncio.sleep(0.005)
-    return loop.time() - since, calls
+    return loop.time() - recovered_at, calls
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("silently", [False, True], ids=["ended", "silent"])
 @pytest.mark.parametrize("failure", FAILURES)
-def test_a_change_is_known_in_time_whatever_failed_before(failure: str, silently: bool, mode: str) -> None:
+def test_a_change_is_known_in_time_after_every_failure_of_discovery(failure: str, silently: bool, mode: str) -> None:
     worst = 0.0
     for phase in PHASES:
         loop = VirtualLoop(round(phase * 100))
-        took, _ = run(loop, staleness(loop, failure, silently, phase, mode))
-        worst = max(worst, took)
+        staleness, _ = run(loop, measure_staleness(loop, failure, silently, phase, mode))
+        worst = max(worst, staleness)
     assert worst < KNOWN_WITHIN - MARGIN
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_a_watch_that_falls_silent_is_opened_anew_in_time(mode: str) -> None:
-    """Calls are well all the time; only what is open says nothing any more."""
+def test_a_watch_that_falls_silent_is_replaced_in_time(mode: str) -> None:
+    """Calls succeed all the time; only the open watch falls silent."""
     for phase in PHASES:
         loop = VirtualLoop(round(phase * 100))
-        took, _ = run(loop, staleness(loop, "", True, phase % 0.5, mode))
-        assert took < KNOWN_WITHIN - MARGIN
+        staleness, _ = run(loop, measure_staleness(loop, "", True, phase % 0.5, mode))
+        assert staleness < KNOWN_WITHIN - MARGIN
--- a/tests/virtual/test_takeover_worlds.py
+++ b/tests/virtual/test_takeover_worlds.py
@@ -1,4 +1,4 @@
-"""Work in hand is taken over in the virtual worlds: one answer, no effect twice, whatever the seed does to timing."""
+"""Tests of the takeover of in-flight requests in simulated worlds: one answer and one effect, whatever the timing."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from weldroute.request_journal import AttemptRecord
 from weldroute.takeover import ConnectionCounters
 
-KINDS = ("view", "submit", "pay")
+REQUEST_CLASSES = ("view", "submit", "pay")
 
 
-def world(seed: int, covers: int = 1) -> str:
-    """Three proxies; some are killed, or paused and killed, while requests of all classes are in hand."""
+def world_script(seed: int, covers: int = 1) -> str:
+    """Three proxies; some are killed, or paused and killed, while requests of all classes are in flight."""
     rng = Random(seed)
     lines = [
         f"world one seed {seed} seconds 6",
@@ -30,7 +30,7 @@
     ]
     for number in range(150):
         when = f"{0.3 + 0.03 * number:.3f}"
-        lines.append(f"request {number + 1} at {when} {rng.choice(KINDS)} budget 1.2 want 300 again 0")
+        lines.append(f"request {number + 1} at {when} {rng.choice(REQUEST_CLASSES)} budget 1.2 want 300 again 0")
     at = 0.8
     while at < 4.5:
         lines.append(f"fault at {at:.3f} kill proxy/{rng.randrange(3)} for 0.3")
@@ -40,62 +40,68 @@
     return "\n".join(lines) + "\n"
 
 
-def played(seed: int, covers: int = 1) -> Result:
-    return run_plan(script.parse_plan(world(seed, covers)))
+def run_world(seed: int, covers: int = 1) -> Result:
+    return run_plan(script.parse_plan(world_script(seed, covers)))
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_killed_proxies_lose_nothing_and_nothing_takes_effect_twice(seed: int) -> None:
-    result = played(seed)
+def test_killed_proxies_cause_no_violation(seed: int) -> None:
+    result = run_world(seed)
     assert not result.violations, result.violations
-    assert result.outcomes.get("served", 0) >= played(seed, covers=0).outcomes.get("served", 0)
+    assert result.outcomes.get("served", 0) >= run_world(seed, covers=0).outcomes.get("served", 0)
 
 
-def test_without_it_requests_are_lost_and_with_it_hardly_any() -> None:
+def test_takeover_avoids_nearly_all_lost_requests() -> None:
     def lost(covers: int) -> int:
-        ended = [played(seed, covers).outcomes for seed in range(6)]
-        return sum(count for each in ended for how, count in each.items() if how in ("lost", "with the dead"))
+        outcomes = [run_world(seed, covers).outcomes for seed in range(6)]
+        return sum(
+            count for counts in outcomes for outcome, count in counts.items() if outcome in ("lost", "with the dead")
+        )
 
     assert lost(0) >= 10 and lost(1) <= lost(0) // 10
 
 
-def found(seeds: range) -> list[str]:
-    return [f"{violation}" for seed in seeds for violation in played(seed).violations]
+def violations_of(seeds: range) -> list[str]:
+    return [f"{violation}" for seed in seeds for violation in run_world(seed).violations]
 
 
-def test_an_heir_that_believes_notes_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: whatever was sent is taken for what has never run."""
+def test_the_oracles_find_a_successor_that_repeats_what_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted defect: every attempt is assessed as never run."""
 
-    def never(one: AttemptRecord, seen: ConnectionCounters | None, body_received: bool = True) -> PriorAttempt:
-        return PriorAttempt(one.server, one.sent_at, False, False, one.zone, one.cell)
+    def never_ran(
+        attempt: AttemptRecord, counters: ConnectionCounters | None, body_received: bool = True
+    ) -> PriorAttempt:
+        return PriorAttempt(attempt.server, attempt.sent_at, False, False, attempt.zone, attempt.cell)
 
-    monkeypatch.setattr(takeover, "assess_attempt", never)
-    assert [text for text in found(range(6)) if "effect twice" in text]
+    monkeypatch.setattr(takeover, "assess_attempt", never_ran)
+    assert [text for text in violations_of(range(6)) if "effect twice" in text]
 
 
-def test_an_heir_that_reads_a_connection_before_it_knows_its_work_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: an answer that is out is given again."""
-    act = tracker.RequestTakeover._act
+def test_the_oracles_find_a_successor_that_repeats_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted defect: an answer that was delivered is delivered again."""
+    original_act = tracker.RequestTakeover._act
 
-    def again(self: tracker.RequestTakeover, proxy: object, caller: object) -> None:
+    def act_again(self: tracker.RequestTakeover, proxy: object, caller: object) -> None:
         if self.record.answer is not None:
             self.action = takeover.TakeoverAction.DELIVER
             self.caller_counters = ConnectionCounters(self.record.bytes_written, self.record.bytes_read)
-        act(self, proxy, caller)  # type: ignore[arg-type]
+        original_act(self, proxy, caller)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(tracker.RequestTakeover, "_act", again)
-    assert found(range(12))
+    monkeypatch.setattr(tracker.RequestTakeover, "_act", act_again)
+    assert violations_of(range(12))
 
 
 @pytest.mark.parametrize("first", range(0, 120, 10))
-def test_drawn_worlds_in_which_proxies_are_killed_break_no_rule(first: int) -> None:
+def test_drawn_worlds_with_takeover_have_no_violation(first: int) -> None:
     plans = [script.draw_plan(seed, "fleet") for seed in range(first, first + 10)]
-    broken = [(plan.seed, f"{one}") for plan in plans if plan.covers for one in run_plan(plan).violations]
-    assert not broken
+    violations = [
+        (plan.seed, f"{violation}") for plan in plans if plan.covers for violation in run_plan(plan).violations
+    ]
+    assert not violations
 
 
 def idle_world(*lines: str) -> Result:
-    """Two proxies on one address each; what goes to the first that is killed goes on at the other."""
+    """Run two proxies with takeover: requests and connections of a killed one move to the other."""
     return run_plan(
         script.parse_plan(
             "\n".join(
@@ -112,27 +118,33 @@
     )
 
 
-def test_a_long_body_is_not_taken_for_what_came_behind_it() -> None:
-    """Its connection is between two requests when its proxy dies; the heir says nothing that was not asked for."""
-    asks = [f"request {n} at {0.4 + 0.01 * n:.2f} submit budget 1.5 body 300000" for n in range(1, 7)]
-    later = [f"request {n} at {3.4 + 0.01 * n:.2f} view budget 1.5" for n in range(7, 20)]
-    kills = [f"fault at 2.{n} kill proxy/{n} for 0.05" for n in (0, 1)]
-    result = idle_world(*asks, *later, *kills)
+def test_a_long_body_is_not_taken_for_the_next_request() -> None:
+    """The connection is idle when its proxy is killed; the successor must send nothing unrequested on it."""
+    long_requests = [
+        f"request {number} at {0.4 + 0.01 * number:.2f} submit budget 1.5 body 300000" for number in range(1, 7)
+    ]
+    later_requests = [f"request {number} at {3.4 + 0.01 * number:.2f} view budget 1.5" for number in range(7, 20)]
+    kills = [f"fault at 2.{number} kill proxy/{number} for 0.05" for number in (0, 1)]
+    result = idle_world(*long_requests, *later_requests, *kills)
     assert not result.violations and set(result.outcomes) == {"served"}, (result.violations, result.outcomes)
 
 
-def test_what_waited_unread_at_a_stalled_proxy_has_only_the_rest_of_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sent to a proxy that stands still and is killed then: its heir counts its time from when it came."""
-    given: list[float] = []  # seconds that what is sent on is given
-    head = tracker.InflightTracker._on_attempt
+def test_a_request_that_waited_unread_keeps_only_its_remaining_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Requests reach a paused proxy that is then killed: the successor counts their time from their arrival."""
+    given_times: list[float] = []  # seconds that each attempt has left when it is sent
+    original = tracker.InflightTracker._on_attempt
 
-    def sends(self: tracker.InflightTracker, attempt: Any) -> None:
-        given.append(attempt.owner.deadline - attempt.sent_at)
-        head(self, attempt)
+    def record_time(self: tracker.InflightTracker, attempt: Any) -> None:
+        given_times.append(attempt.owner.deadline - attempt.sent_at)
+        original(self, attempt)
 
-    monkeypatch.setattr(tracker.InflightTracker, "_on_attempt", sends)
-    warm = [f"request {n} at {0.3 + 0.01 * n:.2f} view budget 1.5" for n in range(1, 25)]
-    late = [f"request {n} at {2.0 + 0.002 * n:.3f} view budget 0.9 again 0" for n in range(25, 45)]
-    result = idle_world(*warm, *late, "fault at 1.9 pause proxy/0 for 3", "fault at 2.6 kill proxy/0 for 1")
+    monkeypatch.setattr(tracker.InflightTracker, "_on_attempt", record_time)
+    early_requests = [f"request {number} at {0.3 + 0.01 * number:.2f} view budget 1.5" for number in range(1, 25)]
+    late_requests = [
+        f"request {number} at {2.0 + 0.002 * number:.3f} view budget 0.9 again 0" for number in range(25, 45)
+    ]
+    result = idle_world(
+        *early_requests, *late_requests, "fault at 1.9 pause proxy/0 for 3", "fault at 2.6 kill proxy/0 for 1"
+    )
     assert not result.violations, result.violations
-    assert min(given) < 0.5, "some had waited for most of their time"
+    assert min(given_times) < 0.5, "no request had waited for most of its time"
