--- a/tests/virtual/test_proxy_world.py
+++ b/tests/virtual/test_proxy_world.py
@@ -102,7 +102,7 @@
 
         self.loop.create_task(connect(), context=self.clients.context())
 
-    async def run(self, seconds: float, script: dict[float, Callable[[], None]]) -> Figures:
+    async def simulate(self, seconds: float, script: dict[float, Callable[[], None]]) -> Figures:
         await self.build()
         await asyncio.sleep(1.0)  # until the proxy knows its backends
         for at, fault in script.items():
@@ -121,7 +121,7 @@
     faults: Callable[[World], dict[float, Callable[[], None]]] | None = None,
 ) -> tuple[Figures, World]:
     world = World(seed)
-    figures = run(world.loop, world.run(seconds, faults(world) if faults is not None else {}))
+    figures = run(world.loop, world.simulate(seconds, faults(world) if faults is not None else {}))
     return figures, world
 
 
