--- a/benchmarks/cpu.py
+++ b/benchmarks/cpu.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from cometusher.demo import settings  # noqa: E402
+from cometusher.demo import proxy_settings  # noqa: E402
 from standins.ports import free_ports  # noqa: E402
 
 CONNECTIONS = 8  # one request at a time on each
@@ -59,7 +59,7 @@
 
 
 async def send_requests(port: int, count: int, build_request: RequestBuilder = report_view_request) -> None:
-    """Send so many requests in a closed loop."""
+    """Send `count` requests in a closed loop."""
     indexes = iter(range(count))
 
     async def caller(number: int) -> None:
@@ -137,7 +137,7 @@
         path.write_bytes(
             orjson.dumps(
                 {
-                    "settings": settings(1, 0),
+                    "settings": proxy_settings(1, 0),
                     "listen": f"127.0.0.1:{port}",
                     "discovery": "127.0.0.1:9",
                     "known": {"seq": 1, "whole": True, "hosts": [host]},
@@ -173,7 +173,9 @@
         costs = asyncio.run(measure(Path(folder), rounds, count, options.against))
 
     def ratio(numerator: str, denominator: str) -> float:
-        return statistics.median(a / b for a, b in zip(costs[numerator], costs[denominator], strict=True))
+        return statistics.median(
+            cost / other_cost for cost, other_cost in zip(costs[numerator], costs[denominator], strict=True)
+        )
 
     figures = f"rounds={rounds} requests={count} us_per_request={statistics.median(costs['proxy']) * 1e6:.0f}"
     figures += f" of_relay={ratio('proxy', 'relay'):.2f}"
--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -855,7 +855,7 @@
 
     def put(self, kind: str, body: object) -> None:
         """Write a record after DISK_WRITE_DELAY."""
-        data = Record(kind, 1, self._owner, self._runtime.moment(), body).to_dict()
+        data = Record(kind, 1, self._owner, self._runtime.clock_reading(), body).to_dict()
         self._runtime.loop.call_later(DISK_WRITE_DELAY, self._write, kind, orjson.loads(orjson.dumps(data)))
 
     def _write(self, kind: str, data: dict[str, Any]) -> None:
@@ -911,12 +911,12 @@
             connection.assign_to(machine)
         connection.attach(protocol())
 
-    def pending(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def unread_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """A function that tells whether data or an end has arrived that was not read."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.pending
 
-    def peer_ended(self, transport: asyncio.Transport) -> Callable[[], bool]:
+    def peer_ended_check(self, transport: asyncio.Transport) -> Callable[[], bool]:
         """A function that tells whether the peer has ended a connection."""
         assert isinstance(transport, VirtualTransport)
         return lambda: transport.peer_ended
@@ -926,26 +926,26 @@
         assert isinstance(transport, VirtualTransport)
         transport.reset()
 
-    def keep(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
+    def open_records(self, returning: RecoveryConfig) -> tuple[dict[str, Record], RecordSink]:
         """The stored records of an instance, and a writer for further ones."""
         return self._disk.read(), DiskRecordWriter(self._disk, returning.owner, self, CURRENT_MACHINE.get())
 
-    def moment(self) -> ClockReading:
+    def clock_reading(self) -> ClockReading:
         """The current time by the wall clock, which may step, and by the monotonic clock."""
         return ClockReading(self.unix_time(), "virtual", self._network.loop.time())
 
-    def cover(self, covered: JournalAssignment) -> TakeoverChannel:
+    def open_takeover_channel(self, covered: JournalAssignment) -> TakeoverChannel:
         """The takeover channel of a process's in-flight requests; raises OSError in a world without takeover."""
         if self._open_channel is None:
             raise _os_error(errno.ENOSYS)
         return self._open_channel(covered)
 
-    def named(self, transport: asyncio.Transport) -> tuple[int, int]:
+    def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
         """A connection's identity: its unique number."""
         assert isinstance(transport, VirtualTransport)
         return transport.number, transport.number
 
-    def look(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
         """The kernel's counters of a connection; None if it is closed or not the named one."""
         assert isinstance(connection, VirtualTransport)
         return connection.counters() if connection.number == name else None
@@ -954,7 +954,7 @@
         """Reset a connection."""
         connection.kill()
 
-    def share(self, folder: str) -> Handover:
+    def open_handover(self, folder: str) -> Handover:
         """The state that the processes of one proxy share; raises OSError if there is none."""
         machine = CURRENT_MACHINE.get()
         if self._memory is None or machine is None:
