--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault: `KNOWN-RED.txt` at the root, a line each with test, cause and issue.
+"""The list of tests that fail because of a known defect: `KNOWN-RED.txt` at the root, with test, cause and issue.
 
-As a pytest plugin it expects just these to fail: one that passes fails the run. As a program it prints the lines, and
-fails if one names no test or makes no sense.
+As a pytest plugin this module expects exactly these tests to fail: one that passes fails the run. As a program it
+prints the list, and fails if a line names no test or is invalid.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3  # lines
+MAX_ENTRIES = 3  # lines
 
 
-class BadList(Exception):
-    """The file can't be used; the text names the line."""
+class InvalidList(Exception):
+    """The list is invalid; the text names the line."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test that fails for a fault that is known."""
+    """One test that fails because of a known defect."""
 
-    test: str  # its node id, without parameters for all of them
+    test: str  # node id; without parameters it stands for all of them
     cause: str
     issue: str
 
-    def covers(self, node: str) -> bool:
-        """Whether a node id is of this test."""
-        return node == self.test or node.startswith(f"{self.test}[")
+    def covers(self, node_id: str) -> bool:
+        """Whether a node id belongs to this test."""
+        return node_id == self.test or node_id.startswith(f"{self.test}[")
 
 
 def read_list(path: Path) -> list[KnownRed]:
-    """The lines of the file, none where there is no file; raises BadList."""
+    """Read the list, empty if there is no file; raises InvalidList."""
     if not path.exists():
         return []
     entries = []
@@ -45,15 +45,15 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise BadList(f"{path.name}:{number}: not of the form: test | cause | issue")
+            raise InvalidList(f"{path.name}:{number}: not of the form: test | cause | issue")
         entries.append(KnownRed(*parts))
-    if len(entries) > MOST:
-        raise BadList(f"{path.name}: {len(entries)} lines, {MOST} at most")
+    if len(entries) > MAX_ENTRIES:
+        raise InvalidList(f"{path.name}: {len(entries)} lines, {MAX_ENTRIES} at most")
     return entries
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: Sequence[pytest.Item]) -> None:
-    """Expect the listed tests to fail, and nothing else of them."""
+    """Mark the listed tests as expected to fail, strictly."""
     for entry in read_list(config.rootpath / FILE):
         for item in items:
             if entry.covers(item.nodeid):
@@ -61,11 +61,11 @@
 
 
 def main(root: Path) -> int:
-    """Print the list and check that each line names a test; returns the exit code."""
+    """Print the list, and check that each line names a test; returns the exit code."""
     try:
         entries = read_list(root / FILE)
-    except BadList as fault:
-        print(fault, file=sys.stderr)
+    except InvalidList as error:
+        print(error, file=sys.stderr)
         return 1
     code = 0
     for entry in entries:
--- a/tests/loopback/test_faulty_link.py
+++ b/tests/loopback/test_faulty_link.py
@@ -1,4 +1,4 @@
-"""The faulty link does what each of its moods says, on open connections and on new ones."""
+"""Tests of the faulty link: each fault has its stated effect on open and on new connections."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from standins.faulty_link import FaultyLink, LinkFault
 
-SOON = 0.2  # seconds in which nothing may come; what must come is waited for
-PATIENCE = 10.0
+QUIET_PERIOD = 0.2  # seconds without data that show that a connection is blocked
+TIMEOUT = 10.0
 
 
 @contextlib.asynccontextmanager
-async def echo() -> AsyncIterator[tuple[FaultyLink, list[asyncio.StreamWriter]]]:
-    """A link before a server that says everything again."""
-    far: list[asyncio.StreamWriter] = []
+async def echo_server() -> AsyncIterator[tuple[FaultyLink, list[asyncio.StreamWriter]]]:
+    """A link in front of an echo server, and the writers of the server's connections."""
+    server_writers: list[asyncio.StreamWriter] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        far.append(writer)
+        server_writers.append(writer)
         with contextlib.suppress(OSError):
             while data := await reader.read(1024):
                 writer.write(data)
@@ -31,144 +31,144 @@
     link = FaultyLink(("127.0.0.1", server.sockets[0].getsockname()[1]), 1)
     await link.start()
     try:
-        yield link, far
+        yield link, server_writers
     finally:
         await link.stop()
         server.close()
 
 
-class End:
-    """A caller's end."""
+class ClientSide:
+    """The connecting side of a connection through the link."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def hears(self, data: bytes) -> None:
-        assert await asyncio.wait_for(self.reader.readexactly(len(data)), PATIENCE) == data
+    async def expect(self, data: bytes) -> None:
+        assert await asyncio.wait_for(self.reader.readexactly(len(data)), TIMEOUT) == data
 
-    async def hears_nothing(self) -> None:
+    async def expect_nothing(self) -> None:
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(self.reader.read(1), SOON)
+            await asyncio.wait_for(self.reader.read(1), QUIET_PERIOD)
 
 
-async def connect(link: FaultyLink) -> End:
-    return End(*await asyncio.open_connection("127.0.0.1", link.port))
+async def connect(link: FaultyLink) -> ClientSide:
+    return ClientSide(*await asyncio.open_connection("127.0.0.1", link.port))
 
 
-async def used(link: FaultyLink) -> End:
-    """A connection through which something has passed."""
-    end = await connect(link)
-    end.say(b"one")
-    await end.hears(b"one")
-    return end
+async def connect_and_exchange(link: FaultyLink) -> ClientSide:
+    """A connection on which data was exchanged."""
+    client = await connect(link)
+    client.send(b"one")
+    await client.expect(b"one")
+    return client
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(test())
 
 
-def test_what_is_dropped_for_a_while_comes_when_the_way_is_open() -> None:
+def test_drop_delays_data_until_it_ends() -> None:
     async def test() -> None:
-        async with echo() as (link, _):
-            end = await used(link)
+        async with echo_server() as (link, _):
+            client = await connect_and_exchange(link)
             await link.set_fault(LinkFault("drop"))
-            end.say(b"two")
-            fresh = await connect(link)
-            fresh.say(b"three")
-            await end.hears_nothing()
-            await fresh.hears_nothing()
+            client.send(b"two")
+            new_client = await connect(link)
+            new_client.send(b"three")
+            await client.expect_nothing()
+            await new_client.expect_nothing()
             await link.set_fault(LinkFault())
-            await end.hears(b"two")
-            await fresh.hears(b"three")
+            await client.expect(b"two")
+            await new_client.expect(b"three")
 
     run(test)
 
 
-def test_mute_holds_one_way_only() -> None:
+def test_mute_blocks_one_direction_only() -> None:
     async def test() -> None:
-        async with echo() as (link, far):
-            end = await used(link)
+        async with echo_server() as (link, server_writers):
+            client = await connect_and_exchange(link)
             await link.set_fault(LinkFault("mute", direction="up"))
-            far[0].write(b"down")
-            await end.hears(b"down")
-            end.say(b"up")
-            await end.hears_nothing()
+            server_writers[0].write(b"down")
+            await client.expect(b"down")
+            client.send(b"up")
+            await client.expect_nothing()
 
     run(test)
 
 
-def test_reset_ends_open_ones_and_new_ones() -> None:
+def test_reset_ends_open_and_new_connections() -> None:
     async def test() -> None:
-        async with echo() as (link, _):
-            end = await used(link)
+        async with echo_server() as (link, _):
+            client = await connect_and_exchange(link)
             await link.set_fault(LinkFault("reset"))
-            for each in (end, await connect(link)):
+            for open_client in (client, await connect(link)):
                 with contextlib.suppress(ConnectionResetError):
-                    assert await asyncio.wait_for(each.reader.read(1), PATIENCE) == b""
+                    assert await asyncio.wait_for(open_client.reader.read(1), TIMEOUT) == b""
 
     run(test)
 
 
-def test_refuse_leaves_open_ones_alone() -> None:
+def test_refuse_keeps_open_connections() -> None:
     async def test() -> None:
-        async with echo() as (link, _):
-            end = await used(link)
+        async with echo_server() as (link, _):
+            client = await connect_and_exchange(link)
             await link.set_fault(LinkFault("refuse"))
             with pytest.raises(OSError):
                 await connect(link)
-            end.say(b"two")
-            await end.hears(b"two")
+            client.send(b"two")
+            await client.expect(b"two")
             await link.set_fault(LinkFault())
             await connect(link)
 
     run(test)
 
 
-def test_half_tells_the_near_side_nothing() -> None:
+def test_half_does_not_notify_the_connecting_side() -> None:
     async def test() -> None:
-        async with echo() as (link, far):
-            end = await used(link)
+        async with echo_server() as (link, server_writers):
+            client = await connect_and_exchange(link)
             await link.set_fault(LinkFault("half"))
-            async with asyncio.timeout(PATIENCE):
-                while not far[0].is_closing():
+            async with asyncio.timeout(TIMEOUT):
+                while not server_writers[0].is_closing():
                     await asyncio.sleep(0.01)
-            await end.hears_nothing()
+            await client.expect_nothing()
 
     run(test)
 
 
-def test_cut_ends_in_the_middle_of_a_message() -> None:
+def test_cut_ends_within_a_message() -> None:
     async def test() -> None:
-        async with echo() as (link, _):
-            end = await connect(link)
+        async with echo_server() as (link, _):
+            client = await connect(link)
             await link.set_fault(LinkFault("cut", direction="down", after=4))
-            end.say(b"0123456789")
-            got = b""
+            client.send(b"0123456789")
+            received = b""
             with contextlib.suppress(ConnectionResetError):
-                while piece := await asyncio.wait_for(end.reader.read(16), PATIENCE):
-                    got += piece
-            assert got in (b"", b"0123"), "a reset may overtake what was written"
+                while data := await asyncio.wait_for(client.reader.read(16), TIMEOUT):
+                    received += data
+            assert received in (b"", b"0123"), "a reset may overtake written data"
 
     run(test)
 
 
-def test_slow_and_narrow_take_their_time_and_lose_nothing() -> None:
+def test_slow_and_narrow_delay_data_without_loss() -> None:
     async def test() -> None:
-        async with echo() as (link, _):
+        async with echo_server() as (link, _):
             loop = asyncio.get_running_loop()
-            for mood, least in (
+            for fault, minimum in (
                 (LinkFault("slow", median_delay=0.1, spread=0.0), 0.2),
                 (LinkFault("narrow", rate=5000.0), 0.2),
             ):
-                await link.set_fault(mood)
-                end = await connect(link)
+                await link.set_fault(fault)
+                client = await connect(link)
                 begin = loop.time()
-                end.say(b"x" * 500)
-                await end.hears(b"x" * 500)
-                assert loop.time() - begin >= least - 0.01
+                client.send(b"x" * 500)
+                await client.expect(b"x" * 500)
+                assert loop.time() - begin >= minimum - 0.01
 
     run(test)
--- a/tests/loopback/test_operations.py
+++ b/tests/loopback/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators' calls, bans and drains on sockets: what a yes promises, and callers that hold connections."""
+"""Management calls over sockets: bans and drains after their confirmation, and clients that hold connections."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from cometusher.runtime import inherited_listener, open_listener
 
 
-async def answer_of(r: Rig, data: bytes) -> bytes:
-    """What comes of bytes at the second address, until it closes."""
+async def send_raw_call(r: Rig, data: bytes) -> bytes:
+    """Send bytes to the management address; returns all that is received until it closes."""
     assert r.proxy.management is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", r.proxy.management.port)
     writer.write(data)
-    got = await asyncio.wait_for(reader.read(), PEER_TIMEOUT)
+    received = await asyncio.wait_for(reader.read(), PEER_TIMEOUT)
     writer.close()
-    return got
+    return received
 
 
 @pytest.mark.parametrize(
@@ -46,39 +46,39 @@
         ),
     ],
 )
-def test_each_call_has_one_stated_answer(data: bytes, status: int) -> None:
+def test_each_call_gets_its_status(data: bytes, status: int) -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
-            got = await answer_of(r, data)
-            assert got.startswith(b"HTTP/1.1 %d " % status) and got.count(b"HTTP/1.1") == 1
-            assert b"connection: close" in got.lower() and b"Traceback" not in got
+            received = await send_raw_call(r, data)
+            assert received.startswith(b"HTTP/1.1 %d " % status) and received.count(b"HTTP/1.1") == 1
+            assert b"connection: close" in received.lower() and b"Traceback" not in received
             assert (await r.call())[0] == 200
 
     run(test)
 
 
-async def echo_name(backend: Backend, seen: Message, writer: Writer) -> None:
+async def echo_name(backend: Backend, message: Message, writer: Writer) -> None:
     writer.write(reply(body=backend.host.encode()))
 
 
 async def served_by(r: Rig, count: int, prefix: str) -> set[bytes]:
     names = set()
     for i in range(count):
-        status, seen = await r.call(request_id=f"{prefix}{i}")
+        status, response = await r.call(request_id=f"{prefix}{i}")
         assert status == 200
-        names.add(seen.body)
+        names.add(response.body)
     return names
 
 
-def test_a_ban_holds_from_its_yes_until_one_call_back() -> None:
+def test_ban_holds_from_its_confirmation_until_an_include() -> None:
     async def test() -> None:
         async with rig(echo_name, echo_name, managed=True) as r:
             assert await served_by(r, 40, "a") == {b"s-1", b"s-2"}
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert await served_by(r, 40, "b") == {b"s-2"}
-            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200  # twice is once
+            assert await r.management_call("exclude", b'{"who":"s-1"}') == 200  # repeating a ban changes nothing
             entries = [backend.discovery_entry(health="in_service") for backend in r.backends]
-            (await r.discovery.watch()).send_list(43, *entries, whole=True)  # whatever discovery says
+            (await r.discovery.watch()).send_list(43, *entries, whole=True)  # discovery does not end a ban
             await until(lambda: r.proxy.discovery.seq == 43)
             assert await served_by(r, 40, "c") == {b"s-2"}
             assert await r.management_call("include", b'{"who":"s-1"}') == 200
@@ -95,13 +95,13 @@
             await asyncio.sleep(0.01)
 
 
-def test_an_attempt_that_still_connects_when_a_ban_comes_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The ban comes just as the connection is up."""
-    honest = Proxy.may_start
+def test_attempt_that_is_connecting_when_banned_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The ban comes just after the connection is established."""
+    original = Proxy.may_start
 
     def banned_meanwhile(self: Proxy, attempt: Attempt) -> bool:
         self.balancer.ban(self.clock.now(), attempt.server)
-        return honest(self, attempt)
+        return original(self, attempt)
 
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
@@ -111,7 +111,7 @@
     run(test)
 
 
-def test_the_last_backend_banned_is_a_refusal_and_no_wait() -> None:
+def test_ban_of_the_last_backend_rejects_requests_without_delay() -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
@@ -130,7 +130,7 @@
             await asyncio.sleep(0.02)
 
 
-async def up(r: Rig) -> int:
+async def check_up(r: Rig) -> int:
     caller = await r.caller()
     caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     status, _ = await caller.answer()
@@ -138,65 +138,65 @@
     return status
 
 
-def test_a_drain_empties_the_proxy_and_a_rejoin_gives_all_back() -> None:
+def test_drain_empties_the_proxy_and_rejoin_restores_it() -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
-            kept, quiet = await r.caller(), await r.caller()
-            for i, caller in enumerate((kept, quiet)):
+            busy, idle = await r.caller(), await r.caller()
+            for i, caller in enumerate((busy, idle)):
                 assert (await caller.call(request_id=f"k{i}"))[0] == 200
-            assert await up(r) == 200
+            assert await check_up(r) == 200
             assert await r.management_call("evacuate") == 200
-            assert await up(r) == 503
-            # A kept connection may bring one more request, whose answer ends it; new ones are served, too.
-            assert (await kept.call(request_id="last"))[0] == 200
-            assert await kept.read_to_end() == b""
-            fresh = await r.caller()
-            assert (await fresh.call(request_id="new"))[0] == 200 and await fresh.read_to_end() == b""
-            assert await quiet.read_to_end() == b""
+            assert await check_up(r) == 503
+            # An open connection may carry one more request, whose response closes it; new ones are served, too.
+            assert (await busy.call(request_id="last"))[0] == 200
+            assert await busy.read_to_end() == b""
+            new = await r.caller()
+            assert (await new.call(request_id="new"))[0] == 200 and await new.read_to_end() == b""
+            assert await idle.read_to_end() == b""
             await until(lambda: r.proxy.callers.count() == 0)
             assert await r.management_call("ready", method="GET") == 200
-            assert await r.management_call("rejoin") == 200 and await up(r) == 200
-            again = await r.caller()
+            assert await r.management_call("rejoin") == 200 and await check_up(r) == 200
+            rejoined = await r.caller()
             for i in range(3):
-                assert (await again.call(request_id=f"again{i}"))[0] == 200
+                assert (await rejoined.call(request_id=f"again{i}"))[0] == 200
 
     run(test)
 
 
-def test_a_rejoin_before_the_drain_is_done_keeps_what_is_kept() -> None:
+def test_rejoin_during_a_drain_keeps_connections() -> None:
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
-            kept = await r.caller()
-            assert (await kept.call(request_id="1"))[0] == 200
+            busy = await r.caller()
+            assert (await busy.call(request_id="1"))[0] == 200
             assert await r.management_call("evacuate") == 200 and await r.management_call("rejoin") == 200
             for i in range(3):
-                assert (await kept.call(request_id=f"x{i}"))[0] == 200
+                assert (await busy.call(request_id=f"x{i}"))[0] == 200
 
     run(test)
 
 
-def test_callers_that_hold_connections_cost_nobody_else_an_answer() -> None:
-    """Ten times as many as there are places, silent or with half a call, and calls go on being answered."""
+def test_clients_that_hold_connections_do_not_block_calls() -> None:
+    """Calls are answered while ten times the connection limit is opened, idle or with half a call."""
 
     async def test() -> None:
         async with rig(echo_name, managed=True) as r:
             assert r.proxy.management is not None
-            holders = []
+            open_connections = []
             for i in range(10 * management.MAX_CONNECTIONS):
                 reader, writer = await asyncio.open_connection("127.0.0.1", r.proxy.management.port)
                 writer.write(b"POST /api/excl" if i % 2 else b"")
-                holders.append((reader, writer))
+                open_connections.append((reader, writer))
                 if i % 10 == 0:
                     assert await r.management_call("ready", method="GET") == 200
             assert await r.management_call("exclude", b'{"who":"s-1"}') == 200
             assert len(r.proxy.management._connections) <= management.MAX_CONNECTIONS
-            for _, writer in holders:
+            for _, writer in open_connections:
                 writer.transport.abort()
 
     run(test)
 
 
-def test_without_an_address_nothing_listens_for_calls() -> None:
+def test_no_management_listener_without_an_address() -> None:
     async def test() -> None:
         async with rig(echo_name) as r:
             assert r.proxy.management is None
@@ -204,18 +204,18 @@
     run(test)
 
 
-def test_an_inherited_listener_is_checked() -> None:
+def test_inherited_listener_is_checked() -> None:
     listener = open_listener(("127.0.0.1", 0))
     port = listener.getsockname()[1]
     with pytest.raises(OSError, match=r"listens on 127.0.0.1:\d+, not on 127.0.0.1:1"):
         inherited_listener(listener.fileno(), ("127.0.0.1", 1))
-    plain = socket.socket()
-    with plain, pytest.raises(OSError, match="does not listen"):
-        inherited_listener(plain.fileno(), ("127.0.0.1", port))
+    unbound = socket.socket()
+    with unbound, pytest.raises(OSError, match="does not listen"):
+        inherited_listener(unbound.fileno(), ("127.0.0.1", port))
     with Path(__file__).open() as file, pytest.raises(OSError, match="descriptor"):
         inherited_listener(file.fileno(), ("127.0.0.1", port))
     with pytest.raises(OSError, match="descriptor 999"):
         inherited_listener(999, ("127.0.0.1", port))
-    again = inherited_listener(listener.detach(), ("127.0.0.1", port))
-    assert not again.get_inheritable()
-    again.close()
+    inherited = inherited_listener(listener.detach(), ("127.0.0.1", port))
+    assert not inherited.get_inheritable()
+    inherited.close()
--- a/tests/loopback/test_platform.py
+++ b/tests/loopback/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform asks of `build` and `run`: one process, no programs, no forks, nothing that it refuses."""
+"""The platform's requirements for `build` and `run`: one process, no child processes, no forbidden system calls."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 ROOT = Path(__file__).parent.parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-#: Calls that start a program or a process, or that the platform refuses.
-REFUSED = {
+#: Calls that start a program or a process, or that the platform forbids.
+FORBIDDEN_CALLS = {
     "fork",
     "forkpty",
     "posix_spawn",
@@ -38,8 +38,8 @@
     "subprocess_shell",
     "ProcessPoolExecutor",
 }
-#: Parts that `run` has no use for.
-ABSENT = {
+#: Modules that `run` does not use.
+UNUSED_MODULES = {
     "cometusher.fleet",
     "cometusher.simulation",
     "cometusher.demo",
@@ -66,16 +66,16 @@
     "matplotlib",
     "numpy",
 }
-#: Imports what `run` imports and prints the files of it that are ours, and all names.
-IMPORTED = """
+#: Imports what `run` imports; prints the names of all modules, and the files of the project's own ones.
+PRINT_IMPORTS = """
 import json, sys
 import cometusher.service
-ours = {n: m.__file__ for n, m in sys.modules.items() if n.split(".")[0] in ("cometusher", "weldroute")}
-print(json.dumps([sorted(sys.modules), ours]))
+own_files = {n: m.__file__ for n, m in sys.modules.items() if n.split(".")[0] in ("cometusher", "weldroute")}
+print(json.dumps([sorted(sys.modules), own_files]))
 """
-#: Runs the proxy behind a filter of its own (seccomp(2)) that answers ENOSYS to what starts processes, threads or
-#: programs, to io_uring, splice and sendfile; what it asks for all the same is told by the interpreter's audit.
-FILTERED = """
+#: Runs the proxy under a seccomp(2) filter that returns ENOSYS for calls that start processes, threads or programs,
+#: for io_uring, splice and sendfile; an audit hook of the interpreter reports attempts to start processes.
+RUN_FILTERED = """
 import ctypes, struct, sys
 import cometusher.service
 NUMBERS = {calls}
@@ -87,33 +87,33 @@
 header = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(code), ctypes.addressof(program)))
 libc = ctypes.CDLL(None, use_errno=True)
 assert libc.prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) == 0 and libc.prctl(PR_SET_SECCOMP, FILTER, header) == 0
-def told(event, arguments):
+def on_audit_event(event, arguments):
     if event in ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system", "subprocess.Popen"):
         print("REFUSED", event, file=sys.stderr, flush=True)
-sys.addaudithook(told)
+sys.addaudithook(on_audit_event)
 sys.exit(cometusher.service.main())
 """
 #: System calls by machine: execve, execveat, fork, vfork, clone, clone3, sendfile, splice, io_uring_setup, _enter.
-CALLS = {
+FILTERED_SYSCALLS = {
     "x86_64": [59, 322, 57, 58, 56, 435, 40, 275, 425, 426],
     "aarch64": [221, 281, 220, 435, 71, 76, 425, 426],
 }
 
 
-def imported() -> tuple[set[str], dict[str, str]]:
-    done = subprocess.run([sys.executable, "-c", IMPORTED], cwd=ROOT, capture_output=True, check=True)
-    names, files = orjson.loads(done.stdout)
+def run_imports() -> tuple[set[str], dict[str, str]]:
+    result = subprocess.run([sys.executable, "-c", PRINT_IMPORTS], cwd=ROOT, capture_output=True, check=True)
+    names, files = orjson.loads(result.stdout)
     return set(names), files
 
 
-def test_run_ends_by_exec_in_one_process() -> None:
+def test_run_command_is_one_exec() -> None:
     for command in (DEPLOY["run"], DEPLOY["sim"]):
         assert command.startswith("exec .venv/bin/python -m "), command
         assert not set(command) & set(";|&$`<>()\n"), command
 
 
-def test_build_stays_inside_the_folder_and_installs_what_run_needs() -> None:
-    """An ordinary user's: no privileges, no path from outside, and the pinned requirements only."""
+def test_build_uses_only_the_folder_and_installs_pinned_requirements() -> None:
+    """The build needs no privileges, uses no paths outside the folder, and installs only pinned requirements."""
     words = DEPLOY["build"].replace("{", " ").replace("}", " ").split()
     assert not {"sudo", "su", "apt-get", "apt"} & set(words)
     assert not [word for word in words if word.startswith(("/", "~", "../"))]
@@ -122,28 +122,28 @@
         assert "==" in line, f"{line} is not pinned"
 
 
-def test_run_imports_nothing_that_it_does_not_use() -> None:
-    names, _ = imported()
-    assert not [name for name in names if any(name == a or name.startswith(a + ".") for a in ABSENT)]
+def test_run_imports_no_unused_modules() -> None:
+    names, _ = run_imports()
+    assert not [name for name in names if any(name == a or name.startswith(a + ".") for a in UNUSED_MODULES)]
 
 
-def test_nothing_that_run_imports_starts_programs_or_processes() -> None:
-    """By the words of our own sources; asyncio's own subprocess module is imported by it and never called."""
-    _, files = imported()
+def test_modules_of_run_start_no_programs_or_processes() -> None:
+    """Checks the project's sources; asyncio imports its own subprocess module, which is never called."""
+    _, files = run_imports()
     assert len(files) > 12
     for name, file in files.items():
         for node in ast.walk(ast.parse(Path(file).read_text())):
-            called = node.func if isinstance(node, ast.Call) else None
-            word = called.attr if isinstance(called, ast.Attribute) else getattr(called, "id", "")
-            assert word not in REFUSED, f"{name}:{getattr(node, 'lineno', 0)} calls {word}"
+            function = node.func if isinstance(node, ast.Call) else None
+            word = function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
+            assert word not in FORBIDDEN_CALLS, f"{name}:{getattr(node, 'lineno', 0)} calls {word}"
             if isinstance(node, (ast.Import, ast.ImportFrom)):
-                heads = {alias.name.split(".")[0] for alias in node.names} | {str(getattr(node, "module", ""))}
-                assert not heads & {"subprocess", "multiprocessing", "pty"}, f"{name} imports {heads}"
+                modules = {alias.name.split(".")[0] for alias in node.names} | {str(getattr(node, "module", ""))}
+                assert not modules & {"subprocess", "multiprocessing", "pty"}, f"{name} imports {modules}"
 
 
-@pytest.mark.skipif(platform.machine() not in CALLS, reason="system calls have other numbers here")
-def test_a_proxy_serves_and_ends_where_all_of_that_is_refused(tmp_path: Path) -> None:
-    """Its descriptors and threads are what the kernel lists (proc(5)): libuv falls back to epoll_ctl."""
+@pytest.mark.skipif(platform.machine() not in FILTERED_SYSCALLS, reason="unknown system call numbers")
+def test_proxy_serves_and_ends_under_the_syscall_filter(tmp_path: Path) -> None:
+    """Checks descriptors and threads in proc(5); without io_uring libuv falls back to epoll_ctl."""
 
     async def test() -> None:
         backend = Backend(1, serve_ok)
@@ -160,7 +160,7 @@
                 }
             )
         )
-        code = FILTERED.replace("{calls}", repr(CALLS[platform.machine()]))
+        code = RUN_FILTERED.replace("{calls}", repr(FILTERED_SYSCALLS[platform.machine()]))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
@@ -175,8 +175,8 @@
                 assert line and b"REFUSED" not in line, line
             caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
             assert (await caller.call())[0] == 200
-            held = [os.readlink(entry.path) for entry in os.scandir(f"/proc/{process.pid}/fd")]
-            assert not [link for link in held if "io_uring" in link], held
+            links = [os.readlink(entry.path) for entry in os.scandir(f"/proc/{process.pid}/fd")]
+            assert not [link for link in links if "io_uring" in link], links
             assert len(os.listdir(f"/proc/{process.pid}/task")) == 1
             process.terminate()
             assert b"REFUSED" not in await asyncio.wait_for(process.stderr.read(), PEER_TIMEOUT)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: pushed lists, lists that are asked for, and what can be wrong with them."""
+"""Discovery over loopback sockets: pushed lists, polled lists, and malformed or missing messages."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from cometusher.discovery import parse_entry, server_id
 from weldroute import Action, ListKind, ServerRow, State
 
-ASKED = {"RegistryMode": "on_request"}
+POLLED = {"RegistryMode": "on_request"}
 
 
 def state(r: Rig, number: int) -> State:
-    """What the module knows of a backend; one that is gone is forgotten."""
+    """The state of a backend in weldroute; a backend that is gone is no longer listed there."""
     server = r.proxy.balancer.servers.get(number)
     return server.row.state if server is not None else State.GONE
 
 
-def test_the_watch_begins_at_the_known_version_and_changes_apply() -> None:
+def test_watch_starts_at_the_known_version_and_applies_changes() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
@@ -38,7 +38,7 @@
     run(test)
 
 
-def test_a_whole_list_replaces_the_old_one() -> None:
+def test_whole_list_replaces_the_old_one() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
@@ -49,7 +49,7 @@
     run(test)
 
 
-def test_a_new_address_is_used_from_then_on() -> None:
+def test_new_address_of_a_backend_is_used() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
@@ -61,8 +61,8 @@
     run(test)
 
 
-def test_an_address_that_another_has_taken_over_says_that_the_first_is_gone() -> None:
-    """Whichever of the two discovery names last: the later start counts."""
+def test_backend_whose_address_another_has_taken_over_is_gone() -> None:
+    """The backend with the later start time keeps the address, whichever entry discovery sends last."""
 
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
@@ -79,7 +79,7 @@
             assert (await r.call())[0] == 200
             watch.send_list(45, new | {"health": "terminated"})
             await until(lambda: state(r, 9) is State.GONE)
-            watch.send_list(46, old)  # free again
+            watch.send_list(46, old)  # the address is free again
             await until(lambda: state(r, 1) is State.UP)
             assert not r.proxy.backends._owners.keys() - {("127.0.0.1", r.backends[0].port)}
 
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     "line", [b"{]\n", b'{"seq":"x","hosts":[]}\n', b'{"seq":42}\n', b"[1]\n", b'{"seq":3,"whole":false,"hosts":[]}\n']
 )
-def test_an_unreadable_line_keeps_the_list_and_the_watch_is_renewed(line: bytes) -> None:
+def test_malformed_message_keeps_the_list_and_renews_the_watch(line: bytes) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             (await r.discovery.watch()).send(line)
@@ -102,13 +102,13 @@
     run(test)
 
 
-@pytest.mark.parametrize("odd", [{"host": 7}, {"dial": "nowhere"}, {"block": "x"}, {"born_ms": []}])
-def test_an_odd_entry_does_not_hide_the_others(odd: dict[str, Any]) -> None:
+@pytest.mark.parametrize("malformed", [{"host": 7}, {"dial": "nowhere"}, {"block": "x"}, {"born_ms": []}])
+def test_malformed_entry_does_not_hide_the_others(malformed: dict[str, Any]) -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
             watch.send_list(
-                42, r.backends[1].discovery_entry(**odd), r.backends[0].discovery_entry(health="terminating")
+                42, r.backends[1].discovery_entry(**malformed), r.backends[0].discovery_entry(health="terminating")
             )
             await until(lambda: state(r, 1) is State.DRAINING)
             assert state(r, 2) is State.UP
@@ -117,13 +117,13 @@
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", b"what\r\n\r\n"])
-def test_a_watch_that_fails_is_asked_for_again(answer: bytes) -> None:
+def test_failed_watch_is_opened_again(answer: bytes) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
-            r.discovery.answer, good = answer, r.discovery.answer
+            r.discovery.answer, valid_answer = answer, r.discovery.answer
             (await r.discovery.watch()).writer.close()
             await r.discovery.watch()
-            r.discovery.answer = good
+            r.discovery.answer = valid_answer
             assert (await r.call())[0] == 200
             await until(lambda: r.discovery.watches.empty())
 
@@ -131,7 +131,7 @@
 
 
 def test_missing_heartbeats_end_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that vanishes leaves the connection open and silent."""
+    """A machine that disappears leaves the connection open without data."""
     monkeypatch.setattr(discovery_module, "HEARTBEAT_TIMEOUT", 0.2)
 
     async def test() -> None:
@@ -156,31 +156,31 @@
     run(test)
 
 
-def test_where_discovery_is_asked_the_module_asks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every call is a Subscribe of the module, and a watch that ends is told as BROKEN."""
-    told: list[ListKind] = []
+def test_polls_are_requested_by_weldroute(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each poll is a Subscribe action of weldroute, and the end of a watch is reported as BROKEN."""
+    received: list[ListKind] = []
 
     async def test() -> None:
-        async with rig(serve_ok, settings=ASKED) as r:
+        async with rig(serve_ok, settings=POLLED) as r:
             members = r.proxy.balancer.members
 
             def collect(now: float, kind: ListKind, rows: Sequence[ServerRow]) -> list[Action]:
-                told.append(kind)
+                received.append(kind)
                 return members(now, kind, rows)
 
             monkeypatch.setattr(r.proxy.balancer, "members", collect)
             watch = await r.discovery.watch()
             watch.send_list(42, r.backends[0].discovery_entry(), whole=True)
-            await until(lambda: told == [ListKind.WHOLE])
+            await until(lambda: received == [ListKind.WHOLE])
             watch.writer.close()
-            await until(lambda: told == [ListKind.WHOLE, ListKind.BROKEN])
-            again = await r.discovery.watch()
-            assert again.request_line.endswith(b"from=42 HTTP/1.1")
+            await until(lambda: received == [ListKind.WHOLE, ListKind.BROKEN])
+            second_watch = await r.discovery.watch()
+            assert second_watch.request_line.endswith(b"from=42 HTTP/1.1")
 
     run(test)
 
 
-def test_a_drain_does_not_touch_what_is_under_way() -> None:
+def test_drain_does_not_affect_inflight_requests() -> None:
     async def test() -> None:
         async with rig(silent) as r:
             caller = await r.caller()
@@ -191,12 +191,12 @@
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
             watch.send_list(42, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
-            assert (await pending)[0] == 504  # it was waited for, to the deadline
+            assert (await pending)[0] == 504  # the proxy waited for the response until the deadline
 
     run(test)
 
 
-def test_ids_and_words() -> None:
+def test_parsing_of_ids_and_entries() -> None:
     assert server_id("s-5be2a07c") == 0x5BE2A07C
     assert server_id("s-1") == 1
     assert server_id("anything else") == server_id("anything else") < 2**32
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, readiness, SIGTERM, exit codes."""
+"""Tests of the program as a process: configuration, readiness, signals, exit codes."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 @contextlib.asynccontextmanager
-async def proxy(
+async def running_proxy(
     tmp_path: Path, script: Script, discovery_port: int = 0
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int, Backend]]:
-    """A proxy process before one backend, ready."""
+    """Start a proxy process with one backend, and wait until it is ready."""
     backend = Backend(1, script)
     await backend.start()
     port = free_ports(1)[0]
@@ -71,46 +71,46 @@
     return Caller(*await asyncio.open_connection("127.0.0.1", port))
 
 
-def test_sigterm_finishes_what_was_taken(tmp_path: Path) -> None:
-    """Requests in work, on old connections and on ones that come after the signal, are all answered.
+def test_sigterm_completes_accepted_requests(tmp_path: Path) -> None:
+    """In-flight requests and requests on connections opened after the signal are all answered.
 
-    An old connection is served on for a while when no new one is taken any more.
+    An open connection is still served for a while after new ones are refused.
     """
-    go = asyncio.Event()
+    release = asyncio.Event()
 
-    async def wait(backend: Backend, seen: Message, writer: Writer) -> None:
-        await go.wait()
+    async def wait(backend: Backend, message: Message, writer: Writer) -> None:
+        await release.wait()
         writer.write(reply(body=b"late"))
 
     async def test() -> None:
-        async with proxy(tmp_path, wait) as (process, port, _):
-            kept = await connect(port)
-            early = await connect(port)
-            early.writer.write(request())
-            await early.writer.drain()
+        async with running_proxy(tmp_path, wait) as (process, port, _):
+            idle = await connect(port)
+            inflight = await connect(port)
+            inflight.writer.write(request())
+            await inflight.writer.drain()
             process.send_signal(signal.SIGTERM)
-            after = await connect(port)  # connections still come for a while
-            after.writer.write(request(request_id="2"))
+            late = await connect(port)  # connections are still accepted for a while
+            late.writer.write(request(request_id="2"))
             async with asyncio.timeout(PEER_TIMEOUT):
                 with contextlib.suppress(OSError):
                     while True:
                         (await connect(port)).abort()
                         await asyncio.sleep(0.02)
-            kept.writer.write(request(request_id="3"))
-            go.set()
-            for caller in (early, after, kept):
-                status, seen = await caller.answer()
-                assert (status, seen.body) == (200, b"late")
-            for caller in (early, after, kept):
+            idle.writer.write(request(request_id="3"))
+            release.set()
+            for caller in (inflight, late, idle):
+                status, response = await caller.answer()
+                assert (status, response.body) == (200, b"late")
+            for caller in (inflight, late, idle):
                 assert await caller.read_to_end() == b""
             assert await asyncio.wait_for(process.wait(), PEER_TIMEOUT) == 0
 
     run(test)
 
 
-def test_sigterm_with_nothing_to_do_ends_at_once(tmp_path: Path) -> None:
+def test_sigterm_without_requests_ends_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with proxy(tmp_path, serve_ok) as (process, port, _):
+        async with running_proxy(tmp_path, serve_ok) as (process, port, _):
             caller = await connect(port)
             assert (await caller.call())[0] == 200
             process.send_signal(signal.SIGTERM)
@@ -121,22 +121,22 @@
 
 
 def test_sighup_follows_discovery_and_keeps_serving(tmp_path: Path) -> None:
-    """A reload moves the watch to where the file says, also against the environment, and drops nobody.
+    """A reload moves the watch to the address in the file, which overrides the environment, and drops no request.
 
-    A file that can't be used changes nothing.
+    An invalid file changes nothing.
     """
 
     async def test() -> None:
         old, new = Discovery(), Discovery()
         await old.start()
         await new.start()
-        go = asyncio.Event()
+        release = asyncio.Event()
 
-        async def wait(backend: Backend, seen: Message, writer: Writer) -> None:
-            await go.wait()
+        async def wait(backend: Backend, message: Message, writer: Writer) -> None:
+            await release.wait()
             writer.write(reply(body=b"whole"))
 
-        async with proxy(tmp_path, wait, old.port) as (process, port, backend):
+        async with running_proxy(tmp_path, wait, old.port) as (process, port, backend):
             await old.watch()
             caller = await connect(port)
             caller.writer.write(request())
@@ -153,11 +153,11 @@
             process.send_signal(signal.SIGHUP)
             watch = await new.watch()
             watch.send_list(1, backend.discovery_entry(health="terminating"), whole=True)
-            go.set()
-            assert (await caller.answer())[1].body == b"whole"  # begun before the reload, on the same connection
+            release.set()
+            assert (await caller.answer())[1].body == b"whole"  # sent before the reload, on the same connection
             async with asyncio.timeout(PEER_TIMEOUT):
                 while (await caller.call(kind="once", request_id="2"))[0] != 503:
-                    await asyncio.sleep(0.01)  # until the new list is in force, there is still one backend
+                    await asyncio.sleep(0.01)  # until the new list is applied, one backend is available
             assert process.returncode is None
         await old.stop()
         await new.stop()
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "named"),
+    ("content", "expected"),
     [
         (None, b"LB_CONFIG"),
         (b"{", b"LB_CONFIG"),
@@ -183,7 +183,9 @@
         (orjson.dumps(GOOD | {"known": {"hosts": 1}}), b"known"),
     ],
 )
-def test_a_bad_configuration_is_named_in_one_line(tmp_path: Path, content: bytes | None, named: bytes) -> None:
+def test_invalid_configuration_is_reported_in_one_line(
+    tmp_path: Path, content: bytes | None, expected: bytes
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if content is not None:
@@ -191,12 +193,12 @@
         process = await launch({"LB_CONFIG": str(path)})
         _, errors = await asyncio.wait_for(process.communicate(), PEER_TIMEOUT)
         assert process.returncode == 2
-        assert errors.count(b"\n") == 1 and named in errors
+        assert errors.count(b"\n") == 1 and expected in errors
 
     run(test)
 
 
-#: A proxy whose configuration is replaced, with SIGHUP, between its reading and the event loop's start.
+#: A proxy whose configuration is replaced, followed by SIGHUP, between loading it and starting the event loop.
 RELOADED_EARLY = """
 import os, signal, sys
 from cometusher import config, service
@@ -212,13 +214,13 @@
 """
 
 
-def test_a_reload_that_comes_before_the_event_loop_is_not_missed(tmp_path: Path) -> None:
+def test_reload_before_the_event_loop_starts_is_not_lost(tmp_path: Path) -> None:
     async def test() -> None:
         before, after = Discovery(), Discovery()
         await before.start()
         await after.start()
         path = tmp_path / "config.json"
-        told = {
+        common = {
             "name": "t",
             "listen": f"127.0.0.1:{free_ports(1)[0]}",
             "seed": "ab",
@@ -226,8 +228,8 @@
             "known": {},
             "settings": SETTINGS,
         }
-        path.write_bytes(orjson.dumps(told | {"discovery": f"127.0.0.1:{before.port}"}))
-        (tmp_path / "config.json.new").write_bytes(orjson.dumps(told | {"discovery": f"127.0.0.1:{after.port}"}))
+        path.write_bytes(orjson.dumps(common | {"discovery": f"127.0.0.1:{before.port}"}))
+        (tmp_path / "config.json.new").write_bytes(orjson.dumps(common | {"discovery": f"127.0.0.1:{after.port}"}))
         base = {k: v for k, v in os.environ.items() if not k.startswith("LB_")}
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""What README promises: the embedding example runs as printed, and the set-up command brings all that is needed."""
+"""Checks README: the embedding example runs as printed, and the set-up command installs all dependencies."""
 
 import re
 import tomllib
@@ -15,13 +15,13 @@
 
 
 def pinned(name: str) -> list[str]:
-    """The requirements that a file names, without those that it includes."""
+    """The requirements in a file, without those of included files."""
     lines = (line.strip() for line in (ROOT / name).read_text().splitlines())
     return sorted(line for line in lines if line and not line.startswith("-"))
 
 
-def test_the_set_up_command_installs_what_the_project_declares() -> None:
-    """An environment that stands hides a file of requirements that was emptied; a new checkout does not."""
+def test_set_up_command_installs_the_declared_dependencies() -> None:
+    """An existing environment would hide that a requirements file lacks entries; a new checkout would fail."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     assert pinned("requirements.txt") == sorted(project["dependencies"])
     assert pinned("requirements-dev.txt") == sorted(project["optional-dependencies"]["dev"])
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault: what it lets pass, and what it does not."""
+"""Tests of the list of tests that fail because of a known defect."""
 
 from __future__ import annotations
 
@@ -20,56 +20,58 @@
 """
 
 
-def play(folder: Path, lines: str) -> tuple[int, str]:
-    """Run a folder's tests with such a list; the exit code and what was printed."""
+def run_tests(folder: Path, lines: str) -> tuple[int, str]:
+    """Run the module's tests in a folder with a list; returns the exit code and the output."""
     (folder / "test_it.py").write_text(MODULE)
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / known_red.FILE).write_text(lines)
     command = [sys.executable, "-m", "pytest", "-p", "known_red", "-p", "no:cacheprovider", "-q"]
-    done = subprocess.run(
+    result = subprocess.run(
         command, cwd=folder, env=os.environ | {"PYTHONPATH": str(TESTS)}, capture_output=True, text=True, check=False
     )
-    return done.returncode, done.stdout
+    return result.returncode, result.stdout
 
 
 BOTH = "test_it.py::test_both | a fault | issue 2\n"
 
 
-def test_just_the_listed_tests_may_fail(tmp_path: Path) -> None:
-    code, text = play(tmp_path, f"test_it.py::test_red | a fault | issue 1\n\n{BOTH}")
+def test_listed_tests_may_fail(tmp_path: Path) -> None:
+    code, text = run_tests(tmp_path, f"test_it.py::test_red | a fault | issue 1\n\n{BOTH}")
     assert code == 0 and "1 passed, 3 xfailed" in text
 
 
-def test_one_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
-    code, text = play(tmp_path, BOTH)
+def test_failure_of_an_unlisted_test_fails_the_run(tmp_path: Path) -> None:
+    code, text = run_tests(tmp_path, BOTH)
     assert code == 1 and "1 failed, 1 passed, 2 xfailed" in text
 
 
-def test_a_listed_one_that_passes_fails_the_run(tmp_path: Path) -> None:
-    code, text = play(tmp_path, f"test_it.py::test_red | a | 1\ntest_it.py::test_green | b | 2\n{BOTH}")
+def test_pass_of_a_listed_test_fails_the_run(tmp_path: Path) -> None:
+    code, text = run_tests(tmp_path, f"test_it.py::test_red | a | 1\ntest_it.py::test_green | b | 2\n{BOTH}")
     assert code == 1 and "XPASS(strict)" in text
 
 
-def test_a_name_that_begins_alike_is_not_covered() -> None:
+def test_name_with_a_common_prefix_is_not_covered() -> None:
     assert not known_red.KnownRed("t.py::test_a", "x", "1").covers("t.py::test_ab")
 
 
 @pytest.mark.parametrize(
-    ("lines", "why"),
+    ("lines", "error_text"),
     [
         ("a | b\n", "KNOWN-RED.txt:1: not of the form"),
         ("a | b | c\na | | c\n", "KNOWN-RED.txt:2: not of the form"),
         ("a | b | c\n" * 4, "4 lines, 3 at most"),
     ],
 )
-def test_a_list_that_makes_no_sense_is_refused(tmp_path: Path, lines: str, why: str) -> None:
+def test_invalid_list_is_rejected(tmp_path: Path, lines: str, error_text: str) -> None:
     (tmp_path / known_red.FILE).write_text(lines)
-    with pytest.raises(known_red.BadList, match=why):
+    with pytest.raises(known_red.InvalidList, match=error_text):
         known_red.read_list(tmp_path / known_red.FILE)
     assert known_red.main(tmp_path) == 1
 
 
-def test_each_line_is_printed_and_names_a_test(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_program_prints_each_line_and_rejects_unknown_tests(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     (tmp_path / "test_it.py").write_text(MODULE)
     (tmp_path / known_red.FILE).write_text("test_it.py::test_red | a fault | issue 1\n")
     assert known_red.main(tmp_path) == 0
@@ -79,5 +81,5 @@
     assert "no such test: test_it.py::test_gone" in capsys.readouterr().err
 
 
-def test_without_a_list_nothing_is_expected(tmp_path: Path) -> None:
+def test_missing_list_is_empty(tmp_path: Path) -> None:
     assert known_red.read_list(tmp_path / known_red.FILE) == [] and known_red.main(tmp_path) == 0
--- a/tests/unit/test_schemas.py
+++ b/tests/unit/test_schemas.py
@@ -1,4 +1,4 @@
-"""The published schemas are what the readers ask; files of the project keep to them, and broken ones do not."""
+"""The published schemas match the readers; the project's files are valid against them, and invalid files are not."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 FILES += [("drill", path) for path in sorted((ROOT / "deploy" / "drills").glob("*.toml"))]
 
 
-def faults(name: str, values: dict[str, Any]) -> list[str]:
-    return [fault.json_path for fault in Draft202012Validator(schema(name)).iter_errors(values)]
+def schema_errors(name: str, values: dict[str, Any]) -> list[str]:
+    return [error.json_path for error in Draft202012Validator(schema(name)).iter_errors(values)]
 
 
 @pytest.mark.parametrize("name", sorted(FILE_KINDS))
-def test_what_is_published_is_what_is_read(name: str) -> None:
+def test_published_schema_matches_the_reader(name: str) -> None:
     published = orjson.loads((ROOT / "deploy" / "schema" / f"{name}.json").read_bytes())
     assert published == schema(name), "python -m cometusher.schemas deploy/schema"
     Draft202012Validator.check_schema(published)
 
 
 @pytest.mark.parametrize(("name", "path"), FILES, ids=[path.stem for _, path in FILES])
-def test_the_projects_own_files_keep_to_them(name: str, path: Path) -> None:
+def test_project_files_are_valid(name: str, path: Path) -> None:
     values = tomllib.loads(path.read_text())
-    assert not faults(name, values)
+    assert not schema_errors(name, values)
     if name == "fleet":
-        assert not faults(name, values | {"comeback": {"list_for": 60.0, "herd_share": 0.5}})
+        assert not schema_errors(name, values | {"comeback": {"list_for": 60.0, "herd_share": 0.5}})
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
         ("policy", "jitter", "a"),
     ],
 )
-def test_what_the_reader_refuses_breaks_the_schema(table: str, key: str, value: Any) -> None:
+def test_values_that_the_reader_rejects_violate_the_schema(table: str, key: str, value: Any) -> None:
     values = tomllib.loads((ROOT / "deploy" / "fleet.toml").read_text())
     values.setdefault(table, {})[key] = value
-    assert [fault for fault in faults("fleet", values) if fault.startswith(f"$.{table}")]
+    assert [error for error in schema_errors("fleet", values) if error.startswith(f"$.{table}")]
