--- a/cometusher/fault_injection/environment.py
+++ b/cometusher/fault_injection/environment.py
@@ -39,7 +39,10 @@
 REPEATABLE_CLASSES = [LoadClass("report-view", 0.63, 3.0, False), LoadClass("submit", 0.37, 2.5, True)]
 NON_REPEATABLE_SERVICE = {"Name": "sign-off", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "Credit": 4.0}
 ALL_CLASSES = [
-    *(LoadClass(kind.name, kind.share * 0.7, kind.budget, kind.keyed) for kind in REPEATABLE_CLASSES),
+    *(
+        LoadClass(load_class.name, load_class.share * 0.7, load_class.budget, load_class.keyed)
+        for load_class in REPEATABLE_CLASSES
+    ),
     LoadClass("sign-off", 0.3, 3.0, False, True),
 ]
 
--- a/cometusher/fault_injection/runner.py
+++ b/cometusher/fault_injection/runner.py
@@ -88,7 +88,9 @@
                 scenario_fleet.takeover,
                 scenario_fleet.failure_detector,
             )
-            fleet.isolated = [f"p{index}" for index in range(min(scenario_fleet.isolated, scenario_fleet.instances))]
+            fleet.isolated = [
+                f"p{index}" for index in range(min(scenario_fleet.isolated_count, scenario_fleet.instances))
+            ]
             if scenario_fleet.takeover:  # many single exits are injected, and must not exhaust the restart budget
                 fleet.policy = {"budget": 10_000, "backoff_to": 0.5, "hang_after": 2.5}
         self.world.backend_stats.max_work = scenario.max_work
--- a/cometusher/fault_injection/scenario.py
+++ b/cometusher/fault_injection/scenario.py
@@ -74,7 +74,7 @@
     recovery: bool
     takeover: bool
     failure_detector: bool = False
-    isolated: int = 0  # number of instances, from the first, that have links of their own
+    isolated_count: int = 0  # number of instances, from the first, that have links of their own
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,7 +169,7 @@
     if fleet and fleet not in [candidate.name for candidate in fleets]:
         raise table.error("fleet", f"{fleet!r} is not one of the fleets")
     link = table.choice("link", "", LINKS + OWN_LINKS) if table.has("link") else ""
-    if link in OWN_LINKS and not any(candidate.isolated for candidate in fleets):
+    if link in OWN_LINKS and not any(candidate.isolated_count for candidate in fleets):
         raise table.error("link", f"{link!r} needs a fleet with `own` above 0")
     if (action == "link") is not bool(link):
         raise table.error("link", 'required with `do = "link"`, and allowed only there')
