--- a/cometusher/simulation/seed_search.py
+++ b/cometusher/simulation/seed_search.py
@@ -1,7 +1,8 @@
-"""Many seeds on all cores, and from a failing one to the smallest script that still fails.
+"""Runs many seeds on all cores, and shrinks the plan of a failing seed to the smallest script that still fails.
 
-A failure is named by the oracles that it breaks; a smaller plan counts if it breaks the same one first. Workers are
-processes of their own: what one run leaves behind can't reach another's, and the order of workers decides nothing.
+A failure is identified by the oracles that it violates; a smaller plan counts if it violates the first of them too.
+Workers are separate processes: runs of different workers cannot affect each other, and the order of workers does not
+affect results.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 from pathlib import Path
 from typing import TypeVar
 
-from cometusher.simulation.script import Fault, Plan, PlannedRequest, draw
+from cometusher.simulation.script import Fault, Plan, PlannedRequest, draw_plan
 from cometusher.simulation.world import Result, run_plan
 
 T = TypeVar("T", PlannedRequest, Fault)
-MAX_SHRINK_RUNS = 400  # runs that shrinking one plan may take, unless told otherwise
-MAX_VIOLATIONS = 12  # of an account that are kept of a failing run
+MAX_SHRINK_RUNS = 400  # default limit of runs for shrinking one plan
+MAX_VIOLATIONS = 12  # violations of a failing run that are reported
 
 
 @dataclass(frozen=True)
 class SeedResult:
-    """What one seed did, small enough to send between processes."""
+    """The result of one seed, small enough to send between processes."""
 
     seed: int
     world: str
@@ -40,14 +41,14 @@
 
 
 def freeze_heap() -> None:
-    """A worker has all that it needs: what is alive now need not be looked at again."""
+    """Exclude the objects of an initialized worker from garbage collection, which makes later collections cheaper."""
     gc.collect()
     gc.freeze()
 
 
 def run_seed(world: str, seed: int) -> SeedResult:
-    """Run one seed."""
-    result = run_plan(draw(seed, world))
+    """Run the plan of one seed."""
+    result = run_plan(draw_plan(seed, world))
     return SeedResult(
         seed,
         result.plan.world,
@@ -60,7 +61,7 @@
 
 
 def search(seeds: Iterable[int], world: str = "any", jobs: int = 0) -> Iterator[SeedResult]:
-    """Run seeds, in their order, on so many processes (0: one for each core)."""
+    """Run seeds on `jobs` processes (0: one for each core); results come in the order of the seeds."""
     jobs = jobs or multiprocessing.cpu_count()
     if jobs == 1:
         yield from map(functools.partial(run_seed, world), seeds)
@@ -71,7 +72,7 @@
 
 @dataclass
 class Shrinker:
-    """Takes away what a failure does not need."""
+    """Removes from a plan what its failure does not need."""
 
     oracle: str
     run: Callable[[Plan], Result] = run_plan
@@ -79,62 +80,64 @@
     runs: int = 0
 
     def fails(self, plan: Plan) -> bool:
-        """Whether a plan still breaks the rule."""
+        """Whether a plan still violates the oracle; false once `max_runs` is used up."""
         if self.runs >= self.max_runs:
             return False
         self.runs += 1
         return self.oracle in self.run(plan).oracles
 
     def minimize(self, items: Sequence[T], fails: Callable[[tuple[T, ...]], bool]) -> tuple[T, ...]:
-        """The fewest items, by taking away ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
+        """A minimal failing subset, removing ever smaller pieces (delta debugging, Zeller and Hildebrandt 2002)."""
         kept = tuple(items)
         if kept and fails(()):
             return ()
         size = max(1, len(kept) // 2)
         while kept:
-            at = 0
-            while at < len(kept):
-                fewer = kept[:at] + kept[at + size :]
+            start = 0
+            while start < len(kept):
+                fewer = kept[:start] + kept[start + size :]
                 if fewer and fails(fewer):
                     kept = fewer
                 else:
-                    at += size
+                    start += size
             if size == 1:
                 break
             size = max(1, size // 2)
         return kept
 
     def shrink(self, plan: Plan) -> Plan:
-        """The smallest plan that was found; the same one if nothing can go."""
+        """The smallest failing plan that was found; the same plan if nothing can be removed."""
         plan = self._fewer_faults(plan)
-        requests = self.minimize(plan.requests, lambda some: self.fails(replace(plan, requests=some)))
+        requests = self.minimize(plan.requests, lambda subset: self.fails(replace(plan, requests=subset)))
         plan = self._fewer_faults(replace(plan, requests=requests))
         for changes in self._simplifications(plan):
-            fresh = replace(plan, **changes)  # type: ignore[arg-type]
-            if fresh != plan and self.fails(fresh):
-                plan = fresh
+            simpler = replace(plan, **changes)  # type: ignore[arg-type]
+            if simpler != plan and self.fails(simpler):
+                plan = simpler
         return plan
 
     def _fewer_faults(self, plan: Plan) -> Plan:
-        faults = self.minimize(plan.faults, lambda some: self.fails(replace(plan, faults=some)))
+        faults = self.minimize(plan.faults, lambda subset: self.fails(replace(plan, faults=subset)))
         return replace(plan, faults=faults)
 
     @staticmethod
     def _simplifications(plan: Plan) -> list[dict[str, float]]:
-        last = max([ask.at for ask in plan.requests] + [f.at + f.seconds for f in plan.faults] + [0.5])
+        last = max(
+            [request.at for request in plan.requests] + [fault.at + fault.seconds for fault in plan.faults] + [0.5]
+        )
         return [{"seconds": round(min(plan.seconds, last + 1.0), 1)}, {"cut": 0.0}, {"jitter": 0.0}]
 
 
-def shrink(plan: Plan, most: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
-    """The smallest plan that fails as this one does, and the rule that it breaks; ValueError if it breaks none."""
+def shrink(plan: Plan, max_runs: int = MAX_SHRINK_RUNS) -> tuple[Plan, str]:
+    """The smallest plan that fails like this one, and the violated oracle; raises ValueError if none is."""
     oracles = run_plan(plan).oracles
     if not oracles:
         raise ValueError("the plan breaks no rule")
-    return Shrinker(oracles[0], max_runs=most).shrink(plan), oracles[0]
+    return Shrinker(oracles[0], max_runs=max_runs).shrink(plan), oracles[0]
 
 
 def in_fresh_processes(code: str, folder: Path, hash_seeds: Iterable[int]) -> set[str]:
-    """What some code prints in new processes in a folder, one for each PYTHONHASHSEED; raises CalledProcessError."""
+    """The distinct outputs of code in new processes, one for each PYTHONHASHSEED; raises CalledProcessError."""
     command = [sys.executable, "-c", code]
     running = [
         subprocess.Popen(
@@ -150,11 +153,11 @@
 
 
 class Stopwatch:
-    """Real seconds since it was made."""
+    """Measures real time since its construction."""
 
     def __init__(self) -> None:
         self._began = time.perf_counter()
 
     def seconds(self) -> float:
-        """So many."""
+        """Elapsed real seconds."""
         return time.perf_counter() - self._began
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: pushed lists, lists that are asked for, and what can be wrong with them."""
+"""Discovery over loopback sockets: pushed lists, polled lists, and malformed or missing messages."""
 
 from __future__ import annotations
 
@@ -11,75 +11,75 @@
 from test_proxy import run, silent
 
 from cometusher import discovery as discovery_module
-from cometusher.discovery import read_entry, server_id
+from cometusher.discovery import parse_entry, server_id
 from weldroute import Action, ListKind, ServerRow, State
 
-ASKED = {"RegistryMode": "on_request"}
+POLLED = {"RegistryMode": "on_request"}
 
 
 def state(r: Rig, number: int) -> State:
-    """What the module knows of a backend; one that is gone is forgotten."""
+    """The state of a backend in weldroute; a backend that is gone is no longer listed there."""
     server = r.proxy.balancer.servers.get(number)
     return server.row.state if server is not None else State.GONE
 
 
-def test_the_watch_begins_at_the_known_version_and_changes_apply() -> None:
+def test_watch_starts_at_the_known_version_and_applies_changes() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            assert watch.line == b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1"
-            watch.tell(43, r.backends[0].entry(health="terminating"))
+            assert watch.request_line == b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1"
+            watch.send_list(43, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
             for i in range(10):
-                assert (await r.call(rid=str(i)))[1].body == b"s-2"
-            watch.tell(44, r.backends[0].entry(health="terminated"))
+                assert (await r.call(request_id=str(i)))[1].body == b"s-2"
+            watch.send_list(44, r.backends[0].discovery_entry(health="terminated"))
             await until(lambda: state(r, 1) is State.GONE)
 
     run(test)
 
 
-def test_a_whole_list_replaces_the_old_one() -> None:
+def test_whole_list_replaces_the_old_one() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(90, r.backends[1].entry(), whole=True)
+            watch.send_list(90, r.backends[1].discovery_entry(), whole=True)
             await until(lambda: state(r, 1) is State.GONE)
             assert state(r, 2) is State.UP
 
     run(test)
 
 
-def test_a_new_address_is_used_from_then_on() -> None:
+def test_new_address_of_a_backend_is_used() -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[1].entry(health="terminated"))
-            watch.tell(43, r.backends[0].entry(dial=f"127.0.0.1:{r.backends[1].port}"))
+            watch.send_list(42, r.backends[1].discovery_entry(health="terminated"))
+            watch.send_list(43, r.backends[0].discovery_entry(dial=f"127.0.0.1:{r.backends[1].port}"))
             await until(lambda: r.proxy.discovery._seq == 43)
             assert (await r.call())[1].body == b"s-2"
 
     run(test)
 
 
-def test_an_address_that_another_has_taken_over_says_that_the_first_is_gone() -> None:
-    """Whichever of the two discovery names last: the later start counts."""
+def test_backend_whose_address_another_has_taken_over_is_gone() -> None:
+    """The backend with the later start time keeps the address, whichever entry discovery sends last."""
 
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            old = r.backends[0].entry()
+            old = r.backends[0].discovery_entry()
             new = old | {"host": "s-9", "born_ms": 5000}
-            watch.tell(42, new)
+            watch.send_list(42, new)
             await until(lambda: state(r, 9) is State.UP)
             assert state(r, 1) is State.GONE
-            watch.tell(43, old)
-            watch.tell(44, r.backends[1].entry(health="terminated"))
+            watch.send_list(43, old)
+            watch.send_list(44, r.backends[1].discovery_entry(health="terminated"))
             await until(lambda: state(r, 2) is State.GONE)
             assert state(r, 1) is State.GONE and state(r, 9) is State.UP
             assert (await r.call())[0] == 200
-            watch.tell(45, new | {"health": "terminated"})
+            watch.send_list(45, new | {"health": "terminated"})
             await until(lambda: state(r, 9) is State.GONE)
-            watch.tell(46, old)  # free again
+            watch.send_list(46, old)  # the address is free again
             await until(lambda: state(r, 1) is State.UP)
             assert not r.proxy.backends._owners.keys() - {("127.0.0.1", r.backends[0].port)}
 
@@ -89,25 +89,27 @@
 @pytest.mark.parametrize(
     "line", [b"{]\n", b'{"seq":"x","hosts":[]}\n', b'{"seq":42}\n', b"[1]\n", b'{"seq":3,"whole":false,"hosts":[]}\n']
 )
-def test_an_unreadable_line_keeps_the_list_and_the_watch_is_renewed(line: bytes) -> None:
+def test_malformed_message_keeps_the_list_and_renews_the_watch(line: bytes) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
             (await r.discovery.watch()).send(line)
             watch = await r.discovery.watch()
-            assert b"&from=" in watch.line
+            assert b"&from=" in watch.request_line
             assert state(r, 1) is State.UP
-            watch.tell(50, r.backends[0].entry(health="terminating"))
+            watch.send_list(50, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
 
     run(test)
 
 
-@pytest.mark.parametrize("odd", [{"host": 7}, {"dial": "nowhere"}, {"block": "x"}, {"born_ms": []}])
-def test_an_odd_entry_does_not_hide_the_others(odd: dict[str, Any]) -> None:
+@pytest.mark.parametrize("malformed", [{"host": 7}, {"dial": "nowhere"}, {"block": "x"}, {"born_ms": []}])
+def test_malformed_entry_does_not_hide_the_others(malformed: dict[str, Any]) -> None:
     async def test() -> None:
         async with rig(serve_ok, serve_ok) as r:
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[1].entry(**odd), r.backends[0].entry(health="terminating"))
+            watch.send_list(
+                42, r.backends[1].discovery_entry(**malformed), r.backends[0].discovery_entry(health="terminating")
+            )
             await until(lambda: state(r, 1) is State.DRAINING)
             assert state(r, 2) is State.UP
 
@@ -115,13 +117,13 @@
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", b"what\r\n\r\n"])
-def test_a_watch_that_fails_is_asked_for_again(answer: bytes) -> None:
+def test_failed_watch_is_opened_again(answer: bytes) -> None:
     async def test() -> None:
         async with rig(serve_ok) as r:
-            r.discovery.answer, good = answer, r.discovery.answer
+            r.discovery.answer, valid_answer = answer, r.discovery.answer
             (await r.discovery.watch()).writer.close()
             await r.discovery.watch()
-            r.discovery.answer = good
+            r.discovery.answer = valid_answer
             assert (await r.call())[0] == 200
             await until(lambda: r.discovery.watches.empty())
 
@@ -129,8 +131,8 @@
 
 
 def test_missing_heartbeats_end_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that vanishes leaves the connection open and silent."""
-    monkeypatch.setattr(discovery_module, "HEARTBEAT", 0.2)
+    """A machine that disappears leaves the connection open without data."""
+    monkeypatch.setattr(discovery_module, "HEARTBEAT_TIMEOUT", 0.2)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -141,7 +143,7 @@
 
 
 def test_heartbeats_keep_a_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "HEARTBEAT", 5.0)
+    monkeypatch.setattr(discovery_module, "HEARTBEAT_TIMEOUT", 5.0)
 
     async def test() -> None:
         async with rig(serve_ok) as r:
@@ -154,31 +156,31 @@
     run(test)
 
 
-def test_where_discovery_is_asked_the_module_asks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every call is a Subscribe of the module, and a watch that ends is told as BROKEN."""
-    told: list[ListKind] = []
+def test_polls_are_requested_by_weldroute(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each poll is a Subscribe action of weldroute, and the end of a watch is reported as BROKEN."""
+    received: list[ListKind] = []
 
     async def test() -> None:
-        async with rig(serve_ok, settings=ASKED) as r:
+        async with rig(serve_ok, settings=POLLED) as r:
             members = r.proxy.balancer.members
 
             def collect(now: float, kind: ListKind, rows: Sequence[ServerRow]) -> list[Action]:
-                told.append(kind)
+                received.append(kind)
                 return members(now, kind, rows)
 
             monkeypatch.setattr(r.proxy.balancer, "members", collect)
             watch = await r.discovery.watch()
-            watch.tell(42, r.backends[0].entry(), whole=True)
-            await until(lambda: told == [ListKind.WHOLE])
+            watch.send_list(42, r.backends[0].discovery_entry(), whole=True)
+            await until(lambda: received == [ListKind.WHOLE])
             watch.writer.close()
-            await until(lambda: told == [ListKind.WHOLE, ListKind.BROKEN])
-            again = await r.discovery.watch()
-            assert again.line.endswith(b"from=42 HTTP/1.1")
+            await until(lambda: received == [ListKind.WHOLE, ListKind.BROKEN])
+            second_watch = await r.discovery.watch()
+            assert second_watch.request_line.endswith(b"from=42 HTTP/1.1")
 
     run(test)
 
 
-def test_a_drain_does_not_touch_what_is_under_way() -> None:
+def test_drain_does_not_affect_inflight_requests() -> None:
     async def test() -> None:
         async with rig(silent) as r:
             caller = await r.caller()
@@ -187,17 +189,17 @@
             watch = await r.discovery.watch()
             pending = asyncio.ensure_future(r.call(kind="once", budget="400m"))
             await asyncio.wait_for(r.backends[0].arrived.wait(), 5.0)
-            watch.tell(42, r.backends[0].entry(health="terminating"))
+            watch.send_list(42, r.backends[0].discovery_entry(health="terminating"))
             await until(lambda: state(r, 1) is State.DRAINING)
-            assert (await pending)[0] == 504  # it was waited for, to the deadline
+            assert (await pending)[0] == 504  # the proxy waited for the response until the deadline
 
     run(test)
 
 
-def test_ids_and_words() -> None:
+def test_parsing_of_ids_and_entries() -> None:
     assert server_id("s-5be2a07c") == 0x5BE2A07C
     assert server_id("s-1") == 1
     assert server_id("anything else") == server_id("anything else") < 2**32
     item = {"host": "s-1", "dial": "127.0.0.1:1", "site": "b", "health": "on_fire", "born_ms": 1500, "block": 3}
-    row = read_entry(item, ("a", "b")).row
+    row = parse_entry(item, ("a", "b")).row
     assert (row.zone, row.cell, row.started, row.state) == (1, 3, 1.5, State.DRAINING)
--- a/tests/unit/test_drill.py
+++ b/tests/unit/test_drill.py
@@ -39,7 +39,7 @@
     for event in first:
         assert pick_targets(event, names) == pick_targets(event, names) and len(pick_targets(event, names)) == 5
     assert all(
-        pick_targets(event, names) == pick_targets(again, names) for event, again in zip(first, second, strict=True)
+        pick_targets(drawn, names) == pick_targets(same, names) for drawn, same in zip(first, second, strict=True)
     )
     other = read_scenario(write_scenario(tmp_path, (HEADER + 3 * fault).replace("seed = 7", "seed = 8")))
     assert schedule(other) != first
@@ -66,7 +66,7 @@
 
 
 def test_every_action_and_link_fault_is_implemented() -> None:
-    assert set(ACTION_TARGETS) == set(ACTIONS) and set(LINK_FAULTS) == set(faulty_link.MOODS)
+    assert set(ACTION_TARGETS) == set(ACTIONS) and set(LINK_FAULTS) == set(faulty_link.LINK_FAULTS)
 
 
 def test_full_service_begins_after_the_last_request_that_was_not_served_promptly() -> None:
