--- a/tests/loopback/test_recovery_processes.py
+++ b/tests/loopback/test_recovery_processes.py
@@ -86,7 +86,7 @@
             await wait_for(lambda: all_full(fleet), "full service without discovery")
             assert not [row for row in (await fleet.instance_status()).values() if row["comeback"]["told"]]
             await wait_for_service(w)
-            assert (await fleet.status())["comeback"][-1]["cause"].startswith("the supervisor before")
+            assert (await fleet.status())["comeback"][-1]["cause"].startswith("the previous supervisor")
             await w.discovery.reconnect()
             await wait_for(lambda: discovery_reported_to_all(fleet), "discovery has reported")
             await wait_for_service(w)
