--- a/cometusher/simulation/network.py
+++ b/cometusher/simulation/network.py
@@ -166,9 +166,8 @@
         self._closing = False
         self._descriptor_closed = False  # whether the descriptor is closed
         self._read_scheduled = False  # whether a read is scheduled
-        self._blocked_deliveries: deque[tuple[int, Callable[[], None]]] = (
-            deque()
-        )  # to be sent when the partition ends
+        # What is to be sent when the partition ends: size and delivery.
+        self._blocked_deliveries: deque[tuple[int, Callable[[], None]]] = deque()
         network.transport_count += 1
         self.number = network.transport_count  # identifies the connection, as a descriptor would
         self.bytes_written = 0  # by the program
--- a/cometusher/simulation/oracles.py
+++ b/cometusher/simulation/oracles.py
@@ -83,8 +83,8 @@
     """What discovery has reported to one proxy about one backend."""
 
     up: bool
-    since: float
-    born_ms: float
+    since: float  # when the proxy was told of this state
+    born_ms: float  # Unix time of a cold backend's start; 0 for a warm one
 
 
 @dataclass
@@ -518,8 +518,8 @@
         """Whether a holder of a request was killed after the request was sent."""
         if request.no_live_proxy:
             return True
-        dead = (at for holder in request.holders for at in self._deaths.get(holder, ()))
-        return any(request.sent_at - self._round_trip <= at <= now for at in dead)
+        death_times = (time for holder in request.holders for time in self._deaths.get(holder, ()))
+        return any(request.sent_at - self._round_trip <= time <= now for time in death_times)
 
     def _is_excused(self, request: RequestState, now: float) -> bool:
         """Whether a holder of a request was killed or blocked after the request was sent."""
--- a/cometusher/simulation/orphans.py
+++ b/cometusher/simulation/orphans.py
@@ -84,8 +84,8 @@
         """Assign an empty journal to a process that is about to start."""
         self.started_count += 1
         book = self.started_count % JOURNAL_POOL.books
-        at = JOURNAL_POOL.journal_offset(book)
-        self.memory[at : at + JOURNAL_POOL.journal_stride] = bytes(JOURNAL_POOL.journal_stride)
+        offset = JOURNAL_POOL.journal_offset(book)
+        self.memory[offset : offset + JOURNAL_POOL.journal_stride] = bytes(JOURNAL_POOL.journal_stride)
         self._journal_by_process[self.started_count] = book
         return JournalAssignment(self.started_count, book, JOURNAL_POOL)
 
@@ -103,7 +103,7 @@
         self.loop.call_later(self.rng.uniform(*DETECTION_DELAY), callback, *arguments, context=contextvars.Context())
 
     def _on_reaped(self, process: int, orphans: dict[int, VirtualTransport]) -> None:
-        offered = {piece for piece, claim in self.planner.assigned() if claim.successor == process}
+        offered = {request for request, claim in self.planner.assigned() if claim.successor == process}
         self._record_adoptions()
         unconfirmed = offered & set(self.planner.claims)
         self.planner.on_reaped(process)
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -61,9 +61,9 @@
 COLD_PERIOD, COLD_FROM, FALL_MULTIPLE, FALL_AFTER = 6.0, 0.1, 2.0, 1.0
 WINDOW_BYTES = 64 * 1024  # receive window of a connection
 KEY_WINDOW = 3.0  # seconds in which a zone's backends recognise an idempotency key
-DEADLINE = 1.5
-WORK_SECONDS = {"view": 0.06, "submit": 0.05, "pay": 0.04}
-SPEEDS = (1.0, 1.6, 0.8)
+DEADLINE = 1.5  # seconds; the hard limit of every class of request
+WORK_SECONDS = {"view": 0.06, "submit": 0.05, "pay": 0.04}  # of a backend of speed 1, by class of request
+SPEEDS = (1.0, 1.6, 0.8)  # of backends, in turn
 FRONT_DEATH_DELAY = (2.0, 3.8)  # seconds until the front stops routing to a proxy that died
 FRONT_STOP_DELAY = 0.3  # seconds until the front stops routing to a proxy that was ordered to stop
 DISCOVERY_DEATH_DELAY = 1.0  # seconds until discovery lists a dead backend as terminated (a started one: 0.2)
@@ -158,7 +158,7 @@
     routed: bool = False  # whether the front routes clients here
     draining: bool = False
     accepts_until: float = 0.0  # after an order to stop, it must accept connections until then
-    starved: bool = False  # whether a fault made it run out of descriptors
+    starved: bool = False  # whether a fault took its descriptors, or it ran out of them
     discovery_index: int = 0  # which of the two discovery services it uses
     generation: int = 0
     process_count: int = 0  # processes started so far
@@ -217,9 +217,8 @@
     seq: int = 1
     machines: list[Machine] = field(default_factory=list)
     lists: list[HostList] = field(default_factory=list)
-    last_seen_seq: dict[tuple[str, int], int] = field(
-        default_factory=dict
-    )  # newest sequence number by proxy generation and service
+    # By proxy generation and service: the newest sequence number that was sent.
+    last_seen_seq: dict[tuple[str, int], int] = field(default_factory=dict)
     starting: set[int] = field(default_factory=set)  # indices of services that are starting
 
 
@@ -605,33 +604,33 @@
             elif pending.over:
                 del self._pending_bans[pending]
 
-    def _request_id(self, seen: Message) -> str:
-        return seen.headers.get(b"x-call-id", b"-").decode()
+    def _request_id(self, message: Message) -> str:
+        return message.headers.get(b"x-call-id", b"-").decode()
 
-    def on_request(self, service: ServiceBackend, seen: Message) -> None:
-        self.checker.on_backend_received(self.loop.time(), self._request_id(seen), service.host, len(seen.body))
+    def on_request(self, service: ServiceBackend, message: Message) -> None:
+        self.checker.on_backend_received(self.loop.time(), self._request_id(message), service.host, len(message.body))
 
-    def on_rejected(self, service: ServiceBackend, seen: Message) -> None:
-        self.checker.on_backend_rejected(self.loop.time(), self._request_id(seen), service.host)
+    def on_rejected(self, service: ServiceBackend, message: Message) -> None:
+        self.checker.on_backend_rejected(self.loop.time(), self._request_id(message), service.host)
 
-    def on_run(self, service: ServiceBackend, seen: Message, effect: bool) -> None:
-        key = seen.headers.get(b"idempotency-key")
+    def on_run(self, service: ServiceBackend, message: Message, effect: bool) -> None:
+        key = message.headers.get(b"idempotency-key")
         tier = self._backend_by_host[service.host].tier
         effect_key = None if key is None else f"{tier} {key.decode()}"
-        self.checker.on_backend_ran(self.loop.time(), self._request_id(seen), service.host, effect_key, effect)
+        self.checker.on_backend_ran(self.loop.time(), self._request_id(message), service.host, effect_key, effect)
 
-    def on_overload(self, service: ServiceBackend, sent: float, carries: float) -> None:
-        self.checker.on_cold_overload(self.loop.time(), service.host, sent, carries)
+    def on_overload(self, service: ServiceBackend, load: float, capacity: float) -> None:
+        self.checker.on_cold_overload(self.loop.time(), service.host, load, capacity)
 
     def on_call(
-        self, service: ServiceBackend, pending: PendingRequest, seen: Message, budget: float
+        self, service: ServiceBackend, pending: PendingRequest, message: Message, budget: float
     ) -> PendingRequest:
         """A backend calls the next tier through its own proxy, as any caller does."""
         match = CALL_ID.search(pending.pieces[0])
         slot = self._backend_by_host[service.host].own_proxy
         assert match is not None and slot is not None
-        class_name = seen.headers[b"x-call-class"].decode()
-        answer_size = int(seen.headers.get(b"x-want", b"0"))
+        class_name = message.headers[b"x-call-class"].decode()
+        answer_size = int(message.headers.get(b"x-want", b"0"))
         self._track(pending, match[1].decode(), class_name, slot, service.host, budget, answer_size)
         return pending
 
