--- a/cometusher/discovery.py
+++ b/cometusher/discovery.py
@@ -123,7 +123,7 @@
         self.ended = False
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes; raises MalformedAnswer."""
+        """Parse the next bytes; raises MalformedAnswer."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -155,8 +155,13 @@
             return
         self._message_lines.append(line)
         self._message_size += len(line)
-        bare = _JSON_STRING.sub(b"", line)
-        self._bracket_depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+        without_strings = _JSON_STRING.sub(b"", line)
+        self._bracket_depth += (
+            without_strings.count(b"{")
+            + without_strings.count(b"[")
+            - without_strings.count(b"}")
+            - without_strings.count(b"]")
+        )
         if self._bracket_depth <= 0:
             self.messages.append(b"\n".join(self._message_lines))
             self._message_lines = []
--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -137,23 +137,23 @@
         self._attaching = 0  # accepted, but not yet attached to the event loop
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
-        self._watch()
+        self._start_accepting()
 
     @property
     def port(self) -> int:
         """The port of the listener."""
         return self._listener.port
 
-    def _watch(self) -> None:
+    def _start_accepting(self) -> None:
         if not self._closed:
             self._listener.watch(self._accept)
 
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
             if len(self._connections) + self._attaching >= MAX_CONNECTIONS:
-                self._make_room()
+                self._evict_idle()
                 self._listener.unwatch()
-                self._loop.call_later(ACCEPT_RETRY_DELAY, self._watch)
+                self._loop.call_later(ACCEPT_RETRY_DELAY, self._start_accepting)
                 return
             try:
                 connection = self._listener.accept()
@@ -163,7 +163,7 @@
                 # The listener stays readable after EMFILE, ENFILE or ENOMEM: without a pause this would spin.
                 log.warning("management: accept failed: %s", error)
                 self._listener.unwatch()
-                self._loop.call_later(DESCRIPTOR_RETRY_DELAY, self._watch)
+                self._loop.call_later(DESCRIPTOR_RETRY_DELAY, self._start_accepting)
                 return
             self._attaching += 1
             task = self._loop.create_task(self._adopt(connection))
@@ -180,15 +180,15 @@
         finally:
             self._attaching -= 1
 
-    def _make_room(self) -> None:
+    def _evict_idle(self) -> None:
         """Abort the oldest connections without a complete call; their places are free once they have closed."""
-        young = self._loop.time() - EVICTION_GRACE
-        silent = [
+        opened_before = self._loop.time() - EVICTION_GRACE
+        idle = [
             connection
             for connection in self._connections
-            if connection.opened_at <= young and not connection.transport.is_closing()
+            if connection.opened_at <= opened_before and not connection.transport.is_closing()
         ]
-        for connection in silent[:MAX_EVICTIONS]:
+        for connection in idle[:MAX_EVICTIONS]:
             connection.transport.abort()
 
     def on_open(self, connection: Connection) -> None:
@@ -214,9 +214,9 @@
 
     def sweep(self) -> None:
         """Abort connections that are older than CALL_TIMEOUT."""
-        old = self._loop.time() - CALL_TIMEOUT
+        opened_before_timeout = self._loop.time() - CALL_TIMEOUT
         for connection in list(self._connections):
-            if connection.opened_at > old:
+            if connection.opened_at > opened_before_timeout:
                 break
             connection.transport.abort()
 
--- a/cometusher/runtime.py
+++ b/cometusher/runtime.py
@@ -98,7 +98,7 @@
     def connection_id(self, transport: asyncio.Transport) -> tuple[int, int]:
         """A connection's descriptor and an id that no other open connection has."""
 
-    def read_counters(self, connection: Any, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(self, connection: Any, connection_id: int, opened_here: bool) -> ConnectionCounters | None:
         """Counters of a connection that was handed over; None if it is closed or is not the one with this id."""
 
     def reset(self, connection: Any) -> None:
@@ -201,11 +201,13 @@
             transport.get_extra_info("sockname"), transport.get_extra_info("peername")
         )
 
-    def read_counters(self, connection: socket.socket, name: int, opened_here: bool) -> ConnectionCounters | None:
+    def read_counters(
+        self, connection: socket.socket, connection_id: int, opened_here: bool
+    ) -> ConnectionCounters | None:
         """The kernel's counters of a socket."""
         from cometusher.inflight.tcp_info import read_counters
 
-        return read_counters(connection, name, opened_here)
+        return read_counters(connection, connection_id, opened_here)
 
     def reset(self, connection: socket.socket) -> None:
         """Make the next close send RST."""
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -601,7 +601,7 @@
                 del self._pending_bans[pending]
                 if data.startswith(b"HTTP/1.1 200"):
                     self.checker.on_banned(self.loop.time(), slot.name, host)
-            elif pending.over:
+            elif pending.ended:
                 del self._pending_bans[pending]
 
     def _request_id(self, message: Message) -> str:
@@ -894,7 +894,7 @@
     def _duplicate_open_ids(self, slot: ProxySlot, count: int) -> None:
         """Other clients send requests with the ids of open ones; the proxy must reject them while those are open."""
         for request_id, (target, pending, message) in list(self._duplicable_requests.items()):
-            if pending.over:
+            if pending.ended:
                 del self._duplicable_requests[request_id]
             elif (
                 target is slot
@@ -910,7 +910,7 @@
         self.checker.record_event(self.loop.time(), "twin", request_id, slot.name)
 
         def check() -> None:
-            if not original.over and not original.head_received:
+            if not original.ended and not original.head_received:
                 text = f"a stranger's {request_id} was served while the request of that id was open"
                 self.checker.report_violation(self.loop.time(), "right answer", text)
 
--- a/standins/client_connections.py
+++ b/standins/client_connections.py
@@ -41,15 +41,15 @@
     on_end: Callable[[RequestEnd, Message | None], None] = lambda end, answer: None
     connection: ClientConnection | None = None
     tries: int = 0
-    over: bool = False
+    ended: bool = False
     head_received: bool = False  # the head of the response was received
     _next_piece: int = 0
     _timer: asyncio.TimerHandle | None = field(default=None, repr=False)
 
     def finish(self, end: RequestEnd, answer: Message | None) -> None:
         """Report the end of the request, once."""
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             if self._timer is not None:
                 self._timer.cancel()
             self.connection = None
@@ -136,7 +136,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._pool.drop_idle(self)
         request, self.request = self.request, None
-        if request is None or request.over:
+        if request is None or request.ended:
             return
         if request._next_piece < len(request.pieces):
             request.finish(RequestEnd.UNREACHED, None)
@@ -200,7 +200,7 @@
         except OSError:
             request.finish(RequestEnd.UNREACHED, None)
             return
-        if request.over:
+        if request.ended:
             connection.abort()
         else:
             connection.start(request)
--- a/standins/discovery.py
+++ b/standins/discovery.py
@@ -21,9 +21,11 @@
         self.writer = writer
 
     def send(self, text: bytes) -> None:
+        """Send one chunk."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
     def send_list(self, seq: int, *entries: dict[str, Any], whole: bool = False) -> None:
+        """Send a message: the whole list, or a change to it."""
         self.send(json.dumps({"seq": seq, "whole": whole, "hosts": entries}).encode() + b"\n")
 
 
@@ -58,6 +60,7 @@
         writer.close()
 
     async def watch(self) -> Watch:
+        """Wait for the next watch that a proxy opens."""
         return await asyncio.wait_for(self.watches.get(), PEER_TIMEOUT)
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -103,6 +103,7 @@
         return Caller(*await asyncio.open_connection("127.0.0.1", self.port))
 
     async def call(self) -> tuple[int, bytes]:
+        """Send a request on a new connection; returns the status and body of the response."""
         self.count += 1
         request_id = f"r{self.count}"
         caller = await self.connect()
@@ -111,12 +112,14 @@
         return status, response.body
 
     async def up(self) -> int:
+        """Request /up on a new connection; returns the status."""
         caller = await self.connect()
         caller.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         status, _ = await caller.answer()
         return status
 
     async def terminate(self, process: asyncio.subprocess.Process) -> int:
+        """Send SIGTERM to a process; returns its exit code."""
         process.send_signal(signal.SIGTERM)
         return await asyncio.wait_for(process.wait(), PEER_TIMEOUT)
 
--- a/standins/service_backend.py
+++ b/standins/service_backend.py
@@ -70,8 +70,8 @@
 
     def register(self, now: float, key: bytes) -> bool:
         """Record a key; returns whether it was new."""
-        seen_at = self._seen_at.get(key)
-        if seen_at is not None and now - seen_at <= self.window:
+        last_seen = self._seen_at.get(key)
+        if last_seen is not None and now - last_seen <= self.window:
             return False
         self._seen_at[key] = now
         return True
