--- a/cometusher/fleet/commands.py
+++ b/cometusher/fleet/commands.py
@@ -219,7 +219,7 @@
 def _show_bans(reply: dict[str, Any]) -> None:
     for row in reply["bans"]:
         print(
-            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'no more':<8} by {row['by']}, "
+            f"{row['key'].removeprefix('ban:'):<24} {row['value'] or 'not banned':<8} by {row['by']}, "
             f"known here for {row['since']:.0f} s"
         )
     print(f"  {reply['pending']} orders not yet carried out by instances on this machine")
