--- a/cometusher/management.py
+++ b/cometusher/management.py
@@ -206,7 +206,7 @@
             result = self._handler(call, server)
         except Exception:
             log.exception("management: call failed")
-            result = CallResult(500, "internal error")
+            result = CallResult(500, "internal fault")
         log.info(
             "management call %s%s: %d %s", call.value, f" {server!r}" if server else "", result.status, result.text
         )
--- a/cometusher/recovery.py
+++ b/cometusher/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of one proxy after a restart: restores stored state, stores new state, and applies rate limits.
 
 The decisions are made by `weldroute.recovery` and `weldroute.snapshots`, files are handled by `cometusher.store`;
-design: `docs/design/comeback.md`. Imported only by an instance whose fleet has recovery enabled.
+design: `docs/design/recovery.md`. Imported only by an instance whose fleet has recovery enabled.
 """
 
 from __future__ import annotations
--- a/cometusher/store/writer.py
+++ b/cometusher/store/writer.py
@@ -12,8 +12,8 @@
 
 log = logging.getLogger("cometusher.store.keeper")  # the `subsystem` of its log records
 
-WRITE_INTERVAL = 0.5  # minimum seconds between writes...
-RETRY_INTERVAL = 5.0  # ...and after a failed one
+WRITE_INTERVAL = 0.5  # seconds between writes, at least
+RETRY_INTERVAL = 5.0  # seconds until a failed write is retried
 CLOSE_TIMEOUT = 1.0  # seconds that `close` waits for a write
 
 
