--- a/weldroute/model.py
+++ b/weldroute/model.py
@@ -91,7 +91,7 @@
     group: Group = Group.CELL
     window: float = 0.0
     worth: float = 1.0
-    late_worth: float = 0.0
+    late_worth: float = 0.0  # fraction of `worth` that an answer after the aim still has
     streaming: bool = False
 
     def check(self, path: str) -> None:
@@ -146,10 +146,10 @@
     drain_grace: float = 0.0
     answer_slack: float = 0.0
     ask_within: float = 10.0
-    cold_from: float = 0.1
-    cold_for: float = 30.0
-    fall_multiple: float = 2.0
-    fall_after: float = 1.0
+    cold_from: float = 0.1  # fraction of its capacity that a server has at its start
+    cold_for: float = 30.0  # until a started server has its full capacity
+    fall_multiple: float = 2.0  # of a cold server's capacity: more load than that makes it collapse
+    fall_after: float = 1.0  # for which a cold server stands an overload
 
     def check(self, path: str) -> None:
         """Raise ValueError for invalid values; `path` names the object in the message."""
@@ -197,13 +197,13 @@
     classes: tuple[RequestClass, ...] = (RequestClass(),)
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1
-    me: int = 0
+    me: int = 0  # index of this balancer among `balancers`
     tier: int = 0
     tiers: int = 1
     zone: int = 0
     zones: int = 1
     discovery: Discovery = Discovery.PUSHED
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0  # factor on the worth of a tenant's requests beyond its quota
     passes_deadline: bool = True
     report_fields: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
