--- a/cometusher/fleet/observations.py
+++ b/cometusher/fleet/observations.py
@@ -1,9 +1,10 @@
-"""What the watch saw, kept in a file, and judged again with other thresholds.
+"""Records the failure detector's observations in a file, and replays them with other thresholds.
 
-One line of JSON a look: the moment, how long after the last look it was due, how many instances are wanted, and for
-each process its name, generation and evidence. The file is bounded: what no longer fits is not kept, and that is said
-once. The decisions are sans-I/O, so what they would have done with other thresholds is exactly what they do with the
-same evidence; what followed from an act (a process that was replaced) is not in it.
+Each round of observations is one line of JSON: the time, the interval since the previous round, how many instances
+should run, and for each process its name, generation and observation. The file is bounded: rounds that no longer fit
+are not recorded, which is logged once. The detector does no I/O, so a replay shows exactly what it would have decided
+with other thresholds on the same observations; the consequences of another decision (a process that is replaced) are
+not part of them.
 """
 
 from __future__ import annotations
@@ -18,57 +19,59 @@
 from weldroute.failure_detector import Decision, FailureDetector, FailureDetectorPolicy, Lifecycle, Observation
 from weldroute.outlier_detection import Key
 
-log = logging.getLogger("cometusher.fleet.evidence")  # the `subsystem` of its log records
+log = logging.getLogger("cometusher.fleet.evidence")  # operators' tools know the log records by this name
 
-LINES = 64  # that are written at once
+FLUSH_LINES = 64  # lines that are written at once
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """All that one look saw."""
+class ObservationRound:
+    """The observations of all processes at one time."""
 
-    at: float  # seconds of the machine's clock
-    every: float
-    wanted: int
-    seen: Mapping[Key, Observation]
+    observed_at: float  # seconds of the machine's monotonic clock
+    interval: float
+    wanted_count: int
+    observations: Mapping[Key, Observation]
 
 
-class Recorder:
-    """Keeps looks, as far as there is room."""
+class ObservationRecorder:
+    """Records rounds of observations until the file has reached its size limit."""
 
-    def __init__(self, path: Path, most: int) -> None:
+    def __init__(self, path: Path, size_limit: int) -> None:
         self._path = path
-        self._left = most  # bytes
+        self._bytes_left = size_limit  # bytes
         self._lines: list[bytes] = []
         path.write_bytes(b"")
 
-    def keep(self, look: Look) -> None:
-        """One more."""
-        if self._left <= 0:
+    def record(self, round_: ObservationRound) -> None:
+        """Record one round; it is written with the next flush."""
+        if self._bytes_left <= 0:
             return
-        rows = [[*key, *astuple(evidence)] for key, evidence in look.seen.items()]  # an Enum is written as its value
-        self._lines.append(orjson.dumps([look.at, look.every, look.wanted, rows]) + b"\n")
-        if len(self._lines) >= LINES:
+        rows = [
+            [*key, *astuple(observation)] for key, observation in round_.observations.items()
+        ]  # orjson writes an enum member as its value
+        self._lines.append(orjson.dumps([round_.observed_at, round_.interval, round_.wanted_count, rows]) + b"\n")
+        if len(self._lines) >= FLUSH_LINES:
             self.flush()
 
     def flush(self) -> None:
-        """Write what is due."""
+        """Write the lines that are pending; logs a full or unwritable file and stops recording."""
         data, self._lines = b"".join(self._lines), []
-        if len(data) > self._left:
-            self._left = 0
-            log.warning("%s is full: no more evidence is kept", self._path)
+        if len(data) > self._bytes_left:
+            self._bytes_left = 0
+            log.warning("%s has reached its size limit: recording of observations stops", self._path)
             return
-        self._left -= len(data)
+        self._bytes_left -= len(data)
         try:
             with self._path.open("ab") as file:
                 file.write(data)
-        except OSError as fault:
-            self._left = 0
-            log.warning("no more evidence is kept: %s: %s", self._path, fault.strerror)
+        except OSError as error:
+            self._bytes_left = 0
+            log.warning("recording of observations stops: %s: %s", self._path, error.strerror)
 
 
-def read_evidence(path: Path) -> Iterator[Look]:
-    """The looks of a file, in their order; one that was cut ends it.
+def read_observations(path: Path) -> Iterator[ObservationRound]:
+    """Yield the rounds of a file in order, up to an incomplete last line.
 
     Raises OSError, and ValueError naming the line.
     """
@@ -76,19 +79,21 @@
         if not line.endswith(b"\n"):
             return
         try:
-            at, every, wanted, rows = orjson.loads(line)
-            seen = {
-                (str(name), int(generation)): replace(Observation(*rest), lifecycle=Lifecycle(life))
-                for name, generation, *rest, life in rows
+            observed_at, interval, wanted_count, rows = orjson.loads(line)
+            observations = {
+                (str(name), int(generation)): replace(Observation(*values), lifecycle=Lifecycle(lifecycle))
+                for name, generation, *values, lifecycle in rows
             }
-            yield Look(float(at), float(every), int(wanted), seen)
-        except (orjson.JSONDecodeError, TypeError, ValueError) as fault:
-            raise ValueError(f"{path}:{number}: {fault}") from None
-
-
-def judge_again(looks: Iterator[Look], policy: FailureDetectorPolicy) -> Iterator[tuple[float, Decision]]:
-    """What would be done, and when, with these thresholds."""
-    vigil = FailureDetector(policy)
-    for look in looks:
-        for act in vigil.tick(look.at, look.seen, look.wanted, look.every):
-            yield look.at, act
+            yield ObservationRound(float(observed_at), float(interval), int(wanted_count), observations)
+        except (orjson.JSONDecodeError, TypeError, ValueError) as error:
+            raise ValueError(f"{path}:{number}: {error}") from None
+
+
+def replay_detector(
+    rounds: Iterator[ObservationRound], policy: FailureDetectorPolicy
+) -> Iterator[tuple[float, Decision]]:
+    """Yield the decisions of a failure detector with these thresholds, each with its time."""
+    detector = FailureDetector(policy)
+    for round_ in rounds:
+        for decision in detector.tick(round_.observed_at, round_.observations, round_.wanted_count, round_.interval):
+            yield round_.observed_at, decision
--- a/cometusher/simulation/world.py
+++ b/cometusher/simulation/world.py
@@ -1,7 +1,8 @@
-"""A world: proxies, nodes, discovery, a front and clients on machines of their own, and what a plan does to them.
+"""Runs a simulated world: proxies, backends, discovery, a front and clients, under the faults of a plan.
 
-The proxies are the real ones (`cometusher.proxy`), the peers are `standins`; everything runs on one virtual loop and
-network. `play` runs a plan to its end and returns the account.
+The proxies are the real ones (`cometusher.proxy`), the peers are `standins`; each has a machine of its own, and all
+run on one virtual loop and network. The front is the load balancer before the proxies: it routes clients to proxies
+that report ready. `run_plan` runs a plan to its end and returns the result with the trace and the violations.
 """
 
 from __future__ import annotations
@@ -27,56 +28,56 @@
 from cometusher.inflight.endpoint import JournalAssignment
 from cometusher.proxy import Exchange, Proxy
 from cometusher.recovery import RecoveryConfig
-from cometusher.simulation.container_audit import excess
+from cometusher.simulation.container_audit import containers_over_bound
 from cometusher.simulation.loop import Deadlock, Stuck, VirtualLoop, run
 from cometusher.simulation.network import (
-    Disk,
     Link,
     Machine,
-    Memory,
+    SharedMemory,
+    VirtualDisk,
     VirtualNetwork,
-    VirtualSurroundings,
+    VirtualRuntime,
     VirtualTransport,
 )
-from cometusher.simulation.oracles import LONG, Ledger, Violation
-from cometusher.simulation.orphans import VirtualDoor, VirtualEstates
-from cometusher.simulation.script import UPGRADES, Ask, Fault, Plan
-from standins.client_connections import Address, Courier, End, Parcel
+from cometusher.simulation.oracles import LONG_MESSAGE, RunChecker, Violation
+from cometusher.simulation.orphans import VirtualOrphans, VirtualTakeoverChannel
+from cometusher.simulation.script import UPGRADE_TROUBLES, Fault, Plan, PlannedRequest
+from standins.client_connections import Address, ClientPool, PendingRequest, RequestEnd
 from standins.discovery import HostList, Watch
-from standins.messages import Seen
-from standins.service_backend import Keys, Node
+from standins.messages import Message
+from standins.service_backend import KeyWindow, ServiceBackend
 from weldroute.recovery import RecoveryPlan as ReturnPlan
 from weldroute.settings import read_settings
 from weldroute.snapshots import AgeLimits, KnownVersions, Owner
 
 EPOCH = 1.6e9  # Unix time at a world's beginning
 PORT = 9000
-CALLS = 9001  # where operators call: the first of the ports that the processes of one proxy take in turn
-CALL_PORTS = 8
-UP_EVERY = 0.3  # seconds between questions of the front to an evacuated proxy
-BASE = 24  # descriptors of a process that are not connections: none of those are here
-ASK_READY = 0.05  # seconds between questions whether a new process is ready
-STARTS = 4.0  # seconds within which one must be
-COLD, COLD_FROM, FALL, SPAN = 6.0, 0.1, 2.0, 1.0
-WINDOW_BYTES = 64 * 1024  # of a connection
-WINDOW = 3.0  # seconds in which a zone's nodes recognise a key
-DEADLINE = 1.5
-WORK = {"view": 0.06, "submit": 0.05, "pay": 0.04}
-SPEEDS = (1.0, 1.6, 0.8)
-NOTICED = (2.0, 3.8)  # seconds after which the front knows of a death...
-FRONT_LAG = 0.3  # ...and of an order to stop
-LISTED = 1.0  # seconds after which discovery knows of a death, and 0.2 of a start
-OWED = 4.0  # seconds that answers may still take at the end
-QUIET = 16.0  # seconds after which nothing may be left
-PROBES, PROBE_EVERY = 40, 0.5
-LOOK_EVERY = 0.25  # seconds between looks at what a proxy holds
-HELD = 12 * 1024 * 1024  # bytes that answers may take which nobody reads
-TIMERS = 4  # of a proxy at rest: the sweep, the watch, the module's...
-SPARE_TIMERS = 8  # ...and beside three for each request at work: what ends at this moment
-Heal = Callable[[], object]  # what ends a fault
-UP = b"GET /up HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n"
-KEY = re.compile(rb"\r\nidempotency-key: ([^\r\n]+)", re.IGNORECASE)
-SEND = re.compile(rb"\r\nx-call-id: ([^\r\n]+)", re.IGNORECASE)
+MANAGEMENT_PORT = 9001  # for operators: the first of the ports that the processes of one proxy use in turn
+MANAGEMENT_PORTS = 8
+READY_POLL_INTERVAL = 0.3  # seconds between the front's readiness checks of an evacuated proxy
+RESERVED_DESCRIPTORS = 24  # descriptors that a real process needs beside its connections; none are used here
+START_POLL_INTERVAL = 0.05  # seconds between readiness checks of a new process
+START_TIMEOUT = 4.0  # seconds within which a new process must be ready
+COLD_PERIOD, COLD_FROM, FALL_MULTIPLE, FALL_AFTER = 6.0, 0.1, 2.0, 1.0
+WINDOW_BYTES = 64 * 1024  # receive window of a connection
+KEY_WINDOW = 3.0  # seconds in which a zone's backends recognise an idempotency key
+DEADLINE = 1.5  # seconds; the hard limit of every class of request
+WORK_SECONDS = {"view": 0.06, "submit": 0.05, "pay": 0.04}  # of a backend of speed 1, by class of request
+SPEEDS = (1.0, 1.6, 0.8)  # of backends, in turn
+FRONT_DEATH_DELAY = (2.0, 3.8)  # seconds until the front stops routing to a proxy that died
+FRONT_STOP_DELAY = 0.3  # seconds until the front stops routing to a proxy that was ordered to stop
+DISCOVERY_DEATH_DELAY = 1.0  # seconds until discovery lists a dead backend as terminated (a started one: 0.2)
+ANSWER_GRACE = 4.0  # seconds that answers may still take after the plan's end
+QUIET_PERIOD = 16.0  # seconds without requests after which no proxy may hold anything
+MAX_PROBES, PROBE_INTERVAL = 40, 0.5
+BOUNDS_CHECK_INTERVAL = 0.25  # seconds between checks of what each proxy holds
+MAX_BUFFERED = 12 * 1024 * 1024  # bytes of unread answers that a proxy may hold
+IDLE_TIMERS = 4  # timers of an idle proxy: the sweep, the watch of discovery, the decision module's
+SPARE_TIMERS = 8  # allowed beside the idle ones and three for each open request, for those that are about to end
+Undo = Callable[[], object]  # ends a fault
+READY_REQUEST = b"GET /up HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n"
+IDEMPOTENCY_KEY = re.compile(rb"\r\nidempotency-key: ([^\r\n]+)", re.IGNORECASE)
+CALL_ID = re.compile(rb"\r\nx-call-id: ([^\r\n]+)", re.IGNORECASE)
 
 
 def settings(plan: Plan, tier: int, zone: int, ordinal: int, instances: int) -> dict[str, Any]:
@@ -90,7 +91,7 @@
                 "HardLimit": DEADLINE,
                 "Repeat": "dedup",
                 "Group": "zone",
-                "Window": WINDOW,
+                "Window": KEY_WINDOW,
                 "Credit": 4.0,
             },
             {"Name": "pay", "Aim": 0.6, "HardLimit": DEADLINE, "Repeat": "fragile", "Credit": 4.0},
@@ -115,75 +116,76 @@
             "MaxRetryAfter": 1.0,
         },
         "Rules": {
-            "Cold": COLD,
+            "Cold": COLD_PERIOD,
             "ColdFrom": COLD_FROM,
             "AskEvery": 10.0,
             "DrainGrace": 0.5,
             "GraceToAnswer": 0.02,
-            "FallMultiple": FALL,
-            "TipAfter": SPAN,
+            "FallMultiple": FALL_MULTIPLE,
+            "TipAfter": FALL_AFTER,
         },
     }
 
 
 @dataclass(eq=False)
 class Process:
-    """One process of a proxy."""
+    """One process in a proxy slot."""
 
     machine: Machine
-    surroundings: VirtualSurroundings
-    calls: Address  # where operators call
-    number: int  # grows with every start
+    runtime: VirtualRuntime
+    management: Address  # for operators' calls
+    number: int  # increases with every start in the slot
     proxy: Proxy | None = None
-    covered: JournalAssignment | None = None  # its book of work in hand
+    journal: JournalAssignment | None = None  # for its in-flight requests
 
 
 @dataclass(eq=False)
-class Door:
-    """One proxy, and where it is."""
+class ProxySlot:
+    """The place of one proxy, over all processes that run there one after the other."""
 
     name: str
     address: Address
     tier: int
     zone: int
     config: config.Config
-    owner: Stand | None = None  # the node that has it for itself
-    process: Process | None = None  # the one that serves
-    others: list[Process] = field(default_factory=list)  # that take over from it, or from which it has taken over
-    memory: Memory | None = None  # what its processes share
-    disk: Disk = field(default_factory=Disk)  # what outlives them, where they keep anything
-    standing: dict[str, Any] | None = None  # orders that it told its supervisor of
-    believed: bool = False  # the front sends here
+    for_backend: BackendSlot | None = None  # the backend that this proxy serves alone, if any
+    process: Process | None = None  # the serving process
+    # Processes that take over from the serving one in an upgrade, or from which it has taken over.
+    other_processes: list[Process] = field(default_factory=list)
+    shared_memory: SharedMemory | None = None  # shared by its processes
+    disk: VirtualDisk = field(default_factory=VirtualDisk)  # stored state, which outlives the processes
+    operator_orders: dict[str, Any] | None = None  # orders that the proxy reported to its supervisor
+    routed: bool = False  # whether the front routes clients here
     draining: bool = False
-    open_until: float = 0.0  # with an order to stop, it takes connections until then
-    starved: bool = False  # it was short of descriptors through no fault of its own
-    moved: int = 0  # which discovery it follows
-    life: int = 0
-    count: int = 0  # of processes
-    upgrades: int = 0  # under way
-    evacuated: bool = False  # by operators, who have their yes, and have asked for nothing else since
-    orders: int = 0  # that were taken back
-    banned: set[str] = field(default_factory=set)  # backends that operators have out, or want out
+    accepts_until: float = 0.0  # after an order to stop, it must accept connections until then
+    starved: bool = False  # whether a fault took its descriptors, or it ran out of them
+    discovery_index: int = 0  # which of the two discovery services it uses
+    generation: int = 0
+    process_count: int = 0  # processes started so far
+    upgrades_in_progress: int = 0
+    evacuated: bool = False  # operators' order is confirmed and not revoked
+    revoked_orders: int = 0  # number of orders that operators revoked
+    banned_hosts: set[str] = field(default_factory=set)  # backends that operators have banned or are about to ban
 
     @property
     def up(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is alive."""
         return self.process is not None and not self.process.machine.dead
 
     @property
     def machine(self) -> Machine | None:
-        """Of the process that serves."""
+        """The machine of the serving process."""
         return self.process.machine if self.process is not None else None
 
     @property
     def proxy(self) -> Proxy | None:
-        """The program in it."""
+        """The proxy object of the serving process."""
         return self.process.proxy if self.process is not None else None
 
 
 @dataclass(eq=False)
-class Stand:
-    """One node, and where it is."""
+class BackendSlot:
+    """The place of one backend, over all processes that run there one after the other."""
 
     number: int
     tier: int
@@ -191,54 +193,55 @@
     address: str
     speed: float
     machine: Machine | None = None
-    node: Node | None = None
-    door: Door | None = None  # its own proxy to the tier behind
+    service: ServiceBackend | None = None
+    own_proxy: ProxySlot | None = None  # the proxy through which it calls the next tier
     leaving: bool = False
 
     @property
     def host(self) -> str:
-        """Its name in the list."""
+        """The host name in discovery's list."""
         return f"s-{self.number + 1:x}"
 
     @property
     def up(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is alive."""
         return self.machine is not None and not self.machine.dead
 
 
 @dataclass(eq=False)
-class Registry:
-    """The list of one tier, at two discovery services."""
+class DiscoveryTier:
+    """The list of backends of one tier, at two discovery services."""
 
     tier: int
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
     seq: int = 1
     machines: list[Machine] = field(default_factory=list)
     lists: list[HostList] = field(default_factory=list)
-    seen: dict[tuple[str, int], int] = field(default_factory=dict)  # the newest that each was told by each
-    starting: set[int] = field(default_factory=set)  # services that begin
+    # By proxy generation and service: the newest sequence number that was sent.
+    last_seen_seq: dict[tuple[str, int], int] = field(default_factory=dict)
+    starting: set[int] = field(default_factory=set)  # indices of services that are starting
 
 
 @dataclass
 class Result:
-    """The account of one run."""
+    """The outcome of one run."""
 
     plan: Plan
     violations: list[Violation]
     digest: str
     lines: list[str]
-    ended: dict[str, int]
+    outcomes: dict[str, int]
     seconds: float
     steps: int
 
     @property
     def oracles(self) -> list[str]:
-        """What was broken, first things first."""
+        """The violated oracles, in the order of their first violation."""
         return list(dict.fromkeys(violation.oracle for violation in self.violations))
 
 
-class _Errors(logging.Handler):
-    """What the program itself calls an error: a fault that it survived is one all the same."""
+class _ErrorHandler(logging.Handler):
+    """Reports the program's own error log lines as violations, even if the program continues after the error."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -248,73 +251,80 @@
         text = record.getMessage()
         if record.exc_info is not None and record.exc_info[1] is not None:
             text += f": {record.exc_info[1]!r}"
-        self._world.ledger.violate(self._world.loop.time(), "sound", text)
+        self._world.checker.report_violation(self._world.loop.time(), "sound", text)
 
 
 class World:
-    """All that there is in one run."""
+    """All machines and programs of one run."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.loop = VirtualLoop(plan.seed)
         self.network = VirtualNetwork(self.loop, Link(plan.latency, plan.jitter, plan.bandwidth, plan.cut))
-        self.network.lazy = plan.lazy
+        self.network.max_read_delay = plan.lazy
         self.rng = Random(f"world {plan.seed}")
-        nodes = plan.zones * plan.backends
-        self.stands = [
-            Stand(
-                n,
-                n // nodes,
-                n % nodes // plan.backends,
-                f"10.2.{n // nodes}.{n % nodes + 1}",
-                SPEEDS[n % len(SPEEDS)],
+        backends_per_tier = plan.zones * plan.backends
+        self.backend_slots = [
+            BackendSlot(
+                number,
+                number // backends_per_tier,
+                number % backends_per_tier // plan.backends,
+                f"10.2.{number // backends_per_tier}.{number % backends_per_tier + 1}",
+                SPEEDS[number % len(SPEEDS)],
             )
-            for n in range(nodes * plan.tiers)
+            for number in range(backends_per_tier * plan.tiers)
         ]
-        self.registries = [Registry(tier) for tier in range(plan.tiers)]
-        self.doors: list[Door] = []
+        self.discoveries = [DiscoveryTier(tier) for tier in range(plan.tiers)]
+        self.proxy_slots: list[ProxySlot] = []
         for zone in range(plan.zones):
             for i in range(plan.proxies):
-                self._door(f"10.1.{zone}.{i + 1}", 0, zone, None)
+                self._add_proxy(f"10.1.{zone}.{i + 1}", 0, zone, None)
         if plan.tiers > 1:
-            for stand in self.stands[:nodes]:
-                stand.door = self._door(f"10.5.0.{stand.number + 1}", 1, stand.zone, stand)
-        self.keys = {(tier, zone): Keys(WINDOW) for tier in range(plan.tiers) for zone in range(plan.zones)}
-        self.clients = [self.network.machine(f"10.3.{zone}.1", 100000) for zone in range(plan.zones)]
-        self.couriers: list[Courier] = []
-        self.longest = max([ask.want + ask.body for ask in plan.requests], default=0)
-        # From SIGTERM to SIGKILL: whoever reads a long answer slowly is waited for.
-        dawdles = max([ask.dawdle for ask in plan.requests], default=0.0)
-        self.patience = DEADLINE + 0.7 + 2.0 * dawdles + self._pace(plan) * self.longest
-        self.path = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
-        self.ledger = Ledger(
-            self.doors[0].config.settings,
-            {stand.host: f"z{stand.zone}" for stand in self.stands},
-            self.path,
-            self._pace(plan),
+            for backend in self.backend_slots[:backends_per_tier]:
+                backend.own_proxy = self._add_proxy(f"10.5.0.{backend.number + 1}", 1, backend.zone, backend)
+        self.keys = {(tier, zone): KeyWindow(KEY_WINDOW) for tier in range(plan.tiers) for zone in range(plan.zones)}
+        self.client_machines = [self.network.add_machine(f"10.3.{zone}.1", 100000) for zone in range(plan.zones)]
+        self.client_pools: list[ClientPool] = []
+        self.longest_message = max([request.want + request.body for request in plan.requests], default=0)
+        # Seconds from SIGTERM to SIGKILL: a drain waits for callers that read a long answer slowly.
+        longest_pause = max([request.dawdle for request in plan.requests], default=0.0)
+        self.drain_timeout = (
+            DEADLINE + 0.7 + 2.0 * longest_pause + self._seconds_per_byte(plan) * self.longest_message
         )
-        self._by_address = {stand.address: stand for stand in self.stands}
-        self._by_host = {stand.host: stand for stand in self.stands}
-        self.estates = VirtualEstates(self.loop, Random(f"estate {plan.seed}"), self._heirs) if plan.covers else None
-        self._sources = {door.address[0]: door for door in self.doors}
-        self._heals: dict[int, Heal] = {}
-        self._healed = 0
-        self._carries: dict[VirtualTransport, tuple[str, str, int]] = {}  # whose, what, and what was told before
-        self._views: dict[str, tuple[Door, Parcel, bytes]] = {}  # requests that are harmless to copy
-        self._asked: dict[Parcel, str] = {}  # calls for bans that wait for their answer
-        self._look_at = 0.0
-        self.look_every = LOOK_EVERY
+        self.round_trip = 4.0 * plan.latency * (1.0 + plan.jitter) + 200000.0 / plan.bandwidth
+        self.checker = RunChecker(
+            self.proxy_slots[0].config.settings,
+            {backend.host: f"z{backend.zone}" for backend in self.backend_slots},
+            self.round_trip,
+            self._seconds_per_byte(plan),
+        )
+        self._backend_by_address = {backend.address: backend for backend in self.backend_slots}
+        self._backend_by_host = {backend.host: backend for backend in self.backend_slots}
+        self.orphans = (
+            VirtualOrphans(self.loop, Random(f"estate {plan.seed}"), self._successors) if plan.covers else None
+        )
+        self._proxy_by_address = {slot.address[0]: slot for slot in self.proxy_slots}
+        self._active_faults: dict[int, Undo] = {}
+        self._fault_count = 0
+        # By transport to a backend: the proxy, the request's id, and the bytes that were read before the attempt.
+        self._attempt_by_transport: dict[VirtualTransport, tuple[str, str, int]] = {}
+        # By id: requests that are safe to repeat, with their proxy and message.
+        self._duplicable_requests: dict[str, tuple[ProxySlot, PendingRequest, bytes]] = {}
+        # By management call that waits for its answer: the host to be banned.
+        self._pending_bans: dict[PendingRequest, str] = {}
+        self._next_bounds_check = 0.0
+        self.bounds_check_interval = BOUNDS_CHECK_INTERVAL
 
     @staticmethod
-    def _pace(plan: Plan) -> float:
-        """Seconds that each byte of a long message may take: a window a round trip, over each of three ways."""
-        trip = 2.0 * plan.latency * (1.0 + plan.jitter) + 3.0 * plan.lazy
-        return 3.0 * (trip / WINDOW_BYTES + 1.0 / plan.bandwidth)
+    def _seconds_per_byte(plan: Plan) -> float:
+        """Seconds that each byte of a long message may take: one window a round trip on each of three connections."""
+        round_trip = 2.0 * plan.latency * (1.0 + plan.jitter) + 3.0 * plan.lazy
+        return 3.0 * (round_trip / WINDOW_BYTES + 1.0 / plan.bandwidth)
 
-    def _door(self, address: str, tier: int, zone: int, owner: Stand | None) -> Door:
-        plan, number = self.plan, len(self.doors)
+    def _add_proxy(self, address: str, tier: int, zone: int, for_backend: BackendSlot | None) -> ProxySlot:
+        plan, number = self.plan, len(self.proxy_slots)
         raw = settings(plan, tier, zone, number if tier == 0 else 0, plan.zones * plan.proxies if tier == 0 else 1)
-        told = config.Config(
+        proxy_config = config.Config(
             name=f"proxy/{number}",
             listen=(address, PORT),
             discovery=(f"10.4.{tier}.1", PORT),
@@ -325,48 +335,48 @@
             settings=read_settings(raw),
             zones=tuple(raw["Zones"]),
         )
-        door = Door(f"proxy/{number}", (address, PORT), tier, zone, told, owner)
-        self.doors.append(door)
-        return door
+        slot = ProxySlot(f"proxy/{number}", (address, PORT), tier, zone, proxy_config, for_backend)
+        self.proxy_slots.append(slot)
+        return slot
 
     # ---- starting and ending processes ---------------------------------------------------
 
-    async def _on(self, machine: Machine, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        await self.loop.create_task(make(), context=machine.context())
-
-    def _spawn(self, machine: Machine, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        self.loop.create_task(make(), context=machine.context())
-
-    def _launch(self, door: Door) -> Process:
-        """A process of a proxy begins."""
-        # Its own books keep a part of the descriptors for what is not a connection; none of that is here.
-        machine = self.network.machine(door.address[0], door.config.sockets)
-        machine.tap = lambda transport, data: self._tap(door, transport, data)
-        machine.on_short = lambda: self._short(door, machine)
-        door.count += 1
-        calls = (door.address[0], CALLS + door.count % CALL_PORTS)
-        estates = self.estates if door.tier == 0 else None
-        covered = estates.begins() if estates is not None else None
-        covers = partial(VirtualDoor, estates) if estates is not None else None
-        surroundings = VirtualSurroundings(self.network, EPOCH, door.memory, door.disk, covers)
-        process = Process(machine, surroundings, calls, door.count, covered=covered)
-        listener = self.network.listeners.get(door.address) if self.plan.shared else None
-
-        def hear(values: dict[str, Any]) -> None:
-            door.standing = values.get("standing", door.standing)
+    async def _run_on(self, machine: Machine, start: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        await self.loop.create_task(start(), context=machine.context())
+
+    def _spawn(self, machine: Machine, start: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        self.loop.create_task(start(), context=machine.context())
+
+    def _start_process(self, slot: ProxySlot) -> Process:
+        """Start a process of a proxy."""
+        # The proxy reserves some descriptors for other uses than connections; none of these exist here.
+        machine = self.network.add_machine(slot.address[0], slot.config.sockets)
+        machine.on_write = lambda transport, data: self._on_proxy_write(slot, transport, data)
+        machine.on_descriptors_exhausted = lambda: self._on_descriptors_exhausted(slot, machine)
+        slot.process_count += 1
+        management = (slot.address[0], MANAGEMENT_PORT + slot.process_count % MANAGEMENT_PORTS)
+        orphans = self.orphans if slot.tier == 0 else None
+        journal = orphans.assign_journal() if orphans is not None else None
+        open_channel = partial(VirtualTakeoverChannel, orphans) if orphans is not None else None
+        runtime = VirtualRuntime(self.network, EPOCH, slot.shared_memory, slot.disk, open_channel)
+        process = Process(machine, runtime, management, slot.process_count, journal=journal)
+        listener = self.network.listeners.get(slot.address) if self.plan.shared else None
+
+        def on_report(values: dict[str, Any]) -> None:
+            slot.operator_orders = values.get("standing", slot.operator_orders)
 
         async def begin() -> None:
-            told = replace(
-                door.config,
-                seed=door.config.seed + 100 * door.count,
-                management=calls,
-                shared="shared" if self.plan.shared else None,
-                returning=self._returning(door),
-                covered=covered,
+            proxy_config = replace(
+                slot.config,
+                seed=slot.config.seed + 100 * slot.process_count,
+                management=management,
+                shared_folder="shared" if self.plan.shared else None,
+                recovery=self._recovery_config(slot),
+                journal=journal,
             )
-            process.proxy = proxy = Proxy(told, process.surroundings)
+            process.proxy = proxy = Proxy(proxy_config, process.runtime)
             if proxy.recovery is not None:
-                proxy.recovery.report = hear
+                proxy.recovery.report = on_report
             if listener is None:
                 proxy.start()
             else:
@@ -375,306 +385,329 @@
         self._spawn(machine, begin)
         return process
 
-    def _heirs(self) -> list[tuple[int, int]]:
-        """Processes of the first tier that serve, and what they have in hand."""
+    def _successors(self) -> list[tuple[int, int]]:
+        """Serving processes of the first tier, each with its number of open requests."""
         return [
-            (door.process.covered.process, door.process.proxy.open_requests)
-            for door in self.doors
-            if door.believed
-            and door.up
-            and door.process is not None
-            and door.process.covered is not None
-            and door.process.proxy is not None
+            (slot.process.journal.process, slot.process.proxy.open_requests)
+            for slot in self.proxy_slots
+            if slot.routed
+            and slot.up
+            and slot.process is not None
+            and slot.process.journal is not None
+            and slot.process.proxy is not None
         ]
 
-    def _returning(self, door: Door) -> RecoveryConfig | None:
-        """What a supervisor would tell of its return."""
+    def _recovery_config(self, slot: ProxySlot) -> RecoveryConfig | None:
+        """The recovery settings that a supervisor would pass to a proxy; None if the plan keeps no state."""
         if not self.plan.keeps:
             return None
-        many = sum(each.tier == door.tier for each in self.doors)
+        tier_proxies = sum(other.tier == slot.tier for other in self.proxy_slots)
         limits = AgeLimits()
-        owner = Owner("world", door.name, 1)
-        plan = ReturnPlan(instances=many, returning=many, list_for=limits.list_for)
-        version = door.standing["version"] if door.standing is not None else 0
-        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), door.standing)
+        owner = Owner("world", slot.name, 1)
+        plan = ReturnPlan(instances=tier_proxies, returning=tier_proxies, list_for=limits.list_for)
+        version = slot.operator_orders["version"] if slot.operator_orders is not None else 0
+        return RecoveryConfig(plan, limits, owner, Path("-"), KnownVersions(standing=version), slot.operator_orders)
 
-    def start_door(self, door: Door) -> None:
-        """A proxy begins, with one process."""
+    def start_proxy(self, slot: ProxySlot) -> None:
+        """Start a proxy with one process."""
         now = self.loop.time()
-        door.draining = door.starved = False
-        door.open_until = 0.0
-        door.life += 1
-        door.upgrades = 0
-        door.evacuated = False
+        slot.draining = slot.starved = False
+        slot.accepts_until = 0.0
+        slot.generation += 1
+        slot.upgrades_in_progress = 0
+        slot.evacuated = False
         if not self.plan.keeps:
-            door.banned.clear()
-            self.ledger.started_anew(door.name)
-        door.others.clear()
-        door.memory = Memory()
+            slot.banned_hosts.clear()
+            self.checker.on_new_proxy(slot.name)
+        slot.other_processes.clear()
+        slot.shared_memory = SharedMemory()
         if self.plan.shared:
-            self._open(door)
-        self.ledger.note(now, "start", door.name)
-        door.process = self._launch(door)
-        if door.owner is None:
-            self.loop.call_soon(self._ask_up, door, door.life, context=self.clients[door.zone].context())
-
-    def _open(self, door: Door) -> None:
-        """The platform listens for a proxy."""
-        if door.address not in self.network.listeners:
-            contextvars.Context().run(self.network.listen, door.address)
-
-    def _shut(self, door: Door) -> None:
-        listener = self.network.listeners.get(door.address)
+            self._open_listener(slot)
+        self.checker.record_event(now, "start", slot.name)
+        slot.process = self._start_process(slot)
+        if slot.for_backend is None:
+            self.loop.call_soon(
+                self._poll_ready, slot, slot.generation, context=self.client_machines[slot.zone].context()
+            )
+
+    def _open_listener(self, slot: ProxySlot) -> None:
+        """Open the platform's listener for a proxy."""
+        if slot.address not in self.network.listeners:
+            contextvars.Context().run(self.network.listen, slot.address)
+
+    def _close_listener(self, slot: ProxySlot) -> None:
+        listener = self.network.listeners.get(slot.address)
         if self.plan.shared and listener is not None:
             listener.close()
 
-    def _ask_up(self, door: Door, life: int) -> None:
-        """The front takes in a proxy that says that it is ready."""
-        if door.life != life or door.believed or not door.up:
+    def _poll_ready(self, slot: ProxySlot, generation: int) -> None:
+        """The front checks a proxy until it is ready, then routes clients to it."""
+        if slot.generation != generation or slot.routed or not slot.up:
             return
 
-        def done(end: End, answer: Seen | None) -> None:
-            if answer is not None and answer.status == 200 and door.life == life and door.up:
-                door.believed = True
-                self.ledger.note(self.loop.time(), "ready", door.name)
+        def done(end: RequestEnd, answer: Message | None) -> None:
+            if answer is not None and answer.status == 200 and slot.generation == generation and slot.up:
+                slot.routed = True
+                self.checker.record_event(self.loop.time(), "ready", slot.name)
             else:
-                self.loop.call_later(0.1, self._ask_up, door, life)
+                self.loop.call_later(0.1, self._poll_ready, slot, generation)
 
-        self.couriers[door.zone].send(Parcel(door.address, [UP], done=done))
+        self.client_pools[slot.zone].send(PendingRequest(slot.address, [READY_REQUEST], on_end=done))
 
-    def end_door(self, door: Door, excused: bool) -> None:
-        """A proxy's process ends; what it owes is lost, and excused only if it was killed."""
+    def end_proxy(self, slot: ProxySlot, excused: bool) -> None:
+        """End a proxy's processes. Their open requests are lost; that is no violation if they were `excused`."""
         now = self.loop.time()
-        if not door.up or door.machine is None:
+        if not slot.up or slot.machine is None:
             return
-        self.ledger.note(now, "ends", door.name, "killed" if excused else "by itself")
+        self.checker.record_event(now, "ends", slot.name, "killed" if excused else "by itself")
         if excused:
-            self.ledger.killed(now, door.name, kept=bool(self.plan.keeps))
-        for process in (door.process, *door.others):
+            self.checker.on_killed(now, slot.name, state_kept=bool(self.plan.keeps))
+        for process in (slot.process, *slot.other_processes):
             if process is not None:
-                orphans = process.machine.kill(keeps=process.covered is not None)
+                orphans = process.machine.kill(keep_connections=process.journal is not None)
                 process.proxy = None
-                if self.estates is not None and process.covered is not None:
-                    self.estates.died(process.covered.process, orphans)
-        self._shut(door)
-        life = door.life
+                if self.orphans is not None and process.journal is not None:
+                    self.orphans.on_died(process.journal.process, orphans)
+        self._close_listener(slot)
+        generation = slot.generation
 
-        def notice() -> None:
-            if door.life == life:
-                door.believed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        self.loop.call_later(self.rng.uniform(*NOTICED), notice, context=contextvars.Context())
+        self.loop.call_later(self.rng.uniform(*FRONT_DEATH_DELAY), stop_routing, context=contextvars.Context())
 
-    async def start_stand(self, stand: Stand, cold: bool) -> None:
-        """A node's process begins."""
+    async def start_backend(self, backend: BackendSlot, cold: bool) -> None:
+        """Start a backend's process."""
         now = self.loop.time()
-        stand.machine = self.network.machine(stand.address, 4096)
-        stand.leaving = False
-        node = stand.node = Node(
-            stand.host,
-            f"z{stand.zone}",
-            stand.speed,
-            WORK,
-            self.keys[stand.tier, stand.zone],
-            Random(f"{self.plan.seed} {stand.number} {now}"),
+        backend.machine = self.network.add_machine(backend.address, 4096)
+        backend.leaving = False
+        service = backend.service = ServiceBackend(
+            backend.host,
+            f"z{backend.zone}",
+            backend.speed,
+            WORK_SECONDS,
+            self.keys[backend.tier, backend.zone],
+            Random(f"{self.plan.seed} {backend.number} {now}"),
             self,
             cold_from=COLD_FROM,
-            cold_for=COLD if cold else 0.0,
-            fall=(FALL, SPAN),
-            born=now,
+            cold_for=COLD_PERIOD if cold else 0.0,
+            overload_limit=(FALL_MULTIPLE, FALL_AFTER),
+            started_at=now,
         )
-        if stand.door is not None:
-            node.behind = stand.door.address
-        await self._on(stand.machine, lambda: node.start(stand.address, PORT))
-        node.courier.was_read = _was_read
-        node.courier.surplus = self._surplus
+        if backend.own_proxy is not None:
+            service.next_tier = backend.own_proxy.address
+        await self._run_on(backend.machine, lambda: service.start(backend.address, PORT))
+        service.client_pool.was_read = _peer_has_read
+        service.client_pool.on_surplus = self._on_surplus_data
         born = int((EPOCH + now) * 1000.0) if cold else 0
-        entry = node.entry(dial=f"{stand.address}:{PORT}", born_ms=born)
+        entry = service.discovery_entry(dial=f"{backend.address}:{PORT}", born_ms=born)
         if not cold:
-            self.registries[stand.tier].entries[stand.host] = entry
+            self.discoveries[backend.tier].entries[backend.host] = entry
         else:
-            self.loop.call_later(0.2, self._list, stand, entry, context=contextvars.Context())
-        if stand.door is not None:
-            self.start_door(stand.door)
+            self.loop.call_later(0.2, self._publish, backend, entry, context=contextvars.Context())
+        if backend.own_proxy is not None:
+            self.start_proxy(backend.own_proxy)
 
-    def end_stand(self, stand: Stand) -> None:
-        """A node's process dies, and its own proxy with it."""
-        if not stand.up or stand.machine is None:
+    def end_backend(self, backend: BackendSlot) -> None:
+        """Kill a backend's process, and the proxy that serves it alone."""
+        if not backend.up or backend.machine is None:
             return
-        self.ledger.note(self.loop.time(), "ends", stand.host)
-        self.ledger.caller_died(self.loop.time(), stand.host)
-        stand.machine.kill()
-        if stand.door is not None:
-            self.end_door(stand.door, True)
-        self.loop.call_later(LISTED, self._list_dead, stand, context=contextvars.Context())
-
-    def _list_dead(self, stand: Stand) -> None:
-        if not stand.up:
-            self._list(stand, self.registries[stand.tier].entries[stand.host] | {"health": "terminated"})
-
-    def _list(self, stand: Stand, entry: dict[str, Any]) -> None:
-        """Discovery is told."""
-        registry = self.registries[stand.tier]
-        registry.entries[stand.host] = entry
-        registry.seq += 1
-        for machine, hosts in zip(registry.machines, registry.lists, strict=True):
+        self.checker.record_event(self.loop.time(), "ends", backend.host)
+        self.checker.on_caller_died(self.loop.time(), backend.host)
+        backend.machine.kill()
+        if backend.own_proxy is not None:
+            self.end_proxy(backend.own_proxy, True)
+        self.loop.call_later(DISCOVERY_DEATH_DELAY, self._publish_death, backend, context=contextvars.Context())
+
+    def _publish_death(self, backend: BackendSlot) -> None:
+        if not backend.up:
+            self._publish(backend, self.discoveries[backend.tier].entries[backend.host] | {"health": "terminated"})
+
+    def _publish(self, backend: BackendSlot, entry: dict[str, Any]) -> None:
+        """Change a backend's entry at both discovery services."""
+        discovery = self.discoveries[backend.tier]
+        discovery.entries[backend.host] = entry
+        discovery.seq += 1
+        for machine, hosts in zip(discovery.machines, discovery.lists, strict=True):
             if not machine.dead:
                 self.loop.call_soon(hosts.change, entry, context=machine.context())
 
-    async def start_discovery(self, registry: Registry, which: int) -> None:
-        """A discovery service begins, with the list as it is."""
-        address = f"10.4.{registry.tier}.{which + 1}"
-        machine = self.network.machine(address, 4096)
-        hosts = HostList(list(registry.entries.values()))
-        hosts.seq = registry.seq
-        hosts.on_tell = lambda watch, seq, entries: self._told(registry, which, watch, seq, entries)
-        registry.machines[which : which + 1] = [machine]
-        registry.lists[which : which + 1] = [hosts]
-        await self._on(machine, lambda: hosts.start(address, PORT))
-        registry.starting.discard(which)
-
-    def _told(self, registry: Registry, which: int, watch: Watch, seq: int, entries: list[dict[str, Any]]) -> None:
-        door = self._sources.get(watch.writer.get_extra_info("peername")[0])
-        if door is None or watch.writer.is_closing():
+    async def start_discovery(self, discovery: DiscoveryTier, index: int) -> None:
+        """Start a discovery service with the current list."""
+        address = f"10.4.{discovery.tier}.{index + 1}"
+        machine = self.network.add_machine(address, 4096)
+        hosts = HostList(list(discovery.entries.values()))
+        hosts.seq = discovery.seq
+        hosts.on_list_sent = lambda watch, seq, entries: self._on_discovery_update(
+            discovery, index, watch, seq, entries
+        )
+        discovery.machines[index : index + 1] = [machine]
+        discovery.lists[index : index + 1] = [hosts]
+        await self._run_on(machine, lambda: hosts.start(address, PORT))
+        discovery.starting.discard(index)
+
+    def _on_discovery_update(
+        self, discovery: DiscoveryTier, index: int, watch: Watch, seq: int, entries: list[dict[str, Any]]
+    ) -> None:
+        slot = self._proxy_by_address.get(watch.writer.get_extra_info("peername")[0])
+        if slot is None or watch.writer.is_closing():
             return
-        key = (f"{door.name} {door.life}", which)
-        if seq < registry.seen.get(key, 0):
-            return  # an older change after a newer one tells nothing
-        registry.seen[key] = seq
+        key = (f"{slot.name} {slot.generation}", index)
+        if seq < discovery.last_seen_seq.get(key, 0):
+            return  # a reordered older change; proxies ignore it
+        discovery.last_seen_seq[key] = seq
         now = self.loop.time()
         for entry in entries:
-            self.ledger.told(now, door.name, entry["host"], entry["health"] == "in_service", entry["born_ms"])
+            self.checker.on_discovery_update(
+                now, slot.name, entry["host"], entry["health"] == "in_service", entry["born_ms"]
+            )
 
-    # ---- what the account is told --------------------------------------------------------
+    # ---- events for the oracles ----------------------------------------------------------
 
-    def _tap(self, door: Door, transport: VirtualTransport, data: bytes) -> None:
-        """All that a proxy writes passes here; what goes to a node begins an attempt."""
-        if CALLS <= transport.get_extra_info("sockname")[1] < CALLS + CALL_PORTS:
-            self._call_answered(door, transport, data)
+    def _on_proxy_write(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
+        """Observe all that a proxy writes: a request head to a backend starts an attempt."""
+        if MANAGEMENT_PORT <= transport.get_extra_info("sockname")[1] < MANAGEMENT_PORT + MANAGEMENT_PORTS:
+            self._on_management_answer(slot, transport, data)
             return
-        stand = self._by_address.get(transport.get_extra_info("peername")[0])
-        if stand is None or transport.get_extra_info("sockname")[1] == PORT:
+        backend = self._backend_by_address.get(transport.get_extra_info("peername")[0])
+        if backend is None or transport.get_extra_info("sockname")[1] == PORT:
             return
-        found = SEND.search(data)
-        if found is not None:
-            rid, told = found[1].decode(), transport.told
+        match = CALL_ID.search(data)
+        if match is not None:
+            request_id, bytes_read_before = match[1].decode(), transport.bytes_read
             if transport.pending:
-                text = f"{door.name} wrote {rid} to a connection on which something else had come"
-                self.ledger.violate(self.loop.time(), "right answer", text)
-            self._carries[transport] = (door.name, rid, told)
-            rows = [row.partition(b":") for row in data[: data.find(b"\r\n\r\n")].split(b"\r\n")[1:]]
-            last = transport.written + data.find(b"\r\n\r\n") + 4 + self.ledger.body_of(rid)
-            self.ledger.wrote(
+                text = f"{slot.name} wrote {request_id} to a connection on which something else had come"
+                self.checker.report_violation(self.loop.time(), "right answer", text)
+            self._attempt_by_transport[transport] = (slot.name, request_id, bytes_read_before)
+            header_lines = [line.partition(b":") for line in data[: data.find(b"\r\n\r\n")].split(b"\r\n")[1:]]
+            end_of_request = transport.bytes_written + data.find(b"\r\n\r\n") + 4 + self.checker.body_size(request_id)
+            self.checker.on_attempt_started(
                 self.loop.time(),
-                door.name,
-                rid,
-                stand.host,
-                lambda: transport.told == told and not transport.over,
-                lambda: transport.written >= last,
-                {name.strip().lower(): value.strip() for name, _, value in rows},
+                slot.name,
+                request_id,
+                backend.host,
+                lambda: transport.bytes_read == bytes_read_before and not transport.ended,
+                lambda: transport.bytes_written >= end_of_request,
+                {name.strip().lower(): value.strip() for name, _, value in header_lines},
             )
 
-    def _call_answered(self, door: Door, transport: VirtualTransport, data: bytes) -> None:
-        """A yes holds from the moment that it is given, whenever it is heard."""
+    def _on_management_answer(self, slot: ProxySlot, transport: VirtualTransport, data: bytes) -> None:
+        """A ban is in force from the instant at which the proxy writes its confirmation, whenever that is read."""
         peer = transport.get_extra_info("peername")
-        for parcel, host in list(self._asked.items()):
-            there = parcel.line.transport if parcel.line is not None else None
-            if there is not None and there.get_extra_info("sockname") == peer:
-                del self._asked[parcel]
+        for pending, host in list(self._pending_bans.items()):
+            client_transport = pending.connection.transport if pending.connection is not None else None
+            if client_transport is not None and client_transport.get_extra_info("sockname") == peer:
+                del self._pending_bans[pending]
                 if data.startswith(b"HTTP/1.1 200"):
-                    self.ledger.banned(self.loop.time(), door.name, host)
-            elif parcel.over:
-                del self._asked[parcel]
-
-    def _rid(self, seen: Seen) -> str:
-        return seen.headers.get(b"x-call-id", b"-").decode()
-
-    def came(self, node: Node, seen: Seen) -> None:
-        self.ledger.came(self.loop.time(), self._rid(seen), node.host, len(seen.body))
-
-    def rejected(self, node: Node, seen: Seen) -> None:
-        self.ledger.rejected(self.loop.time(), self._rid(seen), node.host)
-
-    def ran(self, node: Node, seen: Seen, effect: bool) -> None:
-        key = seen.headers.get(b"idempotency-key")
-        tier = self._by_host[node.host].tier
-        name = None if key is None else f"{tier} {key.decode()}"
-        self.ledger.ran(self.loop.time(), self._rid(seen), node.host, name, effect)
-
-    def fell(self, node: Node, sent: float, carries: float) -> None:
-        self.ledger.fell(self.loop.time(), node.host, sent, carries)
-
-    def calls(self, node: Node, parcel: Parcel, seen: Seen, budget: float) -> Parcel:
-        """A node calls the tier behind through its own proxy, as any caller does."""
-        found = SEND.search(parcel.pieces[0])
-        door = self._by_host[node.host].door
-        assert found is not None and door is not None
-        kind = seen.headers[b"x-call-class"].decode()
-        want = int(seen.headers.get(b"x-want", b"0"))
-        self._account(parcel, found[1].decode(), kind, door, node.host, budget, want)
-        return parcel
-
-    def _surplus(self, address: Address, data: bytes) -> None:
-        self.ledger.surplus(self.loop.time(), self._sources[address[0]].name, data)
-
-    def _account(
-        self, parcel: Parcel, rid: str, kind: str, door: Door, caller: str, budget: float, want: int
+                    self.checker.on_banned(self.loop.time(), slot.name, host)
+            elif pending.ended:
+                del self._pending_bans[pending]
+
+    def _request_id(self, message: Message) -> str:
+        return message.headers.get(b"x-call-id", b"-").decode()
+
+    def on_request(self, service: ServiceBackend, message: Message) -> None:
+        self.checker.on_backend_received(self.loop.time(), self._request_id(message), service.host, len(message.body))
+
+    def on_rejected(self, service: ServiceBackend, message: Message) -> None:
+        self.checker.on_backend_rejected(self.loop.time(), self._request_id(message), service.host)
+
+    def on_run(self, service: ServiceBackend, message: Message, effect: bool) -> None:
+        key = message.headers.get(b"idempotency-key")
+        tier = self._backend_by_host[service.host].tier
+        effect_key = None if key is None else f"{tier} {key.decode()}"
+        self.checker.on_backend_ran(self.loop.time(), self._request_id(message), service.host, effect_key, effect)
+
+    def on_overload(self, service: ServiceBackend, load: float, capacity: float) -> None:
+        self.checker.on_cold_overload(self.loop.time(), service.host, load, capacity)
+
+    def on_call(
+        self, service: ServiceBackend, pending: PendingRequest, message: Message, budget: float
+    ) -> PendingRequest:
+        """A backend calls the next tier through its own proxy, as any caller does."""
+        match = CALL_ID.search(pending.pieces[0])
+        slot = self._backend_by_host[service.host].own_proxy
+        assert match is not None and slot is not None
+        class_name = message.headers[b"x-call-class"].decode()
+        answer_size = int(message.headers.get(b"x-want", b"0"))
+        self._track(pending, match[1].decode(), class_name, slot, service.host, budget, answer_size)
+        return pending
+
+    def _on_surplus_data(self, address: Address, data: bytes) -> None:
+        self.checker.on_surplus_data(self.loop.time(), self._proxy_by_address[address[0]].name, data)
+
+    def _track(
+        self,
+        pending: PendingRequest,
+        request_id: str,
+        class_name: str,
+        slot: ProxySlot,
+        caller: str,
+        budget: float,
+        answer_size: int,
     ) -> None:
-        """Have the account follow a parcel."""
-        done = parcel.done
-        ledger, loop = self.ledger, self.loop
-
-        message = b"".join(parcel.pieces)
-        found = KEY.search(message)
-        key = found[1] if found is not None else b""
-        body = len(message) - message.find(b"\r\n\r\n") - 4
-
-        def written() -> None:
-            if parcel.tries:
-                ledger.resent(loop.time(), rid)
+        """Report the events of a pending request to the oracles."""
+        done = pending.on_end
+        checker, loop = self.checker, self.loop
+
+        message = b"".join(pending.pieces)
+        match = IDEMPOTENCY_KEY.search(message)
+        key = match[1] if match is not None else b""
+        body_size = len(message) - message.find(b"\r\n\r\n") - 4
+
+        def on_written() -> None:
+            if pending.tries:
+                checker.on_request_resent(loop.time(), request_id)
             else:
-                ledger.sent(
+                checker.on_request_sent(
                     loop.time(),
-                    rid,
-                    kind,
-                    door.name,
+                    request_id,
+                    class_name,
+                    slot.name,
                     caller,
                     budget,
-                    body,
-                    want,
+                    body_size,
+                    answer_size,
                     key,
-                    self._holder(parcel),
-                    alone=not any(each.up and each.believed for each in self.doors if each.tier == door.tier),
+                    self._connection_holder(pending),
+                    no_live_proxy=not any(
+                        other.up and other.routed for other in self.proxy_slots if other.tier == slot.tier
+                    ),
                 )
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             now = loop.time()
             if answer is not None:
-                ledger.answered(now, rid, answer.status, answer.body, want)
-            elif end is End.LOST:
-                ledger.lost(now, rid)
-            elif end is End.CUT:
-                ledger.cut(now, rid)
+                checker.on_answer(now, request_id, answer.status, answer.body, answer_size)
+            elif end is RequestEnd.LOST:
+                checker.on_connection_lost(now, request_id)
+            elif end is RequestEnd.TRUNCATED:
+                checker.on_answer_cut(now, request_id)
             else:
-                ledger.left(now, rid)
-                if end is End.UNREACHED and door.up and now < door.open_until:
-                    ledger.violate(now, "drains", f"{door.name} refused {rid} while the front still sent to it")
+                checker.on_caller_left(now, request_id)
+                if end is RequestEnd.UNREACHED and slot.up and now < slot.accepts_until:
+                    checker.report_violation(
+                        now, "drains", f"{slot.name} refused {request_id} while the front still sent to it"
+                    )
             done(end, answer)
 
-        parcel.written, parcel.done = written, ended
-        parcel.begun = lambda: ledger.begun(loop.time(), rid)
-        if body > LONG:
-            parcel.coming = lambda: ledger.coming(loop.time(), rid, kind, door.name, caller, body, want)
+        pending.on_sent, pending.on_end = on_written, on_end
+        pending.on_head = lambda: checker.on_answer_started(loop.time(), request_id)
+        if body_size > LONG_MESSAGE:
+            pending.on_sending = lambda: checker.on_request_started(
+                loop.time(), request_id, class_name, slot.name, caller, body_size, answer_size
+            )
 
-    def _holder(self, parcel: Parcel) -> str:
-        """Which proxy has the connection that a parcel is on; empty for none that is known."""
-        there = parcel.line.transport if parcel.line is not None else None
-        far = there.peer if isinstance(there, VirtualTransport) else None
+    def _connection_holder(self, pending: PendingRequest) -> str:
+        """The name of the proxy that holds a pending request's connection; empty if unknown."""
+        near = pending.connection.transport if pending.connection is not None else None
+        far = near.peer if isinstance(near, VirtualTransport) else None
         return next(
             (
-                door.name
-                for door in self.doors
-                for process in (door.process, *door.others)
+                slot.name
+                for slot in self.proxy_slots
+                for process in (slot.process, *slot.other_processes)
                 if far is not None and process is not None and process.machine is far.machine
             ),
             "",
@@ -682,597 +715,638 @@
 
     # ---- clients -------------------------------------------------------------------------
 
-    def ask(self, ask: Ask, attempt: int = 0) -> None:
-        """A client sends a request: on a connection that it has, or on one through the front."""
-        courier = self.couriers[ask.zone]
-        doors = [
-            door
-            for door in self.doors
-            if door.owner is None and door.zone == ask.zone and (door.believed or courier.has_idle(door.address))
+    def send_planned(self, planned: PlannedRequest, attempt: int = 0) -> None:
+        """A client sends a request: on an idle connection, or on a new one that the front routes."""
+        client_pool = self.client_pools[planned.zone]
+        slots = [
+            slot
+            for slot in self.proxy_slots
+            if slot.for_backend is None
+            and slot.zone == planned.zone
+            and (slot.routed or client_pool.has_idle(slot.address))
         ]
-        if not doors:
-            self.ledger.note(self.loop.time(), "nowhere", ask.number)
+        if not slots:
+            self.checker.record_event(self.loop.time(), "nowhere", planned.number)
             return
-        self._send(ask, attempt, self.rng.choice(doors))
+        self._send_request(planned, attempt, self.rng.choice(slots))
 
-    def _send(self, ask: Ask, attempt: int, door: Door) -> Parcel:
-        rid = f"{ask.number:x}-{attempt}"
-        method = b"GET" if ask.kind == "view" else b"POST"
-        rows = [
+    def _send_request(self, planned: PlannedRequest, attempt: int, slot: ProxySlot) -> PendingRequest:
+        request_id = f"{planned.number:x}-{attempt}"
+        method = b"GET" if planned.kind == "view" else b"POST"
+        header_lines = [
             method + b" /api HTTP/1.1",
             b"Host: backend.local",
-            b"X-Call-Id: " + rid.encode(),
-            b"X-Call-Class: " + ask.kind.encode(),
+            b"X-Call-Id: " + request_id.encode(),
+            b"X-Call-Class: " + planned.kind.encode(),
             b"X-Caller: univ",
-            b"X-Budget: %dm" % int(ask.budget * 1000.0),
-            b"X-Want: %d" % ask.want,
+            b"X-Budget: %dm" % int(planned.budget * 1000.0),
+            b"X-Want: %d" % planned.want,
         ]
-        if ask.kind == "submit":
-            rows.append(b"Idempotency-Key: k%d" % ask.number)
-        body = b"" if method == b"GET" else b"x" * ask.body
+        if planned.kind == "submit":
+            header_lines.append(b"Idempotency-Key: k%d" % planned.number)
+        body = b"" if method == b"GET" else b"x" * planned.body
         if method == b"POST":
-            rows.append(b"Content-Length: %d" % len(body))
-        message = b"\r\n".join([*rows, b"", b""]) + body
+            header_lines.append(b"Content-Length: %d" % len(body))
+        message = b"\r\n".join([*header_lines, b"", b""]) + body
         pieces = [message]
-        if ask.slow:
+        if planned.slow:
             cuts = [0, *(len(message) - (3 - i) * (len(message) // 5) for i in range(3)), len(message)]
             pieces = [message[a:b] for a, b in itertools.pairwise(cuts)]
-        parcel = Parcel(door.address, pieces, ask.slow / 4.0, ask.dawdle)
+        pending = PendingRequest(slot.address, pieces, planned.slow / 4.0, planned.dawdle)
 
-        def done(end: End, answer: Seen | None) -> None:
-            if answer is not None and answer.status in (503, 429) and attempt < ask.again:
+        def done(end: RequestEnd, answer: Message | None) -> None:
+            if answer is not None and answer.status in (503, 429) and attempt < planned.again:
                 after = float(answer.headers.get(b"retry-after", b"0.2"))
-                self.loop.call_later(after, self.ask, ask, attempt + 1)
-
-        parcel.done = done
-        courier = self.couriers[ask.zone]
-        self._account(parcel, rid, ask.kind, door, f"client/{ask.zone}", ask.budget, ask.want)
-        if ask.kind == "view":
-            self._views[rid] = (door, parcel, message)
-        courier.send(parcel)
-        if ask.leaves:
-            self.loop.call_later(ask.leaves, courier.leave, parcel)
-        return parcel
+                self.loop.call_later(after, self.send_planned, planned, attempt + 1)
+
+        pending.on_end = done
+        client_pool = self.client_pools[planned.zone]
+        self._track(pending, request_id, planned.kind, slot, f"client/{planned.zone}", planned.budget, planned.want)
+        if planned.kind == "view":
+            self._duplicable_requests[request_id] = (slot, pending, message)
+        client_pool.send(pending)
+        if planned.leaves:
+            self.loop.call_later(planned.leaves, client_pool.abandon, pending)
+        return pending
 
     # ---- faults --------------------------------------------------------------------------
 
-    def strike(self, fault: Fault) -> None:
-        """A fault begins, and plans its end."""
-        self.ledger.note(self.loop.time(), "fault", fault.what, fault.whom, f"{fault.seconds:g}", f"{fault.by:g}")
-        kind, _, number = fault.whom.partition("/")
-        if kind == "backend":
-            self.ledger.disturbed.add(self.stands[int(number)].host)
-        if kind == "proxy":
-            heal = self._strike_door(fault, self.doors[int(number)])
-        elif kind == "backend":
-            heal = self._strike_stand(fault, self.stands[int(number)])
+    def inject(self, fault: Fault) -> None:
+        """Start a fault and schedule its end."""
+        self.checker.record_event(
+            self.loop.time(), "fault", fault.what, fault.whom, f"{fault.seconds:g}", f"{fault.by:g}"
+        )
+        target_kind, _, number = fault.whom.partition("/")
+        if target_kind == "backend":
+            self.checker.faulted_backends.add(self.backend_slots[int(number)].host)
+        if target_kind == "proxy":
+            undo = self._inject_proxy_fault(fault, self.proxy_slots[int(number)])
+        elif target_kind == "backend":
+            undo = self._inject_backend_fault(fault, self.backend_slots[int(number)])
         else:
-            heal = self._strike_registry(fault, self.registries[int(number)])
-        if heal is not None:
-            key = self._healed = self._healed + 1
-            self._heals[key] = heal
-            self.loop.call_later(fault.seconds, self._heal, key)
-
-    def _heal(self, key: int) -> None:
-        heal = self._heals.pop(key, None)
-        if heal is not None:
-            heal()
-
-    def _strike_door(self, fault: Fault, door: Door) -> Heal | None:
-        process = door.process
+            undo = self._inject_discovery_fault(fault, self.discoveries[int(number)])
+        if undo is not None:
+            key = self._fault_count = self._fault_count + 1
+            self._active_faults[key] = undo
+            self.loop.call_later(fault.seconds, self._end_fault, key)
+
+    def _end_fault(self, key: int) -> None:
+        undo = self._active_faults.pop(key, None)
+        if undo is not None:
+            undo()
+
+    def _inject_proxy_fault(self, fault: Fault, slot: ProxySlot) -> Undo | None:
+        process = slot.process
         if process is None or process.machine.dead or process.proxy is None:
             return None
-        machine, proxy, surroundings = process.machine, process.proxy, process.surroundings
-        what = fault.what
-        if what == "blow":
-            return self._blow(fault)
-        if what in ("forget", "rollback"):
-            self.end_door(door, True)
-            self.ledger.forgets(door.name)
-            if what == "forget":
-                door.disk.records.clear()
+        machine, proxy, runtime = process.machine, process.proxy, process.runtime
+        fault_kind = fault.what
+        if fault_kind == "blow":
+            return self._kill_many(fault)
+        if fault_kind in ("forget", "rollback"):
+            self.end_proxy(slot, True)
+            self.checker.on_state_lost(slot.name)
+            if fault_kind == "forget":
+                slot.disk.records.clear()
             else:
-                door.disk.put_back()
-            return lambda: self._start_again(door)
-        if what == "kill" or (what == "drain" and door.owner is not None):
-            self.end_door(door, True)
-            return lambda: self._start_again(door)
-        if what == "drain":
-            self._drain(door, machine, proxy, fault.seconds)
+                slot.disk.restore_snapshot()
+            return lambda: self._restart_proxy(slot)
+        if fault_kind == "kill" or (fault_kind == "drain" and slot.for_backend is not None):
+            self.end_proxy(slot, True)
+            return lambda: self._restart_proxy(slot)
+        if fault_kind == "drain":
+            self._drain_proxy(slot, machine, proxy, fault.seconds)
             return None
-        if what == "pause":
-            # What has come meanwhile is worked off first.
-            return self._held(door, machine.pause, machine.resume, self.path + 0.1 * fault.seconds)
-        if what == "silent":
+        if fault_kind == "pause":
+            # The backlog that arrived meanwhile is processed first.
+            return self._block_proxy(slot, machine.pause, machine.resume, self.round_trip + 0.1 * fault.seconds)
+        if fault_kind == "silent":
             address = machine.address
-            return self._held(
-                door, lambda: self.network.silence(address, True), lambda: self.network.silence(address, False), 0.5
+            return self._block_proxy(
+                slot,
+                lambda: self.network.set_silent(address, True),
+                lambda: self.network.set_silent(address, False),
+                0.5,
             )
-        if what == "cut":
-            nodes = [stand for stand in self.stands if stand.tier == door.tier]
-            node = nodes[int(fault.by) % len(nodes)]
-            self.ledger.disturbed.add(node.host)
-            return self._cut(machine.address, node.address)
-        if what in ("lag", "narrow"):
-            heal = self._line(machine.address, fault)
-            if what == "lag":
-                way = fault.by * (1.0 + self.plan.jitter)
-                self.ledger.slack[door.name] = max(
-                    self.ledger.slack.get(door.name, 0.0), (6.0 + 4.0 * self.longest / WINDOW_BYTES) * way
+        if fault_kind == "cut":
+            tier_backends = [backend for backend in self.backend_slots if backend.tier == slot.tier]
+            target = tier_backends[int(fault.by) % len(tier_backends)]
+            self.checker.faulted_backends.add(target.host)
+            return self._partition(machine.address, target.address)
+        if fault_kind in ("lag", "narrow"):
+            undo = self._degrade_link(machine.address, fault)
+            if fault_kind == "lag":
+                one_way = fault.by * (1.0 + self.plan.jitter)
+                self.checker.slack[slot.name] = max(
+                    self.checker.slack.get(slot.name, 0.0),
+                    (6.0 + 4.0 * self.longest_message / WINDOW_BYTES) * one_way,
                 )
-                return heal
-            return self._held(door, lambda: None, heal, 2.0 + (3e5 + 3.0 * self.longest) / fault.by)
-        if what == "reload":
-            door.moved = 1 - door.moved
+                return undo
+            return self._block_proxy(slot, lambda: None, undo, 2.0 + (3e5 + 3.0 * self.longest_message) / fault.by)
+        if fault_kind == "reload":
+            slot.discovery_index = 1 - slot.discovery_index
             machine_context = machine.context()
-            fresh = replace(proxy.config, discovery=(f"10.4.{door.tier}.{door.moved + 1}", PORT))
-            self.loop.call_soon(proxy.reconfigure, fresh, context=machine_context)
+            new_config = replace(proxy.config, discovery=(f"10.4.{slot.tier}.{slot.discovery_index + 1}", PORT))
+            self.loop.call_soon(proxy.reconfigure, new_config, context=machine_context)
             return None
-        if what == "ban":
-            nodes = [stand for stand in self.stands if stand.tier == door.tier]
-            return self._ban(door, nodes[int(fault.by) % len(nodes)].host)
-        if what == "evacuate":
-            return self._evacuate(door)
-        if what == "upgrade":
-            self._upgrade(door, int(fault.by))
+        if fault_kind == "ban":
+            tier_backends = [backend for backend in self.backend_slots if backend.tier == slot.tier]
+            return self._ban(slot, tier_backends[int(fault.by) % len(tier_backends)].host)
+        if fault_kind == "evacuate":
+            return self._evacuate(slot)
+        if fault_kind == "upgrade":
+            self._upgrade(slot, int(fault.by))
             return None
-        if what == "famine":
-            door.starved = True
-            machine.limit = machine.used + int(fault.by)
-            return self._held(door, lambda: None, lambda: setattr(machine, "limit", door.config.sockets), 1.0)
-        if what == "coarse":
-            machine.coarse = fault.by
-            self.ledger.slack[door.name] = max(self.ledger.slack.get(door.name, 0.0), 4.0 * fault.by)
-            return lambda: setattr(machine, "coarse", 0.0)
-        if what == "step":
-            surroundings.epoch += fault.by
+        if fault_kind == "famine":
+            slot.starved = True
+            machine.descriptor_limit = machine.descriptors_used + int(fault.by)
+            return self._block_proxy(
+                slot, lambda: None, lambda: setattr(machine, "descriptor_limit", slot.config.sockets), 1.0
+            )
+        if fault_kind == "coarse":
+            machine.timer_granularity = fault.by
+            self.checker.slack[slot.name] = max(self.checker.slack.get(slot.name, 0.0), 4.0 * fault.by)
+            return lambda: setattr(machine, "timer_granularity", 0.0)
+        if fault_kind == "step":
+            runtime.epoch += fault.by
             return None
-        if what in ("crowd", "halves"):
-            return self._crowd(door, int(fault.by), b"GET /api HT" if what == "halves" else b"")
-        if what == "twins":
-            self._twins(door, int(fault.by))
-        return None  # a burst is told by its requests
-
-    def _blow(self, fault: Fault) -> Heal:
-        """A part of the first tier is killed at once, and comes back at once."""
-        first = [door for door in self.doors if door.tier == 0]
-        fallen = first[: max(1, round(fault.by * len(first)))]
-        for door in fallen:
-            self.end_door(door, True)
-
-        def heal() -> None:
-            for door in fallen:
-                self._start_again(door)
-
-        return heal
-
-    def _twins(self, door: Door, count: int) -> None:
-        """Strangers send requests with the ids of open ones: while those are open, they are turned away."""
-        for rid, (owner, parcel, message) in list(self._views.items()):
-            if parcel.over:
-                del self._views[rid]
-            elif owner is door and count > 0 and not parcel.heard and self.ledger.waits(self.loop.time(), rid):
+        if fault_kind in ("crowd", "halves"):
+            return self._open_silent_connections(
+                slot, int(fault.by), b"GET /api HT" if fault_kind == "halves" else b""
+            )
+        if fault_kind == "twins":
+            self._duplicate_open_ids(slot, int(fault.by))
+        return None  # a burst consists of its requests in the plan
+
+    def _kill_many(self, fault: Fault) -> Undo:
+        """Kill a part of the first tier at one instant, and restart it at one instant."""
+        first_tier = [slot for slot in self.proxy_slots if slot.tier == 0]
+        killed = first_tier[: max(1, round(fault.by * len(first_tier)))]
+        for slot in killed:
+            self.end_proxy(slot, True)
+
+        def undo() -> None:
+            for slot in killed:
+                self._restart_proxy(slot)
+
+        return undo
+
+    def _duplicate_open_ids(self, slot: ProxySlot, count: int) -> None:
+        """Other clients send requests with the ids of open ones; the proxy must reject them while those are open."""
+        for request_id, (target, pending, message) in list(self._duplicable_requests.items()):
+            if pending.ended:
+                del self._duplicable_requests[request_id]
+            elif (
+                target is slot
+                and count > 0
+                and not pending.head_received
+                and self.checker.is_waiting(self.loop.time(), request_id)
+            ):
                 count -= 1
-                self._twin(door, rid, parcel, message)
+                self._send_duplicate(slot, request_id, pending, message)
 
-    def _twin(self, door: Door, rid: str, original: Parcel, message: bytes) -> None:
-        self.ledger.doubled.add(rid)
-        self.ledger.note(self.loop.time(), "twin", rid, door.name)
+    def _send_duplicate(self, slot: ProxySlot, request_id: str, original: PendingRequest, message: bytes) -> None:
+        self.checker.duplicated_ids.add(request_id)
+        self.checker.record_event(self.loop.time(), "twin", request_id, slot.name)
 
         def check() -> None:
-            if not original.over and not original.heard:
-                text = f"a stranger's {rid} was served while the request of that id was open"
-                self.ledger.violate(self.loop.time(), "right answer", text)
+            if not original.ended and not original.head_received:
+                text = f"a stranger's {request_id} was served while the request of that id was open"
+                self.checker.report_violation(self.loop.time(), "right answer", text)
 
-        def done(end: End, answer: Seen | None) -> None:
+        def done(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status == 200:
-                self.loop.call_later(self.path, check)  # what was answered before is here by then
+                self.loop.call_later(self.round_trip, check)  # an answer that was sent before has arrived by then
 
-        twin = Parcel(door.address, [message], done=done)
-        self.loop.call_soon(self.couriers[door.zone].connect, twin, context=self.clients[door.zone].context())
+        duplicate = PendingRequest(slot.address, [message], on_end=done)
+        self.loop.call_soon(
+            self.client_pools[slot.zone].connect, duplicate, context=self.client_machines[slot.zone].context()
+        )
 
-    def _held(self, door: Door, begin: Heal, end: Heal, after: float) -> Heal:
-        """A proxy can't do its work for a while, and is excused."""
-        self.ledger.hold(self.loop.time(), door.name)
+    def _block_proxy(self, slot: ProxySlot, begin: Undo, end: Undo, after: float) -> Undo:
+        """Run a fault during which a proxy cannot work, so that its delays are excused."""
+        self.checker.on_blocked(self.loop.time(), slot.name)
         begin()
 
-        def heal() -> None:
+        def undo() -> None:
             end()
-            self.ledger.release(self.loop.time(), door.name, after)
+            self.checker.on_unblocked(self.loop.time(), slot.name, after)
 
-        return heal
+        return undo
 
-    def _start_again(self, door: Door) -> None:
-        if not door.up and (door.owner is None or door.owner.up):
-            door.config = replace(door.config, discovery=(f"10.4.{door.tier}.{door.moved + 1}", PORT))
-            self.start_door(door)
+    def _restart_proxy(self, slot: ProxySlot) -> None:
+        if not slot.up and (slot.for_backend is None or slot.for_backend.up):
+            slot.config = replace(slot.config, discovery=(f"10.4.{slot.tier}.{slot.discovery_index + 1}", PORT))
+            self.start_proxy(slot)
 
-    def _drain(self, door: Door, machine: Machine, proxy: Proxy, seconds: float) -> None:
-        """SIGTERM; the front sends for a moment longer; SIGKILL for one that does not end."""
-        if door.draining or door.upgrades or door.others:
+    def _drain_proxy(self, slot: ProxySlot, machine: Machine, proxy: Proxy, seconds: float) -> None:
+        """SIGTERM; SIGKILL if the proxy does not exit in time. The front routes to it for FRONT_STOP_DELAY more."""
+        if slot.draining or slot.upgrades_in_progress or slot.other_processes:
             return
-        door.draining = True
+        slot.draining = True
         began = self.loop.time()
-        door.open_until = began + FRONT_LAG
-        life = door.life
+        slot.accepts_until = began + FRONT_STOP_DELAY
+        generation = slot.generation
 
-        def stop() -> None:
-            if door.life == life:
-                door.believed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        def again() -> None:
-            if door.life == life:
-                self._start_again(door)
+        def restart() -> None:
+            if slot.generation == generation:
+                self._restart_proxy(slot)
 
-        def exited() -> None:
-            if door.life == life and door.up:
-                # One that was held up meanwhile could not end in its time.
-                self.end_door(door, self.ledger.held_for(door.name, began, self.loop.time()) > 0.0)
-                key = self._healed = self._healed + 1
-                self._heals[key] = again
-                self.loop.call_later(seconds, self._heal, key)
+        def on_exit() -> None:
+            if slot.generation == generation and slot.up:
+                # A proxy that was blocked meanwhile could not exit in time.
+                self.end_proxy(slot, self.checker.blocked_seconds(slot.name, began, self.loop.time()) > 0.0)
+                key = self._fault_count = self._fault_count + 1
+                self._active_faults[key] = restart
+                self.loop.call_later(seconds, self._end_fault, key)
 
         async def drain() -> None:
             await proxy.drain()
-            # The process is at its end: what follows is the world's.
-            self.loop.call_soon(exited, context=contextvars.Context())
+            # The process has exited: what follows runs outside its machine.
+            self.loop.call_soon(on_exit, context=contextvars.Context())
 
-        def leave_it() -> None:
-            # The platform's listener would keep them waiting for the next process, which is not what is asked here.
-            listener = self.network.listeners.get(door.address)
-            if self.plan.shared and listener is not None and door.life == life:
-                listener.refuse()
+        def stop_accepting() -> None:
+            # The platform's listener would queue new connections for the next process; this fault tests a refusal.
+            listener = self.network.listeners.get(slot.address)
+            if self.plan.shared and listener is not None and slot.generation == generation:
+                listener.stop_accepting()
 
-        self.loop.call_later(FRONT_LAG, stop, context=contextvars.Context())
-        self.loop.call_later(FRONT_LAG + 0.1, leave_it, context=contextvars.Context())
+        self.loop.call_later(FRONT_STOP_DELAY, stop_routing, context=contextvars.Context())
+        self.loop.call_later(FRONT_STOP_DELAY + 0.1, stop_accepting, context=contextvars.Context())
         self._spawn(machine, drain)
-        self.loop.call_later(self.patience, exited, context=contextvars.Context())
+        self.loop.call_later(self.drain_timeout, on_exit, context=contextvars.Context())
 
     # ---- operators -----------------------------------------------------------------------
 
-    def _operate(
+    def _call_management(
         self,
-        door: Door,
+        slot: ProxySlot,
         process: Process,
-        call: str,
+        command: str,
         done: Callable[[int], None],
         body: bytes = b"",
         method: str = "POST",
-    ) -> Parcel:
-        """A call to one process of a proxy; `done` is told its status, or 0 where no answer came."""
-        lines = f"{method} /api/{call} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+    ) -> PendingRequest:
+        """Call a proxy process's management API; `done` receives the status, or 0 without an answer."""
+        lines = f"{method} /api/{command} HTTP/1.1\r\nHost: p\r\nContent-Length: {len(body)}\r\n\r\n".encode()
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             status = answer.status if answer is not None else 0
-            self.ledger.note(self.loop.time(), "call", door.name, call, body.decode(), status)
+            self.checker.record_event(self.loop.time(), "call", slot.name, command, body.decode(), status)
             done(status)
 
-        parcel = Parcel(process.calls, [lines + body], done=ended)
-        self.loop.call_soon(self.couriers[door.zone].send, parcel, context=self.clients[door.zone].context())
-        return parcel
+        pending = PendingRequest(process.management, [lines + body], on_end=on_end)
+        self.loop.call_soon(
+            self.client_pools[slot.zone].send, pending, context=self.client_machines[slot.zone].context()
+        )
+        return pending
 
-    def _order(self, door: Door, call: str, opposite: str, body: bytes, yes: Heal, no: Heal, host: str = "") -> Heal:
-        """An order, and at its end the opposite one: after the answer to the first, and until there is a yes."""
-        life = door.life
+    def _operator_order(
+        self,
+        slot: ProxySlot,
+        command: str,
+        opposite: str,
+        body: bytes,
+        on_accepted: Undo,
+        on_revoked: Undo,
+        host: str = "",
+    ) -> Undo:
+        """Give an order, and at the fault's end the opposite one: after the answer to the first, until confirmed."""
+        generation = slot.generation
         state = {"answered": False, "over": False}
 
-        def ordered(status: int) -> None:
+        def on_answer(status: int) -> None:
             state["answered"] = True
-            if status == 200 and door.life == life and door.up:
-                yes()
+            if status == 200 and slot.generation == generation and slot.up:
+                on_accepted()
             if state["over"]:
                 revoke()
 
-        def revoked(status: int) -> None:
-            if status in (0, 409) and (self.plan.keeps or (door.life == life and door.up)):
-                self.loop.call_later(0.1, revoke)  # the process that was asked is ending, or has gone
+        def on_revoke_answer(status: int) -> None:
+            if status in (0, 409) and (self.plan.keeps or (slot.generation == generation and slot.up)):
+                self.loop.call_later(0.1, revoke)  # the called process is exiting or has exited
 
         def revoke() -> None:
-            door.orders += 1
-            no()
-            ask()
-
-        def ask() -> None:
-            # Where orders are kept, they outlive the process that was told; so does the wish to take them back.
-            if door.up and door.process is not None and (door.life == life or self.plan.keeps):
-                self._operate(door, door.process, opposite, revoked, body)
+            slot.revoked_orders += 1
+            on_revoked()
+            send_opposite()
+
+        def send_opposite() -> None:
+            # Stored orders outlive the process that received them; the revocation is then sent to its successor.
+            if slot.up and slot.process is not None and (slot.generation == generation or self.plan.keeps):
+                self._call_management(slot, slot.process, opposite, on_revoke_answer, body)
             elif self.plan.keeps:
-                self.loop.call_later(0.1, ask)
+                self.loop.call_later(0.1, send_opposite)
 
         def end() -> None:
             state["over"] = True
             if state["answered"]:
                 revoke()
 
-        assert door.process is not None
-        parcel = self._operate(door, door.process, call, ordered, body)
+        assert slot.process is not None
+        pending = self._call_management(slot, slot.process, command, on_answer, body)
         if host:
-            self._asked[parcel] = host
+            self._pending_bans[pending] = host
         return end
 
-    def _ban(self, door: Door, host: str) -> Heal | None:
-        """A backend is out at one proxy, from the yes on until its return is asked for."""
-        if host in door.banned:
+    def _ban(self, slot: ProxySlot, host: str) -> Undo | None:
+        """Ban a backend at one proxy, from the confirmation until operators ask to lift the ban."""
+        if host in slot.banned_hosts:
             return None
-        door.banned.add(host)
+        slot.banned_hosts.add(host)
 
-        def no() -> None:
-            door.banned.discard(host)
-            self.ledger.unbanned(door.name, host)
+        def on_revoked() -> None:
+            slot.banned_hosts.discard(host)
+            self.checker.on_unbanned(slot.name, host)
 
-        return self._order(
-            door,
+        return self._operator_order(
+            slot,
             "exclude",
             "include",
             b'{"who":"%s"}' % host.encode(),
             lambda: None,
-            no,
+            on_revoked,
             host,
         )
 
-    def _evacuate(self, door: Door) -> Heal:
-        """A proxy is emptied; the front goes on for a moment, and comes back when it is told yes again."""
-        life = door.life
+    def _evacuate(self, slot: ProxySlot) -> Undo:
+        """Evacuate a proxy; the front stops after FRONT_STOP_DELAY and resumes when the proxy is ready again."""
+        generation = slot.generation
 
-        def stop() -> None:
-            if door.life == life:
-                door.believed = False
+        def stop_routing() -> None:
+            if slot.generation == generation:
+                slot.routed = False
 
-        def yes() -> None:
-            door.open_until = max(door.open_until, self.loop.time() + FRONT_LAG)
-            door.evacuated = True
-            self.loop.call_later(FRONT_LAG, stop, context=contextvars.Context())
-            self._see_it_out(door, life)
+        def on_accepted() -> None:
+            slot.accepts_until = max(slot.accepts_until, self.loop.time() + FRONT_STOP_DELAY)
+            slot.evacuated = True
+            self.loop.call_later(FRONT_STOP_DELAY, stop_routing, context=contextvars.Context())
+            self._poll_evacuated(slot, generation)
 
-        def no() -> None:
-            door.evacuated = False
-            if door.owner is None and door.life == life:
-                self.loop.call_later(2.0 * FRONT_LAG, self._ask_up, door, life)
+        def on_revoked() -> None:
+            slot.evacuated = False
+            if slot.for_backend is None and slot.generation == generation:
+                self.loop.call_later(2.0 * FRONT_STOP_DELAY, self._poll_ready, slot, generation)
 
-        return self._order(door, "evacuate", "rejoin", b"", yes, no)
+        return self._operator_order(slot, "evacuate", "rejoin", b"", on_accepted, on_revoked)
 
-    def _see_it_out(self, door: Door, life: int) -> None:
-        """While it is evacuated, whichever process answers says no to the front."""
-        if door.life != life or not door.up or not door.evacuated or door.draining:
+    def _poll_evacuated(self, slot: ProxySlot, generation: int) -> None:
+        """The front checks an evacuated proxy: no process of it may report ready."""
+        if slot.generation != generation or not slot.up or not slot.evacuated or slot.draining:
             return
-        orders = door.orders
-
-        def done(end: End, answer: Seen | None) -> None:
-            if answer is not None and answer.status == 200 and door.life == life and door.orders == orders:
-                self.ledger.says_yes(self.loop.time(), door.name)
-
-        parcel = Parcel(door.address, [UP], done=done)
-        self.loop.call_soon(self.couriers[door.zone].connect, parcel, context=self.clients[door.zone].context())
-        self.loop.call_later(UP_EVERY, self._see_it_out, door, life)
+        orders = slot.revoked_orders
+
+        def done(end: RequestEnd, answer: Message | None) -> None:
+            if (
+                answer is not None
+                and answer.status == 200
+                and slot.generation == generation
+                and slot.revoked_orders == orders
+            ):
+                self.checker.on_ready_while_evacuated(self.loop.time(), slot.name)
+
+        pending = PendingRequest(slot.address, [READY_REQUEST], on_end=done)
+        self.loop.call_soon(
+            self.client_pools[slot.zone].connect, pending, context=self.client_machines[slot.zone].context()
+        )
+        self.loop.call_later(READY_POLL_INTERVAL, self._poll_evacuated, slot, generation)
 
     # ---- upgrades ------------------------------------------------------------------------
 
-    def _upgrade(self, door: Door, how: int) -> None:
-        """A new process beside the old one, on one listener; the old one ends when the new one is ready."""
-        old = door.process
-        if not self.plan.shared or door.draining or door.upgrades > 1 or old is None or old.machine.dead:
+    def _upgrade(self, slot: ProxySlot, trouble_index: int) -> None:
+        """Start a new process beside the old one on one listener; the old one exits when the new one is ready."""
+        old = slot.process
+        if not self.plan.shared or slot.draining or slot.upgrades_in_progress > 1 or old is None or old.machine.dead:
             return
-        trouble = UPGRADES[how % len(UPGRADES)]
-        if trouble == "what was learned is torn" and door.memory is not None:
-            door.memory.tear("learned")
-        life, began = door.life, self.loop.time()
-        door.upgrades += 1
-        new = self._launch(door)
-        door.others.append(new)
-        self.ledger.note(began, "new", door.name, trouble)
-
-        def gone() -> None:
-            if door.life == life:
-                door.upgrades -= 1
-                self._end_process(door, new)
-
-        def ready(status: int) -> None:
-            if door.life != life or not door.up:
+        trouble = UPGRADE_TROUBLES[trouble_index % len(UPGRADE_TROUBLES)]
+        if trouble == "what was learned is torn" and slot.shared_memory is not None:
+            slot.shared_memory.truncate("learned")
+        generation, began = slot.generation, self.loop.time()
+        slot.upgrades_in_progress += 1
+        new = self._start_process(slot)
+        slot.other_processes.append(new)
+        self.checker.record_event(began, "new", slot.name, trouble)
+
+        def abandon() -> None:
+            if slot.generation == generation:
+                slot.upgrades_in_progress -= 1
+                self._end_process(slot, new)
+
+        def on_ready_answer(status: int) -> None:
+            if slot.generation != generation or not slot.up:
                 return
             if status == 200 and not new.machine.dead:
-                self._promote(door, new)
+                self._promote(slot, new)
             elif new.machine.dead:
-                gone()
-            elif self.loop.time() > began + STARTS and not self.ledger.held_up(self.loop.time(), door.name):
-                self.ledger.violate(self.loop.time(), "liveness", f"{door.name}: a new process is not ready")
-                gone()
+                abandon()
+            elif self.loop.time() > began + START_TIMEOUT and not self.checker.recently_blocked(
+                self.loop.time(), slot.name
+            ):
+                self.checker.report_violation(
+                    self.loop.time(), "liveness", f"{slot.name}: a new process is not ready"
+                )
+                abandon()
             else:
-                self.loop.call_later(ASK_READY, ask)
+                self.loop.call_later(START_POLL_INTERVAL, poll_ready)
 
-        def ask() -> None:
-            if door.life == life and door.up:
-                self._operate(door, new, "ready", ready, method="GET")
+        def poll_ready() -> None:
+            if slot.generation == generation and slot.up:
+                self._call_management(slot, new, "ready", on_ready_answer, method="GET")
 
-        self.loop.call_later(ASK_READY, ask)
+        self.loop.call_later(START_POLL_INTERVAL, poll_ready)
         if trouble == "the new process dies":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._lose_new, door, new)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_new, slot, new)
         elif trouble == "the old process dies":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._lose_old, door, old, new)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._kill_old, slot, old, new)
         elif trouble == "a second one follows":
-            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._upgrade, door, 0)
-
-    def _promote(self, door: Door, new: Process) -> None:
-        """A new process serves; one before it, or one that came late, is told to end."""
-        old, now = door.process, self.loop.time()
-        door.upgrades -= 1
-        self.ledger.note(now, "serves", door.name)
-        if new is old:  # the other was killed meanwhile, and nobody was there to answer
-            self.ledger.release(now, door.name, 0.5)
+            self.loop.call_later(self.rng.uniform(0.0, 0.3), self._upgrade, slot, 0)
+
+    def _promote(self, slot: ProxySlot, new: Process) -> None:
+        """Make a new process the serving one; the older of the two is told to exit."""
+        old, now = slot.process, self.loop.time()
+        slot.upgrades_in_progress -= 1
+        self.checker.record_event(now, "serves", slot.name)
+        if new is old:  # the old process was killed meanwhile; the new one serves already
+            self.checker.on_unblocked(now, slot.name, 0.5)
             return
         if old is not None and old.number > new.number:
-            self._retire(door, new)
+            self._retire(slot, new)
             return
-        door.process = new
-        door.others.remove(new)
+        slot.process = new
+        slot.other_processes.remove(new)
         if old is not None and not old.machine.dead:
-            door.others.append(old)
-            self._retire(door, old)
+            slot.other_processes.append(old)
+            self._retire(slot, old)
 
-    def _retire(self, door: Door, old: Process) -> None:
-        """SIGTERM to one of several; SIGKILL for one that does not end."""
+    def _retire(self, slot: ProxySlot, old: Process) -> None:
+        """SIGTERM to one of several processes; SIGKILL if it does not exit in time."""
         proxy = old.proxy
         if proxy is None:
             return
-        now, life = self.loop.time(), door.life
+        now, generation = self.loop.time(), slot.generation
 
-        def exited() -> None:
-            if door.life == life and not old.machine.dead:
-                if self.ledger.held_for(door.name, now, self.loop.time()) > 0.0:
-                    self.ledger.killed(self.loop.time(), door.name, False)
-                self._end_process(door, old)
+        def on_exit() -> None:
+            if slot.generation == generation and not old.machine.dead:
+                if self.checker.blocked_seconds(slot.name, now, self.loop.time()) > 0.0:
+                    self.checker.on_killed(self.loop.time(), slot.name, False)
+                self._end_process(slot, old)
 
         async def drain() -> None:
             await proxy.drain()
-            self.loop.call_soon(exited, context=contextvars.Context())
+            self.loop.call_soon(on_exit, context=contextvars.Context())
 
         self._spawn(old.machine, drain)
-        self.loop.call_later(self.patience, exited, context=contextvars.Context())
+        self.loop.call_later(self.drain_timeout, on_exit, context=contextvars.Context())
 
-    def _end_process(self, door: Door, process: Process) -> None:
-        """One of several ends."""
+    def _end_process(self, slot: ProxySlot, process: Process) -> None:
+        """End one of several processes."""
         process.machine.kill()
         process.proxy = None
-        if process in door.others:
-            door.others.remove(process)
+        if process in slot.other_processes:
+            slot.other_processes.remove(process)
 
-    def _lose_new(self, door: Door, new: Process) -> None:
-        """The new process dies before the platform has its yes."""
-        if new in door.others and new is not door.process:
+    def _kill_new(self, slot: ProxySlot, new: Process) -> None:
+        """Kill the new process before the platform knows that it is ready."""
+        if new in slot.other_processes and new is not slot.process:
             now = self.loop.time()
-            self.ledger.note(now, "new killed", door.name)
-            self.ledger.killed(now, door.name, False)  # it may have listened already
-            self._end_process(door, new)
+            self.checker.record_event(now, "new killed", slot.name)
+            self.checker.on_killed(now, slot.name, False)  # it may have accepted connections already
+            self._end_process(slot, new)
 
-    def _lose_old(self, door: Door, old: Process, new: Process) -> None:
-        """The old process is killed while the new one starts: what it had is lost, what waits is the new one's."""
-        if old is not door.process or new not in door.others or new.machine.dead or old.machine.dead:
+    def _kill_old(self, slot: ProxySlot, old: Process, new: Process) -> None:
+        """Kill the old process while the new one starts: its requests are lost, queued connections remain."""
+        if old is not slot.process or new not in slot.other_processes or new.machine.dead or old.machine.dead:
             return
         now = self.loop.time()
-        self.ledger.note(now, "old killed", door.name)
-        self.ledger.killed(now, door.name, False)
-        self.ledger.hold(now, door.name)  # until the new one serves
-        door.process = new
-        door.others.remove(new)
-        door.others.append(old)
-        self._end_process(door, old)
-
-    def _cut(self, one: str, other: str) -> Heal:
-        self.network.cut(one, other, True)
-        return lambda: self.network.cut(one, other, False)
-
-    def _line(self, address: str, fault: Fault) -> Heal:
-        usual = self.network.default
-        more = {"latency": usual.latency + fault.by} if fault.what == "lag" else {"bandwidth": fault.by}
-        self.network.links[address] = replace(usual, **more)
-        return lambda: self.network.links.pop(address, None)
-
-    def _crowd(self, door: Door, count: int, say: bytes) -> Heal:
-        """Strangers that take up connections; while they are many, a proxy is excused."""
-        lines: list[asyncio.Transport] = []
+        self.checker.record_event(now, "old killed", slot.name)
+        self.checker.on_killed(now, slot.name, False)
+        self.checker.on_blocked(now, slot.name)  # until the new one serves
+        slot.process = new
+        slot.other_processes.remove(new)
+        slot.other_processes.append(old)
+        self._end_process(slot, old)
+
+    def _partition(self, first: str, second: str) -> Undo:
+        self.network.set_partitioned(first, second, True)
+        return lambda: self.network.set_partitioned(first, second, False)
+
+    def _degrade_link(self, address: str, fault: Fault) -> Undo:
+        default_link = self.network.default_link
+        changes = {"latency": default_link.latency + fault.by} if fault.what == "lag" else {"bandwidth": fault.by}
+        self.network.link_overrides[address] = replace(default_link, **changes)
+        return lambda: self.network.link_overrides.pop(address, None)
+
+    def _open_silent_connections(self, slot: ProxySlot, count: int, first_bytes: bytes) -> Undo:
+        """Open connections that occupy a proxy's descriptors; the proxy is excused until they are closed."""
+        transports: list[asyncio.Transport] = []
         ended: list[bool] = []
 
-        async def come() -> None:
+        async def connect_all() -> None:
             for _ in range(count):
                 with contextlib.suppress(OSError):
-                    transport, _ = await self.loop.create_connection(asyncio.Protocol, *door.address)
-                    transport.write(say)
-                    lines.append(transport)
+                    transport, _ = await self.loop.create_connection(asyncio.Protocol, *slot.address)
+                    transport.write(first_bytes)
+                    transports.append(transport)
                 if ended:
                     break
 
         def leave() -> None:
             ended.append(True)
-            for line in lines:
-                line.abort()
+            for transport in transports:
+                transport.abort()
 
-        self._spawn(self.clients[door.zone], come)
-        return self._held(door, lambda: None, leave, 3.0)
+        self._spawn(self.client_machines[slot.zone], connect_all)
+        return self._block_proxy(slot, lambda: None, leave, 3.0)
 
-    def _strike_stand(self, fault: Fault, stand: Stand) -> Heal | None:
-        machine, node = stand.machine, stand.node
-        if machine is None or machine.dead or node is None:
+    def _inject_backend_fault(self, fault: Fault, backend: BackendSlot) -> Undo | None:
+        machine, service = backend.machine, backend.service
+        if machine is None or machine.dead or service is None:
             return None
-        what = fault.what
-        if what == "kill":
-            self.end_stand(stand)
-            return lambda: self._stand_again(stand)
-        if what == "leave":
-            return self._leave(stand, node)
-        if what == "pause":
-            return self._with_own(stand, machine.pause, machine.resume)
-        if what == "silent":
-            return self._with_own(
-                stand,
-                lambda: self.network.silence(stand.address, True),
-                lambda: self.network.silence(stand.address, False),
+        fault_kind = fault.what
+        if fault_kind == "kill":
+            self.end_backend(backend)
+            return lambda: self._restart_backend(backend)
+        if fault_kind == "leave":
+            return self._drain_backend(backend, service)
+        if fault_kind == "pause":
+            return self._with_own_proxy(backend, machine.pause, machine.resume)
+        if fault_kind == "silent":
+            return self._with_own_proxy(
+                backend,
+                lambda: self.network.set_silent(backend.address, True),
+                lambda: self.network.set_silent(backend.address, False),
             )
-        if what == "cut":
-            doors = [door for door in self.doors if door.tier == stand.tier]
-            return self._cut(machine.address, doors[int(fault.by) % len(doors)].address[0])
-        if what in ("lag", "narrow"):
-            return self._with_own(stand, lambda: None, self._line(machine.address, fault))
-        if what == "slow":
-            node.slow = fault.by
-            return lambda: setattr(node, "slow", 1.0)
-        if what == "hasty":
-            node.idle_for = fault.by
-            return lambda: setattr(node, "idle_for", 5.0)
-        node.mood = what
-        self.ledger.broken_off.add(node.host)
-        return node.calm
-
-    def _with_own(self, stand: Stand, begin: Heal, end: Heal) -> Heal:
-        """What befalls a node on the side of its own proxy, too: that one's answers can't reach it."""
-        if stand.door is not None:
-            return self._held(stand.door, begin, end, 2.0)
+        if fault_kind == "cut":
+            tier_proxies = [slot for slot in self.proxy_slots if slot.tier == backend.tier]
+            return self._partition(machine.address, tier_proxies[int(fault.by) % len(tier_proxies)].address[0])
+        if fault_kind in ("lag", "narrow"):
+            return self._with_own_proxy(backend, lambda: None, self._degrade_link(machine.address, fault))
+        if fault_kind == "slow":
+            service.slow = fault.by
+            return lambda: setattr(service, "slow", 1.0)
+        if fault_kind == "hasty":
+            service.idle_for = fault.by
+            return lambda: setattr(service, "idle_for", 5.0)
+        service.fault = fault_kind
+        self.checker.cutting_backends.add(service.host)
+        return service.clear_fault
+
+    def _with_own_proxy(self, backend: BackendSlot, begin: Undo, end: Undo) -> Undo:
+        """Start a backend's fault that also blocks its own proxy, whose answers cannot reach the backend."""
+        if backend.own_proxy is not None:
+            return self._block_proxy(backend.own_proxy, begin, end, 2.0)
         begin()
         return end
 
-    def _leave(self, stand: Stand, node: Node) -> Heal | None:
-        """A node drains: discovery says so, it finishes what it has, and is gone."""
-        if stand.leaving:
+    def _drain_backend(self, backend: BackendSlot, service: ServiceBackend) -> Undo | None:
+        """Drain a backend: discovery lists it as terminating, it finishes its requests and exits."""
+        if backend.leaving:
             return None
-        stand.leaving = True
-        entry = self.registries[stand.tier].entries[stand.host]
-        self._list(stand, entry | {"health": "terminating"})
+        backend.leaving = True
+        entry = self.discoveries[backend.tier].entries[backend.host]
+        self._publish(backend, entry | {"health": "terminating"})
 
         def refuse() -> None:
-            node.draining = True
+            service.draining = True
 
         def end() -> None:
-            if stand.node is node:
-                self.end_stand(stand)
+            if backend.service is service:
+                self.end_backend(backend)
 
         self.loop.call_later(1.0, refuse)
         self.loop.call_later(2.5, end)
 
-        def back() -> None:
-            if stand.node is node and stand.up:
-                self.loop.call_later(3.0, self._stand_again, stand)
+        def restart() -> None:
+            if backend.service is service and backend.up:
+                self.loop.call_later(3.0, self._restart_backend, backend)
             else:
-                self._stand_again(stand)
+                self._restart_backend(backend)
 
-        return back
+        return restart
 
-    def _stand_again(self, stand: Stand) -> None:
-        if not stand.up:
-            self.loop.create_task(self.start_stand(stand, True))
+    def _restart_backend(self, backend: BackendSlot) -> None:
+        if not backend.up:
+            self.loop.create_task(self.start_backend(backend, True))
 
-    def _strike_registry(self, fault: Fault, registry: Registry) -> Heal | None:
-        what = fault.what
-        machines, lists = list(registry.machines), list(registry.lists)
-        if what == "kill":
+    def _inject_discovery_fault(self, fault: Fault, discovery: DiscoveryTier) -> Undo | None:
+        fault_kind = fault.what
+        machines, lists = list(discovery.machines), list(discovery.lists)
+        if fault_kind == "kill":
             for machine in machines:
                 machine.kill()
 
-            def again() -> None:
-                for which in range(len(machines)):
-                    if registry.machines[which].dead and which not in registry.starting:
-                        registry.starting.add(which)
-                        self.loop.create_task(self.start_discovery(registry, which))
+            def restart() -> None:
+                for index in range(len(machines)):
+                    if discovery.machines[index].dead and index not in discovery.starting:
+                        discovery.starting.add(index)
+                        self.loop.create_task(self.start_discovery(discovery, index))
 
-            return again
-        if what == "pause":
+            return restart
+        if fault_kind == "pause":
             for machine in machines:
                 machine.pause()
 
@@ -1281,210 +1355,235 @@
                     machine.resume()
 
             return resume
-        for hosts in lists:
-            hosts.mood = what
+        for host_list in lists:
+            host_list.fault = fault_kind
 
         def calm() -> None:
-            for machine, hosts in zip(machines, lists, strict=True):
-                self.loop.call_soon(hosts.calm, context=machine.context())
+            for machine, host_list in zip(machines, lists, strict=True):
+                self.loop.call_soon(host_list.clear_fault, context=machine.context())
 
         return calm
 
     # ---- the run -------------------------------------------------------------------------
 
-    def _step(self) -> None:
-        """After every step: nothing is overdue, and no proxy holds more than it may."""
+    def _after_step(self) -> None:
+        """Check after every step that no answer is overdue, and periodically that no proxy holds too much."""
         now = self.loop.time()
-        self.ledger.step(now)
-        if now >= self._look_at:
-            self._look_at = now + self.look_every
-            for door in self.doors:
-                self._check_bounds(now, door)
-            self._check_given_up(now)
-
-    def _short(self, door: Door, machine: Machine) -> None:
-        """A proxy's own limit is there so that this never happens."""
-        if not door.starved:
-            door.starved = True
-            self.ledger.violate(self.loop.time(), "descriptors", f"{door.name} ran out of its {machine.limit}")
-
-    def _check_bounds(self, now: float, door: Door) -> None:
-        """What a proxy holds is bounded by what it is at work on."""
-        if door.machine is None or not door.up:
+        self.checker.check_deadlines(now)
+        if now >= self._next_bounds_check:
+            self._next_bounds_check = now + self.bounds_check_interval
+            for slot in self.proxy_slots:
+                self._check_bounds(now, slot)
+            self._check_abandoned(now)
+
+    def _on_descriptors_exhausted(self, slot: ProxySlot, machine: Machine) -> None:
+        """A proxy ran out of descriptors: a violation, since its own limit must prevent that."""
+        if not slot.starved:
+            slot.starved = True
+            self.checker.report_violation(
+                self.loop.time(), "descriptors", f"{slot.name} ran out of its {machine.descriptor_limit}"
+            )
+
+    def _check_bounds(self, now: float, slot: ProxySlot) -> None:
+        """Check that a proxy's timers, descriptors and buffers are bounded by its open requests."""
+        if slot.machine is None or not slot.up:
             return
-        timers = len(self.loop.timers_of(door.machine))
-        near = [each for each in self.doors if each.tier == door.tier] if self.estates is not None else [door]
-        work = sum(self.ledger.open_at(each.name) for each in near)  # heirs have that of others
-        offers = self.estates.estate.max_pending if self.estates is not None else 0  # that are on their way here
-        if timers > TIMERS + SPARE_TIMERS + offers + 3 * work and not self.ledger.held_up(now, door.name):
-            self.ledger.violate(now, "bounded", f"{door.name} has {timers} timers for {work} requests")
-        machines = [one.machine for one in (door.process, *door.others) if one is not None and not one.machine.dead]
-        if len(machines) > 1 and not door.starved:
-            most = door.config.sockets - BASE * len(machines)
-            self.ledger.together(now, door.name, sum(machine.used for machine in machines), most)
-        held = sum(map(VirtualTransport.get_write_buffer_size, door.machine.transports))
-        if held > HELD:
-            self.ledger.violate(now, "bounded", f"{door.name} holds {held} bytes that nobody takes")
-
-    def _check_given_up(self, now: float) -> None:
-        """An attempt is given up by ending its connection; the node must not go on with it for nobody."""
-        for transport, (proxy, rid, told) in list(self._carries.items()):
-            if transport.over or transport.told != told:
-                del self._carries[transport]
+        timers = len(self.loop.timers_of(slot.machine))
+        tier_slots = (
+            [other for other in self.proxy_slots if other.tier == slot.tier] if self.orphans is not None else [slot]
+        )
+        # With takeover, a successor may hold requests of the other proxies, and offers may be on their way to it.
+        open_requests = sum(self.checker.open_request_count(other.name) for other in tier_slots)
+        offers = self.orphans.planner.max_pending if self.orphans is not None else 0
+        if timers > IDLE_TIMERS + SPARE_TIMERS + offers + 3 * open_requests and not self.checker.recently_blocked(
+            now, slot.name
+        ):
+            self.checker.report_violation(
+                now, "bounded", f"{slot.name} has {timers} timers for {open_requests} requests"
+            )
+        machines = [
+            process.machine
+            for process in (slot.process, *slot.other_processes)
+            if process is not None and not process.machine.dead
+        ]
+        if len(machines) > 1 and not slot.starved:
+            limit = slot.config.sockets - RESERVED_DESCRIPTORS * len(machines)
+            self.checker.check_descriptors(
+                now, slot.name, sum(machine.descriptors_used for machine in machines), limit
+            )
+        buffered = sum(map(VirtualTransport.get_write_buffer_size, slot.machine.transports))
+        if buffered > MAX_BUFFERED:
+            self.checker.report_violation(now, "bounded", f"{slot.name} holds {buffered} bytes that nobody takes")
+
+    def _check_abandoned(self, now: float) -> None:
+        """Check that attempts of ended requests are abandoned by closing their connections."""
+        for transport, (proxy, request_id, bytes_read_before) in list(self._attempt_by_transport.items()):
+            if transport.ended or transport.bytes_read != bytes_read_before:
+                del self._attempt_by_transport[transport]
             elif transport.machine is None:
-                continue  # its process is dead, and no heir there yet
-            elif self.ledger.void(now, rid) and not self.ledger.held_up(now, proxy):
-                del self._carries[transport]
-                self.ledger.violate(now, "nothing left", f"{proxy} still waits for {rid}, which is over")
+                continue  # its process is dead and no successor has it yet
+            elif self.checker.must_be_abandoned(now, request_id) and not self.checker.recently_blocked(now, proxy):
+                del self._attempt_by_transport[transport]
+                self.checker.report_violation(
+                    now, "nothing left", f"{proxy} still waits for {request_id}, which is over"
+                )
 
     async def _build(self) -> None:
-        for client in self.clients:
-            courier = Courier(self.loop, client.context())
-            courier.was_read = _was_read
-            courier.surplus = self._surplus
-            self.couriers.append(courier)
-        for stand in self.stands:
-            await self.start_stand(stand, False)
-        for registry in self.registries:
-            for which in (0, 1):
-                await self.start_discovery(registry, which)
-        for door in self.doors:
-            if door.owner is None:
-                self.start_door(door)
+        for client in self.client_machines:
+            client_pool = ClientPool(self.loop, client.context())
+            client_pool.was_read = _peer_has_read
+            client_pool.on_surplus = self._on_surplus_data
+            self.client_pools.append(client_pool)
+        for backend in self.backend_slots:
+            await self.start_backend(backend, False)
+        for discovery in self.discoveries:
+            for index in (0, 1):
+                await self.start_discovery(discovery, index)
+        for slot in self.proxy_slots:
+            if slot.for_backend is None:
+                self.start_proxy(slot)
         await asyncio.sleep(1.0)
 
     async def main(self) -> None:
-        """The whole run: the plan, then its end, then silence."""
+        """Run the plan, end all faults, probe every proxy, and check that nothing is left after a quiet period."""
         await self._build()
         begin = self.loop.time()
-        for ask in self.plan.requests:
-            self.loop.call_at(begin + ask.at, self.ask, ask)
+        for planned in self.plan.requests:
+            self.loop.call_at(begin + planned.at, self.send_planned, planned)
         batches: dict[float, list[Fault]] = {}
         for fault in self.plan.faults:
             batches.setdefault(fault.at, []).append(fault)
-        for at, batch in batches.items():
-            self.loop.call_at(begin + at, self._strike_all, batch)
+        for offset, batch in batches.items():
+            self.loop.call_at(begin + offset, self._inject_all, batch)
             if self.plan.keeps:
-                self.loop.call_at(begin + 0.5 * at, self._copy_disks)
+                self.loop.call_at(begin + 0.5 * offset, self._snapshot_disks)
         await asyncio.sleep(begin + self.plan.seconds - self.loop.time())
-        for key in sorted(self._heals):
-            self._heal(key)
-        await asyncio.sleep(OWED + 1.0)  # whoever drains or starts has done so
-        for key in sorted(self._heals):
-            self._heal(key)
+        for key in sorted(self._active_faults):
+            self._end_fault(key)
+        await asyncio.sleep(ANSWER_GRACE + 1.0)  # drains and starts are complete by then
+        for key in sorted(self._active_faults):
+            self._end_fault(key)
         await asyncio.sleep(1.0)
         self._check_timers()
-        await self._probe()
-        for courier in self.couriers:
-            courier.close()
-        await asyncio.sleep(QUIET)
-        self._check_rest()
-        self._check_faults()
-
-    def _copy_disks(self) -> None:
-        for door in self.doors:
-            door.disk.copy()
-
-    def _strike_all(self, batch: list[Fault]) -> None:
+        await self._check_liveness()
+        for client_pool in self.client_pools:
+            client_pool.close()
+        await asyncio.sleep(QUIET_PERIOD)
+        self._check_leaks()
+        self._check_unhandled_errors()
+
+    def _snapshot_disks(self) -> None:
+        for slot in self.proxy_slots:
+            slot.disk.take_snapshot()
+
+    def _inject_all(self, batch: list[Fault]) -> None:
         for fault in batch:
-            self.strike(fault)
+            self.inject(fault)
 
     def _check_timers(self) -> None:
-        """With nothing under way there is nothing to wait for."""
+        """Check that proxies without open requests have only their idle timers."""
         now = self.loop.time()
-        for door in self.doors:
-            if door.machine is None or not door.up or self.ledger.open_at(door.name):
+        for slot in self.proxy_slots:
+            if slot.machine is None or not slot.up or self.checker.open_request_count(slot.name):
                 continue
-            timers = self.loop.timers_of(door.machine)
-            if len(timers) > TIMERS:
+            timers = self.loop.timers_of(slot.machine)
+            if len(timers) > IDLE_TIMERS:
                 names = [getattr(timer._callback, "__qualname__", "?") for timer in timers]  # type: ignore[attr-defined]
-                self.ledger.violate(now, "nothing left", f"{door.name} has timers: {', '.join(names)}")
-
-    async def _probe(self) -> None:
-        """Liveness: every proxy serves again before long."""
-        waiting = {door: True for door in self.doors if door.owner is None}
-        for i in range(PROBES):
-            for number, door in enumerate(list(waiting)):
-                if door.up:
-                    ask = Ask(0x10000 + i * 100 + number, 0.0, "view", door.zone)
-                    self._served_by(door, self._send(ask, 0, door), waiting)
-            await asyncio.sleep(PROBE_EVERY if i < 3 else 2.0)
+                self.checker.report_violation(now, "nothing left", f"{slot.name} has timers: {', '.join(names)}")
+
+    async def _check_liveness(self) -> None:
+        """Check that every proxy serves a request again within MAX_PROBES probes."""
+        waiting = {slot: True for slot in self.proxy_slots if slot.for_backend is None}
+        for i in range(MAX_PROBES):
+            for number, slot in enumerate(list(waiting)):
+                if slot.up:
+                    planned = PlannedRequest(0x10000 + i * 100 + number, 0.0, "view", slot.zone)
+                    self._track_liveness(slot, self._send_request(planned, 0, slot), waiting)
+            await asyncio.sleep(PROBE_INTERVAL if i < 3 else 2.0)
             if not waiting:
                 return
-        for door in waiting:
-            self.ledger.violate(self.loop.time(), "liveness", f"{door.name} serves nothing")
+        for slot in waiting:
+            self.checker.report_violation(self.loop.time(), "liveness", f"{slot.name} serves nothing")
 
     @staticmethod
-    def _served_by(door: Door, parcel: Parcel, waiting: dict[Door, bool]) -> None:
-        """Cross a proxy off once it serves."""
-        done = parcel.done
+    def _track_liveness(slot: ProxySlot, pending: PendingRequest, waiting: dict[ProxySlot, bool]) -> None:
+        """Remove a proxy from `waiting` once it has served the request."""
+        done = pending.on_end
 
-        def ended(end: End, answer: Seen | None) -> None:
+        def on_end(end: RequestEnd, answer: Message | None) -> None:
             if answer is not None and answer.status == 200:
-                waiting.pop(door, None)
+                waiting.pop(slot, None)
             done(end, answer)
 
-        parcel.done = ended
+        pending.on_end = on_end
 
-    def _check_rest(self) -> None:
-        """In silence: no descriptor, task, exchange or byte of a body is left."""
+    def _check_leaks(self) -> None:
+        """Check after the quiet period that no descriptor, task, exchange or byte of a body is left."""
         now = self.loop.time()
-        for door in self.doors:
-            if door.machine is None or not door.up or door.proxy is None:
+        for slot in self.proxy_slots:
+            if slot.machine is None or not slot.up or slot.proxy is None:
                 continue
-            if door.machine.used > 1:
-                self.ledger.violate(now, "nothing left", f"{door.name} holds {door.machine.used} descriptors")
-            if len(door.machine.tasks) > 1:
-                names = sorted(getattr(t.get_coro(), "__qualname__", "?") for t in door.machine.tasks)
-                self.ledger.violate(now, "nothing left", f"{door.name} has tasks: {', '.join(names)}")
-            nodes = sum(stand.tier == door.tier for stand in self.stands)
-            for name, (count, bound) in excess(door.proxy, nodes).items():
-                self.ledger.violate(now, "nothing left", f"{door.name} has {count} in {name}, where {bound} may be")
-            if door.proxy.memory.used:
-                self.ledger.violate(now, "nothing left", f"{door.name} counts {door.proxy.memory.used} bytes")
-            if door.proxy.descriptors.used != door.machine.used - 1:
-                books = f"{door.proxy.descriptors.used} descriptors, and has {door.machine.used - 1}"
-                self.ledger.violate(now, "nothing left", f"{door.name} counts {books}")
+            if slot.machine.descriptors_used > 1:
+                self.checker.report_violation(
+                    now, "nothing left", f"{slot.name} holds {slot.machine.descriptors_used} descriptors"
+                )
+            if len(slot.machine.tasks) > 1:
+                names = sorted(getattr(task.get_coro(), "__qualname__", "?") for task in slot.machine.tasks)
+                self.checker.report_violation(now, "nothing left", f"{slot.name} has tasks: {', '.join(names)}")
+            tier_size = sum(backend.tier == slot.tier for backend in self.backend_slots)
+            for name, (count, bound) in containers_over_bound(slot.proxy, tier_size).items():
+                self.checker.report_violation(
+                    now, "nothing left", f"{slot.name} has {count} in {name}, where {bound} may be"
+                )
+            if slot.proxy.memory.used:
+                self.checker.report_violation(
+                    now, "nothing left", f"{slot.name} counts {slot.proxy.memory.used} bytes"
+                )
+            if slot.proxy.descriptors.used != slot.machine.descriptors_used - 1:
+                books = f"{slot.proxy.descriptors.used} descriptors, and has {slot.machine.descriptors_used - 1}"
+                self.checker.report_violation(now, "nothing left", f"{slot.name} counts {books}")
         self._check_objects()
 
-    def _check_faults(self) -> None:
-        """What nobody caught; not what the end of the world itself cancels later."""
-        for context in self.loop.faults:
+    def _check_unhandled_errors(self) -> None:
+        """Report unhandled errors; called before the end of the run cancels what is left."""
+        for context in self.loop.unhandled_errors:
             text = f"{context.get('message')}: {context.get('exception')!r}"
-            self.ledger.violate(self.loop.time(), "sound", text)
+            self.checker.report_violation(self.loop.time(), "sound", text)
 
     def _check_objects(self) -> None:
-        """Nothing of a request lives on: what the collector can't free, something still holds."""
+        """Check with the garbage collector that no object of a request is still referenced."""
         gc.collect()
-        living = {id(door.proxy): door for door in self.doors if door.up and door.proxy is not None}
-        found: dict[str, dict[str, int]] = {}
-        for thing in gc.get_objects():
+        living = {id(slot.proxy): slot for slot in self.proxy_slots if slot.up and slot.proxy is not None}
+        counts_by_proxy: dict[str, dict[str, int]] = {}
+        for candidate in gc.get_objects():
             owner: object = None
-            if type(thing) is Exchange:
-                owner = thing.proxy
-            elif type(thing) is CallerConnection:
-                owner = thing._callers.handler
-            elif type(thing) is BackendConnection:
-                owner = thing._pool.sink
+            if type(candidate) is Exchange:
+                owner = candidate.proxy
+            elif type(candidate) is CallerConnection:
+                owner = candidate._callers.handler
+            elif type(candidate) is BackendConnection:
+                owner = candidate._pool.sink
             if owner is not None and id(owner) in living:
-                of_door = found.setdefault(living[id(owner)].name, {})
-                of_door[type(thing).__name__] = of_door.get(type(thing).__name__, 0) + 1
-        for name, kinds in sorted(found.items()):
-            self.ledger.violate(self.loop.time(), "nothing left", f"{name} keeps {dict(sorted(kinds.items()))}")
+                counts = counts_by_proxy.setdefault(living[id(owner)].name, {})
+                counts[type(candidate).__name__] = counts.get(type(candidate).__name__, 0) + 1
+        for name, counts_of_proxy in sorted(counts_by_proxy.items()):
+            self.checker.report_violation(
+                self.loop.time(), "nothing left", f"{name} keeps {dict(sorted(counts_of_proxy.items()))}"
+            )
 
 
-def _was_read(transport: asyncio.Transport | None) -> bool:
-    """Whether the other end had read all that was written; in memory that is known."""
+def _peer_has_read(transport: asyncio.Transport | None) -> bool:
+    """Whether the peer has read all that was written, which an in-memory network knows."""
     if not isinstance(transport, VirtualTransport) or transport.peer is None:
         return False
-    return transport.peer.told >= transport.written
+    return transport.peer.bytes_read >= transport.bytes_written
 
 
 @contextlib.contextmanager
-def _listening(world: World) -> Iterator[None]:
-    """Take the program's errors into the account, and spare its other words."""
+def _capture_errors(world: World) -> Iterator[None]:
+    """Report the program's error log lines as violations and drop its other log lines."""
     logger = logging.getLogger("cometusher")
-    handler, level, propagate = _Errors(world), logger.level, logger.propagate
+    handler, level, propagate = _ErrorHandler(world), logger.level, logger.propagate
     logger.addHandler(handler)
     logger.setLevel(logging.ERROR)
     logger.propagate = False
@@ -1496,22 +1595,28 @@
         logger.propagate = propagate
 
 
-def play(plan: Plan, every_step: bool = False) -> Result:
-    """Run a plan to its end; what goes wrong is in the account.
+def run_plan(plan: Plan, every_step: bool = False) -> Result:
+    """Run a plan to its end; the result holds the violations.
 
-    After every step it is checked whether an answer is overdue, and a few times a second what the proxies hold;
-    `every_step` has both done after every step, which is slow.
+    Overdue answers are checked after every step, the bounds on what proxies hold every BOUNDS_CHECK_INTERVAL.
+    `every_step` checks both after every step, which is slow.
     """
     world = World(plan)
-    ledger, loop = world.ledger, world.loop
+    checker, loop = world.checker, world.loop
     if every_step:
-        world.look_every = 0.0
-    loop.after_step = world._step
-    with _listening(world):
+        world.bounds_check_interval = 0.0
+    loop.after_step = world._after_step
+    with _capture_errors(world):
         try:
             run(loop, world.main())
-        except (Deadlock, Stuck) as fault:
-            ledger.violate(loop.time(), "liveness", f"{type(fault).__name__}: {fault}")
+        except (Deadlock, Stuck) as error:
+            checker.report_violation(loop.time(), "liveness", f"{type(error).__name__}: {error}")
     return Result(
-        plan, ledger.violations, ledger.digest(), ledger.lines(), ledger.statuses(), loop.time(), loop.steps
+        plan,
+        checker.violations,
+        checker.digest(),
+        checker.trace_lines(),
+        checker.outcome_counts(),
+        loop.time(),
+        loop.steps,
     )
